--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -33,9 +33,9 @@
     Plan(plan::Command),
     /// What all admit requests by.
     Policy(policy::Command),
-    /// Versions of the schema that queries may run under.
+    /// Versions of the schema that requests may run under.
     Schema(schema::Command),
-    /// Slots for slow queries.
+    /// Slots for slow requests.
     Slots(lend::Command),
 }
 
@@ -46,9 +46,9 @@
     Plan,
     /// What all admit requests by.
     Policy,
-    /// Versions of the schema that queries may run under.
+    /// Versions of the schema that requests may run under.
     Schema,
-    /// Slots for slow queries.
+    /// Slots for slow requests.
     Slots,
 }
 
@@ -119,12 +119,12 @@
         &self.policy
     }
 
-    /// Versions of the schema that queries may run under.
+    /// Versions of the schema that requests may run under.
     pub fn schema(&self) -> &Schema {
         &self.schema
     }
 
-    /// Slots for slow queries.
+    /// Slots for slow requests.
     pub fn slots(&self) -> &Slots {
         &self.slots
     }
--- a/crates/fleet/src/lend/borrower.rs
+++ b/crates/fleet/src/lend/borrower.rs
@@ -27,7 +27,7 @@
         Borrower { me, term, margin, gap, number: 0, asked: VecDeque::new(), said: None }
     }
 
-    /// Slots in which a query may begin now. What runs beyond the lease's end, when this is 0 without a word of the
+    /// Slots in which a request may begin now. What runs beyond the lease's end, when this is 0 without a word of the
     /// record for a term less the margin, has to be ended by then: the slots may be another's.
     pub fn usable(&self, now: Micros, slots: &Slots) -> u16 {
         let taken = slots.taken(self.me);
--- a/crates/fleet/src/lend/command.rs
+++ b/crates/fleet/src/lend/command.rs
@@ -10,7 +10,7 @@
     pub total: u16,
     /// How long a slot is lent without a renewal, by the leader's clock.
     pub term: Micros,
-    /// How long a holder that has more than its part may go on renewing what others lack: the longest query.
+    /// How long a holder that has more than its part may go on renewing what others lack: the longest request.
     pub longest: Micros,
 }
 
--- a/crates/fleet/src/lend/mod.rs
+++ b/crates/fleet/src/lend/mod.rs
@@ -1,4 +1,4 @@
-//! Slots for slow queries, lent by the agreed record: numbered credits, each with one holder at most.
+//! Slots for slow requests, lent by the agreed record: numbered credits, each with one holder at most.
 //!
 //! A holder says how many it gives back and wants; the record lends what is free, the holder with the fewest first. So
 //! one that asks for too much gets an equal part and what the others leave. A lease's time counts from the first
--- a/crates/fleet/src/schema/capacity.rs
+++ b/crates/fleet/src/schema/capacity.rs
@@ -74,7 +74,7 @@
     let stays = |m: &str| m != id && !plan.step(m).is_some_and(Step::missing);
     let mut cores: BTreeMap<Version, f64> = BTreeMap::new();
     for (m, machine) in machines.iter().filter(|(m, machine)| machine.up && stays(m)) {
-        if let Some(version) = schema.motors().version(m) {
+        if let Some(version) = schema.executors().version(m) {
             *cores.entry(version).or_default() += machine.cores;
         }
     }
--- a/crates/fleet/src/schema/motors.rs
+++ b/crates/fleet/src/schema/executors.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct Motor {
+struct Executor {
     told: Version,
     /// The start of the process that it was told of.
     started: Micros,
@@ -33,7 +33,7 @@
     against: Option<(Version, Micros)>,
 }
 
-impl Motor {
+impl Executor {
     /// The latest start that anybody spoke of.
     fn latest(&self) -> Micros {
         self.against.map_or(self.started, |(_, at)| at.max(self.started))
@@ -42,11 +42,11 @@
 
 /// The executors, by their ids. Words on a process older than the one known are late and change nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Motors {
-    all: BTreeMap<String, Motor>,
+pub struct Executors {
+    all: BTreeMap<String, Executor>,
 }
 
-impl Motors {
+impl Executors {
     /// What is known of one; `None` if nobody told.
     pub fn held(&self, id: &str) -> Option<Held> {
         self.all.get(id).map(|m| match m.against {
@@ -96,7 +96,7 @@
     pub(super) fn tell(&mut self, id: String, version: Version, started: Micros) -> bool {
         let Some(m) = self.all.get_mut(&id) else {
             let fits = self.all.len() < MOST && !id.is_empty() && id.len() <= LONGEST_ID;
-            return fits && self.all.insert(id, Motor { told: version, started, against: None }).is_none();
+            return fits && self.all.insert(id, Executor { told: version, started, against: None }).is_none();
         };
         if started < m.started {
             return false;
@@ -108,7 +108,7 @@
             return differs;
         }
         let against = m.against.filter(|&(said, at)| at >= started && said != version);
-        *m = Motor { told: version, started, against };
+        *m = Executor { told: version, started, against };
         true
     }
 
@@ -125,7 +125,7 @@
     pub(super) fn settle(&mut self, id: &str, version: Version, started: Micros) -> bool {
         match self.all.get_mut(id) {
             Some(m) if m.against.is_some_and(|(_, at)| at == started) => {
-                *m = Motor { told: version, started: m.latest(), against: None };
+                *m = Executor { told: version, started: m.latest(), against: None };
                 true
             }
             _ => false,
--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -7,16 +7,16 @@
 //! the step that it saw, so that a call which comes late or twice does no harm.
 //!
 //! - [`window`]: the steps.
-//! - [`motors`]: which executor holds which version.
+//! - [`executors`]: which executor holds which version.
 //! - [`capacity`]: whether one may be taken out without leaving a version's clients short.
 
 pub mod capacity;
-pub mod motors;
+pub mod executors;
 pub mod window;
 
 use crate::machine::Machine;
 use crate::{Holder, Micros};
-use motors::{Held, Motors};
+use executors::{Executors, Held};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use window::Window;
@@ -58,7 +58,7 @@
     window: Window,
     step: u64,
     linger: Micros,
-    motors: Motors,
+    executors: Executors,
 }
 
 impl Schema {
@@ -78,8 +78,8 @@
     }
 
     /// Which executor holds which version.
-    pub fn motors(&self) -> &Motors {
-        &self.motors
+    pub fn executors(&self) -> &Executors {
+        &self.executors
     }
 
     /// Versions under which a dispatcher may begin something, oldest first. `without_word` is how long it has
@@ -134,7 +134,7 @@
             }
             (Command::Close(s), Window::Opening { old }) => {
                 let new = old.saturating_add(1);
-                if !self.motors.iter().any(|(_, held)| held == Held::Holds(new)) {
+                if !self.executors.iter().any(|(_, held)| held == Held::Holds(new)) {
                     return Err(format!("no motor holds schema {new}"));
                 }
                 step(*s)
@@ -163,7 +163,7 @@
             format!("; waits for {} holders and {left} ms", e.waits().len())
         });
         let (mut holds, mut disputed) = (BTreeMap::<Version, usize>::new(), Vec::new());
-        for (id, held) in self.motors.iter() {
+        for (id, held) in self.executors.iter() {
             match held {
                 Held::Holds(v) => *holds.entry(v).or_default() += 1,
                 Held::Disputed { told, said } => disputed.push(format!("{id} (told {told}, says {said})")),
@@ -200,10 +200,10 @@
             Command::Clear(holder, ..) => {
                 return alive.contains(&holder) && self.window.clear(holder) | self.settle();
             }
-            Command::Tell(id, v, started) => return self.motors.tell(id, v, started),
-            Command::Says(id, v, started) => return self.motors.say(&id, v, started),
-            Command::Settle(id, v, started) => return self.motors.settle(&id, v, started),
-            Command::Gone(id, started) => return self.motors.gone(&id, started),
+            Command::Tell(id, v, started) => return self.executors.tell(id, v, started),
+            Command::Says(id, v, started) => return self.executors.say(&id, v, started),
+            Command::Settle(id, v, started) => return self.executors.settle(&id, v, started),
+            Command::Gone(id, started) => return self.executors.gone(&id, started),
         }
         self.step += 1;
         true
--- a/crates/fleet/tests/lend.rs
+++ b/crates/fleet/tests/lend.rs
@@ -113,7 +113,7 @@
     }
 
     /// Guards against a holder that asks for all and says that all is in use: the others come to what they want, up
-    /// to an equal part, in the longest query's time and a lease.
+    /// to an equal part, in the longest request's time and a lease.
     #[test]
     fn one_that_asks_for_too_much_gets_its_part_and_what_is_left(
         wants in prop::collection::vec(0..30u16, 2..6), total in 1..60u16,
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -2,7 +2,7 @@
 
 use fleet::plan::{self, Budget, Plan};
 use fleet::schema::capacity::{Short, Use, may_leave};
-use fleet::schema::motors::{Held, MOST};
+use fleet::schema::executors::{Held, MOST};
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema};
 use fleet::{Holder, Machine, Micros, incarnation};
@@ -95,7 +95,7 @@
     assert!(s.apply(tell("m0", 7, 3), &alive));
     assert!(s.apply(s.word_of(holder(2), |_| false).unwrap(), &alive));
     assert_eq!(s.window(), &Window::Closed(7));
-    assert_eq!((s.motors().version("m0"), s.motors().version("m1")), (Some(7), Some(8)));
+    assert_eq!((s.executors().version("m0"), s.executors().version("m1")), (Some(7), Some(8)));
 }
 
 // One that is cut off must begin nothing that may have ended: never what was ending, and in an open window nothing
@@ -121,16 +121,16 @@
     let mut s = fleet(true, &alive);
     let says = |v, at| Command::Says("m0".into(), v, at);
     assert!(!s.apply(says(8, 2), &alive) && !s.apply(says(7, 1), &alive) && s.apply(says(7, 2), &alive));
-    assert_eq!(s.motors().held("m0"), Some(Held::Disputed { told: 8, said: 7 }));
-    assert_eq!((s.motors().version("m0"), s.apply(says(8, 2), &alive)), (None, false));
+    assert_eq!(s.executors().held("m0"), Some(Held::Disputed { told: 8, said: 7 }));
+    assert_eq!((s.executors().version("m0"), s.apply(says(8, 2), &alive)), (None, false));
     assert!(s.status().contains("1 disputed: m0 (told 8, says 7)"), "{}", s.status());
     assert!(!s.apply(Command::Settle("m0".into(), 7, 1), &alive));
     assert!(s.apply(Command::Settle("m0".into(), 7, 2), &alive));
-    assert_eq!(s.motors().version("m0"), Some(7));
+    assert_eq!(s.executors().version("m0"), Some(7));
     assert!(s.apply(says(9, 5), &alive) && s.apply(tell("m0", 8, 6), &alive), "a new process is told anew");
-    assert_eq!(s.motors().version("m0"), Some(8));
+    assert_eq!(s.executors().version("m0"), Some(8));
     assert!(s.apply(tell("m0", 7, 6), &alive), "two lists that differ");
-    assert_eq!(s.motors().version("m0"), None);
+    assert_eq!(s.executors().version("m0"), None);
     assert!(
         !s.apply(Command::Gone("m0".into(), 5), &alive) && s.apply(Command::Gone("m0".into(), 6), &alive)
     );
@@ -141,7 +141,7 @@
 fn the_executors_known_are_bounded() {
     let (mut s, alive) = (fleet(false, &BTreeSet::new()), BTreeSet::new());
     let taken = (0..MOST).filter(|n| s.apply(tell(&format!("x{n}"), 7, 1), &alive)).count();
-    assert_eq!((taken, s.motors().len()), (MOST - 4, MOST));
+    assert_eq!((taken, s.executors().len()), (MOST - 4, MOST));
     assert!(s.apply(Command::Gone("x0".into(), 1), &alive) && !s.apply(tell(&"y".repeat(200), 7, 1), &alive));
 }
 
--- a/crates/lab/src/fleet/accounts.rs
+++ b/crates/lab/src/fleet/accounts.rs
@@ -1,11 +1,11 @@
-//! What holds of the accounts of clients and motores, whatever is measured.
+//! What holds of the accounts of clients and executors, whatever is measured.
 
 use super::clients::{Account, Ended};
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A motor that is told to stop, or whose connection ends, may take this long to see it.
+/// An executor that is told to stop, or whose connection ends, may take this long to see it.
 const NOTICED: Duration = Duration::from_millis(60);
 
 /// What the clients got, counted.
@@ -40,14 +40,14 @@
     all
 }
 
-/// What the motores saw.
+/// What the executors saw.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Seen {
-    /// Loads that reached motores more than once.
+    /// Loads that reached executors more than once.
     pub twice: u64,
-    /// Reads that ran at two motores at once.
+    /// Reads that ran at two executors at once.
     pub beside: Vec<u64>,
-    /// Requests that reached motores, and sends of them.
+    /// Requests that reached executors, and sends of them.
     pub requests: u64,
     /// All sends.
     pub sends: u64,
@@ -71,7 +71,7 @@
     name_in(p, 'r')
 }
 
-/// Reads what the motores saw: sends of each name, and which ran beside each other.
+/// Reads what the executors saw: sends of each name, and which ran beside each other.
 pub fn seen<'a>(pulls: impl Iterator<Item = &'a Pull>, excused: &BTreeSet<u64>) -> Seen {
     let mut of: BTreeMap<u64, Vec<&Pull>> = BTreeMap::new();
     for p in pulls {
--- a/crates/lab/src/fleet/accounts/tests.rs
+++ b/crates/lab/src/fleet/accounts/tests.rs
@@ -8,9 +8,9 @@
     Pull { id: String::new(), fields, statement, at: at(from_ms), answered: None, ended }
 }
 
-// The checks of all measurements stand on these: a load sent twice, a read that runs at two motores at once.
+// The checks of all measurements stand on these: a load sent twice, a read that runs at two executors at once.
 #[test]
-fn what_motores_saw_twice_is_found() {
+fn what_executors_saw_twice_is_found() {
     let all = [
         pull("load", "INSERT INTO s.t VALUES (t100t r101r)", 0, 50),
         pull("load", "INSERT INTO s.t VALUES (t100t r102r)", 500, 550),
--- a/crates/lab/src/fleet/faults.rs
+++ b/crates/lab/src/fleet/faults.rs
@@ -29,8 +29,8 @@
     SlowPeers,
     /// Messages to and from its peers change places.
     ShuffledPeers,
-    /// Its links to half the motores end.
-    CutMotores,
+    /// Its links to half the executors end.
+    CutExecutors,
     /// It is killed, and so is the next one as soon as it is back.
     KillTwo,
 }
@@ -45,7 +45,7 @@
     (Kind::LatePeers, "peers late"),
     (Kind::SlowPeers, "peers at a trickle"),
     (Kind::ShuffledPeers, "peers' messages reordered"),
-    (Kind::CutMotores, "cut from half the motores"),
+    (Kind::CutExecutors, "cut from half the motores"),
     (Kind::KillTwo, "one killed after the other"),
 ];
 
@@ -73,7 +73,7 @@
         false => KINDS.choose(&mut rng).map_or(Kind::Kill, |k| k.0),
     };
     let weather = match kind {
-        Kind::CutPeers | Kind::CutMotores => Weather::Cut,
+        Kind::CutPeers | Kind::CutExecutors => Weather::Cut,
         Kind::SilentPeers | Kind::Deaf => Weather::Silent,
         Kind::LatePeers => Weather::Late(rng.random_range(20..400)),
         Kind::SlowPeers => Weather::Trickle(rng.random_range(16..256)),
@@ -95,7 +95,7 @@
         match self.kind {
             Kind::Kill | Kind::KillTwo => drop(world.kill(self.who)),
             Kind::Pause => world.pause(self.who, true),
-            Kind::CutMotores => world.motores(self.who, self.weather),
+            Kind::CutExecutors => world.executors(self.who, self.weather),
             kind => world.peers(self.who, self.weather, kind == Kind::Deaf),
         }
     }
@@ -105,7 +105,7 @@
         match self.kind {
             Kind::Kill | Kind::KillTwo => world.restart(self.who)?,
             Kind::Pause => world.pause(self.who, false),
-            Kind::CutMotores => world.motores(self.who, Weather::Clear),
+            Kind::CutExecutors => world.executors(self.who, Weather::Clear),
             _ => world.peers(self.who, Weather::Clear, false),
         }
         Ok(())
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) mod world;
 
 use crate::chart;
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::error::Error;
 use std::path::Path;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 /// No start takes this long unless something hangs.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Motor time for requests whose cost is measured.
+/// Executor time for requests whose cost is measured.
 pub fn quick(_: &Pull) -> Duration {
     Duration::from_millis(1)
 }
--- a/crates/lab/src/fleet/reach.rs
+++ b/crates/lab/src/fleet/reach.rs
@@ -52,9 +52,9 @@
         self.operator(i).map(|at| call_at(at, line)).unwrap_or_default()
     }
 
-    /// Tells all dispatchers what the list says of a motor, which they reach without a link from then on.
-    pub fn list(&self, motor: usize, state: &str, boot_ms: u64) {
-        let entry = target_of(&uid(motor), self.engines[motor].address, (self.kind)(motor), state);
+    /// Tells all dispatchers what the list says of an executor, which they reach without a link from then on.
+    pub fn list(&self, executor: usize, state: &str, boot_ms: u64) {
+        let entry = target_of(&uid(executor), self.executors[executor].address, (self.kind)(executor), state);
         self.feed.tell(false, &[entry.replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#))]);
     }
 
@@ -127,9 +127,9 @@
         }
     }
 
-    /// The weather on the links of one to every second motor.
-    pub fn motores(&self, i: usize, weather: Weather) {
-        self.motores[i].iter().step_by(2).for_each(|l| l.set(weather));
+    /// The weather on the links of one to every second executor.
+    pub fn executors(&self, i: usize, weather: Weather) {
+        self.executor_links[i].iter().step_by(2).for_each(|l| l.set(weather));
     }
 
     /// Processor time that the dispatchers have used so far, in seconds.
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -1,8 +1,8 @@
-//! A fleet: dispatchers, motores, and a link between every two that talk.
+//! A fleet: dispatchers, executors, and a link between every two that talk.
 
 use super::{Failure, PATIENCE};
 use crate::daemon::{Daemon, Event};
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
 use standins::link::Link;
 use standins::scripted::{Launch, target_of};
@@ -13,8 +13,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Motores of a fleet.
-pub const MOTORES: usize = 6;
+/// Executors of a fleet.
+pub const EXECUTORS: usize = 6;
 /// How long ended loads are remembered: longer than a client goes on asking.
 pub const REMEMBERS: Duration = Duration::from_secs(16);
 
@@ -26,13 +26,13 @@
     launch: Launch,
     pub(super) folder: PathBuf,
     pub(super) feed: Feed,
-    /// The motores.
-    pub engines: Vec<Engine>,
+    /// The executors.
+    pub executors: Vec<Executor>,
     pub(super) daemons: Vec<Option<Daemon>>,
     /// From one dispatcher to another.
     pub(super) peers: BTreeMap<(usize, usize), Link>,
-    /// From a dispatcher to a motor.
-    pub(super) motores: Vec<Vec<Link>>,
+    /// From a dispatcher to an executor.
+    pub(super) executor_links: Vec<Vec<Link>>,
     /// Where clients go.
     pub doors: Doors,
     /// The operators' addresses.
@@ -61,9 +61,9 @@
     pub settings: &'a str,
     /// Dispatchers whose platform's settings are others, by place.
     pub differing: &'a [(usize, &'a str)],
-    /// Motores.
-    pub motores: usize,
-    /// The kind of each motor, by place.
+    /// Executors.
+    pub executors: usize,
+    /// The kind of each executor, by place.
     pub kind: fn(usize) -> &'static str,
     /// What their own settings say in their `peers` block beside the peers.
     pub in_peers: &'a str,
@@ -73,7 +73,7 @@
     pub remember: Duration,
     /// What they log, as a filter's text; their own choice if none.
     pub log: Option<&'a str>,
-    /// How long a motor takes for a request.
+    /// How long an executor takes for a request.
     pub work: fn(&Pull) -> Duration,
 }
 
@@ -84,7 +84,7 @@
             with_peers: true,
             settings: super::SETTINGS,
             differing: &[],
-            motores: MOTORES,
+            executors: EXECUTORS,
             kind: |_| "k",
             in_peers: "",
             beside: |_| String::new(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// A motor's name.
+/// An executor's name.
 pub fn uid(n: usize) -> String {
     format!("s-{:08x}", n + 1)
 }
@@ -103,10 +103,10 @@
 impl World {
     /// Starts a fleet, and waits until all of its dispatchers serve.
     pub fn start(program: &Path, folder: &Path, shape: &Shape<'_>) -> Result<World, Failure> {
-        let Shape { dispatchers, motores, work, .. } = *shape;
-        let mut engines = Vec::new();
-        for _ in 0..motores {
-            engines.push(Engine::new(work)?);
+        let Shape { dispatchers, work, .. } = *shape;
+        let mut executors = Vec::new();
+        for _ in 0..shape.executors {
+            executors.push(Executor::new(work)?);
         }
         let mut launch = Launch::new(program, folder);
         launch.sockets = 512;
@@ -115,10 +115,10 @@
             launch,
             folder: folder.into(),
             feed: Feed::at("127.0.0.1:0", 1)?,
-            engines,
+            executors,
             daemons: (0..dispatchers).map(|_| None).collect(),
             peers: BTreeMap::new(),
-            motores: Vec::new(),
+            executor_links: Vec::new(),
             doors: Arc::new(Mutex::new(vec![None; dispatchers])),
             operators: vec![None; dispatchers],
             in_peers: shape.in_peers.into(),
@@ -133,12 +133,12 @@
         for i in 0..dispatchers {
             std::fs::create_dir_all(world.own(i))?;
             let mut links = Vec::new();
-            for e in &world.engines {
+            for e in &world.executors {
                 let link = Link::new()?;
                 link.leads_to(e.address);
                 links.push(link);
             }
-            world.motores.push(links);
+            world.executor_links.push(links);
             for j in (0..dispatchers).filter(|j| *j != i) {
                 world.peers.insert((i, j), Link::new()?);
             }
@@ -166,7 +166,7 @@
 
     /// Starts one, or starts it anew.
     pub fn restart(&mut self, i: usize) -> Result<(), Failure> {
-        let links = self.motores[i].iter().enumerate();
+        let links = self.executor_links[i].iter().enumerate();
         let known: Vec<String> =
             links.map(|(n, l)| target_of(&uid(n), l.address, (self.kind)(n), "up")).collect();
         let name = format!("d{i}-{}", self.folder.display()).replace('/', "-");
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -34,7 +34,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Swap motor lists under traffic, in every way that files change
+    /// Swap executor lists under traffic, in every way that files change
     MotorLists {
         /// Swaps in the long run
         #[arg(long, default_value_t = 5_000)]
@@ -46,7 +46,7 @@
         #[arg(long)]
         slice: bool,
     },
-    /// Motores taken out for work by a fleet under faults, in an order that it settles
+    /// Executors taken out for work by a fleet under faults, in an order that it settles
     Maintenance {
         /// Plans, each with a trouble of its own
         #[arg(long, default_value_t = 500)]
@@ -142,7 +142,7 @@
     /// Many followers of a control group in one process, without traffic; told what to do over standard input
     #[command(hide = true)]
     Hollow(scale::HollowArgs),
-    /// An outage of all motores under many clients, with the storm module and without it
+    /// An outage of all executors under many clients, with the storm module and without it
     RetryStorms {
         /// Clients
         #[arg(long, default_value_t = 1_000)]
--- a/crates/lab/src/maintenance/machines.rs
+++ b/crates/lab/src/maintenance/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of a fleet's motores: they go when they are handed over and come back, as the logs have it.
+//! The machines of a fleet's executors: they go when they are handed over and come back, as the logs have it.
 
 use crate::fleet::world::World;
 use rand::Rng;
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A line of a dispatcher's log on a motor's step.
+/// A line of a dispatcher's log on an executor's step.
 #[derive(Debug, Clone)]
 pub struct Line {
     /// Which dispatcher.
     pub who: usize,
-    /// Which motor.
-    pub motor: usize,
+    /// Which executor.
+    pub executor: usize,
     /// The step, and what is said of it.
     pub step: String,
     /// When it was written.
@@ -35,10 +35,10 @@
     /// Moves those that are due.
     pub fn step(&mut self, world: &World, lines: &[Line], stays: Option<usize>, rng: &mut StdRng) {
         for l in lines.iter().filter(|l| l.step.starts_with("out")) {
-            self.away.entry(l.motor).or_insert_with(|| {
-                world.list(l.motor, "draining", 0);
+            self.away.entry(l.executor).or_insert_with(|| {
+                world.list(l.executor, "draining", 0);
                 let back = Instant::now() + Duration::from_millis(rng.random_range(100..500));
-                (stays != Some(l.motor)).then_some(back)
+                (stays != Some(l.executor)).then_some(back)
             });
         }
         let due: Vec<usize> = self
@@ -47,21 +47,22 @@
             .filter(|(_, t)| t.is_some_and(|t| t <= Instant::now()))
             .map(|(m, _)| *m)
             .collect();
-        for motor in due {
-            world.list(motor, "up", now_ms());
-            self.away.remove(&motor);
+        for executor in due {
+            world.list(executor, "up", now_ms());
+            self.away.remove(&executor);
         }
     }
 }
 
-/// The lines on motores' steps since the last time, which go to all lines too.
+/// The lines on executors' steps since the last time, which go to all lines too.
 pub fn read(world: &World, all: &mut Vec<Line>) -> Vec<Line> {
     let mut new = Vec::new();
     world.read_logs(&mut |who, e| {
         if e.message() == "maintenance" {
-            let motor =
-                u64::from_str_radix(e.text("motor").trim_start_matches("s-"), 16).unwrap_or(1) as usize - 1;
-            new.push(Line { who, motor, step: e.text("step").into(), at: e.at });
+            let executor = u64::from_str_radix(e.text("executor").trim_start_matches("s-"), 16).unwrap_or(1)
+                as usize
+                - 1;
+            new.push(Line { who, executor, step: e.text("step").into(), at: e.at });
         }
     });
     all.extend(new.iter().cloned());
--- a/crates/lab/src/maintenance/mod.rs
+++ b/crates/lab/src/maintenance/mod.rs
@@ -1,4 +1,4 @@
-//! Motores taken out for work by a fleet under seeded faults: whether the agreed order and the budget hold, and
+//! Executors taken out for work by a fleet under seeded faults: whether the agreed order and the budget hold, and
 //! what servicing a whole fleet costs.
 
 mod machines;
@@ -12,18 +12,18 @@
 use plan::{Outcome, TROUBLES, plan};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::fmt::Write as _;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 
-const MOTORES: usize = 8;
-/// Nothing new may reach a motor later than this after its step was agreed.
+const EXECUTORS: usize = 8;
+/// Nothing new may reach an executor later than this after its step was agreed.
 const GRACE: Duration = Duration::from_millis(500);
 /// A plan that has not come to its end by then has not ended.
 const LONGEST: Duration = Duration::from_secs(60);
-/// Share of the worth that servicing all motores may cost.
+/// Share of the worth that servicing all executors may cost.
 const MOST_LOST: f64 = 0.03;
 const SETTINGS_OF_PEERS: &str = "  maintenance {\n    min_motores = 5\n    out_limit   = \"2s\"\n  }\n";
 
@@ -33,11 +33,11 @@
 
 fn shape(dispatchers: usize, settings: &str) -> Shape<'_> {
     let in_peers = SETTINGS_OF_PEERS;
-    Shape { dispatchers, settings, motores: MOTORES, in_peers, work, ..Shape::default() }
+    Shape { dispatchers, settings, executors: EXECUTORS, in_peers, work, ..Shape::default() }
 }
 
 fn settings() -> String {
-    // Motores are warm after a second, so that a plan takes seconds.
+    // Executors are warm after a second, so that a plan takes seconds.
     SETTINGS.replace(r#""rampTime":10"#, r#""rampTime":1"#)
 }
 
@@ -55,7 +55,7 @@
     outcomes
 }
 
-/// The share of requests that were served within a time, with all motores serviced meanwhile or with none.
+/// The share of requests that were served within a time, with all executors serviced meanwhile or with none.
 fn worth(program: &Path, folder: &Path, serviced: bool, span: Duration) -> Result<(f64, f64), Failure> {
     let world = World::start(program, folder, &shape(3, &settings()))?;
     world.settled(&mut |_, _| ());
@@ -64,7 +64,7 @@
     let (begun, mut lines, mut machines) = (Instant::now(), Vec::new(), Machines::default());
     let mut rng = StdRng::seed_from_u64(1);
     if serviced {
-        let ids: Vec<String> = (0..MOTORES).map(uid).collect();
+        let ids: Vec<String> = (0..EXECUTORS).map(uid).collect();
         world.call(0, &format!("DRAIN PLAN {}", ids.join(",")));
     }
     let mut took = Duration::ZERO;
@@ -72,7 +72,7 @@
         let new = read(&world, &mut lines);
         machines.step(&world, &new, None, &mut rng);
         let done = world.call(0, "DRAIN STATUS").matches(" done").count();
-        if serviced && done == MOTORES && took == Duration::ZERO {
+        if serviced && done == EXECUTORS && took == Duration::ZERO {
             took = begun.elapsed();
         }
         thread::sleep(Duration::from_millis(20));
@@ -97,7 +97,7 @@
             text,
             "| {name} | {} | {} | {} | {} | {} | {} |",
             of.len(),
-            sum(&|o| o.motores),
+            sum(&|o| o.executors),
             sum(&|o| o.late),
             sum(&|o| o.twice),
             sum(&|o| o.over_budget),
@@ -128,7 +128,7 @@
     let sum = |of: &dyn Fn(&Outcome) -> usize| all.iter().map(of).sum::<usize>();
     let (late, twice, over) = (sum(&|o| o.late), sum(&|o| o.twice), sum(&|o| o.over_budget));
     let open = sum(&|o| usize::from(!o.ended));
-    let mut took: Vec<f64> = all.iter().map(|o| o.took.as_secs_f64() / o.motores as f64).collect();
+    let mut took: Vec<f64> = all.iter().map(|o| o.took.as_secs_f64() / o.executors as f64).collect();
     took.sort_by(f64::total_cmp);
     if !slice {
         std::fs::create_dir_all(results)?;
--- a/crates/lab/src/maintenance/plan.rs
+++ b/crates/lab/src/maintenance/plan.rs
@@ -1,7 +1,7 @@
-//! One plan to take motores out for work, with what goes wrong meanwhile.
+//! One plan to take executors out for work, with what goes wrong meanwhile.
 
 use super::machines::{Line, Machines, now_ms, read};
-use super::{GRACE, LONGEST, MOTORES};
+use super::{EXECUTORS, GRACE, LONGEST};
 use crate::fleet::Failure;
 use crate::fleet::faults::{Coming, Fault, Kind};
 use crate::fleet::world::{World, uid};
@@ -25,7 +25,7 @@
     Silent,
     /// A dispatcher stands still.
     Pause,
-    /// A motor stays away until a person has mended it.
+    /// An executor stays away until a person has mended it.
     NeverBack,
     /// An operator calls the plan off.
     Abort,
@@ -60,15 +60,15 @@
 pub struct Outcome {
     /// What went wrong.
     pub trouble: Trouble,
-    /// Motores in the plan.
-    pub motores: usize,
+    /// Executors in the plan.
+    pub executors: usize,
     /// It came to its end in time.
     pub ended: bool,
-    /// Requests that reached a motor after its step was agreed.
+    /// Requests that reached an executor after its step was agreed.
     pub late: usize,
     /// Steps that one dispatcher told twice.
     pub twice: usize,
-    /// Motores that were out beside another.
+    /// Executors that were out beside another.
     pub over_budget: usize,
     /// From the call to the end.
     pub took: Duration,
@@ -78,15 +78,15 @@
 pub fn plan(world: &mut World, seed: u64) -> Result<Outcome, Failure> {
     let mut rng = StdRng::seed_from_u64(seed);
     let trouble = if rng.random_bool(0.25) { Trouble::Nothing } else { TROUBLES[rng.random_range(1..7)].0 };
-    let mut motores: Vec<usize> = (0..MOTORES).collect();
-    motores.shuffle(&mut rng);
-    motores.truncate(rng.random_range(1..4));
+    let mut executors: Vec<usize> = (0..EXECUTORS).collect();
+    executors.shuffle(&mut rng);
+    executors.truncate(rng.random_range(1..4));
     let who = rng.random_range(0..world.len());
     let other = (who + 1) % world.len();
-    let stays = (trouble == Trouble::NeverBack).then_some(motores[0]);
+    let stays = (trouble == Trouble::NeverBack).then_some(executors[0]);
     let (begun, mut lines, mut machines) = (Instant::now(), Vec::new(), Machines::default());
     read(world, &mut Vec::new());
-    let ids: Vec<String> = motores.iter().map(|m| uid(*m)).collect();
+    let ids: Vec<String> = executors.iter().map(|m| uid(*m)).collect();
     let asked = world.call(other, &format!("DRAIN PLAN {}", ids.join(",")));
     if !asked.starts_with("+OK") {
         return Err(format!("not planned: {asked}").into());
@@ -103,13 +103,13 @@
         if coming.turn(world)? && trouble == Trouble::Abort {
             world.call(other, "DRAIN ABORT");
         }
-        if let Some(motor) = stays
-            && lines.iter().any(|l| l.motor == motor && l.step.starts_with("failed"))
-            && machines.away.get(&motor) == Some(&None)
+        if let Some(executor) = stays
+            && lines.iter().any(|l| l.executor == executor && l.step.starts_with("failed"))
+            && machines.away.get(&executor) == Some(&None)
         {
             // A person has mended it.
-            machines.away.insert(motor, Some(Instant::now()));
-            world.call(other, &format!("DRAIN MEND {}", uid(motor)));
+            machines.away.insert(executor, Some(Instant::now()));
+            world.call(other, &format!("DRAIN MEND {}", uid(executor)));
         }
         let status = world.call(other, "DRAIN STATUS");
         let over = |id: &String| {
@@ -125,29 +125,30 @@
     thread::sleep(Duration::from_millis(600));
     read(world, &mut lines);
     world.last_words();
-    for motor in std::mem::take(&mut machines.away).into_keys() {
-        world.list(motor, "up", now_ms());
+    for executor in std::mem::take(&mut machines.away).into_keys() {
+        world.list(executor, "up", now_ms());
     }
-    let first = |motor: usize, steps: &[&str]| {
-        let fits = |l: &&Line| l.motor == motor && steps.iter().any(|s| l.step.starts_with(s));
+    let first = |executor: usize, steps: &[&str]| {
+        let fits = |l: &&Line| l.executor == executor && steps.iter().any(|s| l.step.starts_with(s));
         lines.iter().filter(fits).map(|l| l.at).min()
     };
     let mut spans: Vec<(SystemTime, SystemTime)> = Vec::new();
     let (mut late, mut twice) = (0, 0);
-    for &motor in &motores {
-        let Some(agreed) = first(motor, &["drains"]) else { continue };
-        let end = first(motor, &["warms", "aborted"]).unwrap_or_else(SystemTime::now);
-        late += world.engines[motor].pulls().iter().filter(|p| p.at > agreed + GRACE && p.at < end).count();
-        spans.push((agreed, first(motor, &["done", "aborted"]).unwrap_or_else(SystemTime::now)));
+    for &executor in &executors {
+        let Some(agreed) = first(executor, &["drains"]) else { continue };
+        let end = first(executor, &["warms", "aborted"]).unwrap_or_else(SystemTime::now);
+        late +=
+            world.executors[executor].pulls().iter().filter(|p| p.at > agreed + GRACE && p.at < end).count();
+        spans.push((agreed, first(executor, &["done", "aborted"]).unwrap_or_else(SystemTime::now)));
         for d in (0..world.len()).filter(|d| Some(*d) != restarted) {
             let times = lines
                 .iter()
-                .filter(|l| l.who == d && l.motor == motor && l.step.starts_with("drains"))
+                .filter(|l| l.who == d && l.executor == executor && l.step.starts_with("drains"))
                 .count();
             twice += usize::from(times > 1);
         }
     }
     spans.sort();
     let over_budget = spans.windows(2).filter(|w| w[1].0 < w[0].1).count();
-    Ok(Outcome { trouble, motores: motores.len(), ended, late, twice, over_budget, took })
+    Ok(Outcome { trouble, executors: executors.len(), ended, late, twice, over_budget, took })
 }
--- a/crates/lab/src/motor_lists/large.rs
+++ b/crates/lab/src/motor_lists/large.rs
@@ -1,4 +1,4 @@
-//! A list of many motores: what it costs to check and merge, what it does to the loop, and whether a reading
+//! A list of many executors: what it costs to check and merge, what it does to the loop, and whether a reading
 //! beside a writer can be a mixture.
 
 use super::{Fault, options, settings_json};
@@ -17,8 +17,8 @@
 /// What a large list costs.
 #[derive(Debug)]
 pub struct Large {
-    /// Its motores.
-    pub motores: usize,
+    /// Its executors.
+    pub executors: usize,
     /// Bytes of its file.
     pub bytes: usize,
     /// To parse it, on the thread of the lists.
@@ -38,17 +38,17 @@
 impl Large {
     /// As CSV.
     pub fn table(&self) -> String {
-        let Large { motores, bytes, parse_ms, check_ms, merge_ms, loop_ms, in_force_ms, memory_mb } = self;
+        let Large { executors, bytes, parse_ms, check_ms, merge_ms, loop_ms, in_force_ms, memory_mb } = self;
         format!(
             "motores,bytes,parse_ms,check_ms,merge_ms,list_loop_ms,in_force_ms,memory_mb\n\
-             {motores},{bytes},{parse_ms:.1},{check_ms:.1},{merge_ms:.1},{loop_ms:.1},{in_force_ms:.1},{memory_mb:.1}\n"
+             {executors},{bytes},{parse_ms:.1},{check_ms:.1},{merge_ms:.1},{loop_ms:.1},{in_force_ms:.1},{memory_mb:.1}\n"
         )
     }
 }
 
-fn text(motores: usize, weight: f64, generation: u64) -> String {
+fn text(executors: usize, weight: f64, generation: u64) -> String {
     let mut text = format!("generation = {generation}\nroom \"a\" {{\n");
-    for n in 0..motores {
+    for n in 0..executors {
         let (hi, lo) = (n / 250, n % 250 + 1);
         let _ = write!(
             text,
@@ -66,9 +66,9 @@
     List::new(ListFile::parse("l", "l", text).0.into_iter().collect())
 }
 
-/// Measures a list of so many motores: by itself, and in a dispatcher that runs.
-pub fn measure(program: &Path, dir: &Path, motores: usize) -> Result<Large, Fault> {
-    let (one, two) = (text(motores, 1.5, 1), text(motores, 1.25, 2));
+/// Measures a list of so many executors: by itself, and in a dispatcher that runs.
+pub fn measure(program: &Path, dir: &Path, executors: usize) -> Result<Large, Fault> {
+    let (one, two) = (text(executors, 1.5, 1), text(executors, 1.25, 2));
     let begun = Instant::now();
     let list = parsed(&one);
     let parse_ms = ms(begun);
@@ -108,7 +108,7 @@
     (launch.settings, launch.sockets) = (settings_json(), 512);
     let daemon = Daemon::start(&launch, &launch.config("127.0.0.1:9".parse()?, &[]))?;
     let mut in_force_ms = 0.0;
-    for text in [&text(motores, 1.5, 2), &text(motores, 1.25, 3), &text(motores, 1.75, 4)] {
+    for text in [&text(executors, 1.5, 2), &text(executors, 1.25, 3), &text(executors, 1.75, 4)] {
         std::fs::write(dir.join("new"), text)?;
         std::fs::rename(dir.join("new"), &path)?;
         let begun = Instant::now();
@@ -127,7 +127,7 @@
     daemon.stop();
     std::fs::remove_dir_all(dir)?;
     let bytes = one.len();
-    Ok(Large { motores, bytes, parse_ms, check_ms, merge_ms, loop_ms, in_force_ms, memory_mb })
+    Ok(Large { executors, bytes, parse_ms, check_ms, merge_ms, loop_ms, in_force_ms, memory_mb })
 }
 
 /// Readings of a file beside a writer that are a mixture of two versions: with the second look at the stamps,
--- a/crates/lab/src/motor_lists/mod.rs
+++ b/crates/lab/src/motor_lists/mod.rs
@@ -1,4 +1,4 @@
-//! Motor lists: files swapped in every way under steady traffic, and the accounts of what came of it.
+//! Executor lists: files swapped in every way under steady traffic, and the accounts of what came of it.
 
 mod large;
 mod report;
@@ -22,7 +22,7 @@
 use world::{Room, Version, WRONGS, Wrong};
 
 const SETTLE: Duration = Duration::from_millis(40);
-/// Nothing new may reach a motor this long after its drain was told.
+/// Nothing new may reach an executor this long after its drain was told.
 const GRACE: Duration = Duration::from_secs(2);
 /// What was under way when a list came into force is there by then.
 const MOMENT: Duration = Duration::from_millis(50);
@@ -65,7 +65,7 @@
     wrongs: u64,
     swaps: u64,
     after_drain: u64,
-    /// New work for a motor once the list without it was in force, beyond a moment.
+    /// New work for an executor once the list without it was in force, beyond a moment.
     after_told: u64,
     run_twice: u64,
     side_by_side: u64,
@@ -121,7 +121,7 @@
     emptied: BTreeSet<String>,
     /// A file of the directory that stays as it is.
     fixed: Option<ListFile>,
-    /// When each motor was left out, by its list's version in force; none while it is in.
+    /// When each executor was left out, by its list's version in force; none while it is in.
     out: Vec<(String, SystemTime, Option<SystemTime>)>,
 }
 
--- a/crates/lab/src/motor_lists/run.rs
+++ b/crates/lab/src/motor_lists/run.rs
@@ -9,15 +9,15 @@
 use ottercroft::membership::list::ListFile;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::scripted::Launch;
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
 
-/// A motor that answers reads soon and loads late.
-fn motor() -> std::io::Result<Engine> {
-    Engine::new(|p: &Pull| Duration::from_millis(if p.class() == "load" { 120 } else { 15 }))
+/// An executor that answers reads soon and loads late.
+fn executor() -> std::io::Result<Executor> {
+    Executor::new(|p: &Pull| Duration::from_millis(if p.class() == "load" { 120 } else { 15 }))
 }
 
 pub(super) fn run(program: &Path, dir: &Path, plan: &Plan, seed: u64) -> Result<Outcome, Fault> {
@@ -25,9 +25,9 @@
     std::fs::create_dir_all(dir.join("kept"))?;
     std::fs::create_dir_all(dir.join("b"))?;
     let mut rng = StdRng::seed_from_u64(seed);
-    let engines: Vec<Engine> = (0..9).map(|_| motor()).collect::<Result<_, _>>()?;
+    let executors: Vec<Executor> = (0..9).map(|_| executor()).collect::<Result<_, _>>()?;
     let named =
-        |range: std::ops::Range<usize>| range.map(|i| (format!("s-{i}"), engines[i].address)).collect();
+        |range: std::ops::Range<usize>| range.map(|i| (format!("s-{i}"), executors[i].address)).collect();
     let mut sides =
         [("a", 0..4, dir.join("a.hcl")), ("b", 4..8, dir.join("b/b.hcl"))].map(|(name, range, path)| {
             let mut room = Room::new(name, named(range), plan.seals);
@@ -35,7 +35,7 @@
             let (valid, emptied, out) = (BTreeSet::new(), BTreeSet::new(), Vec::new());
             Side { room, source: name, path, good, valid, emptied, fixed: None, out }
         });
-    let fixed = Room::new("b", vec![("s-8".into(), engines[8].address)], plan.seals).next(&mut rng);
+    let fixed = Room::new("b", vec![("s-8".into(), executors[8].address)], plan.seals).next(&mut rng);
     std::fs::write(dir.join("b/fixed.hcl"), &fixed.text)?;
     sides[1].fixed = ListFile::parse("fixed.hcl", "fixed.hcl", &fixed.text).0;
     for side in &mut sides {
@@ -62,15 +62,15 @@
         }
     }
     o.counts = traffic.stop();
-    let pulls: Vec<Vec<Pull>> = engines.iter().map(Engine::pulls).collect();
+    let pulls: Vec<Vec<Pull>> = executors.iter().map(Executor::pulls).collect();
     o.run_twice = traffic::run_twice(pulls.iter().flatten());
     o.side_by_side = traffic::side_by_side(pulls.iter().flatten(), |p| traffic::key_of(p, KEYS));
     for (uid, from, until) in sides.iter().flat_map(|s| &s.out) {
-        let engine: usize = uid.trim_start_matches("s-").parse()?;
+        let executor: usize = uid.trim_start_matches("s-").parse()?;
         let late = |p: &&Pull| p.at > *from + GRACE && until.is_none_or(|u| p.at < u);
-        o.after_drain += pulls[engine].iter().filter(late).count() as u64;
+        o.after_drain += pulls[executor].iter().filter(late).count() as u64;
         let told = |p: &&Pull| p.at > *from + MOMENT && until.is_none_or(|u| p.at < u);
-        o.after_told += pulls[engine].iter().filter(told).count() as u64;
+        o.after_told += pulls[executor].iter().filter(told).count() as u64;
     }
     o.ended_well = daemon.stop();
     std::fs::remove_dir_all(dir)?;
--- a/crates/lab/src/motor_lists/swap.rs
+++ b/crates/lab/src/motor_lists/swap.rs
@@ -22,7 +22,7 @@
 
     /// A list came into force, or what was in it did: who is out since when.
     fn in_force(&mut self, names: &BTreeSet<String>, at: SystemTime) {
-        for (uid, _) in &self.room.motores {
+        for (uid, _) in &self.room.executors {
             let open = self.out.iter_mut().find(|(u, _, until)| u == uid && until.is_none());
             match (open, names.contains(uid)) {
                 (Some(span), true) => span.2 = Some(at),
--- a/crates/lab/src/motor_lists/world.rs
+++ b/crates/lab/src/motor_lists/world.rs
@@ -8,15 +8,15 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// Swaps after which another motor of a room is out of its list: long enough that more than two seconds pass.
+/// Swaps after which another executor of a room is out of its list: long enough that more than two seconds pass.
 const EPOCH: u64 = 60;
 
-/// A room: its motores, and which of them its list leaves out now.
+/// A room: its executors, and which of them its list leaves out now.
 pub struct Room {
     /// Its name.
     pub name: &'static str,
-    /// Its motores.
-    pub motores: Vec<(String, SocketAddr)>,
+    /// Its executors.
+    pub executors: Vec<(String, SocketAddr)>,
     /// The one left out.
     pub out: Option<usize>,
     /// The newest generation that was used.
@@ -35,7 +35,7 @@
     pub text: String,
     /// Its digest, as the dispatcher names it.
     pub digest: String,
-    /// The motores that it names.
+    /// The executors that it names.
     pub names: BTreeSet<String>,
 }
 
@@ -44,7 +44,7 @@
 pub enum Wrong {
     /// Cut anywhere.
     Cut,
-    /// Cut behind a motor, and still a list.
+    /// Cut behind an executor, and still a list.
     CutBetween,
     /// Changed after it was sealed.
     Edited,
@@ -52,9 +52,9 @@
     Mixed,
     /// No list at all.
     Garbage,
-    /// Two motores of one uid.
+    /// Two executors of one uid.
     SameUid,
-    /// Two motores at one address, in two spellings.
+    /// Two executors at one address, in two spellings.
     SameAddress,
     /// All weights 0.
     NoWeight,
@@ -81,7 +81,7 @@
     Wrong::Emptied,
 ];
 
-fn motor(text: &mut String, uid: &str, at: impl std::fmt::Display, weight: f64) {
+fn executor(text: &mut String, uid: &str, at: impl std::fmt::Display, weight: f64) {
     let _ = write!(
         text,
         "  motor \"{uid}\" {{\n    address = \"{at}\"\n    kind    = \"k\"\n    weight  = {weight}\n  }}\n"
@@ -96,14 +96,14 @@
 fn finish(text: String) -> Version {
     let (file, _) = ListFile::parse("list", "list", &text);
     let digest = file.as_ref().map(|f| f.digest.to_string()).unwrap_or_default();
-    let names = file.iter().flat_map(|f| &f.motores).map(|m| m.uid.to_string()).collect();
+    let names = file.iter().flat_map(|f| &f.executors).map(|m| m.uid.to_string()).collect();
     Version { text, digest, names }
 }
 
 impl Room {
     /// A room that leaves nobody out.
-    pub fn new(name: &'static str, motores: Vec<(String, SocketAddr)>, seals: bool) -> Room {
-        Room { name, motores, out: None, generation: 0, good: 0, versions: 0, seals }
+    pub fn new(name: &'static str, executors: Vec<(String, SocketAddr)>, seals: bool) -> Room {
+        Room { name, executors, out: None, generation: 0, good: 0, versions: 0, seals }
     }
 
     fn head(&self, generation: u64) -> String {
@@ -116,21 +116,21 @@
 
     fn body(&self, rng: &mut StdRng, name: &str, out: &dyn Fn(usize) -> bool) -> String {
         let mut text = format!("room \"{name}\" {{\n");
-        for (_, (uid, at)) in self.motores.iter().enumerate().filter(|(i, _)| !out(*i)) {
+        for (_, (uid, at)) in self.executors.iter().enumerate().filter(|(i, _)| !out(*i)) {
             // Weights of one length, so that a mixture of two versions is still a list; and near to each
-            // other, so that what the guard counts is the motores that are left out.
-            motor(&mut text, uid, at, f64::from(rng.random_range(1_401..1_599)) / 1_000.0);
+            // other, so that what the guard counts is the executors that are left out.
+            executor(&mut text, uid, at, f64::from(rng.random_range(1_401..1_599)) / 1_000.0);
         }
         text + "}\n"
     }
 
-    /// The next good version: other weights, and from time to time another motor left out.
+    /// The next good version: other weights, and from time to time another executor left out.
     pub fn next(&mut self, rng: &mut StdRng) -> Version {
         self.versions += 1;
         self.generation += 1;
         self.good = self.generation;
         if self.versions % EPOCH == 0 {
-            let all: Vec<Option<usize>> = (0..self.motores.len()).map(Some).chain([None]).collect();
+            let all: Vec<Option<usize>> = (0..self.executors.len()).map(Some).chain([None]).collect();
             self.out = all.choose(rng).copied().flatten();
         }
         let text = self.head(self.generation) + &self.body(rng, self.name, &|i| self.out == Some(i));
@@ -169,9 +169,9 @@
             Wrong::SameUid => {
                 let mut text = self.head(generation) + &self.body(rng, self.name, &out);
                 text.push_str(&format!("room \"{}\" {{\n", self.name));
-                motor(
+                executor(
                     &mut text,
-                    &self.motores[self.out.map_or(0, |o| (o + 1) % self.motores.len())].0,
+                    &self.executors[self.out.map_or(0, |o| (o + 1) % self.executors.len())].0,
                     "127.0.0.9:9",
                     1.5,
                 );
@@ -179,14 +179,14 @@
             }
             Wrong::SameAddress => {
                 let mut text = self.head(generation) + &self.body(rng, self.name, &out);
-                let at = self.motores[self.out.map_or(0, |o| (o + 1) % self.motores.len())].1;
+                let at = self.executors[self.out.map_or(0, |o| (o + 1) % self.executors.len())].1;
                 text.push_str(&format!("room \"{}\" {{\n", self.name));
-                motor(&mut text, "twin", format!("[::ffff:{}]:{}", at.ip(), at.port()), 1.5);
+                executor(&mut text, "twin", format!("[::ffff:{}]:{}", at.ip(), at.port()), 1.5);
                 self.done(text + "}\n")
             }
             Wrong::NoWeight => {
                 let mut text = self.head(generation) + &format!("room \"{}\" {{\n", self.name);
-                self.motores.iter().for_each(|(uid, at)| motor(&mut text, uid, at, 0.0));
+                self.executors.iter().for_each(|(uid, at)| executor(&mut text, uid, at, 0.0));
                 self.done(text + "}\n")
             }
             Wrong::UnknownRoom => self.done(self.head(generation) + &self.body(rng, "nowhere", &out)),
@@ -195,7 +195,7 @@
                 self.done(older)
             }
             Wrong::Emptied => {
-                let mut left: Vec<usize> = (0..self.motores.len()).filter(|i| !out(*i)).collect();
+                let mut left: Vec<usize> = (0..self.executors.len()).filter(|i| !out(*i)).collect();
                 left.shuffle(rng);
                 let only = left[0];
                 self.done(self.head(generation) + &self.body(rng, self.name, &|i| i != only))
--- a/crates/lab/src/policy/check.rs
+++ b/crates/lab/src/policy/check.rs
@@ -16,14 +16,14 @@
     pub to: Side,
 }
 
-/// A try that reached a motor.
+/// A try that reached an executor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reached {
     /// The name of the try.
     pub rid: u64,
     /// Its class.
     pub class: String,
-    /// The side of the motor.
+    /// The side of the executor.
     pub side: Side,
     /// When.
     pub at: SystemTime,
--- a/crates/lab/src/policy/episode.rs
+++ b/crates/lab/src/policy/episode.rs
@@ -25,7 +25,7 @@
 
 /// A fleet whose policies are switched, as it stands between two switches.
 pub struct Fleet {
-    /// The dispatchers and motores.
+    /// The dispatchers and executors.
     pub world: World,
     /// What can be proposed.
     pub files: Files,
--- a/crates/lab/src/policy/lane.rs
+++ b/crates/lab/src/policy/lane.rs
@@ -12,7 +12,7 @@
 use crate::fleet::world::{Shape, World};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread;
 use std::time::{Duration, SystemTime};
@@ -43,8 +43,8 @@
     Shape {
         dispatchers,
         settings,
-        motores: 2 * EACH,
-        kind: |motor| Side::of(motor).kind(),
+        executors: 2 * EACH,
+        kind: |executor| Side::of(executor).kind(),
         in_peers: if with_policies { BLOCK } else { "" },
         work: |p| Duration::from_millis(if p.class() == "load" { 60 } else { 25 }),
         ..Shape::default()
@@ -77,7 +77,7 @@
     pub half: BTreeSet<u64>,
     /// What clients got.
     pub answers: Answers,
-    /// What motores saw.
+    /// What executors saw.
     pub seen: Seen,
     /// Invariants broken.
     pub broken: u64,
@@ -89,13 +89,13 @@
     Load { patience: spans.patience, marked: true, ..every }
 }
 
-/// The tries that reached motores, in order of time.
+/// The tries that reached executors, in order of time.
 pub fn reached(world: &World) -> Vec<Reached> {
     let mut all = Vec::new();
-    for (motor, e) in world.engines.iter().enumerate() {
+    for (executor, e) in world.executors.iter().enumerate() {
         for p in e.pulls() {
             let Some(rid) = try_of(&p) else { continue };
-            all.push(Reached { rid, class: p.class().into(), side: Side::of(motor), at: p.at });
+            all.push(Reached { rid, class: p.class().into(), side: Side::of(executor), at: p.at });
         }
     }
     all.sort_by_key(|r| r.at);
@@ -147,7 +147,7 @@
         switch,
     };
     let switches = switches.into_iter().map(checked).collect();
-    let pulls: Vec<Pull> = fleet.world.engines.iter().flat_map(|e| e.pulls()).collect();
+    let pulls: Vec<Pull> = fleet.world.executors.iter().flat_map(|e| e.pulls()).collect();
     let lane = Lane {
         switches,
         wrong: wrong_side(&windows, &asked(&accounts), &reached(&fleet.world)),
--- a/crates/lab/src/policy/sides.rs
+++ b/crates/lab/src/policy/sides.rs
@@ -1,21 +1,21 @@
-//! The two policies that a fleet goes back and forth between, seen from outside by the kind of motor that serves.
+//! The two policies that a fleet goes back and forth between, seen from outside by the kind of executor that serves.
 
 use crate::fleet::SETTINGS;
 use std::path::{Path, PathBuf};
 
-/// Motores of each kind: the old ones have the first places.
+/// Executors of each kind: the old ones have the first places.
 pub const EACH: usize = 4;
 /// What switches policies on, in a dispatcher's own settings.
 pub const BLOCK: &str = "  policy {\n    vote_limit    = \"3s\"\n    close_limit   = \"3s\"\n    without_lease = \"refuse\"\n  }\n";
 /// The classes that the policies bind.
 pub const CLASSES: [&str; 2] = ["read", "load"];
 
-/// Which kind of motor the classes are bound to.
+/// Which kind of executor the classes are bound to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
-    /// Motores 0 to 3.
+    /// Executors 0 to 3.
     Old,
-    /// Motores 4 to 7.
+    /// Executors 4 to 7.
     New,
 }
 
@@ -28,9 +28,9 @@
         }
     }
 
-    /// The side that a motor is on, by place.
-    pub fn of(motor: usize) -> Side {
-        if motor < EACH { Side::Old } else { Side::New }
+    /// The side that an executor is on, by place.
+    pub fn of(executor: usize) -> Side {
+        if executor < EACH { Side::Old } else { Side::New }
     }
 
     /// The kind's name.
--- a/crates/lab/src/retry_storms.rs
+++ b/crates/lab/src/retry_storms.rs
@@ -1,4 +1,4 @@
-//! Retry storms on real sockets: an outage of all motores under many clients, and what comes after it, with the
+//! Retry storms on real sockets: an outage of all executors under many clients, and what comes after it, with the
 //! module and without it.
 
 mod client;
@@ -16,7 +16,7 @@
 
 type Fault = Box<dyn Error>;
 
-const MOTORES: usize = 8;
+const EXECUTORS: usize = 8;
 const DISPATCHERS: usize = 2;
 const STRENGTH: Strength = Strength {
     per_second: 60.0,
@@ -48,7 +48,7 @@
     /// Served in each tenth of a second.
     served: Vec<u64>,
     calm_per_s: f64,
-    /// Seconds from the motores' return until a whole second reached 90% of the calm rate.
+    /// Seconds from the executors' return until a whole second reached 90% of the calm rate.
     back_s: Option<f64>,
     fallen: u64,
     asked: u64,
@@ -56,7 +56,7 @@
     without_backoff: u64,
     failed: u64,
     lost: u64,
-    /// Run by motores after the return, and for nobody.
+    /// Run by executors after the return, and for nobody.
     wasted: u64,
     run: u64,
 }
--- a/crates/lab/src/retry_storms/run.rs
+++ b/crates/lab/src/retry_storms/run.rs
@@ -1,7 +1,7 @@
 //! One run: calm, outage, return, and the accounts of it.
 
 use super::client::client;
-use super::{Counters, DISPATCHERS, Fault, MOTORES, Outcome, STRENGTH, Shape};
+use super::{Counters, DISPATCHERS, EXECUTORS, Fault, Outcome, STRENGTH, Shape};
 use crate::daemon::Daemon;
 use standins::fragile::Fragile;
 use standins::scripted::{Launch, SETTINGS, target};
@@ -23,12 +23,12 @@
     std::fs::create_dir_all(dir)?;
     let own = dir.join("options.hcl");
     std::fs::write(&own, if module { "retry_storms {}\n" } else { "" })?;
-    let mut motores: Vec<Option<Fragile>> = Vec::new();
-    for _ in 0..MOTORES {
-        motores.push(Some(Fragile::start("127.0.0.1:0", STRENGTH, false)?));
+    let mut executors: Vec<Option<Fragile>> = Vec::new();
+    for _ in 0..EXECUTORS {
+        executors.push(Some(Fragile::start("127.0.0.1:0", STRENGTH, false)?));
     }
-    let at: Vec<SocketAddr> = motores.iter().flatten().map(|m| m.engine.address).collect();
-    let uids: Vec<String> = (0..MOTORES).map(|i| format!("s-{i:08x}")).collect();
+    let at: Vec<SocketAddr> = executors.iter().flatten().map(|m| m.executor.address).collect();
+    let uids: Vec<String> = (0..EXECUTORS).map(|i| format!("s-{i:08x}")).collect();
     let known: Vec<(&str, SocketAddr)> = uids.iter().map(String::as_str).zip(at.iter().copied()).collect();
     let feed = standins::feed::Feed::at("127.0.0.1:0", 1)?;
     let mut launch = Launch::new(program, dir).with(&["--settings", &own.display().to_string()]);
@@ -59,14 +59,14 @@
     }
     thread::sleep(shape.calm);
     let calm = (shape.calm.as_millis() / 100) as usize;
-    motores.iter_mut().for_each(|m| drop(m.take()));
+    executors.iter_mut().for_each(|m| drop(m.take()));
     thread::sleep(shape.outage);
     let back = c.begun.elapsed();
     // The list tells of the new start: the dispatchers know that they are cold.
     let boot = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?.as_millis();
     let mut outcome = Outcome::default();
     let mut ran = 0;
-    for (m, at) in motores.iter_mut().zip(&at) {
+    for (m, at) in executors.iter_mut().zip(&at) {
         *m = Some(restart(*at)?);
     }
     let boots = |uid: &String, at: &SocketAddr| {
@@ -77,10 +77,10 @@
     let end = Instant::now() + shape.after;
     while Instant::now() < end {
         thread::sleep(Duration::from_millis(50));
-        for m in &mut motores {
+        for m in &mut executors {
             if m.as_ref().is_some_and(Fragile::fallen) {
                 outcome.fallen += 1;
-                ran += m.take().map_or(0, |m| m.engine.pulls().len() as u64);
+                ran += m.take().map_or(0, |m| m.executor.pulls().len() as u64);
             }
         }
     }
@@ -90,7 +90,7 @@
             c.lost.fetch_add(1, Ordering::SeqCst);
         }
     }
-    outcome.run = ran + motores.iter().flatten().map(|m| m.engine.pulls().len() as u64).sum::<u64>();
+    outcome.run = ran + executors.iter().flatten().map(|m| m.executor.pulls().len() as u64).sum::<u64>();
     outcome.served = c.served.lock().unwrap_or_else(PoisonError::into_inner).clone();
     outcome.wasted = outcome.run.saturating_sub(outcome.served.iter().sum::<u64>() - served_before);
     let of = |n: &AtomicU64| n.load(Ordering::SeqCst);
--- a/crates/lab/src/scale/list.rs
+++ b/crates/lab/src/scale/list.rs
@@ -3,7 +3,7 @@
 use super::process::usage;
 use super::table::Table;
 use crate::fleet::{Failure, SETTINGS};
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::{Arrival, Entry, Event, ListKind};
 use ottercroft::settings::config::Config;
 use standins::feed::Feed;
@@ -77,37 +77,37 @@
     );
     let config = Config::parse(&config).map_err(|e| e.to_string())?;
     let (settings, _) = config.settings.settings().map_err(|e| e.to_string())?;
-    let mut gateway = Gateway::new(settings, 42).map_err(|e| e.to_string())?;
+    let mut dispatcher = Balancer::new(settings, 42).map_err(|e| e.to_string())?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
     let entries: Vec<Entry> =
-        (1..=size as u32).map(|engine| Entry { engine, rating: 1.0, ..Entry::default() }).collect();
+        (1..=size as u32).map(|executor| Entry { executor, rating: 1.0, ..Entry::default() }).collect();
     let begun = Instant::now();
-    gateway.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
+    dispatcher.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
     let whole = begun.elapsed().as_secs_f64() * 1e6;
-    let arrival = |query| Arrival {
-        query,
+    let arrival = |request| Arrival {
+        request,
         class: 0,
         tenant: None,
         key: None,
         grace: 6_000_000,
         estimate_s: Some(0.2),
         memory_mb: Some(100.0),
-        group: query % 50,
+        group: request % 50,
         repeated: false,
         held_back: false,
     };
     let mut times = Vec::new();
-    for query in 0..OPEN {
+    for request in 0..OPEN {
         now += 1_000;
         let begun = Instant::now();
-        gateway.handle(now, Event::Arrival(arrival(query)), &mut actions);
+        dispatcher.handle(now, Event::Arrival(arrival(request)), &mut actions);
         times.push(begun.elapsed().as_secs_f64() * 1e6);
     }
     let mut ticks = Vec::new();
     for _ in 0..20 {
         now += 50_000;
         let begun = Instant::now();
-        gateway.handle(now, Event::Timer { token: 0 }, &mut actions);
+        dispatcher.handle(now, Event::Timer { token: 0 }, &mut actions);
         ticks.push(begun.elapsed().as_secs_f64() * 1e6);
         actions.clear();
     }
--- a/crates/lab/src/soak/records.rs
+++ b/crates/lab/src/soak/records.rs
@@ -6,13 +6,13 @@
 /// A moment, from the beginning of the day.
 pub type Moment = Duration;
 
-/// One life of one dispatcher.
+/// One incarnation of one dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Process {
     /// Which dispatcher.
     pub dispatcher: usize,
-    /// Which of its lives, from 0.
-    pub life: usize,
+    /// Which of its incarnations, from 0.
+    pub incarnation: usize,
 }
 
 /// An answer, as its client read it.
@@ -106,9 +106,9 @@
     Crashed,
 }
 
-/// A life of a dispatcher.
+/// A incarnation of a dispatcher.
 #[derive(Debug, Clone)]
-pub struct Life {
+pub struct Incarnation {
     /// Which.
     pub process: Process,
     /// How long it took to listen.
@@ -162,7 +162,7 @@
     /// Attempts, in the order in which they were read.
     pub attempts: Vec<Attempt>,
     /// Lives of dispatchers.
-    pub lives: Vec<Life>,
+    pub incarnations: Vec<Incarnation>,
     /// Drains.
     pub drains: Vec<Drain>,
     /// Bad clients.
@@ -186,9 +186,9 @@
         of.map(|s| s.until.min(until).saturating_sub(s.from.max(from))).sum()
     }
 
-    /// A life.
-    pub fn life(&self, process: Process) -> Option<&Life> {
-        self.lives.iter().find(|l| l.process == process)
+    /// A incarnation.
+    pub fn incarnation(&self, process: Process) -> Option<&Incarnation> {
+        self.incarnations.iter().find(|l| l.process == process)
     }
 
     /// Attempts of a request.
--- a/crates/lab/src/soak/report.rs
+++ b/crates/lab/src/soak/report.rs
@@ -23,13 +23,13 @@
 /// A break, with the timeline of its request and what its process logged then.
 fn timeline(day: &Day, found: &Break) -> String {
     let Break { rule, rid, process, at, what } = found;
-    let (d, life) = (process.dispatcher, process.life);
+    let (d, incarnation) = (process.dispatcher, process.incarnation);
     let mut text = format!("seed {}: {rule} at {}: {what}\n", day.plan.seed, seconds(*at));
     let mut lines: Vec<(Moment, String)> = Vec::new();
     if let Some(r) = day.records.requests.iter().find(|r| r.rid == *rid) {
         let (key, budget) = (r.key, r.budget);
         lines.push((r.wanted, format!("client: wants {rid:016x}, key {key:?}, waits {budget:?}")));
-        lines.push((r.written, format!("client: written to dispatcher {d}, life {life}")));
+        lines.push((r.written, format!("client: written to dispatcher {d}, life {incarnation}")));
         lines.push((r.due(), "client: stops waiting".into()));
         lines.push((*at, format!("client: {:?}", r.end)));
     }
@@ -38,7 +38,7 @@
         lines.push((a.at, format!("executor {executor}: pulled, {wait:?} passed on")));
         lines.extend(a.ended.map(|t| (t, format!("executor {executor}: over"))));
     }
-    if let Some(l) = day.records.life(*process) {
+    if let Some(l) = day.records.incarnation(*process) {
         lines.extend(l.stopped.map(|t| (t, "process: SIGTERM".to_string())));
         lines.extend(l.ended.map(|(t, exit)| (t, format!("process: {exit:?}"))));
     }
@@ -71,10 +71,10 @@
 /// Keeps a day's logs, and its plan, in a folder.
 pub fn keep(day: &Day, folder: &Path) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join("plan.txt"), format!("{:#?}\n{:#?}\n", day.plan, day.records.lives))?;
+    std::fs::write(folder.join("plan.txt"), format!("{:#?}\n{:#?}\n", day.plan, day.records.incarnations))?;
     std::fs::write(folder.join("requests.txt"), format!("{:#?}\n", day.records.requests))?;
     for (process, log) in &day.logs {
-        let name = format!("dispatcher-{}-life-{}.log", process.dispatcher, process.life);
+        let name = format!("dispatcher-{}-life-{}.log", process.dispatcher, process.incarnation);
         let lines: Vec<String> = log.iter().map(|(t, line)| format!("{} {line}\n", seconds(*t))).collect();
         std::fs::write(folder.join(name), lines.concat())?;
     }
--- a/crates/lab/src/soak/rules/answered.rs
+++ b/crates/lab/src/soak/rules/answered.rs
@@ -61,9 +61,9 @@
     if matches!(request.end, End::Answered(..)) {
         return true;
     }
-    let Some(life) = records.life(request.process) else { return false };
-    let crashed = matches!(life.ended, Some((_, Exit::Crashed)));
-    let after_stop = life.stopped.is_some_and(|t| request.written > t + TAKEN_AFTER_STOP);
+    let Some(incarnation) = records.incarnation(request.process) else { return false };
+    let crashed = matches!(incarnation.ended, Some((_, Exit::Crashed)));
+    let after_stop = incarnation.stopped.is_some_and(|t| request.written > t + TAKEN_AFTER_STOP);
     let never_read = records.attempts_of(request.rid).next().is_none();
     let closed = matches!(request.end, End::Closed(_));
     let crossed = closed && never_read && at < request.written + CROSSING + SLACK;
--- a/crates/lab/src/soak/rules/ended_well.rs
+++ b/crates/lab/src/soak/rules/ended_well.rs
@@ -9,13 +9,13 @@
 
 pub fn check(records: &Records) -> Findings {
     let mut findings = Findings::default();
-    for life in &records.lives {
+    for incarnation in &records.incarnations {
         findings.checked += 1;
-        let process = life.process;
+        let process = incarnation.process;
         let case = |at, what: &str| Break { rule: NAME, rid: 0, process, at, what: what.into() };
-        let slow = life.ready_after.saturating_sub(READY_WITHIN);
+        let slow = incarnation.ready_after.saturating_sub(READY_WITHIN);
         findings.judge(slow, Duration::ZERO, || case(Duration::ZERO, "not ready within 10 s"));
-        match (life.stopped, life.ended) {
+        match (incarnation.stopped, incarnation.ended) {
             (_, Some((at, Exit::Itself { well: false }))) => findings.broken.push(case(at, "ended badly")),
             (None, Some((at, Exit::Itself { .. }))) => {
                 findings.broken.push(case(at, "ended without a signal"))
--- a/crates/lab/src/soak/rules/tests.rs
+++ b/crates/lab/src/soak/rules/tests.rs
@@ -1,9 +1,9 @@
 //! Each rule is told of a faulty record, and of none on one without a fault.
 
 use super::*;
-use crate::soak::records::{Answer, Attempt, BadClient, Drain, End, Exit, Life, Request, Standstill};
+use crate::soak::records::{Answer, Attempt, BadClient, Drain, End, Exit, Incarnation, Request, Standstill};
 
-const PROCESS: Process = Process { dispatcher: 0, life: 0 };
+const PROCESS: Process = Process { dispatcher: 0, incarnation: 0 };
 
 fn ms(n: u64) -> Moment {
     Duration::from_millis(n)
@@ -32,8 +32,8 @@
     Attempt { rid, executor: 0, at: ms(at), wait: ms(1_500), ended: Some(ms(ended)) }
 }
 
-fn life() -> Life {
-    Life {
+fn incarnation() -> Incarnation {
+    Incarnation {
         process: PROCESS,
         ready_after: ms(100),
         stopped: Some(ms(9_000)),
@@ -48,7 +48,7 @@
     Records {
         requests: vec![request(1, 1_000, served(1_300)), request(2, 1_100, served(1_600))],
         attempts: vec![attempt(1, 1_010, 1_290), attempt(2, 1_310, 1_590)],
-        lives: vec![life()],
+        incarnations: vec![incarnation()],
         bad_clients: vec![BadClient { process: PROCESS, since: ms(500), ended: Some(ms(2_600)) }],
         drain_grace: ms(1_000),
         sockets: 128,
@@ -149,17 +149,17 @@
     ];
     for (stopped, exit) in ends {
         let faulty = |r: &mut Records| {
-            (r.lives[0].stopped, r.lives[0].ended) = (stopped, Some((ms(9_900), exit)));
+            (r.incarnations[0].stopped, r.incarnations[0].ended) = (stopped, Some((ms(9_900), exit)));
         };
         assert_eq!(found_in(faulty), [ended_well::NAME], "{exit:?}");
     }
-    assert_eq!(found_in(|r| r.lives[0].ready_after = ms(10_500)), [ended_well::NAME]);
+    assert_eq!(found_in(|r| r.incarnations[0].ready_after = ms(10_500)), [ended_well::NAME]);
 }
 
 #[test]
 fn descriptors_and_memory_over_their_limits_are_found() {
-    assert_eq!(found_in(|r| r.lives[0].descriptors = 129), [bounded::NAME]);
-    assert_eq!(found_in(|r| r.lives[0].memory_kb = 200 * 1024), [bounded::NAME]);
+    assert_eq!(found_in(|r| r.incarnations[0].descriptors = 129), [bounded::NAME]);
+    assert_eq!(found_in(|r| r.incarnations[0].memory_kb = 200 * 1024), [bounded::NAME]);
 }
 
 // What a standstill could excuse is never passed, and never broken.
--- a/crates/lab/src/soak/world/machines.rs
+++ b/crates/lab/src/soak/world/machines.rs
@@ -24,7 +24,7 @@
         let mut machines = lock(&self.machines);
         let machine = &mut machines[n];
         (machine.state, machine.boot_ms) = (state, boot_ms);
-        let entry = entry(&machine.uid, machine.engine.address, state, boot_ms);
+        let entry = entry(&machine.uid, machine.executor.address, state, boot_ms);
         let deaf = self.now() < *lock(&self.deaf_until);
         if state != "up" {
             let at = self.now() + if deaf { TOLD_WITHIN } else { Duration::ZERO };
@@ -35,14 +35,14 @@
 
     /// An executor's process dies, and another has its address after a while, cold; `None` if the address is not to be had.
     pub fn replace(&self, n: usize, after: Duration) -> Option<usize> {
-        let (engine, uid) = {
+        let (executor, uid) = {
             let machines = lock(&self.machines);
-            (machines[n].engine.clone(), machines[n].uid.clone())
+            (machines[n].executor.clone(), machines[n].uid.clone())
         };
-        engine.die();
+        executor.die();
         thread::sleep(after);
         self.list(n, "removed", 0);
-        let new = self.new_machine(format!("{uid}n"), &engine.address.to_string()).ok()?;
+        let new = self.new_machine(format!("{uid}n"), &executor.address.to_string()).ok()?;
         self.list(new, "up", unix_ms());
         Some(new)
     }
--- a/crates/lab/src/soak/world/mod.rs
+++ b/crates/lab/src/soak/world/mod.rs
@@ -7,9 +7,9 @@
 mod processes;
 
 use super::plan::Plan;
-use super::records::{Attempt, Life, Moment, Process, Records, Standstill};
+use super::records::{Attempt, Incarnation, Moment, Process, Records, Standstill};
 use crate::fleet::Failure;
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
 use standins::link::Link;
 use standins::scripted::{Dispatcher, Launch, Reserved};
@@ -38,14 +38,14 @@
 struct Place {
     reserved: Reserved,
     running: Mutex<Option<Dispatcher>>,
-    life: AtomicUsize,
+    incarnation: AtomicUsize,
     /// The process to signal; 0 while there is none.
     pid: AtomicU32,
 }
 
 /// An executor's place on the list.
 struct Machine {
-    engine: Arc<Engine>,
+    executor: Arc<Executor>,
     uid: String,
     hangs: Arc<AtomicBool>,
     /// What the list says of it.
@@ -123,8 +123,8 @@
         }
         for _ in 0..plan.dispatchers {
             let reserved = Reserved::new()?;
-            let (running, life, pid) = (Mutex::new(None), AtomicUsize::new(0), AtomicU32::new(0));
-            world.places.push(Place { reserved, running, life, pid });
+            let (running, incarnation, pid) = (Mutex::new(None), AtomicUsize::new(0), AtomicU32::new(0));
+            world.places.push(Place { reserved, running, incarnation, pid });
         }
         (0..plan.dispatchers).for_each(|d| world.run(d, &mut lock(&world.places[d].running)));
         Ok(world)
@@ -148,21 +148,25 @@
     /// Where a dispatcher listens, and which process that is now.
     pub fn dispatcher(&self, d: usize) -> (SocketAddr, Process) {
         let place = &self.places[d];
-        (place.reserved.address, Process { dispatcher: d, life: place.life.load(Ordering::SeqCst) })
+        (
+            place.reserved.address,
+            Process { dispatcher: d, incarnation: place.incarnation.load(Ordering::SeqCst) },
+        )
     }
 
     fn new_machine(&self, uid: String, at: &str) -> Result<usize, Failure> {
         let (plan, hangs) = (self.plan.clone(), Arc::new(AtomicBool::new(false)));
         let flag = hangs.clone();
-        let engine = Arc::new(Engine::at(at, false, move |pull| work(&plan, pull, &flag))?);
+        let executor = Arc::new(Executor::at(at, false, move |pull| work(&plan, pull, &flag))?);
         let mut machines = lock(&self.machines);
-        machines.push(Machine { engine, uid, hangs, state: "up", boot_ms: 0 });
+        machines.push(Machine { executor, uid, hangs, state: "up", boot_ms: 0 });
         Ok(machines.len() - 1)
     }
 
-    fn with_life(&self, process: Process, what: impl FnOnce(&mut Life)) {
-        if let Some(life) = lock(&self.records).lives.iter_mut().find(|l| l.process == process) {
-            what(life);
+    fn with_incarnation(&self, process: Process, what: impl FnOnce(&mut Incarnation)) {
+        if let Some(incarnation) = lock(&self.records).incarnations.iter_mut().find(|l| l.process == process)
+        {
+            what(incarnation);
         }
     }
 
@@ -182,7 +186,7 @@
         });
         let mut attempts = Vec::new();
         for (n, machine) in lock(&self.machines).iter().enumerate() {
-            for pull in machine.engine.pulls() {
+            for pull in machine.executor.pulls() {
                 let wait = pull.fields.split(',').find_map(|f| f.strip_prefix("ms=")?.parse().ok());
                 attempts.push(Attempt {
                     rid: u64::from_str_radix(&pull.id, 16).unwrap_or(0),
--- a/crates/lab/src/soak/world/processes.rs
+++ b/crates/lab/src/soak/world/processes.rs
@@ -1,7 +1,7 @@
 //! Processes of dispatchers: started, signalled, stopped as the platform does it, killed.
 
 use super::*;
-use crate::soak::records::{Exit, Life};
+use crate::soak::records::{Exit, Incarnation};
 use std::io::BufRead;
 use std::sync::atomic::Ordering;
 
@@ -16,7 +16,7 @@
         let machines = lock(&self.machines);
         let listed = machines.iter().filter(|m| m.state != "removed");
         let known: Vec<String> =
-            listed.map(|m| entry(&m.uid, m.engine.address, m.state, m.boot_ms)).collect();
+            listed.map(|m| entry(&m.uid, m.executor.address, m.state, m.boot_ms)).collect();
         let config = self.launch.config_since(self.feed_link.address, self.feed.last(), &known);
         config.replace("127.0.0.1:0", &self.places[d].reserved.address.to_string())
     }
@@ -26,7 +26,7 @@
         let place = &self.places[d];
         let begun = Instant::now();
         let mut dispatcher = self.launch.serving(&self.config(d));
-        let process = Process { dispatcher: d, life: place.life.load(Ordering::SeqCst) };
+        let process = Process { dispatcher: d, incarnation: place.incarnation.load(Ordering::SeqCst) };
         let log = Log::default();
         lock(&self.logs).push((process, log.clone()));
         if let Some(lines) = dispatcher.take_log() {
@@ -36,7 +36,7 @@
             });
         }
         place.pid.store(dispatcher.child.id(), Ordering::SeqCst);
-        let life = Life {
+        let incarnation = Incarnation {
             process,
             ready_after: begun.elapsed(),
             stopped: None,
@@ -44,7 +44,7 @@
             descriptors: 0,
             memory_kb: 0,
         };
-        lock(&self.records).lives.push(life);
+        lock(&self.records).incarnations.push(incarnation);
         *running = Some(dispatcher);
     }
 
@@ -67,7 +67,7 @@
             thread::sleep(apart * u32::from(n > 0));
             if *signal == "TERM" && stopped.is_none() {
                 stopped = Some(Instant::now());
-                self.with_life(process, |l| l.stopped = Some(self.now()));
+                self.with_incarnation(process, |l| l.stopped = Some(self.now()));
             }
             self.signal(d, signal);
         }
@@ -82,7 +82,7 @@
                 thread::sleep(LOOK);
             }
         }
-        self.end_life(d, process, &mut running, exit);
+        self.end_incarnation(d, process, &mut running, exit);
         thread::sleep(down);
         self.run_again(d, &mut running);
     }
@@ -91,24 +91,24 @@
     pub fn crash(&self, d: usize, down: Duration) {
         let mut running = lock(&self.places[d].running);
         let (_, process) = self.dispatcher(d);
-        self.end_life(d, process, &mut running, Exit::Crashed);
+        self.end_incarnation(d, process, &mut running, Exit::Crashed);
         thread::sleep(down);
         self.run_again(d, &mut running);
     }
 
     fn run_again(&self, d: usize, running: &mut Option<Dispatcher>) {
         if !self.over.load(Ordering::SeqCst) {
-            self.places[d].life.fetch_add(1, Ordering::SeqCst);
+            self.places[d].incarnation.fetch_add(1, Ordering::SeqCst);
             self.run(d, running);
         }
     }
 
-    fn end_life(&self, d: usize, process: Process, running: &mut Option<Dispatcher>, exit: Exit) {
+    fn end_incarnation(&self, d: usize, process: Process, running: &mut Option<Dispatcher>, exit: Exit) {
         self.places[d].pid.store(0, Ordering::SeqCst);
         let Some(mut dispatcher) = running.take() else { return };
         let ended = dispatcher.child.try_wait().ok().flatten();
         let exit = ended.map_or(exit, |status| Exit::Itself { well: status.success() });
-        self.with_life(process, |l| l.ended = Some((self.now(), exit)));
+        self.with_incarnation(process, |l| l.ended = Some((self.now(), exit)));
         drop(dispatcher);
     }
 
@@ -133,7 +133,7 @@
             let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
             let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
             let memory = memory.and_then(|l| l.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0);
-            self.with_life(process, |l| {
+            self.with_incarnation(process, |l| {
                 l.descriptors = l.descriptors.max(descriptors);
                 l.memory_kb = l.memory_kb.max(memory);
             });
--- a/crates/lab/src/takeover/lane.rs
+++ b/crates/lab/src/takeover/lane.rs
@@ -8,7 +8,7 @@
 use crate::fleet::faults::{Fault, Kind, draw};
 use crate::fleet::lanes::Task;
 use crate::fleet::world::{REMEMBERS, World};
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
@@ -33,7 +33,7 @@
     pub episodes: Vec<Episode>,
     /// All requests.
     pub accounts: Vec<Account>,
-    /// What reached motores.
+    /// What reached executors.
     pub seen: Seen,
     /// From kills to the first claimed record, in seconds.
     pub takeovers: Vec<f64>,
@@ -110,8 +110,8 @@
     let claimed =
         kills.first.iter().filter_map(|((_, killed), claimed)| claimed.duration_since(*killed).ok());
     lane.takeovers = claimed.map(|d| d.as_secs_f64()).collect();
-    let pulls: Vec<Pull> = world.engines.iter().flat_map(|e| e.pulls()).collect();
-    // What a paused dispatcher had out goes on at the motor, unheard, when another has taken it over.
+    let pulls: Vec<Pull> = world.executors.iter().flat_map(|e| e.pulls()).collect();
+    // What a paused dispatcher had out goes on at the executor, unheard, when another has taken it over.
     let paused = |a: &&Account| lane.touched(a, |k| k == Kind::Pause);
     let excused: BTreeSet<u64> = lane.accounts.iter().filter(paused).map(|a| a.ask).collect();
     lane.seen = seen(pulls.iter(), &excused);
--- a/crates/lab/src/takeover/mod.rs
+++ b/crates/lab/src/takeover/mod.rs
@@ -10,7 +10,7 @@
 use crate::fleet::lanes::beside;
 use crate::fleet::world::Shape;
 use report::Report;
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/lab/src/takeover/report.rs
+++ b/crates/lab/src/takeover/report.rs
@@ -100,7 +100,7 @@
         Ok(kept && timely)
     }
 
-    /// Tries without an answer in their time for which no paused dispatcher and no cut motor stands.
+    /// Tries without an answer in their time for which no paused dispatcher and no cut executor stands.
     fn unexcused(&self) -> u64 {
         let excuses = |l: &Lane, a: &Account| l.touched(a, |k| k == Kind::Pause);
         self.all
--- a/crates/lab/src/traffic.rs
+++ b/crates/lab/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Steady traffic, and the accounts of it: what was asked, what was answered, what ran where.
 
-use standins::engine::Pull;
+use standins::executor::Pull;
 use standins::scripted::{Client, Got};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -118,7 +118,7 @@
     }
 }
 
-/// Loads that reached motores more than once.
+/// Loads that reached executors more than once.
 pub fn run_twice<'a>(pulls: impl Iterator<Item = &'a Pull>) -> u64 {
     let mut times: BTreeMap<&str, u64> = BTreeMap::new();
     pulls.filter(|p| p.class() == "load").for_each(|p| *times.entry(p.statement.as_str()).or_default() += 1);
--- a/crates/slots/src/flow.rs
+++ b/crates/slots/src/flow.rs
@@ -20,11 +20,11 @@
     pub weight: f64,
     /// Its start tag, slot seconds over weight.
     pub tag: f64,
-    /// Queries that may run next, by their order of arrival.
+    /// Requests that may run next, by their order of arrival.
     pub ready: BTreeSet<u64>,
-    /// Queries that wait, those behind one of their key counted.
+    /// Requests that wait, those behind one of their key counted.
     pub waiting: u32,
-    /// Queries that run.
+    /// Requests that run.
     pub running: u32,
     /// Slot seconds charged here in all.
     pub charged: f64,
@@ -59,7 +59,7 @@
         self.waits() || self.running > 0 || self.active_elsewhere
     }
 
-    /// A query of an estimate had this outcome, both in slot seconds.
+    /// A request of an estimate had this outcome, both in slot seconds.
     pub fn learn(&mut self, estimate: f64, actual: f64) {
         let seen = (actual / estimate.max(1e-3)).clamp(BIAS[0], BIAS[1]);
         // In logarithms, as it is a ratio.
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The tenant whose query runs next: the lowest tag, then the oldest query.
+    /// The tenant whose request runs next: the lowest tag, then the oldest request.
     pub fn next(&self) -> Option<(Tenant, u64)> {
         let heads = self.all.iter().filter_map(|(t, f)| f.ready.first().map(|&s| (f.tag, s, *t)));
         heads.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, s, t)| (t, s))
--- a/crates/slots/src/moves.rs
+++ b/crates/slots/src/moves.rs
@@ -1,4 +1,4 @@
-//! How a query moves: it begins, it is gone, the next of its key may run.
+//! How a request moves: it begins, it is gone, the next of its key may run.
 
 use crate::queue::Queue;
 use crate::{Id, Micros, sane};
--- a/crates/slots/src/news.rs
+++ b/crates/slots/src/news.rs
@@ -7,9 +7,9 @@
 /// One tenant's, or several tenants' together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Queries that wait.
+    /// Requests that wait.
     pub waiting: u32,
-    /// Queries that run, one slot each.
+    /// Requests that run, one slot each.
     pub running: u32,
     /// Slot time charged in all since the sender began, in milliseconds. It may go down where too much was charged.
     pub used_ms: i64,
@@ -18,8 +18,8 @@
 /// One dispatcher's word.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shares {
-    /// The sender's life; its counts begin anew with it.
-    pub life: u64,
+    /// The sender's incarnation; its counts begin anew with it.
+    pub incarnation: u64,
     /// When it was written, by the sender's clock.
     pub at: Micros,
     /// The tenants with the most demand, [`NAMED`] at most.
@@ -32,9 +32,9 @@
 
 impl Shares {
     /// Of these parts: those with the most demand named, the others summed.
-    pub fn of(life: u64, at: Micros, mut parts: Vec<(Tenant, Part)>) -> Shares {
+    pub fn of(incarnation: u64, at: Micros, mut parts: Vec<(Tenant, Part)>) -> Shares {
         parts.sort_by_key(|(t, p)| (std::cmp::Reverse(p.waiting.saturating_add(p.running)), *t));
-        let mut shares = Shares { life, at, ..Shares::default() };
+        let mut shares = Shares { incarnation, at, ..Shares::default() };
         for (_, p) in parts.iter().skip(NAMED) {
             shares.rest.waiting = shares.rest.waiting.saturating_add(p.waiting);
             shares.rest.running = shares.rest.running.saturating_add(p.running);
@@ -69,13 +69,16 @@
     /// those out of bounds, change nothing.
     pub fn take(&mut self, now: Micros, peer: Peer, shares: Shares) -> Vec<(Tenant, f64)> {
         if !shares.fits()
-            || self.last.get(&peer).is_some_and(|(_, s)| (s.life, s.at) >= (shares.life, shares.at))
+            || self
+                .last
+                .get(&peer)
+                .is_some_and(|(_, s)| (s.incarnation, s.at) >= (shares.incarnation, shares.at))
         {
             return Vec::new();
         }
         let mut grown = Vec::new();
         let mut shares = shares;
-        if let Some((_, before)) = self.last.get(&peer).filter(|(_, s)| s.life == shares.life) {
+        if let Some((_, before)) = self.last.get(&peer).filter(|(_, s)| s.incarnation == shares.incarnation) {
             let used =
                 |s: &Shares, t: Tenant| s.tenants.iter().find(|(o, _)| *o == t).map(|(_, p)| p.used_ms);
             for (t, part) in &shares.tenants {
--- a/crates/slots/src/predict.rs
+++ b/crates/slots/src/predict.rs
@@ -1,15 +1,15 @@
-//! What the queue expects: when each query that waits will have ended, and how many slots should be here.
+//! What the queue expects: when each request that waits will have ended, and how many slots should be here.
 
 use crate::queue::{Entry, Queue};
 use crate::split::{Demand, Due, dues};
 use crate::{Id, Micros, SECOND, Tenant};
 use std::collections::BTreeMap;
 
-/// Part of its wanted time by which a query that waits may be expected late before it is refused: the pace swings.
+/// Part of its wanted time by which a request that waits may be expected late before it is refused: the pace swings.
 const SLACK: u64 = 10;
 /// Slots that a tenant is expected to have at least, on average.
 const LEAST_PACE: f64 = 0.02;
-/// What is left of a query that has run longer than predicted, as a part of that.
+/// What is left of a request that has run longer than predicted, as a part of that.
 const OVERRUN: f64 = 0.25;
 /// Time over which the wanted slots are smoothed, and how far they move before another number is asked for.
 const SMOOTH_S: f64 = 2.0;
@@ -49,7 +49,7 @@
         Want { firm, most }
     }
 
-    /// What each tenant with a query here is due, by its weight in the fleet and where its queries are.
+    /// What each tenant with a request here is due, by its weight in the fleet and where its requests are.
     fn dues(&self, now: Micros) -> BTreeMap<Tenant, Due> {
         let mut mine: BTreeMap<Tenant, f64> = BTreeMap::new();
         for (t, f) in self.flows.all.iter().filter(|(_, f)| f.waiting + f.running > 0) {
--- a/crates/slots/src/queue.rs
+++ b/crates/slots/src/queue.rs
@@ -17,13 +17,13 @@
     pub runs: Option<(Micros, f64)>,
 }
 
-/// The queue of slow queries at one dispatcher. The host calls [`Queue::tick`] after anything that frees or brings
+/// The queue of slow requests at one dispatcher. The host calls [`Queue::tick`] after anything that frees or brings
 /// slots, and every 100 ms or so besides.
 #[derive(Debug, Clone)]
 pub struct Queue {
     pub(crate) terms: Terms,
     pub(crate) rng: Pcg64Mcg,
-    life: u64,
+    incarnation: u64,
     pub(crate) jobs: BTreeMap<Id, Entry>,
     /// Those that wait, by arrival.
     pub(crate) order: BTreeMap<u64, Id>,
@@ -40,13 +40,13 @@
 }
 
 impl Queue {
-    /// An empty one, without slots. `seed` spreads the times at which refused queries come back; it also names this
-    /// life in the news, so that it has to grow from life to life.
+    /// An empty one, without slots. `seed` spreads the times at which refused requests come back; it also names this
+    /// incarnation in the news, so that it has to grow from incarnation to incarnation.
     pub fn new(terms: Terms, seed: u64) -> Queue {
         Queue {
             terms,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            life: seed,
+            incarnation: seed,
             jobs: BTreeMap::new(),
             order: BTreeMap::new(),
             keys: BTreeMap::new(),
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Queries that run.
+    /// Requests that run.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Queries that wait.
+    /// Requests that wait.
     pub fn waiting(&self) -> usize {
         self.order.len()
     }
@@ -81,7 +81,7 @@
         self.flows.all.get(&tenant.min(TENANTS - 1)).map_or(0.0, |f| (f.tag - self.flows.time()) * f.weight)
     }
 
-    /// Takes a slow query.
+    /// Takes a slow request.
     pub fn offer(&mut self, now: Micros, job: Job) -> Verdict {
         // Nobody may have more waiting than there is room left: so a tenant that fills the queue leaves some to all.
         let room = self.terms.waiting.saturating_sub(self.order.len());
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A query that ran has ended, having cost so many thread-seconds. What was charged wrongly is put right.
+    /// A request that ran has ended, having cost so many thread-seconds. What was charged wrongly is put right.
     pub fn finished(&mut self, now: Micros, id: Id, actual_s: f64) {
         let Some(e) = self.jobs.get(&id) else { return };
         if let Some((_, charged)) = e.runs {
@@ -133,7 +133,7 @@
         self.settle();
     }
 
-    /// The client of a query has left: it waits no longer, or was ended where it ran and costs what it held.
+    /// The client of a request has left: it waits no longer, or was ended where it ran and costs what it held.
     pub fn left(&mut self, now: Micros, id: Id) {
         let Some(e) = self.jobs.get(&id) else { return };
         if let Some((since, charged)) = e.runs {
@@ -189,7 +189,7 @@
             running: f.running,
             used_ms: (f.charged * 1e3) as i64,
         };
-        Shares::of(self.life, now, self.flows.all.iter().map(|(t, f)| (*t, part(f))).collect())
+        Shares::of(self.incarnation, now, self.flows.all.iter().map(|(t, f)| (*t, part(f))).collect())
     }
 
     /// The slots of the moment. Fewer than run stop nothing: no other begins until enough have ended.
--- a/crates/slots/tests/cases.rs
+++ b/crates/slots/tests/cases.rs
@@ -17,7 +17,7 @@
     Job { id, tenant, key: None, cost_s, threads: 1, aim, deadline: aim + aim_ms * MS }
 }
 
-/// Runs what was offered until `until`, each query for `actual(tenant)`; slot seconds by tenant.
+/// Runs what was offered until `until`, each request for `actual(tenant)`; slot seconds by tenant.
 fn serve(
     q: &mut Queue,
     until: Micros,
@@ -68,7 +68,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     /// Guards against a tenant that falls behind its share: of two that always wait, whatever the weights, costs
-    /// and wrong estimates, neither is further ahead than (2 D + 1) of the longest queries over their weights.
+    /// and wrong estimates, neither is further ahead than (2 D + 1) of the longest requests over their weights.
     #[test]
     fn nobody_falls_further_behind_than_the_bound(
         weights in prop::array::uniform2(1..5u8), costs in prop::array::uniform2(1..8u8),
@@ -200,7 +200,7 @@
     let size = postcard::to_stdvec(&q.share(START)).unwrap().len();
     assert!(size < 600, "{size} bytes");
     // Peers with nothing to do leave theirs, until their word is too old.
-    let quiet = |p| Shares { life: p, at: START, ..Shares::default() };
+    let quiet = |p| Shares { incarnation: p, at: START, ..Shares::default() };
     (2..5).for_each(|p| q.news(START, p as u8, quiet(p)));
     let most = |q: &mut Queue, at| q.want(at).most;
     assert_eq!(most(&mut q, START), 40);
--- a/crates/slots/tests/sim/mod.rs
+++ b/crates/slots/tests/sim/mod.rs
@@ -33,9 +33,9 @@
     pub jain: f64,
     /// Empty slots while anybody waits, as a part.
     pub idle: f64,
-    /// The longest wait of a query that ran, and the 99th of 100, by tenant.
+    /// The longest wait of a request that ran, and the 99th of 100, by tenant.
     pub waits: Vec<(Micros, Micros)>,
-    /// Part of queries refused, by tenant.
+    /// Part of requests refused, by tenant.
     pub refused: Vec<f64>,
     /// Times that more ran than slots are, or more at one dispatcher than were lent to it.
     pub twice: u32,
@@ -49,7 +49,7 @@
     asked: Micros,
 }
 
-/// One query: whose, slot time in microseconds, where, and when it came.
+/// One request: whose, slot time in microseconds, where, and when it came.
 type Known = BTreeMap<Id, (usize, u64, usize, Micros)>;
 
 /// Slot seconds by tenant in each second: brought, and served.
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/executor.rs
@@ -1,4 +1,4 @@
-//! A motor that works by itself.
+//! An executor that works by itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -11,7 +11,7 @@
 /// The longest statement taken, in bytes.
 const LONGEST: usize = 64 * 1024;
 
-/// A request that reached a motor whole.
+/// A request that reached an executor whole.
 #[derive(Debug, Clone)]
 pub struct Pull {
     /// Its id, as the dispatcher wrote it.
@@ -35,7 +35,7 @@
     }
 }
 
-/// How long a motor takes for a request, by its class and its statement.
+/// How long an executor takes for a request, by its class and its statement.
 pub type Work = dyn Fn(&Pull) -> Duration + Send + Sync;
 
 struct Shared {
@@ -47,8 +47,8 @@
     echo: bool,
 }
 
-/// A motor: it takes connections until it is dropped.
-pub struct Engine {
+/// An executor: it takes connections until it is dropped.
+pub struct Executor {
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -62,10 +62,10 @@
     m.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-impl Engine {
+impl Executor {
     /// Listens on a port of its own; `work` tells how long a request takes.
-    pub fn new(work: impl Fn(&Pull) -> Duration + Send + Sync + 'static) -> io::Result<Engine> {
-        Engine::at("127.0.0.1:0", false, work)
+    pub fn new(work: impl Fn(&Pull) -> Duration + Send + Sync + 'static) -> io::Result<Executor> {
+        Executor::at("127.0.0.1:0", false, work)
     }
 
     /// Listens on an address; with `echo` every command is printed.
@@ -73,7 +73,7 @@
         address: &str,
         echo: bool,
         work: impl Fn(&Pull) -> Duration + Send + Sync + 'static,
-    ) -> io::Result<Engine> {
+    ) -> io::Result<Executor> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
@@ -94,7 +94,7 @@
                 thread::spawn(move || connection(stream, &all));
             }
         });
-        Ok(Engine { address, shared })
+        Ok(Executor { address, shared })
     }
 
     /// All that reached it so far, in order.
@@ -118,7 +118,7 @@
     }
 }
 
-impl Drop for Engine {
+impl Drop for Executor {
     fn drop(&mut self) {
         self.die();
     }
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-/// Runs a request on a thread of its own: a motor runs all that it is handed at once.
+/// Runs a request on a thread of its own: an executor runs all that it is handed at once.
 fn run(pull: Pull, all: &Arc<Shared>, back: &Arc<Back>) {
     let end = Instant::now() + (all.work)(&pull);
     let (all, back) = (all.clone(), back.clone());
--- a/crates/standins/src/fragile.rs
+++ b/crates/standins/src/fragile.rs
@@ -1,13 +1,13 @@
-//! A motor with a capacity: it starts cold, grows slower as more is sent than it can do, and falls over when far
+//! An executor with a capacity: it starts cold, grows slower as more is sent than it can do, and falls over when far
 //! too much is.
 
-use crate::engine::{Engine, Pull};
+use crate::executor::{Executor, Pull};
 use std::collections::VecDeque;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a fragile motor can do.
+/// What a fragile executor can do.
 #[derive(Debug, Clone, Copy)]
 pub struct Strength {
     /// Requests a second, warm.
@@ -32,10 +32,10 @@
     fallen: bool,
 }
 
-/// The motor, while it is up.
+/// The executor, while it is up.
 pub struct Fragile {
-    /// The motor itself.
-    pub engine: Engine,
+    /// The executor itself.
+    pub executor: Executor,
     state: Arc<Mutex<State>>,
 }
 
@@ -47,10 +47,10 @@
         let state = State { started, done_at: now, arrivals: VecDeque::new(), fallen: false };
         let state = Arc::new(Mutex::new(state));
         let own = state.clone();
-        let engine = Engine::at(at, false, move |_: &Pull| {
+        let executor = Executor::at(at, false, move |_: &Pull| {
             own.lock().unwrap_or_else(PoisonError::into_inner).sent(&strength)
         })?;
-        Ok(Fragile { engine, state })
+        Ok(Fragile { executor, state })
     }
 
     /// Whether it fell over; its owner then ends it.
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for all that a dispatcher talks to, on loopback sockets.
 //!
 //! - [`scripted`]: peers that say what a test has them say, step by step, and the program between them.
-//! - [`engine`]: a motor that works by itself: it answers after a while, heeds KILL and remembers all it got.
-//! - [`fragile`]: a motor with a capacity, which starts cold and falls over.
+//! - [`executor`]: an executor that works by itself: it answers after a while, heeds KILL and remembers all it got.
+//! - [`fragile`]: an executor with a capacity, which starts cold and falls over.
 //! - [`asks`]: clients that remember what they asked and got.
 //! - [`delay`]: a link with a constant delay.
 //! - [`link`]: a way between two processes that can be cut, silent, slow, late, and healed.
@@ -14,7 +14,7 @@
 
 pub mod asks;
 pub mod delay;
-pub mod engine;
+pub mod executor;
 pub mod feed;
 pub mod fragile;
 pub mod link;
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -1,7 +1,7 @@
-//! What a decision costs as the list and the open queries grow: processor time of an arrival and of a tick.
+//! What a decision costs as the list and the open requests grow: processor time of an arrival and of a tick.
 
 use ottercroft::api::*;
-use ottercroft::{Event, Gateway, Settings};
+use ottercroft::{Balancer, Event, Settings};
 use std::time::{Duration, Instant};
 
 fn settings() -> Settings {
@@ -20,7 +20,7 @@
         only_kinds: None,
     };
     Settings {
-        gateways: 100,
+        dispatchers: 100,
         classes: vec![class(1_000_000, 1.0, 1), class(3_000_000, 6.0, 4)],
         kinds: vec![Kind { cores: 8.0, memory_mb: 16_384.0 }],
         tenants: vec![],
@@ -51,30 +51,30 @@
     }
 }
 
-/// Mean time of an arrival, and the median of a tick, with so many engines listed, `cold` in a hundred of them just
-/// started, and so many queries open.
-fn measure(engines: u32, cold: u32, open: u64) -> Result<[Duration; 2], SettingsError> {
-    let mut gateway = Gateway::new(settings(), 42)?;
+/// Mean time of an arrival, and the median of a tick, with so many executors listed, `cold` in a hundred of them just
+/// started, and so many requests open.
+fn measure(executors: u32, cold: u32, open: u64) -> Result<[Duration; 2], SettingsError> {
+    let mut dispatcher = Balancer::new(settings(), 42)?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
-    let started = |engine: u32| (engine % 100 < cold).then_some(now);
-    let entry = |engine| Entry { engine, rating: 1.0, started: started(engine), ..Entry::default() };
-    let entries = (1..=engines).map(entry).collect();
-    gateway.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
+    let started = |executor: u32| (executor % 100 < cold).then_some(now);
+    let entry = |executor| Entry { executor, rating: 1.0, started: started(executor), ..Entry::default() };
+    let entries = (1..=executors).map(entry).collect();
+    dispatcher.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
     let start = Instant::now();
-    for query in 0..open {
+    for request in 0..open {
         now += 10;
-        let class = usize::from(query % 5 == 0);
-        gateway.handle(
+        let class = usize::from(request % 5 == 0);
+        dispatcher.handle(
             now,
             Event::Arrival(Arrival {
-                query,
+                request,
                 class,
                 tenant: None,
                 key: None,
                 grace: 20_000_000,
                 estimate_s: Some(0.2 + 2.0 * class as f64),
                 memory_mb: Some(100.0),
-                group: query % 50,
+                group: request % 50,
                 repeated: false,
                 held_back: false,
             }),
@@ -82,9 +82,9 @@
         );
     }
     let arrival = start.elapsed() / open as u32;
-    // Those that wait for probes go out now, so that all are out at engines.
+    // Those that wait for probes go out now, so that all are out at executors.
     now += 50_000;
-    gateway.handle(now, Event::Timer { token: 1 }, &mut actions);
+    dispatcher.handle(now, Event::Timer { token: 1 }, &mut actions);
     if cold == 0 {
         let sent = actions.iter().filter(|a| matches!(a, Action::Send { .. })).count() as u64;
         assert!(sent >= open, "{sent} of {open} are out");
@@ -93,7 +93,7 @@
     for _ in 0..9 {
         now += 50_000;
         let start = Instant::now();
-        gateway.handle(now, Event::Timer { token: 0 }, &mut actions);
+        dispatcher.handle(now, Event::Timer { token: 0 }, &mut actions);
         ticks.push(start.elapsed());
     }
     ticks.sort();
@@ -103,35 +103,35 @@
 /// Keys with a line each.
 const KEYS: u64 = 50;
 
-/// Median of a tick with so many queries in the lines of some keys, the first of each out at an engine that hangs.
+/// Median of a tick with so many requests in the lines of some keys, the first of each out at an executor that hangs.
 fn measure_lines(waiting: u64) -> Result<Duration, SettingsError> {
     let mut settings = settings();
     (settings.classes[0].keep_order, settings.classes[0].effect) = (true, Effect::Unsafe);
-    let mut gateway = Gateway::new(settings, 42)?;
+    let mut dispatcher = Balancer::new(settings, 42)?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
-    let entries = (1..=8).map(|engine| Entry { engine, rating: 1.0, ..Entry::default() }).collect();
-    gateway.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
-    for query in 0..waiting {
+    let entries = (1..=8).map(|executor| Entry { executor, rating: 1.0, ..Entry::default() }).collect();
+    dispatcher.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
+    for request in 0..waiting {
         now += 10;
         let arrival = Arrival {
-            query,
+            request,
             class: 0,
             tenant: None,
-            key: Some(query % KEYS),
+            key: Some(request % KEYS),
             grace: 20_000_000,
             estimate_s: Some(0.2),
             memory_mb: Some(100.0),
-            group: query % KEYS,
+            group: request % KEYS,
             repeated: false,
             held_back: false,
         };
-        gateway.handle(now, Event::Arrival(arrival), &mut actions);
+        dispatcher.handle(now, Event::Arrival(arrival), &mut actions);
     }
     let mut ticks = Vec::new();
     for _ in 0..9 {
         now += 50_000;
         let start = Instant::now();
-        gateway.handle(now, Event::Timer { token: 0 }, &mut actions);
+        dispatcher.handle(now, Event::Timer { token: 0 }, &mut actions);
         ticks.push(start.elapsed());
     }
     ticks.sort();
@@ -140,10 +140,10 @@
 
 fn main() -> Result<(), SettingsError> {
     println!("engines  cold%   open  arrival_us  tick_us");
-    for engines in [8, 60, 240, 960, 3_200] {
+    for executors in [8, 60, 240, 960, 3_200] {
         for (cold, open) in [(0, 10), (0, 100), (0, 1_000), (50, 10), (50, 100), (95, 10)] {
-            let [arrival, tick] = measure(engines, cold, open)?.map(|t| t.as_secs_f64() * 1e6);
-            println!("{engines:7} {cold:6} {open:6} {arrival:11.1} {tick:8.1}");
+            let [arrival, tick] = measure(executors, cold, open)?.map(|t| t.as_secs_f64() * 1e6);
+            println!("{executors:7} {cold:6} {open:6} {arrival:11.1} {tick:8.1}");
         }
     }
     println!("in_lines  tick_us");
--- a/examples/one_gateway.rs
+++ b/examples/one_dispatcher.rs
@@ -1,7 +1,7 @@
-//! Builds settings, feeds a gateway a handful of events and prints what it wants done.
+//! Builds settings, feeds a dispatcher a handful of events and prints what it wants done.
 
 use ottercroft::api::*;
-use ottercroft::{Event, Gateway, Settings};
+use ottercroft::{Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
     let class = |aim, worth, threads| Class {
@@ -19,7 +19,7 @@
         only_kinds: None,
     };
     let settings = Settings {
-        gateways: 2,
+        dispatchers: 2,
         classes: vec![class(1_000_000, 1.0, 1), class(3_000_000, 6.0, 4)],
         kinds: vec![Kind { cores: 8.0, memory_mb: 16_384.0 }],
         tenants: vec![],
@@ -48,10 +48,10 @@
         key_quiet: None,
         step: 5_000,
     };
-    let mut gateway = Gateway::new(settings, 42)?;
-    let engines = [11, 12].map(|engine| Entry { engine, rating: 1.0, ..Entry::default() });
-    let query = Arrival {
-        query: 1,
+    let mut dispatcher = Balancer::new(settings, 42)?;
+    let executors = [11, 12].map(|executor| Entry { executor, rating: 1.0, ..Entry::default() });
+    let request = Arrival {
+        request: 1,
         class: 1,
         tenant: None,
         key: None,
@@ -62,29 +62,29 @@
         repeated: false,
         held_back: false,
     };
-    let gone = engines.clone().map(|e| Entry { readiness: Readiness::Left, ..e });
+    let gone = executors.clone().map(|e| Entry { readiness: Readiness::Left, ..e });
     let list = |kind, entries: &[Entry]| Event::List { kind, entries: entries.to_vec() };
     let mut sent = None;
     let mut play = |now: Micros, event: Event| {
         let mut actions = Vec::new();
-        gateway.handle(now, event, &mut actions);
+        dispatcher.handle(now, event, &mut actions);
         for action in actions {
             println!("{:.3} s  {action:?}", now as f64 / 1e6);
-            if let Action::Send { engine, .. } = action {
-                sent = Some(engine);
+            if let Action::Send { executor, .. } = action {
+                sent = Some(executor);
             }
         }
         sent
     };
-    play(1_000_000, list(ListKind::Restored, &engines));
-    play(1_020_000, Event::Arrival(query.clone()));
-    // The probes bring no answer within the wait: the query is sent all the same.
+    play(1_000_000, list(ListKind::Restored, &executors));
+    play(1_020_000, Event::Arrival(request.clone()));
+    // The probes bring no answer within the wait: the request is sent all the same.
     let first = play(1_060_000, Event::Timer { token: 1 }).expect("sent");
-    // The engine fails it at once: it is tried again elsewhere.
+    // The executor fails it at once: it is tried again elsewhere.
     let failed = Finished {
-        query: 1,
+        request: 1,
         attempt: 0,
-        engine: first,
+        executor: first,
         done: false,
         outcome: Outcome::Error,
         latency: 5_000,
@@ -93,8 +93,8 @@
     };
     let second = play(1_065_000, Event::Finished(failed)).expect("sent again");
     assert_ne!(first, second);
-    // With no engine left a query is refused at once, with advice when to come back.
+    // With no executor left a request is refused at once, with advice when to come back.
     play(1_200_000, list(ListKind::Update, &gone));
-    play(1_210_000, Event::Arrival(Arrival { query: 2, ..query }));
+    play(1_210_000, Event::Arrival(Arrival { request: 2, ..request }));
     Ok(())
 }
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,15 +1,15 @@
-//! What a gateway wants done.
+//! What a dispatcher wants done.
 
-use super::{EndReason, EngineId, Micros, QueryId};
+use super::{EndReason, ExecutorId, Micros, RequestId};
 
-/// What a gateway wants done, in this order and at once.
+/// What a dispatcher wants done, in this order and at once.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Set memory and priority for the query's further sends; the priority also for what is out.
+    /// Set memory and priority for the request's further sends; the priority also for what is out.
     Terms {
         /// The request.
-        query: QueryId,
-        /// Memory in MB; 0 leaves it to the engine.
+        request: RequestId,
+        /// Memory in MB; 0 leaves it to the executor.
         memory_mb: f64,
         /// Priority, 0 to 3.
         priority: u8,
@@ -17,23 +17,23 @@
     /// Send an attempt.
     Send {
         /// The request.
-        query: QueryId,
+        request: RequestId,
         /// Where to.
-        engine: EngineId,
+        executor: ExecutorId,
         /// Its time-out; `None` until the client gives up.
         timeout: Option<Micros>,
     },
     /// Call an attempt off.
     Cancel {
         /// The request.
-        query: QueryId,
+        request: RequestId,
         /// The attempt.
         attempt: u32,
     },
     /// Final answer: turned away, trying again is harmless.
     Refuse {
         /// The request.
-        query: QueryId,
+        request: RequestId,
         /// When to come back.
         retry_after: Option<Micros>,
         /// Why, for the log.
@@ -42,27 +42,27 @@
     /// Final answer: failed, with no promise.
     Fail {
         /// The request.
-        query: QueryId,
+        request: RequestId,
         /// Why, for the log.
         reason: EndReason,
     },
-    /// Probe an engine.
+    /// Probe an executor.
     Probe {
-        /// The engine.
-        engine: EngineId,
+        /// The executor.
+        executor: ExecutorId,
     },
-    /// Ask for the changes of the engine list from now on.
+    /// Ask for the changes of the executor list from now on.
     Watch,
     /// Stop hearing of changes.
     Unwatch,
-    /// Ask for the whole engine list once.
+    /// Ask for the whole executor list once.
     ReadList,
-    /// Close idle connections to an engine.
+    /// Close idle connections to an executor.
     CloseIdle {
-        /// The engine.
-        engine: EngineId,
+        /// The executor.
+        executor: ExecutorId,
     },
-    /// Tell one gateway of the tier something, or all of them.
+    /// Tell one dispatcher of the tier something, or all of them.
     Tell {
         /// Its number; `None` for all.
         to: Option<u32>,
--- a/src/api/end_reason.rs
+++ b/src/api/end_reason.rs
@@ -13,11 +13,11 @@
     LineTooLong,
     /// It waited in its key's line until hardly any time was left.
     LineTimedOut,
-    /// No engine may take it.
-    NoEngine,
+    /// No executor may take it.
+    NoExecutor,
     /// Its last attempt failed, and no further one may be made.
     NoFurtherAttempt,
-    /// It was past its aim, and the engines are overloaded.
+    /// It was past its aim, and the executors are overloaded.
     Overloaded,
     /// Its time is over.
     Deadline,
@@ -38,7 +38,7 @@
         EndReason::OverLimit,
         EndReason::LineTooLong,
         EndReason::LineTimedOut,
-        EndReason::NoEngine,
+        EndReason::NoExecutor,
         EndReason::NoFurtherAttempt,
         EndReason::Overloaded,
         EndReason::Deadline,
@@ -55,7 +55,7 @@
             EndReason::OverLimit => "over_limit",
             EndReason::LineTooLong => "line_too_long",
             EndReason::LineTimedOut => "line_timed_out",
-            EndReason::NoEngine => "no_engine",
+            EndReason::NoExecutor => "no_engine",
             EndReason::NoFurtherAttempt => "no_further_attempt",
             EndReason::Overloaded => "overloaded",
             EndReason::Deadline => "deadline",
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,13 +1,13 @@
-//! What happens to a gateway.
+//! What happens to a dispatcher.
 
-use super::{ClassId, EngineId, Entry, ListKind, Micros, QueryId, Report, TenantId};
+use super::{ClassId, Entry, ExecutorId, ListKind, Micros, Report, RequestId, TenantId};
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The engine answered with an error; it may have run.
+    /// The executor answered with an error; it may have run.
     Error,
     /// Turned away unseen.
     Full,
@@ -30,7 +30,7 @@
     }
 }
 
-/// What a query cost, where answers tell it.
+/// What a request cost, where answers tell it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bill {
     /// Work of all threads, in seconds.
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
     /// The request.
-    pub query: QueryId,
+    pub request: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -79,11 +79,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finished {
     /// The request.
-    pub query: QueryId,
+    pub request: RequestId,
     /// The attempt.
     pub attempt: u32,
     /// Where it ran.
-    pub engine: EngineId,
+    pub executor: ExecutorId,
     /// The request has its final answer.
     pub done: bool,
     /// How it ended.
@@ -96,10 +96,10 @@
     pub report: Option<Report>,
 }
 
-/// What happens to a gateway.
+/// What happens to a dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the engine list.
+    /// News of the executor list.
     List {
         /// What the entries are.
         kind: ListKind,
@@ -111,7 +111,7 @@
     /// A streamed answer has begun: the attempt belongs to the client.
     FirstByte {
         /// The request.
-        query: QueryId,
+        request: RequestId,
         /// The attempt.
         attempt: u32,
     },
@@ -120,25 +120,25 @@
     /// Word on an attempt that is out.
     Noted {
         /// The request.
-        query: QueryId,
+        request: RequestId,
         /// The attempt.
         attempt: u32,
         /// Where it runs.
-        engine: EngineId,
+        executor: ExecutorId,
         /// The word.
         note: Note,
     },
     /// The client left; no answer is owed.
     HungUp {
         /// The request.
-        query: QueryId,
+        request: RequestId,
     },
     /// A timer is due.
     Timer {
         /// As it was set.
         token: u64,
     },
-    /// Another gateway of the tier told something.
+    /// Another dispatcher of the tier told something.
     Told {
         /// Its number.
         from: u32,
@@ -147,8 +147,8 @@
     },
     /// A probe is over.
     Probed {
-        /// The engine.
-        engine: EngineId,
+        /// The executor.
+        executor: ExecutorId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
--- a/src/api/engines.rs
+++ b/src/api/executors.rs
@@ -1,11 +1,11 @@
-//! The engine list and load reports.
+//! The executor list and load reports.
 
-use super::{EngineId, KindId, Micros, ZoneId};
+use super::{ExecutorId, KindId, Micros, ZoneId};
 
-/// What an engine's process does, as the list has it.
+/// What an executor's process does, as the list has it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes queries.
+    /// Takes requests.
     #[default]
     Active,
     /// Completes its work, takes nothing new.
@@ -14,11 +14,11 @@
     Left,
 }
 
-/// An entry of the engine list.
+/// An entry of the executor list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Entry {
-    /// The engine.
-    pub engine: EngineId,
+    /// The executor.
+    pub executor: ExecutorId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
@@ -53,9 +53,9 @@
 pub struct Report {
     /// Share of the cores that is busy.
     pub util: Option<f64>,
-    /// Queries held.
+    /// Requests held.
     pub inflight: Option<f64>,
-    /// Queries waiting for memory.
+    /// Requests waiting for memory.
     pub queue: Option<f64>,
     /// Share of memory granted.
     pub memory: Option<f64>,
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -5,15 +5,15 @@
 
 mod action;
 mod end_reason;
-mod engines;
 mod event;
+mod executors;
 mod settings;
 mod validation;
 
 pub use action::Action;
 pub use end_reason::{EndCounts, EndReason};
-pub use engines::{Entry, ListKind, Readiness, Report};
 pub use event::{Arrival, Bill, Event, Finished, Note, Outcome};
+pub use executors::{Entry, ListKind, Readiness, Report};
 pub use settings::{Budget, Class, ColdRule, Effect, Group, Kind, Reports, Settings, Shortage, Tenant};
 pub use validation::{SettingsError, check};
 
@@ -27,7 +27,7 @@
 pub type ZoneId = usize;
 /// Index into [`Settings::kinds`].
 pub type KindId = usize;
-/// An engine, by the id that the list gives it. It tells nothing of zone, kind or age.
-pub type EngineId = u32;
+/// An executor, by the id that the list gives it. It tells nothing of zone, kind or age.
+pub type ExecutorId = u32;
 /// A request; never used twice.
-pub type QueryId = u64;
+pub type RequestId = u64;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start: classes, kinds of machine, tenants, and what engines do.
+//! What a dispatcher is told at its start: classes, kinds of machine, tenants, and what executors do.
 
 use super::{Entry, KindId, Micros, ZoneId};
 
@@ -7,9 +7,9 @@
 pub enum Effect {
     /// May be repeated freely.
     Safe,
-    /// Repeats are dropped inside a group of engines, for a while.
+    /// Repeats are dropped inside a group of executors, for a while.
     Keyed {
-        /// The engines that drop each other's repeats.
+        /// The executors that drop each other's repeats.
         group: Group,
         /// For how long after the first attempt that may have run.
         window: Micros,
@@ -18,19 +18,19 @@
     Unsafe,
 }
 
-/// Which engines drop repeats of a keyed request.
+/// Which executors drop repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Group {
-    /// Any engine.
+    /// Any executor.
     All,
-    /// Engines of the same zone.
+    /// Executors of the same zone.
     Zone,
-    /// Engines of the same cell.
+    /// Executors of the same cell.
     Cell,
 }
 
 impl Group {
-    /// Whether two engines are of one group.
+    /// Whether two executors are of one group.
     pub fn holds(self, a: &Entry, b: &Entry) -> bool {
         match self {
             Group::All => true,
@@ -40,12 +40,12 @@
     }
 }
 
-/// A class of query.
+/// A class of request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time, plus `aim_stretch`, earns the whole worth.
     pub aim: Micros,
-    /// The aim grows by this times the query's work over its threads.
+    /// The aim grows by this times the request's work over its threads.
     pub aim_stretch: f64,
     /// How long a client waits in all.
     pub deadline: Micros,
@@ -53,13 +53,13 @@
     pub worth: f64,
     /// Share of the worth that a late answer still earns.
     pub late_worth: f64,
-    /// Threads that a query runs on.
+    /// Threads that a request runs on.
     pub threads: u32,
     /// What may be repeated.
     pub effect: Effect,
-    /// Queries of one key run one at a time.
+    /// Requests of one key run one at a time.
     pub keep_order: bool,
-    /// It holds its table group on its engine while it runs.
+    /// It holds its table group on its executor while it runs.
     pub loads: bool,
     /// It stands still where a load holds its table group.
     pub yields_to_loads: bool,
@@ -81,14 +81,14 @@
 /// A tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all gateways, inside its share.
+    /// Requests a second, over all dispatchers, inside its share.
     pub quota_per_s: f64,
 }
 
-/// What happens when grants pass an engine's memory.
+/// What happens when grants pass an executor's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortage {
-    /// The query waits in the engine's line.
+    /// The request waits in the executor's line.
     Queue,
     /// It gets what is left, and spills.
     Trim,
@@ -96,7 +96,7 @@
     Swap,
 }
 
-/// How engines report their load.
+/// How executors report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reports {
     /// Inside outcomes and probe results.
@@ -116,14 +116,14 @@
     pub ratio: f64,
     /// Length of the window.
     pub span: Micros,
-    /// An attempt may reach its engine so much after it was decided, and the window is counted there.
+    /// An attempt may reach its executor so much after it was decided, and the window is counted there.
     pub slack: Micros,
 }
 
-/// The cold-engine rule.
+/// The cold-executor rule.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdRule {
-    /// An engine starts at this share of its capacity or more.
+    /// An executor starts at this share of its capacity or more.
     pub from: f64,
     /// It is warm this long after its start.
     pub ramp: Micros,
@@ -133,12 +133,12 @@
     pub fall: Micros,
 }
 
-/// All that a gateway is told at its start.
+/// All that a dispatcher is told at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Gateways in this tier.
-    pub gateways: u32,
-    /// Classes of query.
+    /// Dispatchers in this tier.
+    pub dispatchers: u32,
+    /// Classes of request.
     pub classes: Vec<Class>,
     /// Kinds of machine.
     pub kinds: Vec<Kind>,
@@ -146,7 +146,7 @@
     pub tenants: Vec<Tenant>,
     /// Number of zones.
     pub zones: usize,
-    /// This gateway's zone.
+    /// This dispatcher's zone.
     pub zone: ZoneId,
     /// Worth of a request beyond its tenant's share, as a part of the usual.
     pub over_share_worth: f64,
@@ -158,15 +158,15 @@
     pub handshake_price: f64,
     /// Load reports.
     pub reports: Reports,
-    /// The engine list must be asked for.
+    /// The executor list must be asked for.
     pub list_must_be_asked: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// A query may have two attempts out at once.
+    /// A request may have two attempts out at once.
     pub second_copies: bool,
-    /// Most attempts for a query.
+    /// Most attempts for a request.
     pub max_attempts: u32,
     /// The longest wait that a client will follow; `None` where advice is not passed on.
     pub max_retry_after: Option<Micros>,
@@ -174,19 +174,19 @@
     pub grants: bool,
     /// Priorities are heeded.
     pub priorities: bool,
-    /// Share of an engine's memory that one query gets at most.
+    /// Share of an executor's memory that one request gets at most.
     pub most_grant: f64,
     /// What a shortage of memory does.
     pub shortage: Shortage,
     /// Pace of progress notes; `None` where there are none.
     pub progress: Option<Micros>,
-    /// Answers tell what a query cost.
+    /// Answers tell what a request cost.
     pub tells_cost: bool,
     /// The attempt budget, where one is stated.
     pub budget: Option<Budget>,
-    /// The cold-engine rule.
+    /// The cold-executor rule.
     pub cold: ColdRule,
-    /// Nothing new may go to an engine this long after word that it drains or is gone.
+    /// Nothing new may go to an executor this long after word that it drains or is gone.
     pub drain_grace: Micros,
     /// How long a key rests after an attempt that may still run.
     pub key_quiet: Option<Micros>,
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -19,7 +19,7 @@
 pub fn check(s: &Settings) -> Result<(), SettingsError> {
     let need = |ok: bool, what: &str| if ok { Ok(()) } else { Err(SettingsError(what.into())) };
     let sane = |x: f64| x.is_finite() && x >= 0.0;
-    need(s.gateways > 0, "number of gateways is zero")?;
+    need(s.dispatchers > 0, "number of gateways is zero")?;
     need(!s.classes.is_empty(), "no class")?;
     need(s.classes.len() <= 64, "more than 64 classes")?;
     need(s.zone < s.zones, "own zone is unknown")?;
--- a/src/bin/ottercroft-adapter/main.rs
+++ b/src/bin/ottercroft-adapter/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use ottercroft::settings::{Malformed, Names, body, micros};
-use ottercroft::{Action, Gateway};
+use ottercroft::{Action, Balancer};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -12,7 +12,7 @@
 use wire::Out;
 
 struct Instance {
-    gateway: Gateway,
+    dispatcher: Balancer,
     names: Names,
 }
 
@@ -65,7 +65,8 @@
                 {
                     self.actions.clear();
                     let (now, actions) = (self.now, &mut self.actions);
-                    let run = catch_unwind(AssertUnwindSafe(|| instance.gateway.handle(now, event, actions)));
+                    let run =
+                        catch_unwind(AssertUnwindSafe(|| instance.dispatcher.handle(now, event, actions)));
                     for action in &self.actions {
                         emit(&mut self.reply, &wire::action(&who, action));
                     }
@@ -86,9 +87,9 @@
     fn enlist(&mut self, message: wire::Enlist) -> Result<(), Malformed> {
         let (settings, names) = message.env.settings()?;
         let who = message.who;
-        match Gateway::new(settings, message.entropy) {
-            Ok(gateway) => {
-                self.instances.insert(who, Instance { gateway, names });
+        match Balancer::new(settings, message.entropy) {
+            Ok(dispatcher) => {
+                self.instances.insert(who, Instance { dispatcher, names });
             }
             Err(e) => emit(&mut self.reply, &Out::Exception { who: &who, what: &e.to_string() }),
         }
--- a/src/bin/ottercroft-adapter/wire/actions.rs
+++ b/src/bin/ottercroft-adapter/wire/actions.rs
@@ -1,6 +1,6 @@
 //! Actions as they stand on the wire.
 
-use ottercroft::api::{Action, Micros, QueryId};
+use ottercroft::api::{Action, Micros, RequestId};
 use serde::Serialize;
 
 fn seconds(t: Micros) -> f64 {
@@ -59,24 +59,24 @@
 
 /// Translates one action of the instance `who`.
 pub fn action<'a>(who: &'a str, action: &'a Action) -> Out<'a> {
-    let hex = |q: &QueryId| format!("{q:016x}");
+    let hex = |q: &RequestId| format!("{q:016x}");
     match action {
-        Action::Terms { query, memory_mb, priority } => {
-            Out::Resources { who, call: hex(query), mem_mb: *memory_mb, prio: *priority }
+        Action::Terms { request, memory_mb, priority } => {
+            Out::Resources { who, call: hex(request), mem_mb: *memory_mb, prio: *priority }
         }
-        Action::Send { query, engine, timeout } => {
-            Out::Assign { who, call: hex(query), node: *engine, timeout: timeout.map(seconds) }
+        Action::Send { request, executor, timeout } => {
+            Out::Assign { who, call: hex(request), node: *executor, timeout: timeout.map(seconds) }
         }
-        Action::Cancel { query, attempt } => Out::Recall { who, call: hex(query), go: *attempt },
-        Action::Refuse { query, retry_after, .. } => {
-            Out::Refuse { who, call: hex(query), hold_off: retry_after.map(seconds) }
+        Action::Cancel { request, attempt } => Out::Recall { who, call: hex(request), go: *attempt },
+        Action::Refuse { request, retry_after, .. } => {
+            Out::Refuse { who, call: hex(request), hold_off: retry_after.map(seconds) }
         }
-        Action::Fail { query, .. } => Out::Surrender { who, call: hex(query) },
-        Action::Probe { engine } => Out::Probe { who, node: *engine },
+        Action::Fail { request, .. } => Out::Surrender { who, call: hex(request) },
+        Action::Probe { executor } => Out::Probe { who, node: *executor },
         Action::Watch => Out::Track { who, enable: true },
         Action::Unwatch => Out::Track { who, enable: false },
         Action::ReadList => Out::ReadList { who },
-        Action::CloseIdle { engine } => Out::CloseIdle { who, node: *engine },
+        Action::CloseIdle { executor } => Out::CloseIdle { who, node: *executor },
         Action::Tell { to, content } => Out::Tell { who, dest: *to, content },
         Action::Wake { token, after } => Out::WakeAt { who, ctx: *token, span: seconds(*after) },
         Action::Log(what) => Out::Debug { who, what },
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -4,7 +4,7 @@
 use ottercroft::api::*;
 use ottercroft::settings::{Malformed, Names, bad, body, lookup, micros};
 
-fn query(name: &str, call: &str) -> Result<QueryId, Malformed> {
+fn request(name: &str, call: &str) -> Result<RequestId, Malformed> {
     match call.len() {
         16 => u64::from_str_radix(call, 16).map_err(|e| bad(name, "call", e)),
         _ => Err(bad(name, "call", format_args!("{call:?} is not 16 hex digits"))),
@@ -31,7 +31,7 @@
         .iter()
         .map(|h| {
             Ok(Entry {
-                engine: h.node,
+                executor: h.node,
                 zone: lookup(&names.zones, M, "az", &h.az)?,
                 kind: lookup(&names.kinds, M, "shape", &h.shape)?,
                 cell: h.unit_group.unwrap_or(0),
@@ -80,7 +80,7 @@
             let m: Inbound = body(name, text)?;
             let bits = m.state_bits.unwrap_or(0);
             Event::Arrival(Arrival {
-                query: query(name, &m.call)?,
+                request: request(name, &m.call)?,
                 class: lookup(&names.classes, name, "profile", &m.profile)?,
                 tenant: match &m.customer {
                     None => None,
@@ -101,7 +101,7 @@
         }
         "ACK_FIRST" => {
             let m: AckFirst = body(name, text)?;
-            Event::FirstByte { query: query(name, &m.call)?, attempt: m.go }
+            Event::FirstByte { request: request(name, &m.call)?, attempt: m.go }
         }
         "NOTICE" => {
             let m: NoticeIn = body(name, text)?;
@@ -111,14 +111,14 @@
                 3 => Note::Waits,
                 _ => return Ok(None),
             };
-            Event::Noted { query: query(name, &m.call)?, attempt: m.go, engine: m.node, note }
+            Event::Noted { request: request(name, &m.call)?, attempt: m.go, executor: m.node, note }
         }
         "REPLY" => {
             let m: ReplyIn = body(name, text)?;
             Event::Finished(Finished {
-                query: query(name, &m.call)?,
+                request: request(name, &m.call)?,
                 attempt: m.go,
-                engine: m.node,
+                executor: m.node,
                 done: m.done_flag,
                 outcome: outcome(name, m.ending)?,
                 latency: micros(name, "waitTime", m.wait_time)?,
@@ -135,13 +135,13 @@
         }
         "HANGUP" => {
             let m: Call = body(name, text)?;
-            Event::HungUp { query: query(name, &m.call)? }
+            Event::HungUp { request: request(name, &m.call)? }
         }
         "WAKEUP" => Event::Timer { token: body::<Wakeup>(name, text)?.ctx },
         "CHECK_RESULT" => {
             let m: CheckResult = body(name, text)?;
             Event::Probed {
-                engine: m.node,
+                executor: m.node,
                 outcome: outcome(name, m.ending)?,
                 latency: micros(name, "waitTime", m.wait_time)?,
                 report: m.stats.map(Report::from),
--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -1,4 +1,4 @@
-//! `ottercroft lists`: work with motor lists without a dispatcher.
+//! `ottercroft lists`: work with executor lists without a dispatcher.
 
 mod diff;
 mod show;
@@ -7,7 +7,7 @@
 use crate::membership::check::Terms;
 use crate::membership::files::Bounds;
 use crate::membership::keep;
-use crate::membership::list::{self, Digest, List, ListFile, Motor};
+use crate::membership::list::{self, Digest, Executor, List, ListFile};
 use crate::membership::watcher::{self, Rules};
 use crate::settings::hcl::Fault;
 use crate::settings::options::{Lists, accept_path};
@@ -22,7 +22,7 @@
 /// The largest list read where no settings say otherwise.
 const MOST_BYTES: u64 = 64 << 20;
 
-/// What to do with motor lists.
+/// What to do with executor lists.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Tell all that is wrong with a list
@@ -34,7 +34,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show what a list says: its motores, generation, digest and seal
+    /// Show what a list says: its executors, generation, digest and seal
     Show {
         /// The list
         #[command(flatten)]
@@ -56,7 +56,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Write the seal of a list file anew: its number of motores and its digest
+    /// Write the seal of a list file anew: its number of executors and its digest
     Seal {
         /// The file
         file: PathBuf,
@@ -149,7 +149,7 @@
     Ok(list)
 }
 
-fn state(m: &Motor) -> &'static str {
+fn state(m: &Executor) -> &'static str {
     if m.takes() { "up" } else { "draining" }
 }
 
--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -2,7 +2,7 @@
 
 use super::{read, state};
 use crate::cli::{Verdict, catalog};
-use crate::membership::list::{List, Motor};
+use crate::membership::list::{Executor, List};
 use crate::membership::{Act, Guard, Members, Sources};
 use crate::settings::hcl::shown;
 use crate::settings::options::Lists;
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn by_uid(list: &List) -> BTreeMap<Arc<str>, Arc<Motor>> {
-    list.motores().map(|(_, m, _)| (m.uid.clone(), m.clone())).collect()
+fn by_uid(list: &List) -> BTreeMap<Arc<str>, Arc<Executor>> {
+    list.executors().map(|(_, m, _)| (m.uid.clone(), m.clone())).collect()
 }
 
-/// What changed of a motor, in words.
-fn changes(old: &Motor, new: &Motor) -> Vec<String> {
+/// What changed of an executor, in words.
+fn changes(old: &Executor, new: &Executor) -> Vec<String> {
     let pairs = [
         ("room", shown(&old.room), shown(&new.room)),
         ("address", old.address.to_string(), new.address.to_string()),
--- a/src/cli/lists/show.rs
+++ b/src/cli/lists/show.rs
@@ -21,7 +21,7 @@
     if as_json {
         let file = |f: &ListFile| {
             let (name, digest) = (&f.name, f.digest.to_string());
-            json!({"name": name, "generation": f.generation, "digest": digest, "seal": seal_state(f), "motores": f.motores})
+            json!({"name": name, "generation": f.generation, "digest": digest, "seal": seal_state(f), "motores": f.executors})
         };
         let files: Vec<_> = list.files.iter().map(file).collect();
         writeln!(out, "{}", json!({"digest": list.digest.to_string(), "files": files}))?;
@@ -36,7 +36,7 @@
             format!("  {room:<16} {uid:<20} {address:<24} {kind:<16} {weight:>8} {state}")
         };
         writeln!(out, "{}", row(["room", "uid", "address", "kind", "weight", "state"]))?;
-        for m in &f.motores {
+        for m in &f.executors {
             let (address, weight) = (m.address.to_string(), m.weight.to_string());
             let (room, uid, kind) = (shown(&m.room), shown(&m.uid), shown(&m.kind));
             writeln!(out, "{}", row([&room, &uid, &address, &kind, &weight, state(m)]))?;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -23,11 +23,11 @@
   1  what was checked has faults, or differs; a dispatcher refused a call, could not start or serve
   2  nothing could be done: wrong arguments, a file that can't be read, or a dispatcher that can't be reached";
 
-/// A dispatcher in front of analytic query engines ("motores").
+/// A dispatcher in front of analytic query executors ("executors").
 ///
 /// Without a command it serves. ROUTER_CONFIG names the platform's JSON file (ROUTER_LISTEN, ROUTER_NAME and
 /// ROUTER_OPERATOR stand over its keys; `operator` is the operators' second address, see docs/oncall.md),
-/// --settings our own HCL file for what only some installations have, such as motor lists from files.
+/// --settings our own HCL file for what only some installations have, such as executor lists from files.
 #[derive(Debug, Parser)]
 #[command(name = "ottercroft", version, after_help = EXIT_CODES)]
 pub struct Cli {
@@ -52,7 +52,7 @@
 enum Command {
     /// Serve until SIGTERM (the default)
     Serve,
-    /// Check a configuration, our settings and the motor lists that they name, and tell all that is wrong
+    /// Check a configuration, our settings and the executor lists that they name, and tell all that is wrong
     Check {
         /// The platform's JSON file
         #[arg(env = "ROUTER_CONFIG")]
@@ -61,7 +61,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Work with motor lists: check, show, compare, seal and accept them
+    /// Work with executor lists: check, show, compare, seal and accept them
     #[command(subcommand)]
     Lists(lists::Command),
     /// Work with the policy that a fleet holds alike: check, compare and propose it, and see what came of that
--- a/src/codec/coordinator.rs
+++ b/src/codec/coordinator.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes queries.
+    /// Takes requests.
     Up,
     /// Completes its work.
     Draining,
--- a/src/codec/executor/answers.rs
+++ b/src/codec/executor/answers.rs
@@ -5,11 +5,11 @@
 /// A load report as executors word it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
-    /// Queries held.
+    /// Requests held.
     pub inflight: Option<f64>,
     /// Share of the cores that is busy.
     pub util: Option<f64>,
-    /// Queries waiting for memory.
+    /// Requests waiting for memory.
     pub queue: Option<f64>,
     /// First value of the site's own.
     pub x0: Option<f64>,
--- a/src/control/attempts.rs
+++ b/src/control/attempts.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-impl Gateway {
-    /// Priority by predicted cost against the mean of all queries, raised as the aim comes near.
-    fn priority(&self, q: &Query) -> u8 {
-        // What would be lost with this gateway, as nobody may run it again, goes first.
+impl Balancer {
+    /// Priority by predicted cost against the mean of all requests, raised as the aim comes near.
+    fn priority(&self, q: &Request) -> u8 {
+        // What would be lost with this dispatcher, as nobody may run it again, goes first.
         let last = self.ends < Micros::MAX && self.s.classes[q.class].effect == Effect::Unsafe;
         if last || self.now > q.aim {
             return if last { 3 } else { 0 };
@@ -18,7 +18,7 @@
         (base + u8::from(urgent)).min(3)
     }
 
-    fn grant(&self, q: &Query, e: &Engine) -> f64 {
+    fn grant(&self, q: &Request, e: &Executor) -> f64 {
         let m = &self.models[q.class]; // where grants are not heeded, this does nothing
         let memory = self.s.kinds[e.entry.kind].memory_mb * self.s.most_grant;
         let need = q.memory_estimate.map_or(m.memory.or(0.0), |x| x * m.memory_bias.clamp(-1.5, 1.5).exp());
@@ -26,8 +26,8 @@
     }
 
     /// A further attempt beside one that is silent, or in place of one with a bad plan.
-    pub(super) fn resend(&mut self, id: QueryId, n: u32, instead: bool) {
-        let q = &self.queries[&id];
+    pub(super) fn resend(&mut self, id: RequestId, n: u32, instead: bool) {
+        let q = &self.requests[&id];
         let may_stop = self.s.cancel && self.s.classes[q.class].effect == Effect::Safe;
         if q.live() != [n] || q.done || q.streaming || (instead && !may_stop) {
             return;
@@ -40,9 +40,9 @@
 
     /// The attempts that are looked at in a tick: all that are out, or a bounded number, beginning where
     /// the tick before ended.
-    fn attempts_to_check(&mut self) -> Vec<(QueryId, u32)> {
-        let active = self.roster.active.iter().flat_map(|i| self.engines[*i].out.iter());
-        let mut all: Vec<(QueryId, u32)> = active.copied().collect();
+    fn attempts_to_check(&mut self) -> Vec<(RequestId, u32)> {
+        let active = self.roster.active.iter().flat_map(|i| self.executors[*i].out.iter());
+        let mut all: Vec<(RequestId, u32)> = active.copied().collect();
         if all.len() > CHECKED {
             let begin = self.attempts_checked % all.len();
             all.rotate_left(begin);
@@ -52,13 +52,13 @@
         all
     }
 
-    /// Bad plans, priorities and queries past their aim, for what is out.
+    /// Bad plans, priorities and requests past their aim, for what is out.
     pub(super) fn check_attempts(&mut self) {
         for (id, n) in self.attempts_to_check() {
-            let Some(q) = self.queries.get(&id).filter(|q| !q.done && !q.streaming) else { continue };
+            let Some(q) = self.requests.get(&id).filter(|q| !q.done && !q.streaming) else { continue };
             let (class, past) = (q.class, self.now > q.aim);
             if past && !q.late {
-                self.query(id).late = true;
+                self.request(id).late = true;
                 self.count_late(class);
             }
             let harmless = self.s.classes[class].effect == Effect::Safe;
@@ -66,7 +66,7 @@
                 self.end(id, SECOND, EndReason::Overloaded);
                 continue;
             }
-            let (q, p) = (&self.queries[&id], self.priority(&self.queries[&id]));
+            let (q, p) = (&self.requests[&id], self.priority(&self.requests[&id]));
             let (a, expected) = (&q.attempts[n as usize], self.expected(q).max(0.05));
             let seconds = |t: Micros| (t - a.sent) as f64 / 1e6;
             // What the whole attempt will take: by its notes, else what it took so far.
@@ -79,8 +79,8 @@
             let mute = a.mute(self.now, self.s.progress, SILENT_FACTOR, SILENT_LEAST);
             let again = in_time && (mute || looks > RUNAWAY * q.attempts.len() as f64 * expected);
             if self.s.priorities && p != q.priority {
-                self.actions.push(Action::Terms { query: id, memory_mb: q.grant, priority: p });
-                self.query(id).priority = p;
+                self.actions.push(Action::Terms { request: id, memory_mb: q.grant, priority: p });
+                self.request(id).priority = p;
             }
             if again {
                 self.resend(id, n, true);
@@ -88,11 +88,11 @@
         }
     }
 
-    pub(super) fn noted(&mut self, id: QueryId, n: u32, note: Note) {
+    pub(super) fn noted(&mut self, id: RequestId, n: u32, note: Note) {
         let now = self.now;
-        let Some(q) = self.queries.get_mut(&id) else { return };
+        let Some(q) = self.requests.get_mut(&id) else { return };
         let Some(a) = Attempt::word(&mut q.attempts, n, now) else { return };
-        self.engines[a.engine].hear(now, GAP_WEIGHT);
+        self.executors[a.executor].hear(now, GAP_WEIGHT);
         match note {
             Note::Progress(p) if p.is_finite() => {
                 let (i, seconds) = a.progressed(now, p.clamp(0.001, 1.0));
@@ -112,10 +112,10 @@
     }
 
     pub(super) fn finished(&mut self, f: Finished) {
-        let (id, n, outcome) = (f.query, f.attempt, f.outcome);
-        self.reported(f.engine, f.report);
+        let (id, n, outcome) = (f.request, f.attempt, f.outcome);
+        self.reported(f.executor, f.report);
         let Some(i) = self.settle(id, n, outcome) else { return };
-        let key = self.queries[&id].key;
+        let key = self.requests[&id].key;
         if let (Some(key), Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) = (key, outcome) {
             self.rest_key(key);
         }
@@ -123,7 +123,7 @@
         if outcome == Outcome::Ok {
             self.learn(id, n as usize, f.latency, f.bill);
             self.blame(id);
-            let q = &self.queries[&id];
+            let q = &self.requests[&id];
             if self.now > q.aim && !q.late && !q.done {
                 self.count_late(q.class);
             }
@@ -131,7 +131,7 @@
         if f.done {
             return self.close(id);
         }
-        let q = &self.queries[&id];
+        let q = &self.requests[&id];
         let open = !q.done && !q.streaming && q.out() == 0;
         if open && !self.send(id, false) {
             self.end(id, SECOND, EndReason::NoFurtherAttempt);
@@ -140,8 +140,8 @@
     }
 
     /// The one place that sends attempts. Every guard of a rule is checked in `permitted` and here.
-    pub(super) fn send(&mut self, id: QueryId, ask: bool) -> bool {
-        let q = &self.queries[&id];
+    pub(super) fn send(&mut self, id: RequestId, ask: bool) -> bool {
+        let q = &self.requests[&id];
         let further = !q.attempts.is_empty();
         let over = q.done || q.streaming || self.now >= q.deadline;
         let most = q.attempts.len() >= q.most_attempts as usize;
@@ -149,14 +149,14 @@
         if over || most || copy || !self.has_turn(id) || (further && !self.budget_allows()) {
             return false;
         }
-        let Some((i, q)) = self.draw(id, ask).map(|i| (i, &self.queries[&id])) else { return false };
-        let (grant, priority) = (self.grant(q, &self.engines[i]), self.priority(q));
-        let terms = Action::Terms { query: id, memory_mb: grant, priority };
+        let Some((i, q)) = self.draw(id, ask).map(|i| (i, &self.requests[&id])) else { return false };
+        let (grant, priority) = (self.grant(q, &self.executors[i]), self.priority(q));
+        let terms = Action::Terms { request: id, memory_mb: grant, priority };
         self.actions.extend((self.s.grants || self.s.priorities).then_some(terms));
         self.further.extend(further.then_some(self.now));
         self.record(id, i, grant, priority);
-        let engine = self.engines[i].entry.engine;
-        self.actions.push(Action::Send { query: id, engine, timeout: None });
+        let executor = self.executors[i].entry.executor;
+        self.actions.push(Action::Send { request: id, executor, timeout: None });
         true
     }
 }
--- a/src/control/constants.rs
+++ b/src/control/constants.rs
@@ -4,7 +4,7 @@
 use std::num::NonZeroUsize;
 
 pub(super) const SECOND: Micros = 1_000_000;
-/// Pace of housekeeping: short beside any aim. With nothing heard for STALL a gateway stood still.
+/// Pace of housekeeping: short beside any aim. With nothing heard for STALL a dispatcher stood still.
 pub(super) const TICK: Micros = 100_000;
 pub(super) const STALL: Micros = 3 * TICK;
 /// Expensive means above these multiples of the class mean; each tier is a rule of its own, dearest first.
@@ -16,77 +16,77 @@
 /// Burst of a bucket, seconds of its rate; span of a class's arrival rate, seconds.
 pub(super) const BURST_S: f64 = 2.0;
 pub(super) const RATE_SPAN_S: f64 = 2.0;
-/// Tenants over their share, counted over so long, pass queries under this multiple; the rest closes by this.
+/// Tenants over their share, counted over so long, pass requests under this multiple; the rest closes by this.
 pub(super) const TENANT_SPAN_S: f64 = 3.0;
 pub(super) const OVER_SHARE_MULTIPLE: f64 = 0.6;
 pub(super) const OVER_SHARE_STEP: f64 = 1.0;
 /// Costs remembered, by class and table group: some hundred groups for a few classes.
 pub(super) const CACHE_SIZE: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
-/// Weight of one outcome in learned means, in a cached mean, and in an engine's slowness beside the others.
+/// Weight of one outcome in learned means, in a cached mean, and in an executor's slowness beside the others.
 pub(super) const LEARN: f64 = 0.02;
 pub(super) const CACHE_WEIGHT: f64 = 0.1;
 pub(super) const SPEED_WEIGHT: f64 = 0.08;
 /// Outcomes of a class before its mean comes from them, and its buckets may refuse.
 pub(super) const ENOUGH: u32 = 8;
-/// Outcomes that an estimate's own word is worth: one bad plan must not teach a gateway that sees few.
+/// Outcomes that an estimate's own word is worth: one bad plan must not teach a dispatcher that sees few.
 pub(super) const TRUSTED: u32 = 5;
 /// More than this multiple of what was predicted is a bad plan's doing, and learned as this much.
 pub(super) const OUTLIER: f64 = 3.0;
 /// Threads a core in flight at which pressure begins and is 1: total work falls beyond one to two.
 pub(super) const OCCUPANCY: [f64; 2] = [1.8, 3.6];
-/// The same where the pace of own queries stands in for reports: it rises with any bottleneck.
+/// The same where the pace of own requests stands in for reports: it rises with any bottleneck.
 pub(super) const PACE_OCCUPANCY: [f64; 2] = [1.0, 2.5];
-/// The same for memory in use, where lacking it spills, and where queries wait in line for it.
+/// The same for memory in use, where lacking it spills, and where requests wait in line for it.
 pub(super) const MEMORY_OCCUPANCY: [f64; 2] = [0.75, 1.35];
 pub(super) const MEMORY_LINE: [f64; 2] = [0.8, 1.05];
 /// The same for the share of disks busy: it saturates, and total work falls when many wait for them.
 pub(super) const DISKS: [f64; 2] = [0.65, 0.9];
-/// Most pressure that lateness makes where engines report what they hold: it comes late and swings.
+/// Most pressure that lateness makes where executors report what they hold: it comes late and swings.
 pub(super) const LATE_MOST: f64 = 0.5;
-/// Share of a class's queries that may be late before pressure rises: bad plans make some late always.
+/// Share of a class's requests that may be late before pressure rises: bad plans make some late always.
 pub(super) const LATE_TARGET: f64 = 0.2;
-/// Queries in flight that a guess at their threads weighs, against the mean of those seen.
+/// Requests in flight that a guess at their threads weighs, against the mean of those seen.
 pub(super) const MIX_PRIOR: f64 = 0.3;
-/// Outcomes a second that a class is taken to have besides its own: one late query proves little.
+/// Outcomes a second that a class is taken to have besides its own: one late request proves little.
 pub(super) const LATE_PRIOR: f64 = 1.0;
-/// Age at which a report counts a third, seconds, for one engine, and for the fleet, of which few are heard.
+/// Age at which a report counts a third, seconds, for one executor, and for the fleet, of which few are heard.
 pub(super) const REPORT_AGE_S: f64 = 1.5;
 pub(super) const PRESSURE_AGE_S: f64 = 5.0;
 /// Weight of a tick in the share of traffic: about ten seconds count.
 pub(super) const SHARE_WEIGHT: f64 = 0.01;
-/// Reported load, threads a core, under which engines have room and pressure from lateness eases faster.
+/// Reported load, threads a core, under which executors have room and pressure from lateness eases faster.
 pub(super) const ROOM: f64 = 0.5;
-/// Weight of one query's pace; the most it tells; the part of the fleet, unheard of, that stands against it.
+/// Weight of one request's pace; the most it tells; the part of the fleet, unheard of, that stands against it.
 pub(super) const PACE_WEIGHT: f64 = 0.4;
 pub(super) const PACE_MOST: f64 = 6.0;
 pub(super) const PACE_PRIOR: f64 = 0.02;
-/// Idle engines that stand against reports where the rest of the fleet is unheard of: a few prove no crowd.
+/// Idle executors that stand against reports where the rest of the fleet is unheard of: a few prove no crowd.
 pub(super) const UNHEARD: f64 = 2.0;
-/// Load at which an engine's weight is halved in the draw, threads a core; keeps idle ones from herding.
+/// Load at which an executor's weight is halved in the draw, threads a core; keeps idle ones from herding.
 pub(super) const LOAD_FLOOR: f64 = 0.25;
-/// Memory or disks in use from which an engine counts as more loaded, and how much more.
+/// Memory or disks in use from which an executor counts as more loaded, and how much more.
 pub(super) const SCARCE_FROM: f64 = 0.75;
 pub(super) const SCARCE_WEIGHT: f64 = 2.0;
 /// Sharpness of the draw: weight falls with this power of load.
 pub(super) const DRAW_POWER: i32 = 3;
-/// Engines that read a table group by preference: one can be busy. Their weight, for each engine there is.
+/// Executors that read a table group by preference: one can be busy. Their weight, for each executor there is.
 pub(super) const HOMES: usize = 2;
 pub(super) const HOME_BONUS: f64 = 0.25;
 /// Loads keep to homes of their own, so that readers can keep away; three, as they wait for each other there.
 pub(super) const LOAD_HOMES: usize = 3;
 pub(super) const LOAD_BONUS: f64 = 12.0;
-/// Weight, for a class free to go elsewhere, of engines that a bound class needs.
+/// Weight, for a class free to go elsewhere, of executors that a bound class needs.
 pub(super) const SPARED: f64 = 0.25;
 /// How strongly the price of crossing zones weighs in the draw.
 pub(super) const CROSS_WEIGHT: f64 = 200.0;
-/// The same for the price of a connection to an engine that nothing was sent to yet.
+/// The same for the price of a connection to an executor that nothing was sent to yet.
 pub(super) const HANDSHAKE_WEIGHT: f64 = 4000.0;
-/// Share of failed outcomes at which an engine is ejected: two resets, or six errors (maybe the statement's).
+/// Share of failed outcomes at which an executor is ejected: two resets, or six errors (maybe the statement's).
 pub(super) const EJECT_ERRORS: f64 = 0.25;
 pub(super) const ERROR_WEIGHTS: [f64; 2] = [0.05, 0.15];
-/// Further weight of an error on a query that another engine then served: the second such one ejects.
+/// Further weight of an error on a request that another executor then served: the second such one ejects.
 pub(super) const BLAME: f64 = 0.24;
-/// How an engine's share of errors weighs in the draw: for what may be tried again, and for what may not.
+/// How an executor's share of errors weighs in the draw: for what may be tried again, and for what may not.
 pub(super) const ERROR_POWERS: [i32; 2] = [2, 8];
 /// Weight, for the latter, of one that served nothing here: one that fails at once looks idle to a probe.
 pub(super) const UNTRIED: f64 = 0.1;
@@ -105,34 +105,34 @@
 pub(super) const OWN_BUDGET: Budget = Budget { free: 3.0, ratio: 0.25, span: 10 * SECOND, slack: 0 };
 /// An attempt has a bad plan once it looks this many times longer than expected.
 pub(super) const RUNAWAY: f64 = 4.0;
-/// Engines that a decision looks at, whatever the length of the list; usual fleets have fewer. In a large
-/// fleet so many gateways have each engine in their subsets: loads differ by a quarter at most times.
+/// Executors that a decision looks at, whatever the length of the list; usual fleets have fewer. In a large
+/// fleet so many dispatchers have each executor in their subsets: loads differ by a quarter at most times.
 pub(super) const SAMPLE: usize = 128;
 pub(super) const COVERED: usize = 16;
 /// Where too few of a sample are usable, one so many times as large is looked at, and then used as it is.
 pub(super) const WIDENED: [usize; 2] = [1, 4];
-/// Engines heard of within this time are drawn; with fewer of them others are probed, some round trips long.
+/// Executors heard of within this time are drawn; with fewer of them others are probed, some round trips long.
 pub(super) const KNOWN_FOR: Micros = 800_000;
 pub(super) const CANDIDATES: usize = 3;
 pub(super) const ASK_WAIT: Micros = 40_000;
-/// Points of service that probes may cost: each query pays in what that buys at the stated price, a probe
-/// takes one out. Dear queries may empty the purse, others leave half of it, less what the next one brings.
+/// Points of service that probes may cost: each request pays in what that buys at the stated price, a probe
+/// takes one out. Dear requests may empty the purse, others leave half of it, less what the next one brings.
 pub(super) const PROBE_SPEND: f64 = 0.01;
 pub(super) const PURSE: f64 = 6.0;
 /// Quantile of memory needs that a grant covers, its step (ln), and the weight of what one spill tells.
 pub(super) const GRANT_QUANTILE: f64 = 0.8;
 pub(super) const GRANT_STEP: f64 = 0.05;
 pub(super) const SPILL_WEIGHT: f64 = 0.3;
-/// Share of the cold-engine budget used in expectation; windows of it saved up at most for one query; the
-/// largest query, as a part of it, and the least part of its class's mean that one counts as.
+/// Share of the cold-executor budget used in expectation; windows of it saved up at most for one request; the
+/// largest request, as a part of it, and the least part of its class's mean that one counts as.
 pub(super) const COLD_SAFETY: f64 = 0.4;
 pub(super) const COLD_SAVED: f64 = 4.0;
 pub(super) const COLD_LARGEST: f64 = 0.3;
 pub(super) const COLD_LEAST: f64 = 0.5;
-/// Queries past their aim are given up at once above this pressure.
+/// Requests past their aim are given up at once above this pressure.
 pub(super) const GIVE_UP_PRESSURE: f64 = 0.5;
 /// One in line for its key is given up once less than this, or than it takes, is left: two ticks and a half.
 pub(super) const HELD_MARGIN: Micros = 250_000;
-/// Queries in line, and attempts that are out, that a tick looks at: several times what a usual gateway
+/// Requests in line, and attempts that are out, that a tick looks at: several times what a usual dispatcher
 /// has, and under a millisecond's work.
 pub(super) const CHECKED: usize = 512;
--- a/src/control/cost.rs
+++ b/src/control/cost.rs
@@ -1,8 +1,8 @@
-//! The cost model: what a query is predicted to cost, and what its outcome teaches.
+//! The cost model: what a request is predicted to cost, and what its outcome teaches.
 
 use super::*;
 
-impl Gateway {
+impl Balancer {
     pub(super) fn class_mean(&self, class: ClassId) -> f64 {
         let (m, c) = (&self.models[class], &self.s.classes[class]);
         let aim = c.aim as f64 / 1e6 * f64::from(c.threads);
@@ -19,8 +19,8 @@
         self.cache.get(&(a.class, a.group)).copied().map_or_else(|| self.class_mean(a.class), |m| m.value)
     }
 
-    pub(super) fn learn(&mut self, id: QueryId, attempt: usize, latency: Micros, bill: Option<Bill>) {
-        let q = &self.queries[&id];
+    pub(super) fn learn(&mut self, id: RequestId, attempt: usize, latency: Micros, bill: Option<Bill>) {
+        let q = &self.requests[&id];
         let threads = f64::from(self.s.classes[q.class].threads);
         let spent = latency as f64 / 1e6 * threads;
         let cost = bill.map_or(spent.min(OUTLIER * q.cost), |b| b.work_s);
@@ -38,8 +38,8 @@
             let way = if short { GRANT_QUANTILE } else { GRANT_QUANTILE - 1.0 };
             m.memory_bias += if short || !a.spilled { GRANT_STEP.max(first) * way } else { 0.0 };
         }
-        let (i, times, pace) = (a.engine, spent / q.cost.max(1e-6), m.pace.value.max(1e-6));
-        self.engines[i].slow.add((times / pace).clamp(0.1, 10.0), SPEED_WEIGHT);
+        let (i, times, pace) = (a.executor, spent / q.cost.max(1e-6), m.pace.value.max(1e-6));
+        self.executors[i].slow.add((times / pace).clamp(0.1, 10.0), SPEED_WEIGHT);
         self.cache.get_or_insert_mut((q.class, q.group), Mean::default).add(cost, CACHE_WEIGHT);
         self.paced(i, times);
     }
--- a/src/control/draw.rs
+++ b/src/control/draw.rs
@@ -1,41 +1,41 @@
-//! The draw of an engine by weight, and the probes that come before it.
+//! The draw of an executor by weight, and the probes that come before it.
 
 use super::*;
 
-impl Gateway {
-    fn distance(&self, e: &Engine) -> f64 {
+impl Balancer {
+    fn distance(&self, e: &Executor) -> f64 {
         if e.entry.zone == self.s.zone { 1.0 } else { 1.0 + CROSS_WEIGHT * self.s.cross_zone_price }
     }
 
-    /// Engines of a table group, the same at all gateways by rendezvous hashing: homes, or its loads' homes.
-    pub(super) fn homes(&self, class: ClassId, group: u64) -> Vec<EngineId> {
+    /// Executors of a table group, the same at all dispatchers by rendezvous hashing: homes, or its loads' homes.
+    pub(super) fn homes(&self, class: ClassId, group: u64) -> Vec<ExecutorId> {
         let yields = self.s.classes[class].yields_to_loads;
         let of = self.s.classes.iter().position(|c| yields && c.loads).unwrap_or(class);
-        let score = |e: &Engine| {
-            let unit = hashed(group, e.entry.engine);
-            (-unit.ln() / e.cores * self.distance(e) / self.spared(of, e), e.entry.engine)
+        let score = |e: &Executor| {
+            let unit = hashed(group, e.entry.executor);
+            (-unit.ln() / e.cores * self.distance(e) / self.spared(of, e), e.entry.executor)
         };
         let near = self.neighbours(of, group);
         self.look_at(near.len());
-        let mut all: Vec<_> = near.into_iter().map(|i| score(&self.engines[i])).collect();
+        let mut all: Vec<_> = near.into_iter().map(|i| score(&self.executors[i])).collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         let homes = if self.s.classes[of].loads { LOAD_HOMES } else { HOMES };
         all.into_iter().take(homes).map(|(_, e)| e).collect()
     }
 
-    /// A class that may go anywhere leaves the engines of a bound class to it.
-    fn spared(&self, class: ClassId, e: &Engine) -> f64 {
+    /// A class that may go anywhere leaves the executors of a bound class to it.
+    fn spared(&self, class: ClassId, e: &Executor) -> f64 {
         let bound = |c: &Class| c.only_kinds.is_some() || c.only_zones.is_some();
         let mut all = self.s.classes.iter().enumerate();
         let others = !bound(&self.s.classes[class]) && all.any(|(i, c)| bound(c) && e.pool >> i & 1 == 1);
         if others { SPARED } else { 1.0 }
     }
 
-    fn weight(&self, q: &Query, e: &Engine) -> f64 {
+    fn weight(&self, q: &Request, e: &Executor) -> f64 {
         let capacity = e.cores * self.warmth(e) * e.entry.weight.unwrap_or(1.0);
         let load = self.load(e) * e.cores / capacity.max(1e-9);
         let c = &self.s.classes[q.class];
-        let home = match q.homes.contains(&e.entry.engine) {
+        let home = match q.homes.contains(&e.entry.executor) {
             false => 1.0,
             true if c.yields_to_loads => 1.0 / LOAD_BONUS, // its group may be held there
             true if c.loads => LOAD_BONUS,
@@ -52,19 +52,19 @@
         if self.healthy(e) { w } else { w * UNHEALTHY }
     }
 
-    /// Engines that no rule forbids and health allows, those not yet tried first.
-    fn fit(&mut self, id: QueryId) -> Vec<usize> {
+    /// Executors that no rule forbids and health allows, those not yet tried first.
+    fn fit(&mut self, id: RequestId) -> Vec<usize> {
         let mut fit = Vec::new();
         for times in WIDENED {
             let candidates = self.candidates(id, times);
             self.look_at(candidates.len());
-            let q = &self.queries[&id];
+            let q = &self.requests[&id];
             let allowed: Vec<usize> = candidates.into_iter().filter(|&i| self.permitted(q, i)).collect();
-            let cores = |v: &[usize]| v.iter().map(|&i| self.engines[i].cores).sum::<f64>();
+            let cores = |v: &[usize]| v.iter().map(|&i| self.executors[i].cores).sum::<f64>();
             // What can't be tried again is no trial.
             let trial = self.s.classes[q.class].effect != Effect::Unsafe;
-            let healthy = |e: &Engine| self.healthy(e) && (trial || e.ejected_until.is_none());
-            fit = allowed.iter().copied().filter(|&i| healthy(&self.engines[i])).collect();
+            let healthy = |e: &Executor| self.healthy(e) && (trial || e.ejected_until.is_none());
+            fit = allowed.iter().copied().filter(|&i| healthy(&self.executors[i])).collect();
             if !allowed.is_empty() && cores(&fit) >= LEAST_USABLE * cores(&allowed) {
                 break;
             }
@@ -73,39 +73,39 @@
                 break;
             }
         }
-        let q = &self.queries[&id];
-        let fresh = |i: &usize| q.attempts.iter().all(|a| a.engine != *i);
+        let q = &self.requests[&id];
+        let fresh = |i: &usize| q.attempts.iter().all(|a| a.executor != *i);
         if fit.iter().any(fresh) {
             fit.retain(fresh);
         }
         fit
     }
 
-    fn weights(&self, id: QueryId, among: &[usize]) -> Vec<f64> {
-        let q = &self.queries[&id];
+    fn weights(&self, id: RequestId, among: &[usize]) -> Vec<f64> {
+        let q = &self.requests[&id];
         self.look_at(among.len());
-        among.iter().map(|&i| self.weight(q, &self.engines[i])).collect()
+        among.iter().map(|&i| self.weight(q, &self.executors[i])).collect()
     }
 
-    /// Draws an engine among those lately heard of. With `ask`, too few of them make it probe others first.
-    pub(super) fn draw(&mut self, id: QueryId, ask: bool) -> Option<usize> {
+    /// Draws an executor among those lately heard of. With `ask`, too few of them make it probe others first.
+    pub(super) fn draw(&mut self, id: RequestId, ask: bool) -> Option<usize> {
         // A probe is worth its price only where reports tell of load.
         let tells = self.s.reports != Reports::Off && self.tells_load != Some(false);
-        let asks = tells && self.s.probes && self.engines.len() > 1;
-        // Cold engines go by lots, which no probe changes.
+        let asks = tells && self.s.probes && self.executors.len() > 1;
+        // Cold executors go by lots, which no probe changes.
         let fit = self.fit(id).into_iter();
-        let (cold, fit) = fit.partition::<Vec<_>, _>(|&i| self.cold_rate(&self.engines[i]).is_some());
-        let lately = |i: &usize| !asks || self.now < self.engines[*i].report_at + KNOWN_FOR;
+        let (cold, fit) = fit.partition::<Vec<_>, _>(|&i| self.cold_rate(&self.executors[i]).is_some());
+        let lately = |i: &usize| !asks || self.now < self.executors[*i].report_at + KNOWN_FOR;
         let (mut known, unknown) = fit.into_iter().partition::<Vec<_>, _>(lately);
-        let q = &self.queries[&id];
-        let asked = |e: &Engine| e.probe_sent.is_some_and(|t| self.now < t + SECOND);
+        let q = &self.requests[&id];
+        let asked = |e: &Executor| e.probe_sent.is_some_and(|t| self.now < t + SECOND);
         let seeks = !self.s.classes[q.class].yields_to_loads;
-        let home = |e: &Engine| q.homes.contains(&e.entry.engine);
-        let wants = |i: &usize| seeks && home(&self.engines[*i]) || asked(&self.engines[*i]);
+        let home = |e: &Executor| q.homes.contains(&e.entry.executor);
+        let wants = |i: &usize| seeks && home(&self.executors[*i]) || asked(&self.executors[*i]);
         let (mut wanted, mut unknown) = unknown.into_iter().partition::<Vec<_>, _>(wants);
         // Homes without room are no choice: else a few hot groups would never leave theirs.
-        let full = |e: &Engine| home(e) && self.load(e) > ROOM;
-        let choice = known.iter().filter(|&&i| !full(&self.engines[i])).count();
+        let full = |e: &Executor| home(e) && self.load(e) > ROOM;
+        let choice = known.iter().filter(|&&i| !full(&self.executors[i])).count();
         if ask && wanted.len() + choice < CANDIDATES {
             let mut weights = self.weights(id, &unknown);
             while wanted.len() + choice < CANDIDATES {
@@ -114,29 +114,29 @@
                 wanted.push(unknown.remove(n));
             }
         }
-        let dear = self.queries[&id].cost > self.overall.value;
+        let dear = self.requests[&id].cost > self.overall.value;
         let kept = if dear { 0.0 } else { (PURSE / 2.0 - PROBE_SPEND / self.s.probe_price).max(0.0) };
         let mut waits = false;
         for &i in wanted.iter().filter(|_| ask) {
-            let e = &mut self.engines[i];
+            let e = &mut self.executors[i];
             if e.probe_sent.is_none_or(|t| self.now >= t + SECOND) {
                 if self.purse < kept + 1.0 {
                     continue;
                 }
                 (self.purse, e.probe_sent, e.met) = (self.purse - 1.0, Some(self.now), true);
                 self.roster.active.insert(i);
-                self.actions.push(Action::Probe { engine: e.entry.engine });
+                self.actions.push(Action::Probe { executor: e.entry.executor });
             }
             waits = true;
         }
         if waits {
             let until = self.now + ASK_WAIT;
-            self.query(id).asked_until.get_or_insert(until);
+            self.request(id).asked_until.get_or_insert(until);
             return None;
         }
         // With little known all are drawn from, unknown ones as loaded as their pool, last those probed.
         if choice < CANDIDATES {
-            let silent = |i: &usize| self.engines[*i].probe_sent.is_some();
+            let silent = |i: &usize| self.executors[*i].probe_sent.is_some();
             let (asked, rest): (Vec<usize>, Vec<usize>) = unknown.into_iter().chain(wanted).partition(silent);
             known.extend(rest);
             known = if known.is_empty() { asked } else { known };
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -1,8 +1,8 @@
-//! The engine list, ejections and silence.
+//! The executor list, ejections and silence.
 
 use super::*;
 
-impl Gateway {
+impl Balancer {
     pub(super) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
         if kind == ListKind::Unavailable {
             return self.actions.push(Action::Watch);
@@ -12,14 +12,14 @@
             self.only_present(&entries);
         }
         for entry in entries {
-            let known = self.index.get(&entry.engine).map(|&i| &self.engines[i]);
-            // An engine that appears or comes back without a time of start is cold from now.
+            let known = self.index.get(&entry.executor).map(|&i| &self.executors[i]);
+            // An executor that appears or comes back without a time of start is cold from now.
             let fresh = known.map_or(!first, |e| !e.present || e.entry.readiness == Readiness::Left);
             let changed = fresh || known.is_none_or(|e| e.entry.started != entry.started);
             let started = entry.started.filter(|t| self.now.saturating_sub(*t) < self.s.cold.ramp);
             let cold = started.or(fresh.then_some(self.now));
             let i = self.enter(entry, cold.filter(|_| changed));
-            self.engines[i].pool = self.pool_of(&self.engines[i]);
+            self.executors[i].pool = self.pool_of(&self.executors[i]);
             if kind == ListKind::Update {
                 self.place(i);
             }
@@ -30,37 +30,37 @@
     }
 
     /// Closed, or half-open with no trial out.
-    pub(super) fn healthy(&self, e: &Engine) -> bool {
+    pub(super) fn healthy(&self, e: &Executor) -> bool {
         let trial = |until: Micros| self.now >= until && e.out.is_empty();
         e.full_until <= self.now && e.ejected_until.is_none_or(trial)
     }
 
     fn eject(&mut self, i: usize, why: &str) {
-        let e = &mut self.engines[i];
+        let e = &mut self.executors[i];
         if e.ejected_until.is_some_and(|t| t > self.now) {
             return;
         }
         let span = (EJECT[0] << e.ejections.min(5)).min(EJECT[1]);
         e.ejected_until = Some(self.now + span);
         e.ejections += 1;
-        self.actions.push(Action::Log(format!("engine {} ejected: {why}", e.entry.engine)));
+        self.actions.push(Action::Log(format!("executor {} ejected: {why}", e.entry.executor)));
     }
 
     /// Health from an outcome. A cancel or moot says nothing; a time-out only if nothing else was heard.
     pub(super) fn judge(&mut self, i: usize, outcome: Outcome) {
-        let (now, e) = (self.now, &mut self.engines[i]);
+        let (now, e) = (self.now, &mut self.executors[i]);
         match outcome {
             Outcome::Ok => {
                 e.hear(now, GAP_WEIGHT);
                 e.errors *= 1.0 - ERROR_WEIGHTS[1];
                 if e.ejected_until.is_some() {
-                    // One answer does not clear an engine that fails every second time.
+                    // One answer does not clear an executor that fails every second time.
                     (e.ejected_until, e.silent) = (None, false);
                     (e.ejections, e.errors) = (e.ejections.saturating_sub(1), e.errors / 2.0);
-                    self.actions.push(Action::Log(format!("engine {} is back", e.entry.engine)));
+                    self.actions.push(Action::Log(format!("executor {} is back", e.entry.executor)));
                 }
             }
-            // Only the list says that an engine is cold: taking each reset for a start shut most of a fleet.
+            // Only the list says that an executor is cold: taking each reset for a start shut most of a fleet.
             Outcome::Error | Outcome::Reset => {
                 e.hear(now, GAP_WEIGHT);
                 e.errors += (1.0 - e.errors) * ERROR_WEIGHTS[usize::from(outcome == Outcome::Reset)];
@@ -74,19 +74,19 @@
         }
     }
 
-    /// A query was served: its errors elsewhere were those engines' own, not its statement's.
-    pub(super) fn blame(&mut self, id: QueryId) {
+    /// A request was served: its errors elsewhere were those executors' own, not its statement's.
+    pub(super) fn blame(&mut self, id: RequestId) {
         let failed = |a: &&Attempt| a.outcome == Some(Outcome::Error);
-        for i in Vec::from_iter(self.queries[&id].attempts.iter().filter(failed).map(|a| a.engine)) {
-            let e = &mut self.engines[i];
+        for i in Vec::from_iter(self.requests[&id].attempts.iter().filter(failed).map(|a| a.executor)) {
+            let e = &mut self.executors[i];
             e.errors += (1.0 - e.errors) * BLAME;
         }
     }
 
-    pub(super) fn probed(&mut self, engine: EngineId, outcome: Outcome, report: Option<Report>) {
-        self.reported(engine, report);
-        let Some(&i) = self.index.get(&engine) else { return };
-        self.engines[i].probe_sent = None;
+    pub(super) fn probed(&mut self, executor: ExecutorId, outcome: Outcome, report: Option<Report>) {
+        self.reported(executor, report);
+        let Some(&i) = self.index.get(&executor) else { return };
+        self.executors[i].probe_sent = None;
         self.touch(i);
         match outcome {
             Outcome::Ok => self.go_on(),
@@ -96,10 +96,10 @@
     }
 
     /// Silence: attempts are out for longer than it takes to hear of them, and nothing was heard.
-    fn silent(&self, e: &Engine) -> bool {
+    fn silent(&self, e: &Executor) -> bool {
         let gap = (e.gap.value.min(SILENT_GAP_MOST) * SILENT_GAPS * 1e6) as Micros;
-        let overdue = |(id, n): &(QueryId, u32)| {
-            let q = &self.queries[id];
+        let overdue = |(id, n): &(RequestId, u32)| {
+            let q = &self.requests[id];
             let expected = (self.expected(q) * 1e6) as Micros;
             let word = self.s.progress.map_or(expected, |p| expected.min(p)) as f64 * SILENT_FACTOR;
             let since = e.heard.max(q.attempts[*n as usize].sent);
@@ -111,10 +111,10 @@
     pub(super) fn check_health(&mut self) {
         self.look_at(self.roster.active.len());
         for i in Vec::from_iter(self.roster.active.iter().copied()) {
-            if self.silent(&self.engines[i]) {
-                self.engines[i].silent = true;
+            if self.silent(&self.executors[i]) {
+                self.executors[i].silent = true;
                 self.eject(i, "silent");
-                let out = Vec::from_iter(self.engines[i].out.iter().copied());
+                let out = Vec::from_iter(self.executors[i].out.iter().copied());
                 out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.s.second_copies));
             }
         }
--- a/src/control/lines.rs
+++ b/src/control/lines.rs
@@ -7,13 +7,13 @@
 use super::*;
 use std::collections::BTreeSet;
 
-impl Gateway {
+impl Balancer {
     /// A request that has arrived goes to the end of its key's line. One that its client may have held back
     /// does so only if it can be reached in its time, else it is told how much longer that takes: how long
     /// its client still waits is not known well, and its next requests come sooner if this one has its
     /// answer.
-    pub(super) fn join_line(&mut self, id: QueryId, held_back: bool) -> Result<(), Micros> {
-        let q = &self.queries[&id];
+    pub(super) fn join_line(&mut self, id: RequestId, held_back: bool) -> Result<(), Micros> {
+        let q = &self.requests[&id];
         let Some(key) = q.key else { return Ok(()) };
         let run = self.expected_run(q);
         let ends = self.now.saturating_add(self.line_wait(key)).saturating_add(run);
@@ -22,7 +22,7 @@
         if held_back && waits && over > 0 {
             return Err(over);
         }
-        self.query(id).run = run;
+        self.request(id).run = run;
         let line = self.keys.entry(key).or_default();
         line.waiting.push_back(id);
         line.work += run;
@@ -32,14 +32,14 @@
     /// How long those in a line are expected to take from now on.
     fn line_wait(&self, key: u64) -> Micros {
         let Some(line) = self.keys.get(&key) else { return 0 };
-        let head = line.waiting.front().map(|id| &self.queries[id]);
+        let head = line.waiting.front().map(|id| &self.requests[id]);
         let begun = head.and_then(|q| q.attempts.first().map(|a| (a.sent, q.run)));
         let done = begun.map_or(0, |(sent, run)| self.now.saturating_sub(sent).min(run));
         line.work - done
     }
 
     /// A request that is over leaves its line, and the next one has its turn.
-    pub(super) fn leave_line(&mut self, id: QueryId, q: &Query) {
+    pub(super) fn leave_line(&mut self, id: RequestId, q: &Request) {
         let Some(key) = q.key else { return };
         if let Some(line) = self.keys.get_mut(&key)
             && let Some(place) = line.waiting.iter().position(|w| *w == id)
@@ -67,14 +67,14 @@
         self.rests.insert((line.rest_until, key));
     }
 
-    fn expected_run(&self, q: &Query) -> Micros {
+    fn expected_run(&self, q: &Request) -> Micros {
         (self.expected(q) * 1e6) as Micros
     }
 
-    /// In line for its key with too little time left, or with more to run than is left of this gateway's
+    /// In line for its key with too little time left, or with more to run than is left of this dispatcher's
     /// time.
-    pub(super) fn hopeless(&self, id: QueryId) -> Option<EndReason> {
-        let q = &self.queries[&id];
+    pub(super) fn hopeless(&self, id: RequestId) -> Option<EndReason> {
+        let q = &self.requests[&id];
         let run = self.expected_run(q);
         if !q.attempts.is_empty() {
             return None;
@@ -94,7 +94,7 @@
         }
         let mut tried = None;
         while let Some(id) = self.keys.get(&key).and_then(|l| l.waiting.front().copied()) {
-            if tried.replace(id) == Some(id) || !self.queries[&id].attempts.is_empty() {
+            if tried.replace(id) == Some(id) || !self.requests[&id].attempts.is_empty() {
                 break;
             }
             self.start(id);
@@ -102,14 +102,14 @@
         self.moves_on = false;
     }
 
-    /// Rested keys go on; queries held in line are given up before their clients leave.
+    /// Rested keys go on; requests held in line are given up before their clients leave.
     pub(super) fn check_lines(&mut self) {
         let whole = std::mem::take(&mut self.ends_changed);
         let most = if whole { usize::MAX } else { CHECKED };
         for key in self.lines_to_check(most) {
             let waiting = self.keys.get(&key).into_iter().flat_map(|l| l.waiting.iter().take(most).copied());
             for id in Vec::from_iter(waiting) {
-                let reason = self.queries.contains_key(&id).then(|| self.hopeless(id)).flatten();
+                let reason = self.requests.contains_key(&id).then(|| self.hopeless(id)).flatten();
                 if let Some(reason) = reason {
                     self.end(id, SECOND, reason);
                 }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Keys that have rested, and those whose turn it is to be looked at, until so many queries wait in
+    /// Keys that have rested, and those whose turn it is to be looked at, until so many requests wait in
     /// their lines.
     fn lines_to_check(&mut self, most: usize) -> BTreeSet<u64> {
         let mut keys = BTreeSet::new();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of the gateway. The interface (settings, events, actions, ids) stands in `src/api/`.
+//! Every decision of the dispatcher. The interface (settings, events, actions, ids) stands in `src/api/`.
 //!
-//! The ordinary path: predict a query's cost, let the matching rule's bucket pass or refuse it at once, and
-//! draw an engine weighted down by reported load plus own threads since. All else is ours: docs/design.md.
+//! The ordinary path: predict a request's cost, let the matching rule's bucket pass or refuse it at once, and
+//! draw an executor weighted down by reported load plus own threads since. All else is ours: docs/design.md.
 
 mod attempts;
 mod constants;
@@ -19,15 +19,15 @@
 use crate::state::*;
 use constants::*;
 
-impl Gateway {
-    /// A gateway that knows its settings and nothing else; `seed` feeds its random draws.
-    pub fn new(settings: Settings, seed: u64) -> Result<Gateway, SettingsError> {
+impl Balancer {
+    /// A dispatcher that knows its settings and nothing else; `seed` feeds its random draws.
+    pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         check(&settings)?;
-        // The engines' own choice of grant is a quarter over the estimate.
+        // The executors' own choice of grant is a quarter over the estimate.
         let pace = Mean { value: 1.0, n: TRUSTED };
         let bias = ClassModel { memory_bias: 0.25f64.ln_1p(), pace, ..ClassModel::default() };
         let (rules, models) = (rules::build_rules(&settings), vec![bias; settings.classes.len()]);
-        Ok(Gateway::empty(settings, seed, rules, CACHE_SIZE, models))
+        Ok(Balancer::empty(settings, seed, rules, CACHE_SIZE, models))
     }
 
     /// Admits by other settings of the same classes, tenants and machines from now on; what is open ends as
@@ -38,7 +38,7 @@
         rules.iter_mut().for_each(|r| r.keep(&self.rules));
         self.rules = rules;
         let old = std::mem::replace(&mut self.s, settings);
-        (0..self.engines.len()).for_each(|i| self.engines[i].pool = self.pool_of(&self.engines[i]));
+        (0..self.executors.len()).for_each(|i| self.executors[i].pool = self.pool_of(&self.executors[i]));
         self.place_all();
         Ok(old)
     }
@@ -46,10 +46,10 @@
     /// Takes one event at time `now` and appends what is to be done, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.started && now > self.now + STALL {
-            // This gateway stood still: what was not heard meanwhile says nothing of the engines.
+            // This dispatcher stood still: what was not heard meanwhile says nothing of the executors.
             self.stalled = now;
             for &i in &self.roster.active {
-                self.engines[i].heard = now;
+                self.executors[i].heard = now;
             }
         }
         self.now = now.max(self.now);
@@ -61,14 +61,14 @@
         match event {
             Event::List { kind, entries } => self.list(kind, entries),
             Event::Arrival(a) => self.arrival(a),
-            Event::FirstByte { query, .. } => self.streams(query),
+            Event::FirstByte { request, .. } => self.streams(request),
             Event::Finished(f) => self.finished(f),
-            Event::Noted { query, attempt, note, .. } => self.noted(query, attempt, note),
-            Event::HungUp { query } => self.close(query),
+            Event::Noted { request, attempt, note, .. } => self.noted(request, attempt, note),
+            Event::HungUp { request } => self.close(request),
             Event::Timer { token: 0 } => self.tick(),
             Event::Timer { token: 1 } => self.go_on(),
             Event::Timer { .. } | Event::Told { .. } => {}
-            Event::Probed { engine, outcome, report, .. } => self.probed(engine, outcome, report),
+            Event::Probed { executor, outcome, report, .. } => self.probed(executor, outcome, report),
         }
         actions.append(&mut self.actions);
     }
@@ -88,7 +88,7 @@
         }
         self.check_lines();
         for &i in &self.roster.active {
-            self.engines[i].threads_before = self.engines[i].threads;
+            self.executors[i].threads_before = self.executors[i].threads;
         }
     }
 }
--- a/src/control/pressure.rs
+++ b/src/control/pressure.rs
@@ -1,10 +1,10 @@
-//! Load of engines, and from it and lateness the pressure by which rules close.
+//! Load of executors, and from it and lateness the pressure by which rules close.
 
 use super::*;
 
-impl Gateway {
-    /// Threads that an engine holds by its report: what it runs, else what the memory it granted stands for.
-    fn held(&self, e: &Engine) -> Option<f64> {
+impl Balancer {
+    /// Threads that an executor holds by its report: what it runs, else what the memory it granted stands for.
+    fn held(&self, e: &Executor) -> Option<f64> {
         let (threads, r) = (self.mean_threads(), &e.report);
         let (util, inflight) = (r.util.map(|u| u * e.cores), r.inflight.map(|n| n * threads));
         let by_memory =
@@ -13,18 +13,18 @@
         told.or(e.pace.map(|p| p.exp() * e.cores))
     }
 
-    /// Where reports tell nothing, own queries' pace stands in. Logarithms, as estimates scatter by factors.
+    /// Where reports tell nothing, own requests' pace stands in. Logarithms, as estimates scatter by factors.
     pub(super) fn paced(&mut self, i: usize, times: f64) {
         if self.tells_load != Some(false) {
             return;
         }
-        let (now, e, x) = (self.now, &mut self.engines[i], times.clamp(1.0 / PACE_MOST, PACE_MOST).ln());
+        let (now, e, x) = (self.now, &mut self.executors[i], times.clamp(1.0 / PACE_MOST, PACE_MOST).ln());
         e.pace = Some(e.pace.map_or(x, |p| p + (x - p) * PACE_WEIGHT));
         e.report_at = now;
     }
 
-    /// Load of an engine, threads a core: the report plus own threads sent since, else own threads.
-    pub(super) fn load(&self, e: &Engine) -> f64 {
+    /// Load of an executor, threads a core: the report plus own threads sent since, else own threads.
+    pub(super) fn load(&self, e: &Executor) -> f64 {
         let threads = self.mean_threads();
         let Some(reported) = self.held(e) else { return self.crowd(e).max(e.threads / e.cores) };
         let queued = e.report.queue.unwrap_or(0.0) * threads;
@@ -35,26 +35,26 @@
         held / e.cores + SCARCE_WEIGHT * (scarce.min(1.5) - SCARCE_FROM).max(0.0)
     }
 
-    /// Threads a core that engines of its pool hold, as far as they were heard; a cold one by what it can do.
-    fn crowd(&self, e: &Engine) -> f64 {
+    /// Threads a core that executors of its pool hold, as far as they were heard; a cold one by what it can do.
+    fn crowd(&self, e: &Executor) -> f64 {
         self.pools.get(&e.pool).map_or(self.occupancy, |p| p.part(p.held)) * self.warmth(e)
     }
 
-    /// Threads of a query in flight, as own ones had lately; before that, as if classes held equal threads.
+    /// Threads of a request in flight, as own ones had lately; before that, as if classes held equal threads.
     fn mean_threads(&self) -> f64 {
         let inverse: f64 = self.s.classes.iter().map(|c| 1.0 / f64::from(c.threads)).sum();
         let guess = self.s.classes.len() as f64 / inverse;
-        (self.held_threads + MIX_PRIOR * guess) / (self.held_queries + MIX_PRIOR)
+        (self.held_threads + MIX_PRIOR * guess) / (self.held_requests + MIX_PRIOR)
     }
 
-    /// Pressure from occupancy and lateness, by the engines a class may use; this gateway's share of it.
+    /// Pressure from occupancy and lateness, by the executors a class may use; this dispatcher's share of it.
     pub(super) fn measure(&mut self) {
         let (mut saturated, mut told, mut fleet, mut own, mut all) = (false, false, 0.0, 0.0, 0.0);
         let mute = self.tells_load == Some(false);
         self.tally(LEARN);
         let mut pools = std::collections::BTreeMap::<u64, Pool>::new();
-        // A gateway hears of few engines at a time: what is known of those stands for all, by age.
-        let listed = self.roster.active.iter().map(|i| &self.engines[*i]).filter(|e| e.listed());
+        // A dispatcher hears of few executors at a time: what is known of those stands for all, by age.
+        let listed = self.roster.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
         let ejected: f64 = listed.clone().filter(|e| e.ejected_until.is_some()).map(|e| e.cores).sum();
         fleet += self.roster.cores(&self.s.kinds, |_| true) - ejected;
         self.look_at(self.roster.active.len());
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Engines open to the same classes are a pool: a class has room where one of its pools has.
-    pub(super) fn pool_of(&self, e: &Engine) -> u64 {
+    /// Executors open to the same classes are a pool: a class has room where one of its pools has.
+    pub(super) fn pool_of(&self, e: &Executor) -> u64 {
         (0..self.s.classes.len()).filter(|&c| self.placed(c, e)).map(|c| 1 << c).sum()
     }
 
