--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Gateway {
+impl Balancer {
     pub(super) fn arrival(&mut self, a: Arrival) {
         self.taken.push_back(self.now);
         self.purse = (self.purse + PROBE_SPEND / self.s.probe_price).min(PURSE);
@@ -15,63 +15,63 @@
         let admitted = self.admit(&a, cost);
         let (homes, c) = (self.homes(a.class, a.group), &self.s.classes[a.class]);
         let aim = c.aim + (c.aim_stretch * cost / f64::from(c.threads) * 1e6) as Micros;
-        let q = Query::new(&a, self.now, cost, aim, homes, c, self.s.max_attempts);
-        self.queries.insert(a.query, q);
+        let q = Request::new(&a, self.now, cost, aim, homes, c, self.s.max_attempts);
+        self.requests.insert(a.request, q);
         if let Err(wait) = admitted {
-            return self.end(a.query, wait, EndReason::OverLimit);
+            return self.end(a.request, wait, EndReason::OverLimit);
         }
-        match self.join_line(a.query, a.held_back) {
-            Ok(()) => self.start(a.query),
-            Err(wait) => self.end(a.query, wait, EndReason::LineTooLong),
+        match self.join_line(a.request, a.held_back) {
+            Ok(()) => self.start(a.request),
+            Err(wait) => self.end(a.request, wait, EndReason::LineTooLong),
         }
     }
 
-    /// First attempt, once it is the query's turn; it waits for probes at most `ASK_WAIT`.
-    pub(super) fn start(&mut self, id: QueryId) {
+    /// First attempt, once it is the request's turn; it waits for probes at most `ASK_WAIT`.
+    pub(super) fn start(&mut self, id: RequestId) {
         if let Some(reason) = self.hopeless(id) {
             return self.end(id, SECOND, reason);
         }
-        let (asked_until, deadline) = (self.queries[&id].asked_until, self.queries[&id].deadline);
+        let (asked_until, deadline) = (self.requests[&id].asked_until, self.requests[&id].deadline);
         let ask = asked_until.map_or(self.now + 2 * ASK_WAIT < deadline, |t| self.now < t);
         if !self.has_turn(id) || self.send(id, ask) {
             return;
         }
-        if !ask || self.now >= self.queries[&id].asked_until.unwrap_or(0) {
-            self.end(id, SECOND, EndReason::NoEngine);
+        if !ask || self.now >= self.requests[&id].asked_until.unwrap_or(0) {
+            self.end(id, SECOND, EndReason::NoExecutor);
         } else if asked_until.is_none() {
             self.asking.push(id);
             self.actions.push(Action::Wake { token: 1, after: ASK_WAIT });
         }
     }
 
-    /// Queries that wait for probes go on once there are candidates or the wait is over.
+    /// Requests that wait for probes go on once there are candidates or the wait is over.
     pub(super) fn go_on(&mut self) {
-        let waits = |q: &Query| !q.done && q.attempts.is_empty();
+        let waits = |q: &Request| !q.done && q.attempts.is_empty();
         let mut asking = std::mem::take(&mut self.asking);
         asking.retain(|id| {
-            if self.queries.get(id).is_some_and(waits) {
+            if self.requests.get(id).is_some_and(waits) {
                 self.start(*id);
             }
-            self.queries.get(id).is_some_and(waits)
+            self.requests.get(id).is_some_and(waits)
         });
         self.asking.append(&mut asking);
     }
 
     /// The one place that ends a request: refused where that is harmless, else failed.
-    pub(super) fn end(&mut self, id: QueryId, wait: Micros, reason: EndReason) {
-        let Some(q) = self.queries.get(&id).filter(|q| !q.done) else { return };
+    pub(super) fn end(&mut self, id: RequestId, wait: Micros, reason: EndReason) {
+        let Some(q) = self.requests.get(&id).filter(|q| !q.done) else { return };
         let effect = self.s.classes[q.class].effect;
         let free = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
         let retry_after = self.s.max_retry_after.map(|most| wait.clamp(TICK, most.max(TICK)));
-        let refuse = Action::Refuse { query: id, retry_after, reason };
-        let fail = Action::Fail { query: id, reason };
+        let refuse = Action::Refuse { request: id, retry_after, reason };
+        let fail = Action::Fail { request: id, reason };
         self.actions.push(if free || q.never_ran() { refuse } else { fail });
         self.close(id);
     }
 
     /// The request has its answer: call off what is out, let the next of its key go.
-    pub(super) fn close(&mut self, id: QueryId) {
-        let Some(q) = self.queries.get_mut(&id) else { return };
+    pub(super) fn close(&mut self, id: RequestId) {
+        let Some(q) = self.requests.get_mut(&id) else { return };
         let stoppable = self.s.cancel && !q.streaming && self.s.classes[q.class].effect != Effect::Unsafe;
         let stop = !std::mem::replace(&mut q.done, true) && stoppable;
         q.live().into_iter().filter(|_| stop).for_each(|n| self.cancel(id, n));
@@ -79,9 +79,9 @@
     }
 
     /// Drops a request once it is over and none of its attempts is out.
-    pub(super) fn forget(&mut self, id: QueryId) {
-        let over = self.queries.get(&id).is_some_and(|q| q.done && q.out() == 0);
-        if let Some(q) = over.then(|| self.queries.remove(&id)).flatten() {
+    pub(super) fn forget(&mut self, id: RequestId) {
+        let over = self.requests.get(&id).is_some_and(|q| q.done && q.out() == 0);
+        if let Some(q) = over.then(|| self.requests.remove(&id)).flatten() {
             self.leave_line(id, &q);
         }
     }
--- a/src/control/rules.rs
+++ b/src/control/rules.rs
@@ -1,8 +1,8 @@
-//! Rules and their buckets: which rule decides for a query, how far it is open, whether it passes one.
+//! Rules and their buckets: which rule decides for a request, how far it is open, whether it passes one.
 
 use super::*;
 
-/// Tiers of expensive queries by class, and one rule for each tenant; none of one priority can match alike.
+/// Tiers of expensive requests by class, and one rule for each tenant; none of one priority can match alike.
 pub(super) fn build_rules(s: &Settings) -> Vec<Rule> {
     let open = Rule { open: 1.0, ..Rule::default() };
     let mut rules = Vec::new();
@@ -19,11 +19,11 @@
     rules
 }
 
-impl Gateway {
-    /// The rule that decides for a query: the highest-priority match.
+impl Balancer {
+    /// The rule that decides for a request: the highest-priority match.
     fn match_rule(&self, a: &Arrival, cost: f64) -> Option<usize> {
         let multiple = cost / self.class_mean(a.class).max(1e-9);
-        // Counts scatter by their square root: a small gateway's few queries are not yet too many.
+        // Counts scatter by their square root: a small dispatcher's few requests are not yet too many.
         let over = |t: TenantId| {
             let fair = self.s.tenants[t].quota_per_s * self.share * TENANT_SPAN_S;
             self.tenants[t] > fair + 2.0 * fair.sqrt() + 1.0
@@ -38,13 +38,13 @@
         found.max_by_key(|(_, r)| r.priority).map(|(i, _)| i)
     }
 
-    /// Passes a query or says when to come back. What is left of a bucket passes it by chance, in proportion.
+    /// Passes a request or says when to come back. What is left of a bucket passes it by chance, in proportion.
     pub(super) fn admit(&mut self, a: &Arrival, cost: f64) -> Result<(), Micros> {
         let learned = self.models[a.class].settled >= ENOUGH; // any kind: nothing ends well in a jam
         let Some(i) = self.match_rule(a, cost).filter(|_| learned) else { return Ok(()) };
         let (mean, now, part) = (self.class_mean(a.class), self.now, self.chance());
         let r = &mut self.rules[i];
-        // Beyond its share a tenant's queries count alike, and leave evenly spaced: a leaky bucket.
+        // Beyond its share a tenant's requests count alike, and leave evenly spaced: a leaky bucket.
         let (n, unit) = if r.over_share { (1.0, 1.0) } else { (cost, mean) };
         r.bucket.refill(now, r.bucket.burst.max(unit * r.open));
         let need = n.min(r.bucket.burst.max(unit)) * part;
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    /// Rates start from summed cores times this gateway's share, in thread-seconds, and follow pressure.
+    /// Rates start from summed cores times this dispatcher's share, in thread-seconds, and follow pressure.
     pub(super) fn set_rates(&mut self) {
         let mut rules = std::mem::take(&mut self.rules);
         let density = |c: ClassId| self.s.classes[c].worth / self.class_mean(c).max(1e-6);
--- a/src/control/subset.rs
+++ b/src/control/subset.rs
@@ -1,15 +1,15 @@
-//! Which engines a decision looks at: all of a small fleet, a bounded part of a large one.
+//! Which executors a decision looks at: all of a small fleet, a bounded part of a large one.
 //!
-//! Each gateway has a subset of the warm engines, a window of the ring from a point of its own, so that all
+//! Each dispatcher has a subset of the warm executors, a window of the ring from a point of its own, so that all
 //! subsets together cover the list evenly and a change of the list moves few. A draw looks at a sample of it.
-//! Engines that have started lately are sampled from the whole list: each may get its part of the budget from
-//! any gateway.
+//! Executors that have started lately are sampled from the whole list: each may get its part of the budget from
+//! any dispatcher.
 
 use super::*;
 
-impl Gateway {
-    /// Whether the engines of a pool are open to a query.
-    fn open_to<'a>(&self, q: &'a Query) -> impl Fn(u64) -> bool + use<'a> {
+impl Balancer {
+    /// Whether the executors of a pool are open to a request.
+    fn open_to<'a>(&self, q: &'a Request) -> impl Fn(u64) -> bool + use<'a> {
         let c = &self.s.classes[q.class];
         // One that was admitted by other settings goes by those.
         let alike = q.only_zones == c.only_zones && q.only_kinds == c.only_kinds;
@@ -17,33 +17,33 @@
         move |pool| !alike || pool >> class & 1 == 1
     }
 
-    /// How many engines this gateway's subset has, of so many.
-    fn subset_size(&self, engines: usize) -> usize {
-        let covered = COVERED * engines / (self.s.gateways as usize).max(1);
+    /// How many executors this dispatcher's subset has, of so many.
+    fn subset_size(&self, executors: usize) -> usize {
+        let covered = COVERED * executors / (self.s.dispatchers as usize).max(1);
         covered.max(SAMPLE)
     }
 
-    /// The engines that a draw for a query chooses among, in the table's order; `times` as many where the
+    /// The executors that a draw for a request chooses among, in the table's order; `times` as many where the
     /// first ones do not do.
-    pub(super) fn candidates(&mut self, id: QueryId, times: usize) -> Vec<usize> {
-        let all = self.roster.count(Part::All, self.open_to(&self.queries[&id]));
+    pub(super) fn candidates(&mut self, id: RequestId, times: usize) -> Vec<usize> {
+        let all = self.roster.count(Part::All, self.open_to(&self.requests[&id]));
         let mut chosen = if all <= SAMPLE {
-            self.roster.all(self.open_to(&self.queries[&id]))
+            self.roster.all(self.open_to(&self.requests[&id]))
         } else {
             let chances = [self.chance(), self.chance()];
-            self.sample(&self.queries[&id], times, chances)
+            self.sample(&self.requests[&id], times, chances)
         };
         chosen.sort_unstable();
         chosen.dedup();
         chosen
     }
 
-    /// A part of the engines: those that the query's table group or an attempt knows, some of the subset,
+    /// A part of the executors: those that the request's table group or an attempt knows, some of the subset,
     /// some of the cold ones.
-    fn sample(&self, q: &Query, times: usize, [warm_chance, cold_chance]: [f64; 2]) -> Vec<usize> {
+    fn sample(&self, q: &Request, times: usize, [warm_chance, cold_chance]: [f64; 2]) -> Vec<usize> {
         let open = self.open_to(q);
         let known = q.homes.iter().filter_map(|e| self.index.get(e).copied());
-        let mut chosen: Vec<usize> = known.chain(q.attempts.iter().map(|a| a.engine)).collect();
+        let mut chosen: Vec<usize> = known.chain(q.attempts.iter().map(|a| a.executor)).collect();
         let size = times * self.subset_size(self.roster.count(Part::Warm, &open));
         let mut subset = self.roster.window(Part::Warm, &open, self.point, size);
         let begin = (warm_chance * subset.len() as f64) as usize;
@@ -55,7 +55,7 @@
         chosen
     }
 
-    /// The engines among which a table group has its homes: the same at all gateways.
+    /// The executors among which a table group has its homes: the same at all dispatchers.
     pub(super) fn neighbours(&self, class: ClassId, group: u64) -> Vec<usize> {
         let open = |pool: u64| pool >> class & 1 == 1;
         if self.roster.count(Part::All, open) <= SAMPLE {
@@ -64,8 +64,8 @@
         self.roster.window(Part::All, open, mixed(group), SAMPLE)
     }
 
-    /// Engines as many as a draw looks at: what is weighed against all the others.
+    /// Executors as many as a draw looks at: what is weighed against all the others.
     pub(super) fn choices(&self) -> usize {
-        self.engines.len().min(SAMPLE)
+        self.executors.len().min(SAMPLE)
     }
 }
--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -13,7 +13,7 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
-            self.gateway.handle(now, event, &mut actions);
+            self.dispatcher.handle(now, event, &mut actions);
             for action in actions {
                 self.act(now, action, &mut events);
             }
@@ -23,18 +23,18 @@
 
     fn act(&mut self, now: Micros, action: Action, events: &mut VecDeque<Event>) {
         match action {
-            Action::Terms { query, memory_mb, priority } => {
-                let Some(open) = self.open.get_mut(&query) else { return };
+            Action::Terms { request, memory_mb, priority } => {
+                let Some(open) = self.open.get_mut(&request) else { return };
                 (open.memory_mb, open.priority) = (memory_mb, priority);
                 for (n, a) in (0..).zip(&mut open.attempts) {
                     if a.outcome.is_none() && a.priority != priority {
                         a.priority = priority;
-                        self.orders.push(Order::Boost(Ticket { request: query, attempt: n }, priority));
+                        self.orders.push(Order::Boost(Ticket { request: request, attempt: n }, priority));
                     }
                 }
             }
-            Action::Send { query, engine, timeout } => {
-                let Some(open) = self.open.get_mut(&query).filter(|o| !o.closed) else {
+            Action::Send { request, executor, timeout } => {
+                let Some(open) = self.open.get_mut(&request).filter(|o| !o.closed) else {
                     must!(false, "a send for a request that is over");
                     return;
                 };
@@ -42,13 +42,13 @@
                     // With those of the dispatcher that was lost there were enough.
                     let (attempt, outcome) = (open.attempts.len() as u32, Some(Outcome::Moot));
                     let (begun, priority) = (false, open.priority);
-                    open.attempts.push(Attempt { engine, sent: now, begun, outcome, priority });
+                    open.attempts.push(Attempt { executor, sent: now, begun, outcome, priority });
                     let (done, latency, bill, report) = (false, 0, None, None);
                     let outcome = Outcome::Moot;
                     events.push_back(Event::Finished(Finished {
-                        query,
+                        request,
                         attempt,
-                        engine,
+                        executor,
                         done,
                         outcome,
                         latency,
@@ -62,12 +62,12 @@
                 let in_budget = self.budget_slack.filter(|_| further).map(|slack| now + slack);
                 let begin_by =
                     in_budget.into_iter().chain(open.repeats_known_until()).fold(open.deadline, Micros::min);
-                let ticket = Ticket { request: query, attempt: open.attempts.len() as u32 };
+                let ticket = Ticket { request: request, attempt: open.attempts.len() as u32 };
                 let (begun, outcome, priority) = (false, None, open.priority);
-                open.attempts.push(Attempt { engine, sent: now, begun, outcome, priority });
+                open.attempts.push(Attempt { executor, sent: now, begun, outcome, priority });
                 self.orders.push(Order::Start {
                     ticket,
-                    executor: engine,
+                    executor: executor,
                     terms: Terms {
                         memory_mb: open.memory_mb,
                         priority: open.priority,
@@ -76,26 +76,26 @@
                     },
                 });
             }
-            Action::Cancel { query, attempt } => {
-                let ticket = Ticket { request: query, attempt };
+            Action::Cancel { request, attempt } => {
+                let ticket = Ticket { request: request, attempt };
                 if let Some(event) = self.finish(now, ticket, Outcome::Cancelled, None) {
                     self.orders.push(Order::Stop(ticket));
                     events.push_back(event);
-                    self.forget(query);
+                    self.forget(request);
                 }
             }
-            Action::Refuse { query, retry_after, reason } => {
+            Action::Refuse { request, retry_after, reason } => {
                 let backoff_ms = retry_after.map_or(BACKOFF_MS, |t| t.div_ceil(1000));
-                self.answer(now, query, Answer::Refused(backoff_ms), reason);
-                self.forget(query);
+                self.answer(now, request, Answer::Refused(backoff_ms), reason);
+                self.forget(request);
             }
-            Action::Fail { query, reason } => {
-                self.answer(now, query, Answer::Failed, reason);
-                self.forget(query);
+            Action::Fail { request, reason } => {
+                self.answer(now, request, Answer::Failed, reason);
+                self.forget(request);
             }
-            Action::Probe { engine } => {
+            Action::Probe { executor } => {
                 self.tally.probes += 1;
-                self.orders.push(Order::Probe(engine));
+                self.orders.push(Order::Probe(executor));
             }
             Action::Wake { token, after } => self.wakes.push(Reverse((now + after, token))),
             Action::Log(line) => tracing::info!("{line}"),
--- a/src/dispatch/ends.rs
+++ b/src/dispatch/ends.rs
@@ -30,7 +30,7 @@
 
     /// This dispatcher gives up at this time: what takes longer is not begun, but refused at once.
     pub fn ends_at(&mut self, at: Micros) {
-        self.gateway.ends_at(at);
+        self.dispatcher.ends_at(at);
     }
 
     /// Gives every request that is open its answer now: refused where that is harmless, else failed.
@@ -74,7 +74,7 @@
         self.held.remove(&id);
         let answer = if harmless { Answer::Refused(BACKOFF_MS) } else { Answer::Failed };
         self.answer(now, id, answer, reason);
-        let orders = self.run(now, Event::HungUp { query: id });
+        let orders = self.run(now, Event::HungUp { request: id });
         self.forget(id);
         orders
     }
@@ -99,9 +99,9 @@
         let attempt = self.out(t)?;
         attempt.outcome = Some(outcome);
         let latency = now.saturating_sub(attempt.sent);
-        let (query, attempt, engine) = (t.request, t.attempt, attempt.engine);
+        let (request, attempt, executor) = (t.request, t.attempt, attempt.executor);
         let report = load.map(Load::report);
-        let finished = Finished { query, attempt, engine, done, outcome, latency, bill: None, report };
+        let finished = Finished { request, attempt, executor, done, outcome, latency, bill: None, report };
         Some(Event::Finished(finished))
     }
 
--- a/src/dispatch/exchange.rs
+++ b/src/dispatch/exchange.rs
@@ -6,11 +6,11 @@
 /// A load report.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Queries held.
+    /// Requests held.
     pub inflight: Option<f64>,
     /// Share of the cores that is busy.
     pub util: Option<f64>,
-    /// Queries waiting for memory.
+    /// Requests waiting for memory.
     pub queue: Option<f64>,
     /// Share of memory granted.
     pub memory: Option<f64>,
--- a/src/dispatch/fleet.rs
+++ b/src/dispatch/fleet.rs
@@ -1,10 +1,7 @@
 //! The executors of the list, and news of them.
 
 use super::{Dispatch, Order};
-use crate::api::{EngineId, Entry, Event, ListKind, Micros, Readiness};
-
-/// An executor, by a number that comes from its uid alone.
-pub type ExecutorId = EngineId;
+use crate::api::{Entry, Event, ExecutorId, ListKind, Micros, Readiness};
 
 /// An executor as the list has it.
 #[derive(Debug, Clone, PartialEq)]
@@ -63,18 +60,18 @@
 impl<R> Dispatch<R> {
     /// The fleet now.
     pub fn fleet(&self, now: Micros) -> Fleet {
-        let [listed, usable, warm] = self.gateway.fleet(now);
+        let [listed, usable, warm] = self.dispatcher.fleet(now);
         Fleet { listed, usable, warm }
     }
 
     /// Cores that work, of all executors on the list, as far as they were heard.
     pub fn busy(&self, now: Micros) -> f64 {
-        self.gateway.occupancy * self.fleet(now).listed
+        self.dispatcher.occupancy * self.fleet(now).listed
     }
 
     /// Executors on the list, and of these how many are avoided now: draining, silent or ejected.
     pub fn avoided(&self, now: Micros) -> (usize, usize) {
-        self.gateway.avoided(now)
+        self.dispatcher.avoided(now)
     }
 
     /// News of the executors.
@@ -85,7 +82,7 @@
             News::Changes => ListKind::Update,
         };
         let entry = |m: &Member| Entry {
-            engine: m.executor,
+            executor: m.executor,
             zone: m.zone,
             kind: m.kind,
             cell: m.cell,
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,6 +1,6 @@
 //! The facade over the decisions, in blocking style: [`Dispatch::pick`] takes a request in,
 //! [`Dispatch::report`] tells what happened, [`Dispatch::tick`] lets time pass; each returns what is to be
-//! done, in order. It owns the gateway, its timers, and every open request with its attempts and deadline.
+//! done, in order. It owns the dispatcher, its timers, and every open request with its attempts and deadline.
 //!
 //! - `request`: what a client asked.
 //! - `fleet`: the executors of the list, and news of them.
@@ -11,7 +11,7 @@
 //! - `actions`: the decisions' actions become orders.
 //! - `ends`: time that passes, the one final answer, and what is forgotten after it.
 //!
-//! The network's side sees the types of this module alone, never the gateway's events and actions.
+//! The network's side sees the types of this module alone, never the dispatcher's events and actions.
 
 mod actions;
 mod ends;
@@ -22,13 +22,14 @@
 mod reports;
 mod request;
 
+pub use crate::api::ExecutorId;
 pub use crate::codec::coordinator::executor_id;
 pub use exchange::{Answer, Echo, End, Load, Order, Report, Terms, Word};
-pub use fleet::{ExecutorId, Fleet, Member, News, Standing};
+pub use fleet::{Fleet, Member, News, Standing};
 pub use open::Progress;
 pub use request::{Request, Ticket};
 
-use crate::Gateway;
+use crate::Balancer;
 use crate::api::{self, Effect, EndCounts, Group, Micros, Settings, SettingsError};
 use lru::LruCache;
 use open::Open;
@@ -100,7 +101,7 @@
 
 /// The dispatcher's decisions, and what is open.
 pub struct Dispatch<R> {
-    gateway: Gateway,
+    dispatcher: Balancer,
     classes: Vec<Class>,
     most_held: usize,
     /// Ids of late, so that none is taken twice.
@@ -134,7 +135,7 @@
         let classes = settings.classes.iter().map(class).collect();
         let most_attempts = settings.max_attempts as usize;
         Ok(Dispatch {
-            gateway: Gateway::new(settings, seed)?,
+            dispatcher: Balancer::new(settings, seed)?,
             classes,
             most_held,
             recent: LruCache::new(RECENT),
--- a/src/dispatch/open.rs
+++ b/src/dispatch/open.rs
@@ -1,11 +1,11 @@
 //! Requests that are open, and their attempts.
 
 use super::{Answer, Dispatch, Ticket};
-use crate::api::{EndReason, EngineId, Micros, Outcome};
+use crate::api::{EndReason, ExecutorId, Micros, Outcome};
 
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) engine: EngineId,
+    pub(super) executor: ExecutorId,
     pub(super) sent: Micros,
     /// Whether a byte of it was written.
     pub(super) begun: bool,
--- a/src/dispatch/reports.rs
+++ b/src/dispatch/reports.rs
@@ -14,15 +14,15 @@
                 Vec::new()
             }
             Report::Noted(t, word) => {
-                let Some(engine) = self.out(t).map(|a| a.engine) else { return Vec::new() };
+                let Some(executor) = self.out(t).map(|a| a.executor) else { return Vec::new() };
                 let note = match word {
                     Word::Progress(x) => api::Note::Progress(x),
                     Word::Spills(x) => api::Note::Spill(x),
                     Word::Waits => api::Note::Waits,
                 };
-                self.run(now, Event::Noted { query: t.request, attempt: t.attempt, engine, note })
+                self.run(now, Event::Noted { request: t.request, attempt: t.attempt, executor, note })
             }
-            Report::Probed(engine, echo, latency) => {
+            Report::Probed(executor, echo, latency) => {
                 let (outcome, load) = match echo {
                     Echo::Up(load) => (Outcome::Ok, load),
                     Echo::Down => (Outcome::Error, None),
@@ -31,7 +31,7 @@
                     Echo::Silent => (Outcome::Timeout, None),
                 };
                 let report = load.map(Load::report);
-                self.run(now, Event::Probed { engine, outcome, latency, report })
+                self.run(now, Event::Probed { executor, outcome, latency, report })
             }
             Report::Left(id) => match self.open.get_mut(&id) {
                 Some(o) if !o.closed => {
@@ -39,7 +39,7 @@
                     self.held.remove(&id);
                     self.tally.left += 1;
                     self.withdraw(id);
-                    let mut orders = self.run(now, Event::HungUp { query: id });
+                    let mut orders = self.run(now, Event::HungUp { request: id });
                     self.forget(id);
                     orders.append(&mut self.orders);
                     orders
@@ -50,7 +50,7 @@
     }
     fn ended(&mut self, now: Micros, t: Ticket, end: End<R>, load: Option<Load>) -> Vec<Order<R>> {
         // An attempt may end while the order to stop it is on its way: the stop was told, and once is enough.
-        let Some(engine) = self.out(t).map(|a| a.engine) else { return Vec::new() };
+        let Some(executor) = self.out(t).map(|a| a.executor) else { return Vec::new() };
         let outcome = match end {
             End::Served(result) => {
                 match self.open.get_mut(&t.request) {
@@ -81,7 +81,7 @@
             }
         };
         let event = self.finish(now, t, outcome, load);
-        let whole = matches!(&event, Some(Event::Finished(f)) if f.engine == engine);
+        let whole = matches!(&event, Some(Event::Finished(f)) if f.executor == executor);
         must!(whole, "an attempt that was out has no end to tell");
         let mut orders = event.map_or_else(Vec::new, |e| self.run(now, e));
         self.forget(t.request);
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -63,7 +63,7 @@
 /// A request as the decisions get it.
 pub(super) fn arrival(request: &Request) -> Event {
     Event::Arrival(Arrival {
-        query: request.id,
+        request: request.id,
         class: request.class,
         tenant: request.tenant,
         key: request.key,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! ottercroft is a dispatcher in front of analytic query engines.
+//! ottercroft is a dispatcher in front of analytic query executors.
 //!
-//! Its decisions are sans-I/O: a host hands [`Event`]s with their time to a [`Gateway`] and carries out
+//! Its decisions are sans-I/O: a host hands [`Event`]s with their time to a [`Balancer`] and carries out
 //! the [`Action`]s that come back. The same events with the same seed give the same actions.
 //!
 //! - [`api`] is the interface: settings, events, actions and ids.
@@ -10,10 +10,10 @@
 //! - [`codec`] holds the codecs of its protocols.
 //! - [`clock`] is time: spans on the monotonic clock, and what the wall clock is still needed for.
 //! - [`net`] is the dispatcher on sockets: one event loop.
-//! - [`membership`] is which motores there are: lists from files beside the coordinator's feed.
+//! - [`membership`] is which executors there are: lists from files beside the coordinator's feed.
 //! - [`takeover`] has work in hand survive its dispatcher, where our settings name peers.
 //! - [`policies`] are what a whole fleet admits requests by, read and applied.
-//! - [`schema`] settles which version of the schema each request runs under while motores are upgraded.
+//! - [`schema`] settles which version of the schema each request runs under while executors are upgraded.
 //! - [`storm`] sees retry storms, damps them and tells clients when to come back.
 //! - [`settings`] read what it is told: the platform's file and our own HCL; [`cli`] is the command line.
 //! - [`operator`] are the operators' figures and bans, [`invariant`] counts what must not happen.
@@ -37,4 +37,4 @@
 pub mod takeover;
 
 pub use api::{Action, Event, Settings};
-pub use state::Gateway;
+pub use state::Balancer;
--- a/src/membership/check.rs
+++ b/src/membership/check.rs
@@ -1,6 +1,6 @@
 //! What a list has to be before it is used. All faults are told at once.
 
-use super::list::{List, Motor};
+use super::list::{Executor, List};
 use crate::api::Settings;
 use crate::codec::coordinator::executor_id;
 use crate::settings::Names;
@@ -56,7 +56,7 @@
                      whole? If it was edited, seal it again with: ottercroft lists seal {file}",
                     s.count,
                     s.digest.short(),
-                    f.motores.len(),
+                    f.executors.len(),
                     f.digest.short(),
                 );
                 c.told(&file, s.place, "seal", what);
@@ -64,8 +64,8 @@
             _ => {}
         }
     }
-    if list.len() > terms.most_motores {
-        let what = format!("{} motores; {} are allowed (max_motores)", list.len(), terms.most_motores);
+    if list.len() > terms.most_executors {
+        let what = format!("{} motores; {} are allowed (max_motores)", list.len(), terms.most_executors);
         c.faults.push(Fault::of_file(&path(""), what));
     }
     c.each(list, path);
@@ -81,7 +81,7 @@
     faults: Vec<Fault>,
 }
 
-fn field(m: &Motor, key: &str) -> String {
+fn field(m: &Executor, key: &str) -> String {
     let key = if key.is_empty() { String::new() } else { format!(".{key}") };
     format!("room.{}.motor.{}{key}", m.room, m.uid)
 }
@@ -97,9 +97,9 @@
         self.faults.push(Fault { file: file.into(), line, column, field: field.into(), what: what.into() });
     }
 
-    /// What each motor has to be by itself.
+    /// What each executor has to be by itself.
     fn each(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
-        for (f, m, at) in list.motores() {
+        for (f, m, at) in list.executors() {
             let (terms, catalog) = (self.terms, self.catalog);
             let mut told = |key: &str, what: String| self.told(&path(&f.name), at, &field(m, key), what);
             for (key, name) in [("", &m.uid), ("room", &m.room), ("kind", &m.kind)] {
@@ -146,10 +146,10 @@
         }
     }
 
-    /// What no two motores may share.
+    /// What no two executors may share.
     fn doubles(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
         let (mut uids, mut addresses, mut numbers) = (HashMap::new(), HashMap::new(), HashMap::new());
-        for (f, m, at) in list.motores() {
+        for (f, m, at) in list.executors() {
             let here = (&f.name, at);
             let first = |(name, at): (&std::sync::Arc<str>, Place)| format!("{}:{}", path(name), at.line);
             if let Some(other) = uids.insert(&m.uid, here) {
@@ -169,7 +169,7 @@
     /// Weights that come to nothing.
     fn totals(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
         let mut rooms: BTreeMap<&str, (f64, bool, String, Place)> = BTreeMap::new();
-        for (f, m, at) in list.motores() {
+        for (f, m, at) in list.executors() {
             let room = rooms.entry(&m.room).or_insert_with(|| (0.0, false, path(&f.name), at));
             room.0 += m.weight;
             room.1 |= m.takes();
--- a/src/membership/check/tests.rs
+++ b/src/membership/check/tests.rs
@@ -16,7 +16,7 @@
     all.iter().map(Fault::to_string).collect()
 }
 
-fn motor(room: &str, uid: &str, address: &str, rest: &str) -> String {
+fn executor(room: &str, uid: &str, address: &str, rest: &str) -> String {
     format!("room \"{room}\" {{\n motor \"{uid}\" {{\n address = \"{address}\"\n{rest}\n}}\n}}\n")
 }
 
@@ -25,16 +25,16 @@
 fn all_faults_are_told_at_once() {
     let k = "kind = \"k\"";
     let text = [
-        motor("a", "e1", "10.0.0.1:1", k),
-        motor("a", "e1", "10.0.0.2:1", k),
-        motor("a", "e3", "[::ffff:10.0.0.1]:1", k),
-        motor("c", "e4", "10.0.0.4:1", "kind = \"q\""),
-        motor("b", "e5", "10.0.0.5:1", &format!("{k}\nweight = 0")),
-        motor("a", "e6", "192.168.0.1:1", &format!("{k}\nweight = 101")),
-        motor("a", "e7", "127.0.0.1:1", k),
-        motor("a", "e8", "224.0.0.1:1", k),
-        motor("a", "e9", "10.0.0.9:0", k),
-        motor("a", "e\\n10", "10.0.0.10:1", k),
+        executor("a", "e1", "10.0.0.1:1", k),
+        executor("a", "e1", "10.0.0.2:1", k),
+        executor("a", "e3", "[::ffff:10.0.0.1]:1", k),
+        executor("c", "e4", "10.0.0.4:1", "kind = \"q\""),
+        executor("b", "e5", "10.0.0.5:1", &format!("{k}\nweight = 0")),
+        executor("a", "e6", "192.168.0.1:1", &format!("{k}\nweight = 101")),
+        executor("a", "e7", "127.0.0.1:1", k),
+        executor("a", "e8", "224.0.0.1:1", k),
+        executor("a", "e9", "10.0.0.9:0", k),
+        executor("a", "e\\n10", "10.0.0.10:1", k),
     ]
     .concat();
     let all = told(&text);
@@ -58,9 +58,9 @@
 
 // An empty list, or one in which all drain, would empty the dispatcher.
 #[test]
-fn a_list_in_which_nobody_takes_queries_is_refused() {
+fn a_list_in_which_nobody_takes_requests_is_refused() {
     assert!(told("")[0].contains("no motor of 0 takes queries"));
-    let drains = motor("a", "e1", "10.0.0.1:1", "kind = \"k\"\nstate = \"draining\"");
+    let drains = executor("a", "e1", "10.0.0.1:1", "kind = \"k\"\nstate = \"draining\"");
     assert!(told(&drains)[0].contains("no motor of 1 takes queries"));
-    assert_eq!(told(&format!("{drains}{}", motor("b", "e2", "10.0.0.2:1", "kind = \"k\""))), [""; 0]);
+    assert_eq!(told(&format!("{drains}{}", executor("b", "e2", "10.0.0.2:1", "kind = \"k\""))), [""; 0]);
 }
--- a/src/membership/keep.rs
+++ b/src/membership/keep.rs
@@ -1,6 +1,6 @@
 //! What is kept on disk: the last good list of each source, and what a person accepted.
 
-use super::list::{self, Digest, List, ListFile, Motor};
+use super::list::{self, Digest, Executor, List, ListFile};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -24,7 +24,8 @@
 struct KeptFile {
     name: String,
     generation: Option<u64>,
-    motores: Vec<Motor>,
+    #[serde(rename = "motores")]
+    executors: Vec<Executor>,
 }
 
 /// Writes a file whole: beside it, synced, renamed over it, its folder synced.
@@ -51,7 +52,7 @@
     let file = |f: &ListFile| KeptFile {
         name: f.name.to_string(),
         generation: f.generation,
-        motores: f.motores.iter().map(|m| Motor::clone(m)).collect(),
+        executors: f.executors.iter().map(|m| Executor::clone(m)).collect(),
     };
     let kept = Kept { digest: list.digest.to_string(), files: list.files.iter().map(file).collect() };
     let body = serde_json::to_string(&kept)?;
@@ -81,11 +82,11 @@
     }
     let kept: Kept = serde_json::from_str(body).map_err(|e| format!("damaged: {e}"))?;
     let file = |f: KeptFile| {
-        let motores: Vec<Arc<Motor>> = f.motores.into_iter().map(Arc::new).collect();
+        let executors: Vec<Arc<Executor>> = f.executors.into_iter().map(Arc::new).collect();
         let (digest, places) =
-            (list::digest(f.generation, &motores), vec![Default::default(); motores.len()]);
+            (list::digest(f.generation, &executors), vec![Default::default(); executors.len()]);
         let (name, generation) = (f.name.into(), f.generation);
-        ListFile { name, generation, motores, places, seal: None, confirm: None, digest }
+        ListFile { name, generation, executors, places, seal: None, confirm: None, digest }
     };
     let list = List::new(kept.files.into_iter().map(file).collect());
     if list.digest.to_string() != kept.digest {
--- a/src/membership/list.rs
+++ b/src/membership/list.rs
@@ -1,4 +1,4 @@
-//! The list file: rooms with motores, an optional generation, a seal.
+//! The list file: rooms with executors, an optional generation, a seal.
 //!
 //! ```hcl
 //! generation = 12
@@ -17,7 +17,7 @@
 //! ```
 //!
 //! A file has a digest of what it says, whatever its spacing, order and comments. The seal repeats it together
-//! with the number of motores: what was torn, cut short or mixed does not match its seal.
+//! with the number of executors: what was torn, cut short or mixed does not match its seal.
 
 mod digest;
 mod sealing;
@@ -29,20 +29,20 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// What a list wants of a motor.
+/// What a list wants of an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Wanted {
-    /// It takes queries.
+    /// It takes requests.
     Up,
     /// It completes what it has.
     Draining,
 }
 
-/// A motor as its file has it.
+/// An executor as its file has it.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Motor {
-    /// Which motor; a machine that replaces it has another.
+pub struct Executor {
+    /// Which executor; a machine that replaces it has another.
     pub uid: Arc<str>,
     /// Its room.
     pub room: Arc<str>,
@@ -56,8 +56,8 @@
     pub state: Wanted,
 }
 
-impl Motor {
-    /// Whether it is to take queries.
+impl Executor {
+    /// Whether it is to take requests.
     pub fn takes(&self) -> bool {
         self.state == Wanted::Up && self.weight > 0.0
     }
@@ -66,7 +66,7 @@
 /// A seal: what its writer says the file holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seal {
-    /// The number of motores.
+    /// The number of executors.
     pub count: u64,
     /// The digest of what the file says.
     pub digest: Digest,
@@ -83,8 +83,8 @@
     pub name: Arc<str>,
     /// The generation that it states.
     pub generation: Option<u64>,
-    /// Its motores, in the order of the file.
-    pub motores: Vec<Arc<Motor>>,
+    /// Its executors, in the order of the file.
+    pub executors: Vec<Arc<Executor>>,
     /// Where each stands.
     pub places: Vec<Place>,
     /// Its seal.
@@ -108,25 +108,25 @@
         let generation = root.get("generation", &mut faults, hcl::whole(1..=u64::MAX / 2));
         let confirm = root.get("confirm", &mut faults, hcl::parsed("sha256:..., 64 hex digits"));
         let seal = root.block("seal", &mut faults).and_then(|t| seal(&t, &mut faults));
-        let (mut motores, mut places) = (Vec::new(), Vec::new());
+        let (mut executors, mut places) = (Vec::new(), Vec::new());
         for (names, room) in root.blocks("room", 1, &mut faults) {
             room.only(&[], &["motor"], &mut faults);
             let label: Arc<str> = names[0].into();
             for (uid, t) in room.blocks("motor", 1, &mut faults) {
-                if let Some(m) = motor(uid[0], &label, &t, &mut faults) {
-                    motores.push(Arc::new(m));
+                if let Some(m) = executor(uid[0], &label, &t, &mut faults) {
+                    executors.push(Arc::new(m));
                     places.push(t.place());
                 }
             }
         }
-        let digest = digest(generation, &motores);
-        let file = ListFile { name: name.into(), generation, motores, places, seal, confirm, digest };
+        let digest = digest(generation, &executors);
+        let file = ListFile { name: name.into(), generation, executors, places, seal, confirm, digest };
         (Some(file), faults)
     }
 
     /// Whether the seal is there and tells what was read.
     pub fn seal_holds(&self) -> bool {
-        let told = |s: &Seal| s.digest == self.digest && s.count == self.motores.len() as u64;
+        let told = |s: &Seal| s.digest == self.digest && s.count == self.executors.len() as u64;
         self.seal.as_ref().is_some_and(told)
     }
 }
@@ -138,7 +138,7 @@
     Some(Seal { count: count?, digest: digest?, span: t.span(), place: t.place() })
 }
 
-fn motor(uid: &str, room: &Arc<str>, t: &Table<'_>, faults: &mut Vec<Fault>) -> Option<Motor> {
+fn executor(uid: &str, room: &Arc<str>, t: &Table<'_>, faults: &mut Vec<Fault>) -> Option<Executor> {
     t.only(&["address", "kind", "weight", "state"], &[], faults);
     let address = t.need("address", faults, hcl::parsed::<SocketAddr>("10.1.0.9:8443"));
     let kind = t.need("kind", faults, hcl::string);
@@ -148,7 +148,7 @@
     let state = if t.has("state") { t.get("state", faults, states) } else { Some(Wanted::Up) };
     let address = address.map(|a| SocketAddr::new(a.ip().to_canonical(), a.port()));
     let (uid, room, kind) = (uid.into(), room.clone(), kind?.into());
-    Some(Motor { uid, room, address: address?, kind, weight: weight?, state: state? })
+    Some(Executor { uid, room, address: address?, kind, weight: weight?, state: state? })
 }
 
 /// A whole list: all its files, as one version.
@@ -174,14 +174,14 @@
         List { files, digest }
     }
 
-    /// All motores, with the file and place of each.
-    pub fn motores(&self) -> impl Iterator<Item = (&ListFile, &Arc<Motor>, Place)> {
-        self.files.iter().flat_map(|f| f.motores.iter().zip(&f.places).map(move |(m, p)| (f, m, *p)))
+    /// All executors, with the file and place of each.
+    pub fn executors(&self) -> impl Iterator<Item = (&ListFile, &Arc<Executor>, Place)> {
+        self.files.iter().flat_map(|f| f.executors.iter().zip(&f.places).map(move |(m, p)| (f, m, *p)))
     }
 
-    /// The number of motores.
+    /// The number of executors.
     pub fn len(&self) -> usize {
-        self.files.iter().map(|f| f.motores.len()).sum()
+        self.files.iter().map(|f| f.executors.len()).sum()
     }
 
     /// Whether there is none.
--- a/src/membership/list/digest.rs
+++ b/src/membership/list/digest.rs
@@ -1,6 +1,6 @@
 //! The digest of what a list says.
 
-use super::Motor;
+use super::Executor;
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 use std::str::FromStr;
@@ -59,15 +59,15 @@
     }
 }
 
-/// The digest of what a file says: its generation and its motores, in one order and one spelling.
-pub fn digest(generation: Option<u64>, motores: &[Arc<Motor>]) -> Digest {
-    let mut lines: Vec<String> = motores.iter().map(|m| line(m)).collect();
+/// The digest of what a file says: its generation and its executors, in one order and one spelling.
+pub fn digest(generation: Option<u64>, executors: &[Arc<Executor>]) -> Digest {
+    let mut lines: Vec<String> = executors.iter().map(|m| line(m)).collect();
     lines.sort_unstable();
     Digest::of(format!("ottercroft list 1\n{generation:?}\n{}", lines.concat()).as_bytes())
 }
 
 /// Quoted, so that no name can look like another line.
-fn line(m: &Motor) -> String {
-    let Motor { uid, room, address, kind, weight, state } = m;
+fn line(m: &Executor) -> String {
+    let Executor { uid, room, address, kind, weight, state } = m;
     format!("{room:?} {uid:?} {address} {kind:?} {:016x} {state:?}\n", weight.to_bits())
 }
--- a/src/membership/list/sealing.rs
+++ b/src/membership/list/sealing.rs
@@ -25,7 +25,7 @@
     if confirmed {
         text = with_line(&text, "confirm", &format!("confirm = \"{}\"", file.digest));
     }
-    let (count, digest) = (file.motores.len(), file.digest);
+    let (count, digest) = (file.executors.len(), file.digest);
     let text = text.trim_end();
     Ok(format!("{text}\n\nseal {{\n  count  = {count}\n  digest = \"{digest}\"\n}}\n"))
 }
--- a/src/membership/list/tests.rs
+++ b/src/membership/list/tests.rs
@@ -36,7 +36,7 @@
     assert!(sealed("f", "room \"a\" {", false, false).is_err());
 }
 
-// One address has many spellings; two motores at one address would be one machine under two names.
+// One address has many spellings; two executors at one address would be one machine under two names.
 #[test]
 fn an_address_has_one_spelling() {
     let mapped = TWO.replace("127.0.0.1:1", "[::ffff:127.0.0.1]:1");
--- a/src/membership/members/act.rs
+++ b/src/membership/members/act.rs
@@ -8,11 +8,11 @@
 /// What a list changes.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Change {
-    /// Motores that were not there.
+    /// Executors that were not there.
     pub added: usize,
-    /// Motores that are no longer named, and drain.
+    /// Executors that are no longer named, and drain.
     pub left: usize,
-    /// Motores of which something else changed.
+    /// Executors of which something else changed.
     pub changed: usize,
 }
 
@@ -38,8 +38,8 @@
         digest: Digest,
         /// The highest generation of its files.
         generation: Option<u64>,
-        /// Its motores.
-        motores: usize,
+        /// Its executors.
+        executors: usize,
         /// What it changed.
         change: Change,
     },
@@ -64,16 +64,16 @@
     Refused(Arc<str>, Digest, String),
     /// An entry that another source's goes before: told when that begins.
     Shadowed {
-        /// The motor left out.
+        /// The executor left out.
         uid: Arc<str>,
         /// The source that names it.
         source: Arc<str>,
-        /// The motor that has its address, by a source that goes first.
+        /// The executor that has its address, by a source that goes first.
         by: Arc<str>,
     },
-    /// A motor that was taken out of its list has nothing left, or its time is over, and is gone.
+    /// An executor that was taken out of its list has nothing left, or its time is over, and is gone.
     Gone {
-        /// The motor.
+        /// The executor.
         uid: Arc<str>,
         /// How long it drained.
         after: Micros,
--- a/src/membership/members/entry.rs
+++ b/src/membership/members/entry.rs
@@ -1,15 +1,15 @@
-//! A motor, as its owner has it and as it is in force.
+//! An executor, as its owner has it and as it is in force.
 
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
-use crate::membership::list::Motor;
+use crate::membership::list::Executor;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A motor, as its owner has it.
+/// An executor, as its owner has it.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Entry {
-    Listed(Arc<Motor>),
+    Listed(Arc<Executor>),
     Fed(Arc<Target>),
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// A motor in force.
+/// An executor in force.
 #[derive(Debug, Clone)]
 pub(super) struct Placed {
     /// Its owner, by rank; the lowest goes first.
--- a/src/membership/members/force.rs
+++ b/src/membership/members/force.rs
@@ -34,13 +34,13 @@
         let change = self.enforce(now, next, acts);
         let source = self.names[rank].clone();
         let generation = list.files.iter().filter_map(|f| f.generation).max();
-        let (digest, motores) = (list.digest, list.len());
-        acts.push(Act::Taken { source: source.clone(), digest, generation, motores, change });
+        let (digest, executors) = (list.digest, list.len());
+        acts.push(Act::Taken { source: source.clone(), digest, generation, executors, change });
         acts.push(Act::Keep(source, list));
     }
 
     /// What the latest versions come to: each uid to the first source that names it, each address to the first
-    /// motor that has it; and what is left out for that. `instead` stands for the list of one source.
+    /// executor that has it; and what is left out for that. `instead` stands for the list of one source.
     pub(super) fn merged(&self, instead: Option<(usize, &Arc<List>)>) -> (Merged, Vec<Shadow>) {
         let mut merged = Merged::new();
         let mut addresses: HashMap<SocketAddr, Arc<str>> = HashMap::new();
@@ -52,7 +52,7 @@
                 _ => file.and_then(|f| f.list.as_ref()),
             };
             let fed = self.feed.as_ref().filter(|(r, _)| *r == rank).map(|(_, t)| t);
-            let listed = list.into_iter().flat_map(|l| l.motores());
+            let listed = list.into_iter().flat_map(|l| l.executors());
             let listed = listed.map(|(_, m, _)| (m.uid.clone(), (rank, Entry::Listed(m.clone()))));
             let fed = fed.into_iter().flatten().map(|(uid, t)| (uid.clone(), (rank, Entry::Fed(t.clone()))));
             let mut own: Vec<(Arc<str>, (usize, Entry))> = listed.chain(fed).collect();
--- a/src/membership/members/guard.rs
+++ b/src/membership/members/guard.rs
@@ -73,7 +73,7 @@
         let mut rooms = Lost::new();
         for (uid, p) in self.force.iter().filter(|(_, p)| p.leaving.is_none()) {
             let was = part(&p.entry, was_most);
-            // The same motor under another address is another process.
+            // The same executor under another address is another process.
             let stays = next.get(uid).filter(|(_, e)| e.address() == p.entry.address());
             let lost = (was - stays.map_or(0.0, |(_, e)| part(e, is_most))).max(0.0);
             match rooms.get_mut(p.entry.room()) {
--- a/src/membership/members/mod.rs
+++ b/src/membership/members/mod.rs
@@ -1,12 +1,12 @@
 //! The list in force. Sans-I/O: versions of the sources go in with their time, what to do comes out.
 //!
 //! The list in force follows from the latest taken version of each source alone, whatever came in between:
-//! a motor belongs to the first source in the order of precedence that names its uid, and an address to the
-//! first motor in that order that has it. What a list no longer names drains: it gets nothing new, completes
+//! an executor belongs to the first source in the order of precedence that names its uid, and an address to the
+//! first executor in that order that has it. What a list no longer names drains: it gets nothing new, completes
 //! what it has, and is gone once nothing is out on it.
 //!
 //! - `act`: what comes of a version.
-//! - `entry`: a motor, as its owner has it and as it is in force.
+//! - `entry`: an executor, as its owner has it and as it is in force.
 //! - `versions`: what the sources say, and time that passes.
 //! - `guard`: what holds a list back.
 //! - `force`: the list in force.
@@ -65,11 +65,11 @@
     accepted: Vec<Acceptance>,
 }
 
-/// Motores by uid, each with the rank of its owner.
+/// Executors by uid, each with the rank of its owner.
 type Merged = BTreeMap<Arc<str>, (usize, Entry)>;
 /// By room: its capacity, and what of it is taken away.
 type Lost = BTreeMap<Arc<str>, (f64, f64)>;
-/// Left out for its address: the motor, the rank of its source, and whose the address is.
+/// Left out for its address: the executor, the rank of its source, and whose the address is.
 type Shadow = (Arc<str>, usize, Arc<str>);
 /// The feed's rank and what it tells.
 type Fed = (usize, BTreeMap<Arc<str>, Arc<Target>>);
--- a/src/membership/members/tests/drains.rs
+++ b/src/membership/members/tests/drains.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-// A motor that is taken out of its list while it holds a load gets nothing new and stays until the load is done.
+// An executor that is taken out of its list while it holds a load gets nothing new and stays until the load is done.
 #[test]
 fn what_a_list_leaves_out_drains_until_it_has_nothing() {
     let mut m = Members::new(sources(&["f"]));
@@ -16,7 +16,7 @@
     assert_eq!(states(&m), up(&["e2"]));
 }
 
-// Work that never ends must not keep a motor for ever.
+// Work that never ends must not keep an executor for ever.
 #[test]
 fn a_drain_has_an_end() {
     let mut m = Members::new(sources(&["f"]));
@@ -28,7 +28,7 @@
 
 // Taken back in the middle of its drain it goes on as it was: its process never ended.
 #[test]
-fn a_motor_taken_back_in_its_drain_is_up_again() {
+fn a_executor_taken_back_in_its_drain_is_up_again() {
     let mut m = Members::new(sources(&["f"]));
     let both = [(1, 1, 1.0, true), (2, 2, 1.0, true)];
     m.list(S, "f", list(None, &both));
@@ -37,7 +37,7 @@
     assert_eq!(m.tick(4 * S, &|_| false), []);
 }
 
-// Weight 0 drains, and a weight that changes is no new motor: only the weight is told.
+// Weight 0 drains, and a weight that changes is no new executor: only the weight is told.
 #[test]
 fn weights_change_in_place_and_zero_drains() {
     let mut m = Members::new(sources(&["f"]));
--- a/src/membership/members/tests/guard.rs
+++ b/src/membership/members/tests/guard.rs
@@ -58,7 +58,7 @@
     assert!(!m.list(64 * S, "f", list(None, &halved[..2])).iter().any(|a| matches!(a, Act::Held { .. })));
 }
 
-// A room that is renamed loses nothing: its motores are all there.
+// A room that is renamed loses nothing: its executors are all there.
 #[test]
 fn a_renamed_room_is_no_loss() {
     let mut terms = sources(&["f"]);
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::membership::list::{ListFile, Motor, Wanted};
+use crate::membership::list::{Executor, ListFile, Wanted};
 use std::net::SocketAddr;
 
 mod drains;
@@ -19,12 +19,12 @@
     }
 }
 
-/// A motor as tests word it: uid, port, weight, whether it is up.
+/// An executor as tests word it: uid, port, weight, whether it is up.
 type Line = (u8, u16, f64, bool);
 
 fn file(name: &str, generation: Option<u64>, room: &str, lines: &[Line]) -> ListFile {
-    let motor = |(uid, port, weight, up): &Line| {
-        Arc::new(Motor {
+    let executor = |(uid, port, weight, up): &Line| {
+        Arc::new(Executor {
             uid: format!("e{uid}").into(),
             room: room.into(),
             address: SocketAddr::from(([10, 0, 0, 1], *port)),
@@ -33,10 +33,10 @@
             state: if *up { Wanted::Up } else { Wanted::Draining },
         })
     };
-    let motores: Vec<_> = lines.iter().map(motor).collect();
-    let digest = crate::membership::list::digest(generation, &motores);
-    let places = vec![Default::default(); motores.len()];
-    ListFile { name: name.into(), generation, motores, places, seal: None, confirm: None, digest }
+    let executors: Vec<_> = lines.iter().map(executor).collect();
+    let digest = crate::membership::list::digest(generation, &executors);
+    let places = vec![Default::default(); executors.len()];
+    ListFile { name: name.into(), generation, executors, places, seal: None, confirm: None, digest }
 }
 
 fn list(generation: Option<u64>, lines: &[Line]) -> List {
--- a/src/membership/members/tests/precedence.rs
+++ b/src/membership/members/tests/precedence.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-// The feed and a file never fight over a motor: the first source in order owns it, whatever the other says,
+// The feed and a file never fight over an executor: the first source in order owns it, whatever the other says,
 // and when it lets go the other has it.
 #[test]
-fn a_motor_has_one_owner() {
+fn a_executor_has_one_owner() {
     let mut m = Members::new(sources(&["f", "feed"]));
     m.feed(S, true, &[fed(1, 1, State::Up), fed(2, 2, State::Up)]);
     m.list(2 * S, "f", list(None, &[(1, 1, 1.0, false), (3, 3, 1.0, true)]));
@@ -19,7 +19,7 @@
 
 // One machine under two names would get twice its share: the address goes to the first source, told once.
 #[test]
-fn an_address_has_one_motor_across_sources() {
+fn an_address_has_one_executor_across_sources() {
     let mut m = Members::new(sources(&["f", "feed"]));
     m.list(S, "f", list(None, &[(1, 1, 1.0, true)]));
     let acts = m.feed(2 * S, true, &[fed(7, 1, State::Up), fed(8, 8, State::Up)]);
@@ -48,7 +48,7 @@
 
 // The same address under a new uid is another process: the old one drains, the new one is there at once.
 #[test]
-fn an_address_under_a_new_uid_is_another_motor() {
+fn an_address_under_a_new_uid_is_another_executor() {
     let mut m = Members::new(sources(&["f"]));
     m.list(S, "f", list(None, &[(1, 1, 1.0, true), (2, 2, 1.0, true)]));
     let acts = m.list(2 * S, "f", list(None, &[(9, 1, 1.0, true), (2, 2, 1.0, true)]));
--- a/src/membership/members/tests/sequences.rs
+++ b/src/membership/members/tests/sequences.rs
@@ -12,7 +12,7 @@
 fn lines() -> impl Strategy<Value = Vec<Line>> {
     let line = (0u8..12, 0u16..14, prop::sample::select(vec![0.0, 0.5, 1.0, 2.0]), any::<bool>());
     prop::collection::vec(line, 0..8).prop_map(|mut all| {
-        // As the check leaves them: one motor a uid, one an address.
+        // As the check leaves them: one executor a uid, one an address.
         let (mut uids, mut ports) = (BTreeSet::new(), BTreeSet::new());
         all.retain(|l| uids.insert(l.0) && ports.insert(l.1));
         all
@@ -86,7 +86,7 @@
         prop_assert_eq!(m.in_force(), followed.into_values().collect::<Vec<_>>());
     }
 
-    // Two motores never share an address across sources, and a motor that drains, is left out or is gone is told
+    // Two executors never share an address across sources, and an executor that drains, is left out or is gone is told
     // in the very turn: none can get new work two seconds later.
     #[test]
     fn drains_are_told_at_once_and_addresses_are_nobody_elses(steps in prop::collection::vec(step(), 1..60)) {
--- a/src/membership/members/versions.rs
+++ b/src/membership/members/versions.rs
@@ -76,7 +76,7 @@
     }
 
     /// Lets time pass, ten times a second or so: what has drained goes, what is held back is told again. `busy`
-    /// tells whether work is out on a motor.
+    /// tells whether work is out on an executor.
     pub fn tick(&mut self, now: Micros, busy: &dyn Fn(&str) -> bool) -> Vec<Act> {
         let (mut acts, mut gone) = (Vec::new(), Vec::new());
         let limit = micros(self.terms.drain_limit);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which motores there are: lists from files beside or instead of the coordinator's feed.
+//! Which executors there are: lists from files beside or instead of the coordinator's feed.
 //!
 //! - [`list`]: the list file, its digest and its seal.
 //! - [`check`]: what a list has to be before it is used; all faults at once.
--- a/src/membership/watcher/mod.rs
+++ b/src/membership/watcher/mod.rs
@@ -1,4 +1,4 @@
-//! The thread that watches, reads and checks motor lists, and hands finished ones over.
+//! The thread that watches, reads and checks executor lists, and hands finished ones over.
 //!
 //! Notifications of the file system make it look at once; polling makes up for those that are lost, that
 //! overflow or that the file system does not give. Neither is believed: each only causes a look at the stamps.
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -57,7 +57,7 @@
             Call::Offline(id) => match self.bans.offline(&id, self.targets.contains_key(&id)) {
                 Ok(new) => {
                     if new {
-                        tracing::warn!(motor = id, "OFFLINE: no new work for it until ONLINE");
+                        tracing::warn!(executor = id, "OFFLINE: no new work for it until ONLINE");
                         self.banned(now, &id);
                     }
                     format!("+OK offline {id}")
@@ -67,7 +67,7 @@
             Call::Online(id) => match self.bans.online(&id, self.targets.contains_key(&id)) {
                 Ok(was) => {
                     if was {
-                        tracing::warn!(motor = id, "ONLINE: it serves again, cold");
+                        tracing::warn!(executor = id, "ONLINE: it serves again, cold");
                         self.onlined.insert(id.clone(), now / 1000);
                         self.banned(now, &id);
                     }
--- a/src/net/executors/listing.rs
+++ b/src/net/executors/listing.rs
@@ -39,17 +39,17 @@
         });
         if e.uid != t.uid {
             tracing::error!(
-                motor = t.uid,
+                executor = t.uid,
                 other = e.uid,
                 number = id,
-                "motor left out: its number is another's"
+                "executor ignored: its number is another's"
             );
             return;
         }
         let moved = t.endpoint.is_some() && e.address != t.endpoint;
         e.address = t.endpoint.or(e.address);
         if e.state != t.state {
-            tracing::info!(motor = t.uid, state = ?t.state, was = ?e.state, "motor listed anew");
+            tracing::info!(executor = t.uid, state = ?t.state, was = ?e.state, "executor listed anew");
         }
         if t.state != State::Removed {
             self.taken_over(id, t.endpoint, poll);
--- a/src/net/executors/pool.rs
+++ b/src/net/executors/pool.rs
@@ -62,7 +62,7 @@
             // Another executor may keep more than it needs just now.
             let idle = self.conns.iter().filter(|(_, c)| c.idle()).min_by_key(|(_, c)| c.touched);
             let Some(key) = idle.map(|(key, _)| *key) else {
-                tracing::warn!(motor = e.uid, most = self.most_conns, "no connection left");
+                tracing::warn!(executor = e.uid, most = self.most_conns, "no connection left");
                 return Err(Lack::Ours);
             };
             self.lose(key, poll, "its place is needed");
@@ -119,11 +119,11 @@
             if !conn.idle() {
                 let (streams, probes) = (conn.streams.len(), conn.probes.len());
                 tracing::info!(
-                    motor = e.uid,
+                    executor = e.uid,
                     attempts = streams,
                     probes,
                     reason = why,
-                    "motor connection lost"
+                    "executor connection lost"
                 );
             }
         }
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -32,7 +32,7 @@
     ticket
 }
 
-// A pull that waits for its connection must not go out seconds after the engine drains: it is taken back
+// A pull that waits for its connection must not go out seconds after the executor drains: it is taken back
 // while that proves that it never ran.
 #[test]
 fn a_pull_that_waits_is_taken_back_when_its_executor_drains() {
@@ -97,18 +97,18 @@
     listed(&mut e, &at, State::Up, 0, 1, &poll);
     let ticket = start(&mut e, 0x2a, 2, &poll);
     let key = *e.conns.keys().next().unwrap();
-    let (mut engine, _) = at.accept().unwrap();
+    let (mut executor, _) = at.accept().unwrap();
     let mut seen = Vec::new();
     while !seen.windows(4).any(|w| w == b"PULL") {
         e.ready(key, false, true, 3, &poll);
         let mut chunk = [0u8; 512];
-        engine.set_read_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
-        if let Ok(n) = engine.read(&mut chunk) {
+        executor.set_read_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
+        if let Ok(n) = executor.read(&mut chunk) {
             seen.extend_from_slice(&chunk[..n]);
         }
     }
     assert!(matches!(e.reports.pop_front(), Some(Report::Begun(t)) if t == ticket));
-    engine.write_all(b"2a BUSY gauges=inflight:7;util:0.61 0\r\n\r\n").unwrap();
+    executor.write_all(b"2a BUSY gauges=inflight:7;util:0.61 0\r\n\r\n").unwrap();
     while e.reports.is_empty() {
         e.ready(key, true, false, 4, &poll);
     }
--- a/src/net/lists/mod.rs
+++ b/src/net/lists/mod.rs
@@ -1,4 +1,4 @@
-//! Motor lists beside the loop: words of their thread and of the feed go to [`Members`], what comes of them is
+//! Executor lists beside the loop: words of their thread and of the feed go to [`Members`], what comes of them is
 //! logged and handed on as entries, a bounded number a turn. `words` has what each word and its outcome do.
 
 mod words;
@@ -141,7 +141,7 @@
         self.enact(now, acts);
     }
 
-    /// Lets time pass; `busy` tells whether work is out on a motor.
+    /// Lets time pass; `busy` tells whether work is out on an executor.
     pub fn tick(&mut self, now: Micros, busy: &dyn Fn(&str) -> bool) {
         let acts = self.members.tick(now, busy);
         self.enact(now, acts);
--- a/src/net/lists/words.rs
+++ b/src/net/lists/words.rs
@@ -63,13 +63,13 @@
                     source,
                     digest,
                     generation,
-                    motores,
+                    executors,
                     change: Change { added, left, changed },
                 } => {
                     self.tally.taken += 1;
                     let source = &*source;
                     tracing::info!(
-                        source, %digest, generation, motores, added, left, changed, "motor list in force"
+                        source, %digest, generation, executors, added, left, changed, "motor list in force"
                     );
                 }
                 Act::Held { source, digest, losses, since, again } => {
@@ -96,14 +96,19 @@
                 }
                 Act::Shadowed { uid, source, by } => {
                     tracing::warn!(
-                        motor = &*uid,
+                        executor = &*uid,
                         source = &*source,
                         by = &*by,
-                        "motor left out: its address is another's"
+                        "executor ignored: its address is another's"
                     );
                 }
                 Act::Gone { uid, after, cut } => {
-                    tracing::info!(motor = &*uid, after_ms = after / 1_000, cut, "motor drained and gone");
+                    tracing::info!(
+                        executor = &*uid,
+                        after_ms = after / 1_000,
+                        cut,
+                        "executor drained and gone"
+                    );
                 }
             }
         }
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -141,7 +141,7 @@
             let (zone, kind) = (self.names.zones.get(&t.az), self.names.kinds.get(&t.model));
             let gone = t.state == State::Removed;
             if !gone && (zone.is_none() || kind.is_none() || t.endpoint.is_none()) {
-                tracing::error!(motor = t.uid, "motor left out: unknown zone or kind, or no address");
+                tracing::error!(executor = t.uid, "executor ignored: unknown zone or kind, or no address");
                 return None;
             }
             Some(Member {
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -156,7 +156,7 @@
             }
             node.lists = Some(lists);
         }
-        tracing::info!(name = config.name, motores = known.len(), "{} listens on {address}", config.name);
+        tracing::info!(name = config.name, executors = known.len(), "{} listens on {address}", config.name);
         if let Some(o) = &node.operators {
             tracing::info!("operators' address {}", o.address()?);
         }
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -6,7 +6,7 @@
 use super::signals::Signals;
 use super::*;
 use crate::settings::options::Options;
-use standins::engine::Engine;
+use standins::executor::Executor;
 use standins::feed::Feed;
 use standins::scripted::{Client, Got, Launch, Quiet, target};
 use std::io::Write;
@@ -27,16 +27,16 @@
     wake: UnixStream,
     thread: Option<JoinHandle<u32>>,
     _feed: Feed,
-    engines: Vec<Engine>,
+    executors: Vec<Executor>,
 }
 
 impl Served {
     /// Serves with two executors, each of which takes so long for a request; `before` runs on its thread.
     fn start(work: Duration, settings: &Quiet, before: impl FnOnce() + Send + 'static) -> Served {
         let feed = Feed::at("127.0.0.1:0", 1).unwrap();
-        let engines: Vec<Engine> = (0..2).map(|_| Engine::new(move |_| work).unwrap()).collect();
+        let executors: Vec<Executor> = (0..2).map(|_| Executor::new(move |_| work).unwrap()).collect();
         let targets: Vec<String> =
-            (0..).zip(&engines).map(|(n, e)| target(&format!("e{n}"), e.address, "up")).collect();
+            (0..).zip(&executors).map(|(n, e)| target(&format!("e{n}"), e.address, "up")).collect();
         let mut launch = Launch::new("", std::env::temp_dir());
         launch.settings = settings.json();
         let config = launch.config_of(feed.address, &targets);
@@ -52,7 +52,7 @@
             sys::tests::failed()
         });
         let address = told.recv().unwrap();
-        Served { address, stop, wake, thread: Some(thread), _feed: feed, engines }
+        Served { address, stop, wake, thread: Some(thread), _feed: feed, executors }
     }
 
     /// As SIGTERM does.
@@ -69,7 +69,7 @@
     /// How often executors got a request.
     fn runs(&self, rid: u64) -> usize {
         let id = format!("{rid:016x}");
-        self.engines.iter().flat_map(Engine::pulls).filter(|p| p.id == id).count()
+        self.executors.iter().flat_map(Executor::pulls).filter(|p| p.id == id).count()
     }
 }
 
--- a/src/net/upkeep/keep.rs
+++ b/src/net/upkeep/keep.rs
@@ -73,7 +73,7 @@
         let steps: BTreeMap<String, String> = plan.steps().map(|(id, s)| (id.into(), kind(s))).collect();
         for (id, step) in plan.steps() {
             if in_flight.upkeep.logged.get(id) != steps.get(id) {
-                tracing::info!(motor = id, step = word(step, now), "maintenance");
+                tracing::info!(executor = id, step = word(step, now), "maintenance");
             }
         }
         in_flight.upkeep.logged = steps;
--- a/src/schema/market.rs
+++ b/src/schema/market.rs
@@ -1,14 +1,14 @@
 //! What a dispatcher has to offer: the versions that may begin, and what the executors of each can take.
 
 use crate::api::Micros;
-use fleet::schema::motors::MOST;
+use fleet::schema::executors::MOST;
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema, Version};
 use std::collections::BTreeMap;
 
 /// An executor as a dispatcher sees it, its version left out.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Motor<'a> {
+pub struct Executor<'a> {
     /// Its id, as the fleet's log knows it.
     pub id: &'a str,
     /// It takes work at all: up, not banned, not drained.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Supply {
     /// Usable ones.
-    pub motors: usize,
+    pub executors: usize,
     /// Of these, with room.
     pub room: usize,
     /// Cores that they serve with at present.
@@ -54,17 +54,17 @@
         schema: &Schema,
         without_word: Option<Micros>,
         words: &Words,
-        motors: impl IntoIterator<Item = Motor<'a>>,
+        executors: impl IntoIterator<Item = Executor<'a>>,
         dispatchers: usize,
     ) -> Market {
         let starts = schema.starts(without_word);
         let mut supply: BTreeMap<Version, Supply> = BTreeMap::new();
-        for motor in motors.into_iter().filter(|m| m.usable && !words.doubt(schema, m.id)) {
-            if let Some(version) = schema.motors().version(motor.id).filter(|v| starts.contains(v)) {
+        for executor in executors.into_iter().filter(|m| m.usable && !words.doubt(schema, m.id)) {
+            if let Some(version) = schema.executors().version(executor.id).filter(|v| starts.contains(v)) {
                 let s = supply.entry(version).or_default();
-                s.motors += 1;
-                s.room += usize::from(motor.room);
-                s.warm += motor.warm.max(0.0);
+                s.executors += 1;
+                s.room += usize::from(executor.room);
+                s.warm += executor.warm.max(0.0);
             }
         }
         let leads_to = match schema.window() {
@@ -92,7 +92,7 @@
 impl Words {
     /// An answer of the process that began at `started` says which version it holds.
     pub fn said(&mut self, schema: &Schema, id: &str, version: Version, started: Micros) {
-        if !schema.motors().is_new(id, version, started) {
+        if !schema.executors().is_new(id, version, started) {
             return;
         }
         if self.said.len() >= MOST {
@@ -106,7 +106,7 @@
 
     /// Whether an executor has said what the log does not know yet.
     pub fn doubt(&self, schema: &Schema, id: &str) -> bool {
-        self.said.get(id).is_some_and(|&(version, started)| schema.motors().is_new(id, version, started))
+        self.said.get(id).is_some_and(|&(version, started)| schema.executors().is_new(id, version, started))
     }
 
     /// What is to be proposed to the fleet, until it is in the log.
@@ -116,6 +116,6 @@
     }
 
     fn forget(&mut self, schema: &Schema) {
-        self.said.retain(|id, &mut (version, at)| schema.motors().is_new(id, version, at));
+        self.said.retain(|id, &mut (version, at)| schema.executors().is_new(id, version, at));
     }
 }
--- a/src/schema/mod.rs
+++ b/src/schema/mod.rs
@@ -1,4 +1,4 @@
-//! Which version of the schema each request runs under, while motores are upgraded in turn. Sans-I/O and
+//! Which version of the schema each request runs under, while executors are upgraded in turn. Sans-I/O and
 //! deterministic; what is agreed by the fleet is [`fleet::schema`]'s.
 //!
 //! - [`claim`]: what a client says that it speaks.
@@ -18,6 +18,6 @@
 
 pub use claim::Claim;
 pub use keys::{Gate, Hands, Keys};
-pub use market::{Market, Motor, Words};
+pub use market::{Executor, Market, Words};
 pub use negotiate::{Negotiator, Refusal, Session, Verdict, Why};
 pub use pace::Terms;
--- a/src/schema/negotiate.rs
+++ b/src/schema/negotiate.rs
@@ -66,7 +66,7 @@
     /// What its client speaks ends.
     Ends(Version),
     /// No usable executor holds this one.
-    NoMotor(Version),
+    NoExecutor(Version),
     /// This one would do, and its executors are to be filled slowly.
     Slowly(Version),
 }
@@ -90,7 +90,7 @@
             Why::NoWord => write!(f, "no word of the fleet on schemas")?,
             Why::Unknown(claim) => write!(f, "schema {claim} is not spoken here")?,
             Why::Ends(v) => write!(f, "schema {v} ends")?,
-            Why::NoMotor(v) => write!(f, "no motor holds schema {v} now")?,
+            Why::NoExecutor(v) => write!(f, "no motor holds schema {v} now")?,
             Why::Slowly(v) => write!(f, "schema {v} is filled slowly")?,
         }
         match self.to_be_had[..] {
@@ -143,7 +143,7 @@
     }
 
     fn refuse(&mut self, why: Why, market: &Market) -> Verdict {
-        let had = market.starts.iter().filter(|v| market.of(**v).motors > 0);
+        let had = market.starts.iter().filter(|v| market.of(**v).executors > 0);
         let backoff = match why {
             Why::Fault(_) => 0,
             _ => self.terms.backoff.saturating_add(drawn(&mut self.rng, self.terms.backoff)),
@@ -168,7 +168,7 @@
                 (None, _) => Why::NoWord,
             });
         };
-        let held: Vec<Version> = spoken.into_iter().filter(|v| m.of(*v).motors > 0).collect();
+        let held: Vec<Version> = spoken.into_iter().filter(|v| m.of(*v).executors > 0).collect();
         if let Some(kept) = s.version.filter(|v| held.contains(v)) {
             let better = held.iter().copied().rev().find(|v| *v > kept && m.of(*v).room > 0);
             return Ok(Some(better.filter(|b| self.moves(now, s, *b, m)).unwrap_or(kept)));
@@ -185,7 +185,7 @@
             }
             slowly = slowly.or(Some(v));
         }
-        Err(slowly.map_or(Why::NoMotor(newest), Why::Slowly))
+        Err(slowly.map_or(Why::NoExecutor(newest), Why::Slowly))
     }
 
     /// Whether a session that could go on as it is moves now.
--- a/src/schema/tests.rs
+++ b/src/schema/tests.rs
@@ -37,8 +37,8 @@
 }
 
 fn market(s: &Schema, words: &Words, room: bool) -> Market {
-    let motor = |id| Motor { id, usable: true, room, warm: 4.0 };
-    Market::new(s, None, words, ["m0", "m1", "m2", "m3"].map(motor), 1)
+    let executor = |id| Executor { id, usable: true, room, warm: 4.0 };
+    Market::new(s, None, words, ["m0", "m1", "m2", "m3"].map(executor), 1)
 }
 
 fn ask(n: &mut Negotiator, now: Micros, session: &mut Session, field: &str, m: &Market) -> String {
@@ -98,13 +98,13 @@
     let (mut s, mut words) = (opening(1), Words::default());
     words.said(&s, "m0", 8, 1);
     words.said(&s, "mystery", 8, 1);
-    assert_eq!((words.doubt(&s, "m0"), market(&s, &words, true).of(8).motors), (false, 1));
+    assert_eq!((words.doubt(&s, "m0"), market(&s, &words, true).of(8).executors), (false, 1));
     words.said(&s, "m0", 7, 1);
-    assert_eq!(market(&s, &words, true).of(8).motors, 0);
+    assert_eq!(market(&s, &words, true).of(8).executors, 0);
     let says = words.proposals(&s);
     assert_eq!(says, [Command::Says("m0".into(), 7, 1)]);
     says.into_iter().for_each(|c| assert!(apply(&mut s, c)));
-    assert_eq!((words.proposals(&s), market(&s, &words, true).of(8).motors), (vec![], 0));
+    assert_eq!((words.proposals(&s), market(&s, &words, true).of(8).executors), (vec![], 0));
 }
 
 // All sessions could move as the window opens: they do so spread, within what the new executors take, and the same
@@ -169,8 +169,8 @@
                     _ => {}
                 }
                 let ids: Vec<String> = (0..4).map(|i| format!("m{i}")).collect();
-                let motor = |i: usize| Motor { id: &ids[i], usable: versions[i].1, room: versions[i].2, warm: 4.0 };
-                let m = Market::new(&s, None, &words, (0..4).map(motor), 2);
+                let executor = |i: usize| Executor { id: &ids[i], usable: versions[i].1, room: versions[i].2, warm: 4.0 };
+                let m = Market::new(&s, None, &words, (0..4).map(executor), 2);
                 let (session, speaks) = &mut sessions[who];
                 let (before, claim) = (session.version(), format!("{from}..{}", from + more));
                 let verdict = n.request(now, session, Some(claim.as_str()).filter(|_| field), &m);
@@ -180,9 +180,9 @@
                 if let Verdict::Run(v) | Verdict::Wait(v) = verdict {
                     let (oldest, newest) = speaks.unwrap_or((v, v));
                     assert!((oldest..=newest).contains(&v) && s.starts(None).contains(&v), "{v} {m:?}");
-                    let holds = |i: usize| versions[i].1 && s.motors().version(&ids[i]) == Some(v);
+                    let holds = |i: usize| versions[i].1 && s.executors().version(&ids[i]) == Some(v);
                     assert!((0..4).any(|i| holds(i) && !words.doubt(&s, &ids[i])), "{v} {m:?}");
-                    let back = before.is_some_and(|b| b > v && m.of(b).motors > 0);
+                    let back = before.is_some_and(|b| b > v && m.of(b).executors > 0);
                     assert!(!back || !m.starts.contains(&before.unwrap()) || before.unwrap() > newest);
                 }
                 verdicts.push(verdict);
--- a/src/settings/hcl/mod.rs
+++ b/src/settings/hcl/mod.rs
@@ -1,4 +1,4 @@
-//! Reads our own HCL: settings and motor lists. Every fault names its file, line, column and field, and all
+//! Reads our own HCL: settings and executor lists. Every fault names its file, line, column and field, and all
 //! faults of a file are told at once.
 //!
 //! - [`text`]: a file's text, places in it and faults.
--- a/src/settings/hcl/text.rs
+++ b/src/settings/hcl/text.rs
@@ -13,7 +13,7 @@
     pub line: usize,
     /// The column, from 1, in characters.
     pub column: usize,
-    /// The field, as in `room.sala-norte.motor.s-1.weight`; empty if there is none.
+    /// The field, as in `room.sala-norte.executor.s-1.weight`; empty if there is none.
     pub field: String,
     /// What is wrong, and what is allowed.
     pub what: String,
--- a/src/settings/options/lists.rs
+++ b/src/settings/options/lists.rs
@@ -1,4 +1,4 @@
-//! Motor lists from files.
+//! Executor lists from files.
 
 use super::MS;
 use super::terms::{FEED, Guard, Terms};
@@ -10,7 +10,7 @@
 /// What to do at a start with neither a usable list nor a good copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Empty {
-    /// Serve without motores from it: requests are refused with a time to come back.
+    /// Serve without executors from it: requests are refused with a time to come back.
     Serve,
     /// End with an error.
     Exit,
@@ -27,7 +27,7 @@
     pub accept: PathBuf,
 }
 
-/// Motor lists from files.
+/// Executor lists from files.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Lists {
     /// The lists.
@@ -46,7 +46,7 @@
     pub most_files: usize,
     /// What holds a list back.
     pub guard: Guard,
-    /// How long a motor that was taken out of its list may go on with what it has.
+    /// How long an executor that was taken out of its list may go on with what it has.
     pub drain_limit: Duration,
     /// Where the last good lists are kept, where a disk lasts.
     pub last_good: Option<PathBuf>,
@@ -131,7 +131,7 @@
         l.most_files = n as usize;
     }
     if let Some(n) = t.get("max_motores", faults, hcl::whole(1..=100_000)) {
-        l.terms.most_motores = n as usize;
+        l.terms.most_executors = n as usize;
     }
     if let Some(nets) = t.get("networks", faults, hcl::list(hcl::parsed("10.0.0.0/8"))) {
         if nets.is_empty() {
--- a/src/settings/options/mod.rs
+++ b/src/settings/options/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! All of it is off unless the file says otherwise. Every fault of the file is told, with its place.
 //!
-//! - [`lists`]: motor lists from files, and [`terms`], what may be in them and what holds them back.
+//! - [`lists`]: executor lists from files, and [`terms`], what may be in them and what holds them back.
 //! - [`storms`]: retry storms.
 //! - [`peers`]: the other dispatchers, and [`policy`], what all of them admit requests by.
 //! - [`control`]: a few members that agree on that for all dispatchers, which follow.
@@ -42,7 +42,7 @@
 pub struct Options {
     /// How log lines are written.
     pub log_format: Option<LogFormat>,
-    /// Motor lists from files; none where the coordinator's feed is the only source.
+    /// Executor lists from files; none where the coordinator's feed is the only source.
     pub lists: Option<Lists>,
     /// Retry storms; none where the decisions alone see to refusals.
     pub storms: Option<Storms>,
--- a/src/settings/options/peers.rs
+++ b/src/settings/options/peers.rs
@@ -37,15 +37,15 @@
     pub most_result: u64,
     /// The longest message of a peer, in bytes.
     pub most_frame: u64,
-    /// While motores are taken out for work: how many stay in service at least.
-    pub min_motores: usize,
+    /// While executors are taken out for work: how many stay in service at least.
+    pub min_executors: usize,
     /// Cores that stay in service for each that works, at least.
     pub headroom: f64,
-    /// Motores that may be missing at once.
+    /// Executors that may be missing at once.
     pub at_once: usize,
-    /// How long work on a motor is waited for before it is handed over.
+    /// How long work on an executor is waited for before it is handed over.
     pub drain_limit: Duration,
-    /// How long a motor may be out before the plan stops.
+    /// How long an executor may be out before the plan stops.
     pub out_limit: Duration,
     /// What all admit requests by; none where each goes by its own settings.
     pub policy: Option<PolicyTerms>,
@@ -84,7 +84,7 @@
         most_statement: 4 << 10,
         most_result: 4 << 10,
         most_frame: 64 << 20,
-        min_motores: 2,
+        min_executors: 2,
         headroom: 1.3,
         at_once: 1,
         drain_limit: MS(600_000),
@@ -109,7 +109,7 @@
     if let Some(m) = t.block("maintenance", faults) {
         m.only(&["min_motores", "headroom", "at_once", "drain_limit", "out_limit"], &[], faults);
         if let Some(n) = m.get("min_motores", faults, hcl::whole(1..=10_000)) {
-            p.min_motores = n as usize;
+            p.min_executors = n as usize;
         }
         if let Some(n) = m.get("at_once", faults, hcl::whole(1..=100)) {
             p.at_once = n as usize;
--- a/src/settings/options/terms.rs
+++ b/src/settings/options/terms.rs
@@ -11,8 +11,8 @@
 pub struct Terms {
     /// Every file has to carry its seal.
     pub sealed: bool,
-    /// The most motores in a list.
-    pub most_motores: usize,
+    /// The most executors in a list.
+    pub most_executors: usize,
     /// The largest weight.
     pub most_weight: f64,
     /// The only networks allowed, if bound.
@@ -23,7 +23,7 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { sealed: true, most_motores: 10_000, most_weight: 100.0, networks: None, loopback: false }
+        Terms { sealed: true, most_executors: 10_000, most_weight: 100.0, networks: None, loopback: false }
     }
 }
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -188,7 +188,7 @@
         let (free, ratio) = (r.free_resends.unwrap_or(0.0), r.further_ratio.unwrap_or(0.0));
         let budget = stated.then_some(Budget { free, ratio, span, slack: 0 });
         let settings = Settings {
-            gateways: self.balancers,
+            dispatchers: self.balancers,
             kinds: (0..self.kinds.len().max(1)).map(kind).collect(),
             tenants: parties
                 .iter()
--- a/src/state/chance.rs
+++ b/src/state/chance.rs
@@ -1,4 +1,4 @@
-//! Chance: a gateway's own draws, and numbers that come out alike at all gateways.
+//! Chance: a dispatcher's own draws, and numbers that come out alike at all dispatchers.
 
 use super::*;
 use rand_core::RngCore;
@@ -9,8 +9,8 @@
 }
 
 /// Uniform in 0 to 1, the same for the same pair everywhere.
-pub(crate) fn hashed(group: u64, engine: EngineId) -> f64 {
-    unit(&mut Pcg64Mcg::seed_from_u64(group ^ (u64::from(engine) << 32)))
+pub(crate) fn hashed(group: u64, executor: ExecutorId) -> f64 {
+    unit(&mut Pcg64Mcg::seed_from_u64(group ^ (u64::from(executor) << 32)))
 }
 
 /// The place that a point from 0 to 1 falls on, by weight.
@@ -23,8 +23,8 @@
     hit.or(weights.len().checked_sub(1))
 }
 
-impl Gateway {
-    /// Uniform in 0 to 1, from the gateway's own seed.
+impl Balancer {
+    /// Uniform in 0 to 1, from the dispatcher's own seed.
     pub(crate) fn chance(&mut self) -> f64 {
         unit(&mut self.rng)
     }
--- a/src/state/engine.rs
+++ b/src/state/executor.rs
@@ -1,10 +1,10 @@
-//! An engine, as far as this gateway knows it.
+//! An executor, as far as this dispatcher knows it.
 
 use super::*;
 use std::collections::BTreeSet;
 
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Engine {
+pub(crate) struct Executor {
     pub(crate) entry: Entry,
     pub(crate) present: bool,
     /// Which classes it is open to, a bit each.
@@ -19,7 +19,7 @@
     /// Own threads when the report was made, and at the last tick.
     pub(crate) threads_then: f64,
     pub(crate) threads_before: f64,
-    pub(crate) out: BTreeSet<(QueryId, u32)>,
+    pub(crate) out: BTreeSet<(RequestId, u32)>,
     pub(crate) slow: Mean,
     /// Lately, time taken over expected, where nothing else tells of load.
     pub(crate) pace: Option<f64>,
@@ -39,15 +39,15 @@
     pub(crate) met: bool,
 }
 
-impl Engine {
+impl Executor {
     /// Notes that something was heard, and the gap before it.
     pub(crate) fn hear(&mut self, now: Micros, weight: f64) {
         self.gap.add((now - self.heard) as f64 / 1e6, weight);
         self.heard = now;
     }
 
-    pub(crate) fn new(entry: Entry, cores: f64, now: Micros, cold: Option<Micros>) -> Engine {
-        let mut e = Engine { entry, present: true, cores, heard: now, ..Engine::default() };
+    pub(crate) fn new(entry: Entry, cores: f64, now: Micros, cold: Option<Micros>) -> Executor {
+        let mut e = Executor { entry, present: true, cores, heard: now, ..Executor::default() };
         e.restarted(now, cold);
         e
     }
@@ -66,13 +66,13 @@
             && kinds.as_ref().is_none_or(|k| k.contains(&self.entry.kind))
     }
 
-    /// In the list, and taking queries.
+    /// In the list, and taking requests.
     pub(crate) fn listed(&self) -> bool {
         self.present && self.entry.readiness == Readiness::Active
     }
 
     /// Counts an attempt in.
-    pub(crate) fn take(&mut self, attempt: (QueryId, u32), threads: f64, grant: f64) {
+    pub(crate) fn take(&mut self, attempt: (RequestId, u32), threads: f64, grant: f64) {
         self.out.insert(attempt);
         self.met = true;
         self.threads += threads;
@@ -80,7 +80,7 @@
     }
 
     /// Counts an attempt out.
-    pub(crate) fn release(&mut self, attempt: (QueryId, u32), threads: f64, grant: f64) {
+    pub(crate) fn release(&mut self, attempt: (RequestId, u32), threads: f64, grant: f64) {
         self.out.remove(&attempt);
         self.threads -= threads;
         self.granted -= grant;
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -2,27 +2,27 @@
 
 use super::*;
 
-impl Gateway {
+impl Balancer {
     /// It ends at this time: what could not be seen to its end by then is not begun.
     pub fn ends_at(&mut self, at: Micros) {
         self.ends = at;
         self.ends_changed = true;
     }
 
-    /// Engines on the list, and of these those that take nothing new now: leaving, silent or ejected.
+    /// Executors on the list, and of these those that take nothing new now: leaving, silent or ejected.
     pub(crate) fn avoided(&self, now: Micros) -> (usize, usize) {
-        let listed = self.engines.iter().filter(|e| e.present && e.entry.readiness != Readiness::Left);
-        let avoided = |e: &&Engine| {
+        let listed = self.executors.iter().filter(|e| e.present && e.entry.readiness != Readiness::Left);
+        let avoided = |e: &&Executor| {
             e.entry.readiness != Readiness::Active || e.silent || e.ejected_until.is_some_and(|t| t > now)
         };
         (listed.clone().count(), listed.filter(avoided).count())
     }
 
-    /// Cores of engines that the list has as taking queries, of those that are healthy, and of these by how warm
+    /// Cores of executors that the list has as taking requests, of those that are healthy, and of these by how warm
     /// they are.
     pub(crate) fn fleet(&self, now: Micros) -> [f64; 3] {
         let mut sums = [0.0; 3];
-        for e in self.engines.iter().filter(|e| e.listed()) {
+        for e in self.executors.iter().filter(|e| e.listed()) {
             let healthy = !e.silent && e.ejected_until.is_none_or(|t| t <= now);
             let usable = if healthy { e.cores } else { 0.0 };
             let parts = [e.cores, usable, usable * self.warmth(e)];
@@ -31,38 +31,38 @@
         sums
     }
 
-    /// Share of its capacity that an engine has: a cold one grows from `from` over the ramp.
-    pub(crate) fn warmth(&self, e: &Engine) -> f64 {
+    /// Share of its capacity that an executor has: a cold one grows from `from` over the ramp.
+    pub(crate) fn warmth(&self, e: &Executor) -> f64 {
         let Some(since) = e.cold_since else { return 1.0 };
         let done = self.now.saturating_sub(since) as f64 / self.s.cold.ramp.max(1) as f64;
         if done >= 1.0 { 1.0 } else { self.s.cold.from + (1.0 - self.s.cold.from) * done }
     }
 
-    /// Seconds that a query should take, at the pace of the day.
-    pub(crate) fn expected(&self, q: &Query) -> f64 {
+    /// Seconds that a request should take, at the pace of the day.
+    pub(crate) fn expected(&self, q: &Request) -> f64 {
         let pace = self.models[q.class].pace.or(1.0);
         q.cost / f64::from(self.s.classes[q.class].threads) * pace
     }
 
     /// How much a report still tells, 1 when new.
-    pub(crate) fn confidence(&self, e: &Engine, span_s: f64) -> f64 {
+    pub(crate) fn confidence(&self, e: &Executor, span_s: f64) -> f64 {
         (-(self.seconds_since(e.report_at) / span_s)).exp()
     }
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
-    pub(crate) fn memory_use(&self, e: &Engine, held: f64) -> f64 {
+    pub(crate) fn memory_use(&self, e: &Executor, held: f64) -> f64 {
         held * self.thread_mb.or(0.0) / self.s.kinds[e.entry.kind].memory_mb.max(1.0)
     }
 
-    /// Running means of own threads, queries and memory in flight.
+    /// Running means of own threads, requests and memory in flight.
     pub(crate) fn tally(&mut self, weight: f64) {
-        let queries = self.queries.len() as f64;
-        let active = self.roster.active.iter().map(|i| &self.engines[*i]);
+        let requests = self.requests.len() as f64;
+        let active = self.roster.active.iter().map(|i| &self.executors[*i]);
         let (mb, out) = active.fold((0.0, 0.0), |(m, t), e| (m + e.granted, t + e.threads));
         if out > 0.0 {
             self.thread_mb.add(mb / out, weight);
             self.held_threads += (out - self.held_threads) * weight;
-            self.held_queries += (queries - self.held_queries) * weight;
+            self.held_requests += (requests - self.held_requests) * weight;
         }
     }
 }
--- a/src/state/learned.rs
+++ b/src/state/learned.rs
@@ -1,4 +1,4 @@
-//! What was learned: running means, the model of a class, costs by table group, pools of engines.
+//! What was learned: running means, the model of a class, costs by table group, pools of executors.
 
 use super::*;
 
@@ -28,7 +28,7 @@
     pub(crate) settled: u32,
     /// Thread-seconds as estimated on arrival.
     pub(crate) estimate: Mean,
-    /// Learned cost over estimate, same queries: estimates lie by class.
+    /// Learned cost over estimate, same requests: estimates lie by class.
     pub(crate) actual: Mean,
     pub(crate) told: Mean,
     /// Latency times threads over predicted cost: the pace of the day.
@@ -40,7 +40,7 @@
     pub(crate) rate: f64,
     pub(crate) arrived: f64,
     pub(crate) late: f64,
-    /// How far its rules close: from lateness and from the engines it may use.
+    /// How far its rules close: from lateness and from the executors it may use.
     pub(crate) pressure: f64,
 }
 
@@ -64,7 +64,7 @@
 /// Fixed-size memory of costs by class and table group.
 pub(crate) type CostCache = LruCache<(ClassId, u64), Mean>;
 
-/// Engines open to the same classes: sums over those heard of, weighted by how much a report still tells.
+/// Executors open to the same classes: sums over those heard of, weighted by how much a report still tells.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Pool {
     pub(crate) held: f64,
@@ -75,8 +75,8 @@
 }
 
 impl Pool {
-    /// Counts an engine in.
-    pub(crate) fn add(&mut self, e: &Engine, sure: f64, held: f64, memory: f64) {
+    /// Counts an executor in.
+    pub(crate) fn add(&mut self, e: &Executor, sure: f64, held: f64, memory: f64) {
         self.cores += e.cores * sure;
         self.held += held * sure;
         self.memory += memory * e.cores * sure;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,20 +1,20 @@
-//! What a gateway remembers, and the arithmetic of its parts. It decides nothing: every decision and every
+//! What a dispatcher remembers, and the arithmetic of its parts. It decides nothing: every decision and every
 //! tuned value stands in `src/control/`.
 
 mod chance;
-mod engine;
+mod executor;
 mod figures;
 mod learned;
-mod query;
+mod request;
 mod ring;
 mod roster;
 mod rule;
 mod table;
 
 pub(crate) use chance::*;
-pub(crate) use engine::*;
+pub(crate) use executor::*;
 pub(crate) use learned::*;
-pub(crate) use query::*;
+pub(crate) use request::*;
 pub(crate) use ring::*;
 pub(crate) use roster::*;
 pub(crate) use rule::*;
@@ -27,8 +27,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::num::NonZeroUsize;
 
-/// One query gateway: what it was told, what it learned and what is open.
-pub struct Gateway {
+/// One request dispatcher: what it was told, what it learned and what is open.
+pub struct Balancer {
     pub(crate) s: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
@@ -38,20 +38,20 @@
     pub(crate) models: Vec<ClassModel>,
     pub(crate) overall: Mean,
     pub(crate) tenants: Vec<f64>,
-    /// Probes that own queries have paid for.
+    /// Probes that own requests have paid for.
     pub(crate) purse: f64,
-    /// What may be staked in lots at all cold engines together.
+    /// What may be staked in lots at all cold executors together.
     pub(crate) stakes: TokenBucket,
-    /// When engines that are gone were looked for last.
+    /// When executors that are gone were looked for last.
     pub(crate) swept: Micros,
-    pub(crate) engines: Vec<Engine>,
+    pub(crate) executors: Vec<Executor>,
     pub(crate) roster: Roster,
-    /// Where its subset of the engines begins.
+    /// Where its subset of the executors begins.
     pub(crate) point: u64,
-    /// Engines that decisions have looked at.
+    /// Executors that decisions have looked at.
     pub(crate) examined: Cell<u64>,
-    pub(crate) index: BTreeMap<EngineId, usize>,
-    pub(crate) queries: BTreeMap<QueryId, Query>,
+    pub(crate) index: BTreeMap<ExecutorId, usize>,
+    pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) keys: BTreeMap<u64, KeyLine>,
     /// When keys have rested, and the key whose line is looked at next.
     pub(crate) rests: BTreeSet<(Micros, u64)>,
@@ -61,20 +61,20 @@
     pub(crate) taken: VecDeque<Micros>,
     pub(crate) further: VecDeque<Micros>,
     pub(crate) thread_mb: Mean,
-    /// Own threads and queries in flight, running means.
+    /// Own threads and requests in flight, running means.
     pub(crate) held_threads: f64,
-    pub(crate) held_queries: f64,
+    pub(crate) held_requests: f64,
     pub(crate) share: f64,
     pub(crate) pressure: f64,
     /// When it last woke from standing still.
     pub(crate) stalled: Micros,
-    /// Threads a core that the engines hold, as far as they were heard.
+    /// Threads a core that the executors hold, as far as they were heard.
     pub(crate) occupancy: f64,
     pub(crate) pools: BTreeMap<u64, Pool>,
     /// Whether reports tell of load, once one came.
     pub(crate) tells_load: Option<bool>,
-    /// Queries that wait for probes.
-    pub(crate) asking: Vec<QueryId>,
+    /// Requests that wait for probes.
+    pub(crate) asking: Vec<RequestId>,
     /// A key's line is moving on.
     pub(crate) moves_on: bool,
     pub(crate) loaded: bool,
@@ -84,7 +84,7 @@
     pub(crate) actions: Vec<Action>,
 }
 
-impl Gateway {
+impl Balancer {
     /// One that has seen nothing: `seed` feeds its draws, `cache_size` is how many costs it remembers.
     pub(crate) fn empty(
         s: Settings,
@@ -92,8 +92,8 @@
         rules: Vec<Rule>,
         cache_size: NonZeroUsize,
         models: Vec<ClassModel>,
-    ) -> Gateway {
-        Gateway {
+    ) -> Balancer {
+        Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
             started: false,
@@ -104,13 +104,13 @@
             tenants: vec![0.0; s.tenants.len()],
             purse: 0.0,
             stakes: TokenBucket::default(),
-            engines: Vec::new(),
+            executors: Vec::new(),
             roster: Roster::default(),
             point: mixed(seed),
             examined: Cell::new(0),
             swept: Micros::MAX,
             index: BTreeMap::new(),
-            queries: BTreeMap::new(),
+            requests: BTreeMap::new(),
             keys: BTreeMap::new(),
             rests: BTreeSet::new(),
             checked_from: 0,
@@ -119,8 +119,8 @@
             further: VecDeque::new(),
             thread_mb: Mean::default(),
             held_threads: 0.0,
-            held_queries: 0.0,
-            share: 1.0 / f64::from(s.gateways),
+            held_requests: 0.0,
+            share: 1.0 / f64::from(s.dispatchers),
             pressure: 0.0,
             stalled: 0,
             occupancy: 0.0,
@@ -140,18 +140,18 @@
         self.now.saturating_sub(t) as f64 / 1e6
     }
 
-    pub(crate) fn query(&mut self, id: QueryId) -> &mut Query {
-        self.queries.get_mut(&id).expect("an open query")
+    pub(crate) fn request(&mut self, id: RequestId) -> &mut Request {
+        self.requests.get_mut(&id).expect("an open query")
     }
 
     /// An answer has begun: the attempt belongs to the client.
-    pub(crate) fn streams(&mut self, id: QueryId) {
-        self.queries.get_mut(&id).into_iter().for_each(|q| q.streaming = true);
+    pub(crate) fn streams(&mut self, id: RequestId) {
+        self.requests.get_mut(&id).into_iter().for_each(|q| q.streaming = true);
     }
 
-    pub(crate) fn cancel(&mut self, id: QueryId, n: u32) {
-        self.query(id).attempts[n as usize].cancelled = true;
-        self.actions.push(Action::Cancel { query: id, attempt: n });
+    pub(crate) fn cancel(&mut self, id: RequestId, n: u32) {
+        self.request(id).attempts[n as usize].cancelled = true;
+        self.actions.push(Action::Cancel { request: id, attempt: n });
     }
 
     pub(crate) fn log(&mut self, line: String) {
--- a/src/state/query.rs
+++ b/src/state/request.rs
@@ -1,14 +1,14 @@
-//! Open queries, their attempts, and the lines of those that share a key.
+//! Open requests, their attempts, and the lines of those that share a key.
 
 use super::*;
 
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Query {
+pub(crate) struct Request {
     pub(crate) class: ClassId,
     pub(crate) key: Option<u64>,
     pub(crate) group: u64,
-    /// Engines that read its table group by preference.
-    pub(crate) homes: Vec<EngineId>,
+    /// Executors that read its table group by preference.
+    pub(crate) homes: Vec<ExecutorId>,
     pub(crate) arrived: Micros,
     pub(crate) deadline: Micros,
     pub(crate) aim: Micros,
@@ -31,18 +31,18 @@
     pub(crate) most_attempts: u32,
 }
 
-impl Query {
+impl Request {
     /// A request as it arrived, with nothing sent.
     pub(crate) fn new(
         a: &Arrival,
         now: Micros,
         cost: f64,
         aim: Micros,
-        homes: Vec<EngineId>,
+        homes: Vec<ExecutorId>,
         class: &Class,
         most_attempts: u32,
-    ) -> Query {
-        Query {
+    ) -> Request {
+        Request {
             class: a.class,
             key: a.key.filter(|_| class.keep_order),
             group: a.group,
@@ -56,7 +56,7 @@
             only_zones: class.only_zones.clone(),
             only_kinds: class.only_kinds.clone(),
             most_attempts,
-            ..Query::default()
+            ..Request::default()
         }
     }
 
@@ -78,7 +78,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Attempt {
-    pub(crate) engine: usize,
+    pub(crate) executor: usize,
     pub(crate) sent: Micros,
     pub(crate) outcome: Option<Outcome>,
     pub(crate) progress: f64,
@@ -99,23 +99,23 @@
     }
 
     /// Whether so many paces of notes, and at least so long, have brought no word of it, not even that it waits:
-    /// its engine may tell of all others and never have got this one.
+    /// its executor may tell of all others and never have got this one.
     pub(crate) fn mute(&self, now: Micros, pace: Option<Micros>, paces: f64, least: Micros) -> bool {
         pace.is_some_and(|p| now.saturating_sub(self.heard) > ((p as f64 * paces) as Micros).max(least))
     }
 
-    /// Notes how far it is; its engine, and seconds for each whole since the note before.
+    /// Notes how far it is; its executor, and seconds for each whole since the note before.
     pub(crate) fn progressed(&mut self, now: Micros, progress: f64) -> (usize, f64) {
         let span = (now - self.noted) as f64 / 1e6;
         let seconds = span / (progress - self.progress).max(0.001);
         (self.progress, self.noted) = (progress, now);
-        (self.engine, seconds)
+        (self.executor, seconds)
     }
 }
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct KeyLine {
-    pub(crate) waiting: VecDeque<QueryId>,
+    pub(crate) waiting: VecDeque<RequestId>,
     /// What all that wait were expected to take when they joined.
     pub(crate) work: Micros,
     pub(crate) rest_until: Micros,
--- a/src/state/ring.rs
+++ b/src/state/ring.rs
@@ -1,8 +1,8 @@
-//! Rings of engines: the order from which parts of a long list are taken, alike at all gateways.
+//! Rings of executors: the order from which parts of a long list are taken, alike at all dispatchers.
 
 use super::*;
 
-/// Engines in the order of points that are the same at all gateways.
+/// Executors in the order of points that are the same at all dispatchers.
 #[derive(Debug, Default)]
 pub(crate) struct Ring {
     pub(crate) places: Vec<(u64, usize)>,
@@ -25,7 +25,7 @@
         self.places.len()
     }
 
-    /// So many engines from a point on, round the ring, each with its distance from there.
+    /// So many executors from a point on, round the ring, each with its distance from there.
     pub(crate) fn window(&self, point: u64, most: usize) -> impl Iterator<Item = (u64, usize)> + '_ {
         let begin = self.places.partition_point(|(p, _)| *p < point);
         let (before, after) = self.places.split_at(begin);
@@ -33,7 +33,7 @@
     }
 }
 
-/// The listed engines that are open to the same classes.
+/// The listed executors that are open to the same classes.
 #[derive(Debug, Default)]
 pub(crate) struct PoolRings {
     /// Those at their full capacity, and those that have started lately.
@@ -43,7 +43,7 @@
     pub(crate) kinds: BTreeMap<KindId, usize>,
 }
 
-/// Which part of the engines a window is taken from.
+/// Which part of the executors a window is taken from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Part {
     /// At their full capacity.
@@ -54,9 +54,9 @@
     All,
 }
 
-/// An engine's point on the rings, the same at all gateways.
-pub(crate) fn point(engine: EngineId) -> u64 {
-    mixed(u64::from(engine))
+/// An executor's point on the rings, the same at all dispatchers.
+pub(crate) fn point(executor: ExecutorId) -> u64 {
+    mixed(u64::from(executor))
 }
 
 /// A number spread over all values of its type (the finalizer of SplitMix64).
--- a/src/state/roster.rs
+++ b/src/state/roster.rs
@@ -1,10 +1,10 @@
-//! Indexes over the table of engines, kept as the list changes: what a decision needs of the whole list without walking
+//! Indexes over the table of executors, kept as the list changes: what a decision needs of the whole list without walking
 //! it, and places from which a part of the list is taken.
 
 use super::*;
 use std::collections::BTreeSet;
 
-/// Where an engine stands in the rings.
+/// Where an executor stands in the rings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Place {
     pool: u64,
@@ -13,10 +13,10 @@
     cold_since: Option<Micros>,
 }
 
-/// The cold engines of one kind: how many, and their starts added up.
+/// The cold executors of one kind: how many, and their starts added up.
 #[derive(Debug, Default)]
 struct ColdKind {
-    engines: u64,
+    executors: u64,
     starts: u128,
 }
 
@@ -24,46 +24,46 @@
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
     pools: BTreeMap<u64, PoolRings>,
-    /// Cold engines by their start, and what they come to.
+    /// Cold executors by their start, and what they come to.
     starts: BTreeSet<(Micros, usize)>,
     cold: BTreeMap<KindId, ColdKind>,
-    /// Listed engines.
+    /// Listed executors.
     listed: usize,
-    /// Engines that anything was sent to or heard of; all others are as the list has them.
+    /// Executors that anything was sent to or heard of; all others are as the list has them.
     pub(crate) active: BTreeSet<usize>,
 }
 
 impl Roster {
-    /// An engine stands elsewhere now, or nowhere.
-    pub(crate) fn moves(&mut self, i: usize, engine: EngineId, from: Option<Place>, to: Option<Place>) {
+    /// An executor stands elsewhere now, or nowhere.
+    pub(crate) fn moves(&mut self, i: usize, executor: ExecutorId, from: Option<Place>, to: Option<Place>) {
         if let Some(place) = from {
-            self.leaves(i, engine, place);
+            self.leaves(i, executor, place);
         }
         if let Some(place) = to {
-            self.adds(i, place).insert((point(engine), i));
+            self.adds(i, place).insert((point(executor), i));
         }
         self.pools.retain(|_, p| p.warm.len() + p.cold.len() > 0);
     }
 
-    fn leaves(&mut self, i: usize, engine: EngineId, from: Place) {
+    fn leaves(&mut self, i: usize, executor: ExecutorId, from: Place) {
         let Some(pool) = self.pools.get_mut(&from.pool) else { return };
-        pool.ring(from.cold_since.is_some()).remove((point(engine), i));
+        pool.ring(from.cold_since.is_some()).remove((point(executor), i));
         *pool.kinds.entry(from.kind).or_default() -= 1;
         self.listed -= 1;
         if let Some(since) = from.cold_since {
             self.starts.remove(&(since, i));
             let cold = self.cold.entry(from.kind).or_default();
-            (cold.engines, cold.starts) = (cold.engines - 1, cold.starts - u128::from(since));
+            (cold.executors, cold.starts) = (cold.executors - 1, cold.starts - u128::from(since));
         }
     }
 
-    /// Counts an engine in; the ring that it belongs on.
+    /// Counts an executor in; the ring that it belongs on.
     fn adds(&mut self, i: usize, to: Place) -> &mut Ring {
         self.listed += 1;
         if let Some(since) = to.cold_since {
             self.starts.insert((since, i));
             let cold = self.cold.entry(to.kind).or_default();
-            (cold.engines, cold.starts) = (cold.engines + 1, cold.starts + u128::from(since));
+            (cold.executors, cold.starts) = (cold.executors + 1, cold.starts + u128::from(since));
         }
         let pool = self.pools.entry(to.pool).or_default();
         *pool.kinds.entry(to.kind).or_default() += 1;
@@ -75,22 +75,22 @@
         rings.for_each(|ring| ring.places.sort_unstable());
     }
 
-    /// Listed engines.
+    /// Listed executors.
     pub(crate) fn listed(&self) -> usize {
         self.listed
     }
 
-    /// A cold engine that started at this time or before.
+    /// A cold executor that started at this time or before.
     pub(crate) fn started_by(&self, time: Micros) -> Option<usize> {
         self.starts.first().filter(|(since, _)| *since <= time).map(|(_, i)| *i)
     }
 
-    /// Cores of all cold engines, and these cores times the seconds since each one's start.
+    /// Cores of all cold executors, and these cores times the seconds since each one's start.
     pub(crate) fn cold_cores(&self, kinds: &[Kind], now: Micros) -> (f64, f64) {
         self.cold.iter().fold((0.0, 0.0), |(all, aged), (kind, cold)| {
-            let age = (u128::from(now) * u128::from(cold.engines)).saturating_sub(cold.starts);
+            let age = (u128::from(now) * u128::from(cold.executors)).saturating_sub(cold.starts);
             let cores = kinds[*kind].cores;
-            (all + cores * cold.engines as f64, aged + cores * age as f64 / 1e6)
+            (all + cores * cold.executors as f64, aged + cores * age as f64 / 1e6)
         })
     }
 
@@ -99,24 +99,24 @@
         self.pools.iter().filter(move |(pool, _)| fits(**pool)).map(|(_, rings)| rings)
     }
 
-    /// How many engines a part of the pools that fit has.
+    /// How many executors a part of the pools that fit has.
     pub(crate) fn count(&self, part: Part, fits: impl Fn(u64) -> bool) -> usize {
         self.open(fits).flat_map(|p| p.rings(part)).map(Ring::len).sum()
     }
 
-    /// Cores of the listed engines in the pools that fit.
+    /// Cores of the listed executors in the pools that fit.
     pub(crate) fn cores(&self, kinds: &[Kind], fits: impl Fn(u64) -> bool) -> f64 {
         let of = |(kind, n): (&KindId, &usize)| *n as f64 * kinds[*kind].cores;
         self.open(fits).flat_map(|p| &p.kinds).map(of).sum()
     }
 
-    /// All engines of the pools that fit, in no order.
+    /// All executors of the pools that fit, in no order.
     pub(crate) fn all(&self, fits: impl Fn(u64) -> bool) -> Vec<usize> {
         let rings = self.open(fits).flat_map(|p| p.rings(Part::All));
         rings.flat_map(|ring| ring.places.iter().map(|(_, i)| *i)).collect()
     }
 
-    /// So many engines of a part of the pools that fit, the nearest from a point on.
+    /// So many executors of a part of the pools that fit, the nearest from a point on.
     pub(crate) fn window(
         &self,
         part: Part,
@@ -132,49 +132,49 @@
     }
 }
 
-impl Gateway {
-    fn place_of(&self, e: &Engine) -> Option<Place> {
+impl Balancer {
+    fn place_of(&self, e: &Executor) -> Option<Place> {
         let cold = e.cold_since.filter(|t| self.s.cold.fall > 0 && self.now < t + self.s.cold.ramp);
         // A start that lies ahead is one that is just now.
         let cold_since = cold.map(|t| t.min(self.now));
         e.listed().then_some(Place { pool: e.pool, kind: e.entry.kind, cold_since })
     }
 
-    /// Puts an engine where it belongs now: called wherever its entry, its presence or its start changes.
+    /// Puts an executor where it belongs now: called wherever its entry, its presence or its start changes.
     pub(crate) fn place(&mut self, i: usize) {
-        let to = self.place_of(&self.engines[i]);
-        let from = std::mem::replace(&mut self.engines[i].place, to);
+        let to = self.place_of(&self.executors[i]);
+        let from = std::mem::replace(&mut self.executors[i].place, to);
         if from != to {
-            self.roster.moves(i, self.engines[i].entry.engine, from, to);
+            self.roster.moves(i, self.executors[i].entry.executor, from, to);
         }
     }
 
-    /// Puts all engines where they belong, from nothing.
+    /// Puts all executors where they belong, from nothing.
     pub(crate) fn place_all(&mut self) {
         let active = std::mem::take(&mut self.roster).active;
         self.roster.active = active;
-        for i in 0..self.engines.len() {
-            let to = self.place_of(&self.engines[i]);
-            self.engines[i].place = to;
+        for i in 0..self.executors.len() {
+            let to = self.place_of(&self.executors[i]);
+            self.executors[i].place = to;
             if let Some(place) = to {
-                let point = point(self.engines[i].entry.engine);
+                let point = point(self.executors[i].entry.executor);
                 self.roster.adds(i, place).places.push((point, i));
             }
         }
         self.roster.sort();
     }
 
-    /// Something was sent to an engine or heard of it.
+    /// Something was sent to an executor or heard of it.
     pub(crate) fn touch(&mut self, i: usize) {
         self.roster.active.insert(i);
     }
 
-    /// Counts engines that a decision looked at.
-    pub(crate) fn look_at(&self, engines: usize) {
-        self.examined.set(self.examined.get() + engines as u64);
+    /// Counts executors that a decision looked at.
+    pub(crate) fn look_at(&self, executors: usize) {
+        self.examined.set(self.examined.get() + executors as u64);
     }
 
-    /// How many engines decisions have looked at so far: what they cost, whatever the machine.
+    /// How many executors decisions have looked at so far: what they cost, whatever the machine.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
--- a/src/state/roster/tests.rs
+++ b/src/state/roster/tests.rs
@@ -9,12 +9,12 @@
     proptest::option::of(some.prop_map(|(pool, kind, cold_since)| Place { pool, kind, cold_since }))
 }
 
-/// Engines as moves left them, by a plain table.
+/// Executors as moves left them, by a plain table.
 fn played(moves: &[(usize, Option<Place>)]) -> (Roster, BTreeMap<usize, Place>) {
     let (mut roster, mut table) = (Roster::default(), BTreeMap::new());
     for (i, to) in moves {
         let from = table.remove(i);
-        roster.moves(*i, *i as EngineId, from, *to);
+        roster.moves(*i, *i as ExecutorId, from, *to);
         to.map(|place| table.insert(*i, place));
     }
     (roster, table)
@@ -53,7 +53,7 @@
     ) {
         let (roster, table) = played(&moves);
         let mut near: Vec<(u64, usize)> =
-            table.keys().map(|i| (point(*i as EngineId).wrapping_sub(from), *i)).collect();
+            table.keys().map(|i| (point(*i as ExecutorId).wrapping_sub(from), *i)).collect();
         near.sort_unstable();
         near.truncate(most);
         let near: Vec<usize> = near.into_iter().map(|(_, i)| i).collect();
--- a/src/storm/budget.rs
+++ b/src/storm/budget.rs
@@ -15,7 +15,7 @@
     pub(super) fn refill(&mut self, now: Micros) {
         let span = now.saturating_sub(std::mem::replace(&mut self.tokens_at, now)) as f64 / 1e6;
         let rate = self.room(now);
-        // A trickle goes on whatever is known, or it would never be known that motores are back.
+        // A trickle goes on whatever is known, or it would never be known that executors are back.
         let rate = rate.max(2.0);
         self.tokens = (self.tokens + span.min(BURST_S) * rate).min((rate * BURST_S).max(1.0));
     }
--- a/src/storm/mod.rs
+++ b/src/storm/mod.rs
@@ -36,7 +36,7 @@
     pub repeats: f64,
     /// Asks remembered after they were turned away.
     pub remembered: usize,
-    /// How long a motor that was gone takes to be warm.
+    /// How long an executor that was gone takes to be warm.
     pub ramp: Micros,
 }
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_query_is_sent_and_answered_and_the_end_of_input_is_a_clean_exit() {
+fn a_request_is_sent_and_answered_and_the_end_of_input_is_a_clean_exit() {
     let mut lines = opening();
     lines.extend([
         r#"{"ROUND":{"moment":8.1}}"#.into(),
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -3,19 +3,19 @@
 use crate::plan::Plan;
 use crate::seen::Seen;
 use crate::world::{START, Standing, World};
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::*;
 
 struct Life {
     world: World,
-    gateway: Gateway,
+    dispatcher: Balancer,
     timers: Vec<(u64, u64)>,
 }
 
 impl Life {
     fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.gateway.handle(self.world.now, event, &mut actions);
+        self.dispatcher.handle(self.world.now, event, &mut actions);
         for a in actions {
             self.act(a);
         }
@@ -25,27 +25,27 @@
         let now = self.world.now;
         match action {
             Action::Wake { token, after } => self.timers.push((now + after.max(1), token)),
-            Action::Send { query, engine, .. } => {
-                self.world.send(query, engine);
+            Action::Send { request, executor, .. } => {
+                self.world.send(request, executor);
             }
-            Action::Cancel { query, attempt } => {
+            Action::Cancel { request, attempt } => {
                 let n = attempt as usize;
-                self.world.referee.cancel(now, query, n);
+                self.world.referee.cancel(now, request, n);
                 let soon = now + 1 + self.world.below(5_000);
                 // What is on its way already comes first.
-                if let Some(fate) = self.world.fates.get_mut(&(query, n))
+                if let Some(fate) = self.world.fates.get_mut(&(request, n))
                     && fate.is_none_or(|(t, _)| t > soon)
                 {
                     *fate = Some((soon, Outcome::Cancelled));
                 }
             }
-            Action::Refuse { query, retry_after, .. } => {
+            Action::Refuse { request, retry_after, .. } => {
                 let told = self.world.referee.plan.retry_after == Some(true);
                 assert!(told || retry_after.is_none(), "advice that nobody hears");
-                self.world.referee.refuse(now, query);
+                self.world.referee.refuse(now, request);
             }
-            Action::Fail { query, .. } => self.world.referee.fail(now, query),
-            Action::Probe { engine } => self.world.probe(engine),
+            Action::Fail { request, .. } => self.world.referee.fail(now, request),
+            Action::Probe { executor } => self.world.probe(executor),
             Action::Terms { priority, memory_mb, .. } => {
                 assert!(priority <= 3 && memory_mb.is_finite() && memory_mb >= 0.0);
             }
@@ -55,15 +55,15 @@
         }
     }
 
-    fn entry(&self, engine: u32, standing: Standing, started: Option<u64>) -> Entry {
-        let p = self.world.referee.places[&engine];
+    fn entry(&self, executor: u32, standing: Standing, started: Option<u64>) -> Entry {
+        let p = self.world.referee.places[&executor];
         let readiness = match standing {
             Standing::Up => Readiness::Active,
             Standing::Draining => Readiness::Leaving,
             Standing::Gone => Readiness::Left,
         };
         let (zone, kind, cell) = (p.zone, p.kind, p.cell);
-        Entry { engine, zone, kind, cell, readiness, rating: 1.0, started, weight: None }
+        Entry { executor, zone, kind, cell, readiness, rating: 1.0, started, weight: None }
     }
 
     fn report(&mut self) -> Option<Report> {
@@ -81,35 +81,35 @@
         let due: Vec<u64> = self.timers.iter().filter(|(t, _)| *t <= now).map(|(_, n)| *n).collect();
         self.timers.retain(|(t, _)| *t > now);
         due.into_iter().for_each(|token| self.event(Event::Timer { token }));
-        for engine in self.world.echoes() {
-            let outcome = if self.world.broken(engine) { Outcome::Timeout } else { Outcome::Ok };
+        for executor in self.world.echoes() {
+            let outcome = if self.world.broken(executor) { Outcome::Timeout } else { Outcome::Ok };
             let report = self.report().filter(|_| outcome == Outcome::Ok);
-            self.event(Event::Probed { engine, outcome, latency: 2_000, report });
+            self.event(Event::Probed { executor, outcome, latency: 2_000, report });
         }
-        for (query, n, outcome) in self.world.ends() {
-            if !self.world.referee.end(now, query, n, outcome) {
+        for (request, n, outcome) in self.world.ends() {
+            if !self.world.referee.end(now, request, n, outcome) {
                 continue;
             }
-            if outcome == Outcome::Ok && !self.world.referee.open[&query].over {
-                self.world.referee.serve(now, query);
+            if outcome == Outcome::Ok && !self.world.referee.open[&request].over {
+                self.world.referee.serve(now, request);
             }
-            let o = &self.world.referee.open[&query];
+            let o = &self.world.referee.open[&request];
             let (done, a, attempt) = (o.over, o.attempts[n].clone(), n as u32);
             let inline = self.world.referee.plan.reports == 0;
             let report = self.report().filter(|_| inline);
-            let (engine, latency) = (a.engine, now - a.sent);
-            let bill = (outcome == Outcome::Ok && query % 2 == 0)
+            let (executor, latency) = (a.executor, now - a.sent);
+            let bill = (outcome == Outcome::Ok && request % 2 == 0)
                 .then_some(Bill { work_s: latency as f64 / 1e6, memory_mb: 120.0 });
-            let finished = Finished { query, attempt, engine, done, outcome, latency, bill, report };
+            let finished = Finished { request, attempt, executor, done, outcome, latency, bill, report };
             self.event(Event::Finished(finished));
         }
         self.word();
         if let Some(id) = self.world.leaver() {
-            self.event(Event::HungUp { query: id });
+            self.event(Event::HungUp { request: id });
         }
         if let Some(c) = self.world.change() {
             let started = (c.standing == Standing::Up).then_some(now);
-            let changed = self.entry(c.engine, c.standing, started);
+            let changed = self.entry(c.executor, c.standing, started);
             let (kind, entries) = if self.world.below(4) > 0 {
                 (ListKind::Update, vec![changed])
             } else {
@@ -124,7 +124,7 @@
         }
         if let Some(r) = more.then(|| self.world.request()).flatten() {
             self.event(Event::Arrival(Arrival {
-                query: r.id,
+                request: r.id,
                 class: r.class,
                 tenant: r.tenant,
                 key: r.key,
@@ -144,21 +144,21 @@
             return;
         }
         let n = self.world.below(self.world.fates.len() as u64) as usize;
-        let (query, n) = *self.world.fates.keys().nth(n).unwrap();
-        let engine = self.world.referee.open[&query].attempts[n].engine;
+        let (request, n) = *self.world.fates.keys().nth(n).unwrap();
+        let executor = self.world.referee.open[&request].attempts[n].executor;
         let note = match self.world.below(6) {
             0..4 => Note::Progress(self.world.below(100) as f64 / 100.0),
             4 => Note::Spill(64.0),
             _ => Note::Waits,
         };
-        self.event(Event::Noted { query, attempt: n as u32, engine, note });
+        self.event(Event::Noted { request, attempt: n as u32, executor, note });
     }
 }
 
 pub fn life(plan: Plan, steps: u32) -> Seen {
     let (settings, _) = plan.settings();
-    let gateway = Gateway::new(settings, plan.seed).unwrap();
-    let mut life = Life { world: World::new(plan), gateway, timers: vec![] };
+    let dispatcher = Balancer::new(settings, plan.seed).unwrap();
+    let mut life = Life { world: World::new(plan), dispatcher, timers: vec![] };
     assert_eq!(life.world.now, START);
     let entries = life.world.standing.iter().map(|(e, s)| life.entry(*e, *s, None)).collect();
     life.event(Event::List { kind: ListKind::Restored, entries });
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -144,7 +144,7 @@
         if let Some(c) = self.world.change() {
             let started = (c.standing == Stand::Up).then_some(now);
             let (news, members) = if self.world.below(4) > 0 {
-                (News::Changes, vec![self.member(c.engine, c.standing, started)])
+                (News::Changes, vec![self.member(c.executor, c.standing, started)])
             } else {
                 let listed = self.world.standing.iter().filter(|(_, s)| **s != Stand::Gone);
                 (News::Whole, listed.map(|(e, s)| self.member(*e, *s, started)).collect())
--- a/tests/any_settings/plan.rs
+++ b/tests/any_settings/plan.rs
@@ -47,7 +47,7 @@
     pub zones: usize,
     pub kinds: usize,
     pub tenants: usize,
-    pub gateways: u32,
+    pub dispatchers: u32,
     pub cancel: Option<bool>,
     pub copies: Option<bool>,
     pub probes: Option<bool>,
@@ -134,7 +134,7 @@
         let rest = (0u8..=3, price, notes, any::<bool>(), "[a-zñéж][a-z0-9_ .-]{0,8}", any::<u64>());
         let classes = prop::collection::vec(class(zones, kinds, scale), count);
         (classes, places, allowed, rules, rest).prop_map(|(classes, places, allowed, rules, rest)| {
-            let ((zones, kinds), tenants, gateways) = places;
+            let ((zones, kinds), tenants, dispatchers) = places;
             let (cancel, copies, probes, retry_after, max_attempts) = allowed;
             let (budget, drain, key_quiet, slack) = rules;
             let (reports, price, notes, domain, word, seed) = rest;
@@ -143,7 +143,7 @@
                 zones,
                 kinds,
                 tenants,
-                gateways,
+                dispatchers,
                 cancel,
                 copies,
                 probes,
--- a/tests/any_settings/referee.rs
+++ b/tests/any_settings/referee.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    pub engine: u32,
+    pub executor: u32,
     pub sent: u64,
     pub outcome: Option<Outcome>,
 }
@@ -61,17 +61,17 @@
         assert!(self.open.insert(id, open).is_none());
     }
 
-    pub fn send(&mut self, now: u64, id: u64, engine: u32) {
+    pub fn send(&mut self, now: u64, id: u64, executor: u32) {
         let (p, seen) = (&self.plan, &mut self.seen);
         let o = &self.open[&id];
-        let (c, place) = (&p.classes[o.class], self.places[&engine]);
+        let (c, place) = (&p.classes[o.class], self.places[&executor]);
         assert!(!o.over && now < o.deadline, "sent after its end or deadline");
         assert!(o.attempts.len() < p.max_attempts as usize, "too many attempts");
         assert!(c.zones.as_ref().is_none_or(|z| z.contains(&place.zone)), "wrong zone");
         assert!(c.kinds.as_ref().is_none_or(|k| k.contains(&place.kind)), "wrong kind");
         seen.bound += u32::from(c.zones.is_some() || c.kinds.is_some());
         let grace_over = |t: &u64| now > *t + p.drain;
-        assert!(!self.told.get(&engine).is_some_and(grace_over), "sent to what drains or is gone");
+        assert!(!self.told.get(&executor).is_some_and(grace_over), "sent to what drains or is gone");
         seen.drained += u32::from(!self.told.is_empty());
         let out = o.attempts.iter().any(|a| a.outcome.is_none());
         assert!(!out || p.copies == Some(true), "two attempts out at once");
@@ -86,7 +86,7 @@
             }
             Effect::Keyed(reach) => {
                 for a in &ran {
-                    let there = self.places[&a.engine];
+                    let there = self.places[&a.executor];
                     let same = match reach {
                         Reach::All => true,
                         Reach::Zone => there.zone == place.zone,
@@ -121,7 +121,7 @@
             assert!(n <= most + 1e-9, "retry budget: {n} of {most}");
             seen.budget_full += u32::from(n + 1.0 > most);
         }
-        self.open.get_mut(&id).unwrap().attempts.push(Attempt { engine, sent: now, outcome: None });
+        self.open.get_mut(&id).unwrap().attempts.push(Attempt { executor, sent: now, outcome: None });
     }
 
     /// An attempt is over; served ones finish their request. False if it was over before.
--- a/tests/any_settings/text.rs
+++ b/tests/any_settings/text.rs
@@ -121,7 +121,7 @@
             ("kinds", list(self.kinds, &|i| self.kind_name(i))),
             ("parties", text((0..self.tenants).map(tenant).collect::<Vec<_>>())),
             ("discovery", text(["push", "ask"].get((self.seed % 3) as usize))),
-            ("balancers", text(self.gateways)),
+            ("balancers", text(self.dispatchers)),
             ("costs", text(costs)),
             ("domain", self.domain()),
             ("permissions", permissions),
--- a/tests/any_settings/world.rs
+++ b/tests/any_settings/world.rs
@@ -26,7 +26,7 @@
 
 /// A change of the list.
 pub struct Change {
-    pub engine: u32,
+    pub executor: u32,
     pub standing: Standing,
 }
 
@@ -87,12 +87,12 @@
     }
 
     /// An attempt went out: what becomes of it.
-    pub fn send(&mut self, id: u64, engine: u32) -> usize {
-        self.referee.send(self.now, id, engine);
+    pub fn send(&mut self, id: u64, executor: u32) -> usize {
+        self.referee.send(self.now, id, executor);
         let o = &self.referee.open[&id];
         let (n, class) = (o.attempts.len() - 1, o.class);
         let promise = self.referee.plan.classes[class].promise;
-        let broken = self.broken >> (engine % 64) & 1 == 1;
+        let broken = self.broken >> (executor % 64) & 1 == 1;
         let roll = if broken { 50 + self.below(50) } else { self.below(100) };
         let quick = self.now + 1 + self.below(promise / 20 + 1);
         let usual = self.now + 1 + self.below(2 * promise);
@@ -151,19 +151,19 @@
             return None;
         }
         let n = self.below(u64::from(EXECUTORS)) as usize;
-        let (&engine, &was) = self.standing.iter().nth(n)?;
+        let (&executor, &was) = self.standing.iter().nth(n)?;
         let standing = match (was, self.below(2)) {
             (Standing::Up, 0) => Standing::Draining,
             (Standing::Up, _) | (Standing::Draining, 0) => Standing::Gone,
             _ => Standing::Up,
         };
-        self.standing.insert(engine, standing);
+        self.standing.insert(executor, standing);
         if standing == Standing::Up {
-            self.referee.told.remove(&engine);
+            self.referee.told.remove(&executor);
         } else {
-            self.referee.told.entry(engine).or_insert(self.now);
+            self.referee.told.entry(executor).or_insert(self.now);
         }
-        Some(Change { engine, standing })
+        Some(Change { executor, standing })
     }
 
     /// A client that leaves now and then, while it waits.
@@ -184,14 +184,14 @@
         due
     }
 
-    pub fn probe(&mut self, engine: u32) {
+    pub fn probe(&mut self, executor: u32) {
         self.referee.probe();
         let due = self.now + 1_000 + self.below(30_000);
-        self.probes.push((due, engine));
+        self.probes.push((due, executor));
     }
 
-    pub fn broken(&self, engine: u32) -> bool {
-        self.broken >> (engine % 64) & 1 == 1
+    pub fn broken(&self, executor: u32) -> bool {
+        self.broken >> (executor % 64) & 1 == 1
     }
 
     pub fn owed(&self) -> bool {
--- a/tests/clients/crowds.rs
+++ b/tests/clients/crowds.rs
@@ -29,7 +29,7 @@
         assert_eq!(line, "follow 1\n");
         let list = [target("e0", old.address, "draining"), target("e1", executor.address, "up")];
         writeln!(feed, "{}", event(2, false, &list)).unwrap();
-        d.logs("motor listed anew");
+        d.logs("executor listed anew");
         let mut client = Client::asks(d.address, &request("read", "d1"));
         let mut peer = executor.accept();
         let pull = peer.command().unwrap();
--- a/tests/clients/standstill.rs
+++ b/tests/clients/standstill.rs
@@ -109,7 +109,7 @@
     let (mut feed, _) = coordinator.accept();
     let list = [target("e0", old.address, "draining"), target("e1", executor.address, "up")];
     writeln!(feed, "{}", event(2, false, &list)).unwrap();
-    d.logs("motor listed anew");
+    d.logs("executor listed anew");
     let mut first = Client::asks(d.address, &request("read", "b9"));
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
@@ -117,7 +117,7 @@
     assert_eq!(first.got(), row());
     let list = [target("e0", old.address, "removed"), target("e2", other.address, "up")];
     writeln!(feed, "{}", event(3, false, &list)).unwrap();
-    d.logs("motor listed anew");
+    d.logs("executor listed anew");
     let mut clients: Vec<Client> = (0..8).map(|_| rests(&d)).collect();
     let drains = event(4, false, &[target("e1", executor.address, "draining")]);
     while_still(&d, || {
--- a/tests/cold_sum/count.rs
+++ b/tests/cold_sum/count.rs
@@ -8,7 +8,7 @@
 pub struct Sent {
     /// Since the executor's start.
     pub at: Micros,
-    pub engine: EngineId,
+    pub executor: ExecutorId,
     /// Thread-seconds.
     pub work: f64,
     /// By a dispatcher that had been told of the start.
@@ -21,7 +21,7 @@
     pub cold: ColdRule,
     pub cores: f64,
     pub mean_work: f64,
-    pub cold_engines: u32,
+    pub cold_executors: u32,
 }
 
 impl Rule {
@@ -65,8 +65,8 @@
     /// Counts a play of so long in: windows end within it.
     pub fn add(&mut self, rule: &Rule, played: Micros, sent: &[Sent]) {
         let last = played - rule.cold.fall;
-        for engine in 1..=rule.cold_engines {
-            let mut here: Vec<Sent> = sent.iter().filter(|s| s.engine == engine).copied().collect();
+        for executor in 1..=rule.cold_executors {
+            let mut here: Vec<Sent> = sent.iter().filter(|s| s.executor == executor).copied().collect();
             here.sort_by_key(|s| s.at);
             let begin = |from: Micros| here.partition_point(|s| s.at < from);
             let within = |from: Micros| &here[begin(from)..begin(from + rule.cold.fall)];
--- a/tests/cold_sum/main.rs
+++ b/tests/cold_sum/main.rs
@@ -80,8 +80,8 @@
 #[test]
 fn three_hundred_with_a_long_list() {
     let scene = Scene::busy(300);
-    let rule = count::Rule { cold_engines: 200, ..scene.rule };
-    let long = Scene { rule, warm_engines: 200, played: 4_500 * MS, rate: 50.0, ..scene };
+    let rule = count::Rule { cold_executors: 200, ..scene.rule };
+    let long = Scene { rule, warm_executors: 200, played: 4_500 * MS, rate: 50.0, ..scene };
     holds("long list", &long, 1, 0.05);
 }
 
--- a/tests/cold_sum/module.rs
+++ b/tests/cold_sum/module.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use crate::count::Sent;
 use crate::scene::{BEFORE, Scene};
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -19,37 +19,37 @@
     Told,
     Restart,
     Timer(u64),
-    Probed(EngineId),
-    Over(QueryId, u32, Outcome),
+    Probed(ExecutorId),
+    Over(RequestId, u32, Outcome),
 }
 
 /// A request that is open: its work, its class, and where its attempts went.
 struct Open {
     work: f64,
     class: ClassId,
-    attempts: Vec<(EngineId, Micros, bool)>,
+    attempts: Vec<(ExecutorId, Micros, bool)>,
 }
 
 struct Module<'a> {
     scene: &'a Scene,
-    gateway: Gateway,
+    dispatcher: Balancer,
     rng: Pcg64Mcg,
     now: Micros,
     rate: f64,
     told: bool,
     next: BTreeMap<(Micros, u64), Next>,
     planned: u64,
-    open: BTreeMap<QueryId, Open>,
+    open: BTreeMap<RequestId, Open>,
     sent: Vec<Sent>,
 }
 
 /// What one dispatcher sends to cold executors within the ramp.
 pub fn play(scene: &Scene, seed: u64) -> Vec<Sent> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xC01D);
-    let gateway = Gateway::new(scene.settings(), rng.next_u64()).expect("good settings");
+    let dispatcher = Balancer::new(scene.settings(), rng.next_u64()).expect("good settings");
     let mut m = Module {
         scene,
-        gateway,
+        dispatcher,
         rng,
         now: BEGIN,
         rate: 0.0,
@@ -98,8 +98,8 @@
     /// Tells the whole list, or of those that started anew.
     fn list(&mut self, kind: ListKind) {
         let (rule, told) = (self.scene.rule, self.told);
-        let cold = |e: EngineId| e <= rule.cold_engines;
-        let all = (1..=rule.cold_engines + self.scene.warm_engines)
+        let cold = |e: ExecutorId| e <= rule.cold_executors;
+        let all = (1..=rule.cold_executors + self.scene.warm_executors)
             .filter(|e| cold(*e) || kind != ListKind::Update)
             .map(|e| Entry { started: (told && cold(e)).then_some(START), ..entry(e) });
         self.handle(Event::List { kind, entries: all.collect() });
@@ -114,20 +114,20 @@
             Next::Restart => {
                 // Another process in its place: nothing of it is known, and what it had out is its clients' loss.
                 let seed = self.rng.next_u64();
-                self.gateway = Gateway::new(self.scene.settings(), seed).expect("good settings");
+                self.dispatcher = Balancer::new(self.scene.settings(), seed).expect("good settings");
                 self.next.retain(|_, n| matches!(n, Next::Arrival));
                 self.open.clear();
                 self.list(ListKind::Restored);
             }
             Next::Timer(token) => self.handle(Event::Timer { token }),
             Next::Arrival => self.arrive(),
-            Next::Probed(engine) => {
+            Next::Probed(executor) => {
                 // Cold executors look idle, warm ones well used.
-                let inflight = Some(if engine <= self.scene.rule.cold_engines { 0.0 } else { 8.0 });
+                let inflight = Some(if executor <= self.scene.rule.cold_executors { 0.0 } else { 8.0 });
                 let report = Some(Report { inflight, ..Report::default() });
-                self.handle(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+                self.handle(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
             }
-            Next::Over(query, attempt, outcome) => self.over(query, attempt, outcome),
+            Next::Over(request, attempt, outcome) => self.over(request, attempt, outcome),
         }
     }
 
@@ -137,37 +137,37 @@
         let class = usize::from(self.chance() < self.scene.dear);
         let work = self.scene.work[class] * (0.5 + self.chance());
         let estimate = work * (0.7 + 0.6 * self.chance());
-        let (query, group) = (self.planned, self.rng.next_u64() % 20);
-        self.open.insert(query, Open { work, class, attempts: vec![] });
-        self.handle(Event::Arrival(Arrival { group, ..arrival(query, class, estimate) }));
+        let (request, group) = (self.planned, self.rng.next_u64() % 20);
+        self.open.insert(request, Open { work, class, attempts: vec![] });
+        self.handle(Event::Arrival(Arrival { group, ..arrival(request, class, estimate) }));
     }
 
     /// An attempt is over, unless it was so before.
-    fn over(&mut self, query: QueryId, attempt: u32, outcome: Outcome) {
-        let Some(o) = self.open.get_mut(&query) else { return };
-        let (engine, at, out) = &mut o.attempts[attempt as usize];
+    fn over(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
+        let Some(o) = self.open.get_mut(&request) else { return };
+        let (executor, at, out) = &mut o.attempts[attempt as usize];
         if !std::mem::replace(out, false) {
             return;
         }
         let done = outcome == Outcome::Ok;
         let bill = done.then_some(Bill { work_s: o.work, memory_mb: 100.0 });
-        let (engine, latency) = (*engine, self.now - *at);
-        let event = Finished { query, attempt, engine, done, outcome, latency, bill, report: None };
+        let (executor, latency) = (*executor, self.now - *at);
+        let event = Finished { request, attempt, executor, done, outcome, latency, bill, report: None };
         self.handle(Event::Finished(event));
     }
 
     fn handle(&mut self, event: Event) {
         let mut actions = vec![];
-        self.gateway.handle(self.now, event, &mut actions);
+        self.dispatcher.handle(self.now, event, &mut actions);
         for a in actions {
             match a {
-                Action::Send { query, engine, .. } => self.send(query, engine),
-                Action::Probe { engine } => {
-                    self.reach(engine, self.scene.rule.mean_work);
-                    self.plan(MS, Next::Probed(engine));
+                Action::Send { request, executor, .. } => self.send(request, executor),
+                Action::Probe { executor } => {
+                    self.reach(executor, self.scene.rule.mean_work);
+                    self.plan(MS, Next::Probed(executor));
                 }
-                Action::Cancel { query, attempt } => {
-                    self.plan(MS, Next::Over(query, attempt, Outcome::Cancelled));
+                Action::Cancel { request, attempt } => {
+                    self.plan(MS, Next::Over(request, attempt, Outcome::Cancelled));
                 }
                 Action::Wake { token, after } => self.plan(after, Next::Timer(token)),
                 _ => {}
@@ -175,21 +175,21 @@
         }
     }
 
-    fn send(&mut self, query: QueryId, engine: EngineId) {
+    fn send(&mut self, request: RequestId, executor: ExecutorId) {
         let fails = self.chance() < self.scene.failing;
-        let o = self.open.get_mut(&query).expect("an open request");
+        let o = self.open.get_mut(&request).expect("an open request");
         let (n, work, class) = (o.attempts.len() as u32, o.work, o.class);
-        o.attempts.push((engine, self.now, true));
+        o.attempts.push((executor, self.now, true));
         let takes = (work / f64::from(class as u32 + 1) * 1e6) as Micros;
         let (after, outcome) = if fails { (5 * MS, Outcome::Error) } else { (takes, Outcome::Ok) };
-        self.plan(after, Next::Over(query, n, outcome));
-        self.reach(engine, work);
+        self.plan(after, Next::Over(request, n, outcome));
+        self.reach(executor, work);
     }
 
     /// Counts what reaches a cold executor; a probe as a request of mean work.
-    fn reach(&mut self, engine: EngineId, work: f64) {
-        if engine <= self.scene.rule.cold_engines && self.now >= START {
-            self.sent.push(Sent { at: self.now - START, engine, work, told: self.told });
+    fn reach(&mut self, executor: ExecutorId, work: f64) {
+        if executor <= self.scene.rule.cold_executors && self.now >= START {
+            self.sent.push(Sent { at: self.now - START, executor, work, told: self.told });
         }
     }
 }
--- a/tests/cold_sum/scene.rs
+++ b/tests/cold_sum/scene.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Scene {
     pub dispatchers: u32,
-    pub warm_engines: u32,
+    pub warm_executors: u32,
     pub rule: Rule,
     /// The part of the ramp that is played.
     pub played: Micros,
@@ -36,8 +36,13 @@
         let cold = settings().cold;
         Scene {
             dispatchers,
-            warm_engines: 4,
-            rule: Rule { cold, cores: 8.0, mean_work: work[0] + dear * (work[1] - work[0]), cold_engines: 2 },
+            warm_executors: 4,
+            rule: Rule {
+                cold,
+                cores: 8.0,
+                mean_work: work[0] + dear * (work[1] - work[0]),
+                cold_executors: 2,
+            },
             played: cold.ramp,
             rate: 10.0 + 300.0 / f64::from(dispatchers),
             dear,
@@ -66,7 +71,7 @@
 
     pub fn settings(&self) -> Settings {
         let mut s = settings();
-        (s.gateways, s.cold, s.reports, s.probe_price) =
+        (s.dispatchers, s.cold, s.reports, s.probe_price) =
             (self.dispatchers, self.rule.cold, Reports::OnProbe, 0.01);
         s.kinds[0].cores = self.rule.cores;
         s
--- a/tests/cold_sum/settings_drawn.rs
+++ b/tests/cold_sum/settings_drawn.rs
@@ -16,7 +16,7 @@
             |(
                 (from, ramp, multiple, fall),
                 (dear, cheap, times),
-                (dispatchers, cold_engines, warm, rate),
+                (dispatchers, cold_executors, warm, rate),
                 cores,
                 quiet,
             )| {
@@ -24,10 +24,10 @@
                 let work = [cheap, cheap * times];
                 let mean_work = work[0] + dear * (work[1] - work[0]);
                 Scene {
-                    rule: Rule { cold, cores, mean_work, cold_engines },
+                    rule: Rule { cold, cores, mean_work, cold_executors },
                     quiet,
                     played: (quiet + 3) * cold.fall,
-                    warm_engines: warm,
+                    warm_executors: warm,
                     rate,
                     dear,
                     work,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings and a small driver for the module tests. It plays no servers: tests say what happens.
 #![allow(dead_code)]
 
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::*;
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
 /// Two classes (light, heavy), two zones, one kind of 8 cores, reports in answers.
 pub fn settings() -> Settings {
     Settings {
-        gateways: 2,
+        dispatchers: 2,
         classes: vec![class(S, 1.0, 1), class(3 * S, 6.0, 2)],
         kinds: vec![Kind { cores: 8.0, memory_mb: 16_384.0 }, Kind { cores: 12.0, memory_mb: 24_576.0 }],
         tenants: vec![],
@@ -61,13 +61,13 @@
     }
 }
 
-pub fn entry(engine: EngineId) -> Entry {
-    Entry { engine, cell: u64::from(engine % 2), rating: 1.0, ..Entry::default() }
+pub fn entry(executor: ExecutorId) -> Entry {
+    Entry { executor, cell: u64::from(executor % 2), rating: 1.0, ..Entry::default() }
 }
 
-pub fn arrival(query: QueryId, class: ClassId, estimate: f64) -> Arrival {
+pub fn arrival(request: RequestId, class: ClassId, estimate: f64) -> Arrival {
     Arrival {
-        query,
+        request,
         class,
         tenant: None,
         key: None,
@@ -80,31 +80,31 @@
     }
 }
 
-/// A gateway with a clock, its timers and all that it did.
+/// A dispatcher with a clock, its timers and all that it did.
 pub struct Rig {
-    pub gateway: Gateway,
+    pub dispatcher: Balancer,
     pub now: Micros,
     pub timers: Vec<(Micros, u64)>,
     pub log: Vec<(Micros, Action)>,
-    /// What each engine reported last; probes before a draw are answered with it at once.
-    pub reports: BTreeMap<EngineId, Report>,
-    next: QueryId,
+    /// What each executor reported last; probes before a draw are answered with it at once.
+    pub reports: BTreeMap<ExecutorId, Report>,
+    next: RequestId,
 }
 
 impl Rig {
-    pub fn new(settings: Settings, engines: u32) -> Rig {
-        Rig::seeded(settings, engines, 7)
+    pub fn new(settings: Settings, executors: u32) -> Rig {
+        Rig::seeded(settings, executors, 7)
     }
 
-    pub fn seeded(settings: Settings, engines: u32, seed: u64) -> Rig {
-        Rig::knowing(settings, seed, (1..=engines).map(entry).collect())
+    pub fn seeded(settings: Settings, executors: u32, seed: u64) -> Rig {
+        Rig::knowing(settings, seed, (1..=executors).map(entry).collect())
     }
 
-    /// A gateway that knows these engines from its start.
+    /// A dispatcher that knows these executors from its start.
     pub fn knowing(settings: Settings, seed: u64, entries: Vec<Entry>) -> Rig {
-        let gateway = Gateway::new(settings, seed).expect("good settings");
+        let dispatcher = Balancer::new(settings, seed).expect("good settings");
         let now = START;
-        let mut rig = Rig { gateway, now, timers: vec![], log: vec![], reports: BTreeMap::new(), next: 1 };
+        let mut rig = Rig { dispatcher, now, timers: vec![], log: vec![], reports: BTreeMap::new(), next: 1 };
         rig.event(Event::List { kind: ListKind::Restored, entries });
         rig
     }
@@ -112,12 +112,12 @@
     /// Hands over an event; the actions go to the log and are returned.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        if let Event::Probed { engine, report: Some(r), .. }
-        | Event::Finished(Finished { engine, report: Some(r), .. }) = &event
+        if let Event::Probed { executor, report: Some(r), .. }
+        | Event::Finished(Finished { executor, report: Some(r), .. }) = &event
         {
-            self.reports.insert(*engine, *r);
+            self.reports.insert(*executor, *r);
         }
-        self.gateway.handle(self.now, event, &mut out);
+        self.dispatcher.handle(self.now, event, &mut out);
         for a in &out {
             if let Action::Wake { token, after } = a {
                 self.timers.push((self.now + after, *token));
@@ -142,50 +142,50 @@
         out
     }
 
-    pub fn arrive(&mut self, class: ClassId, estimate: f64) -> (QueryId, Vec<Action>) {
+    pub fn arrive(&mut self, class: ClassId, estimate: f64) -> (RequestId, Vec<Action>) {
         let a = arrival(self.next, class, estimate);
         self.arrive_as(a)
     }
 
-    pub fn arrive_as(&mut self, mut a: Arrival) -> (QueryId, Vec<Action>) {
-        a.query = self.next;
+    pub fn arrive_as(&mut self, mut a: Arrival) -> (RequestId, Vec<Action>) {
+        a.request = self.next;
         self.next += 1;
-        let query = a.query;
+        let request = a.request;
         let mut actions = self.event(Event::Arrival(a));
-        let probed = |a: &Action| if let Action::Probe { engine } = a { Some(*engine) } else { None };
-        for engine in Vec::from_iter(actions.iter().filter_map(probed)) {
+        let probed = |a: &Action| if let Action::Probe { executor } = a { Some(*executor) } else { None };
+        for executor in Vec::from_iter(actions.iter().filter_map(probed)) {
             let idle = Report { inflight: Some(0.0), ..Report::default() };
-            let report = Some(self.reports.get(&engine).copied().unwrap_or(idle));
-            actions.extend(self.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report }));
+            let report = Some(self.reports.get(&executor).copied().unwrap_or(idle));
+            actions.extend(self.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report }));
         }
-        (query, actions)
+        (request, actions)
     }
 
     pub fn finish(
         &mut self,
-        query: QueryId,
+        request: RequestId,
         attempt: u32,
-        engine: EngineId,
+        executor: ExecutorId,
         outcome: Outcome,
         cost: f64,
     ) -> Vec<Action> {
-        self.finish_with(query, attempt, engine, outcome, cost, None)
+        self.finish_with(request, attempt, executor, outcome, cost, None)
     }
 
     pub fn finish_with(
         &mut self,
-        query: QueryId,
+        request: RequestId,
         attempt: u32,
-        engine: EngineId,
+        executor: ExecutorId,
         outcome: Outcome,
         cost: f64,
         report: Option<Report>,
     ) -> Vec<Action> {
         let ok = outcome == Outcome::Ok;
         self.event(Event::Finished(Finished {
-            query,
+            request,
             attempt,
-            engine,
+            executor,
             done: ok,
             outcome,
             latency: (cost * 1e6) as Micros,
@@ -194,7 +194,7 @@
         }))
     }
 
-    /// Serves `n` queries one after the other, so that the class is learned.
+    /// Serves `n` requests one after the other, so that the class is learned.
     pub fn teach(&mut self, class: ClassId, n: usize, cost: f64) {
         for _ in 0..n {
             let (q, actions) = self.arrive(class, cost);
@@ -206,9 +206,9 @@
     }
 }
 
-pub fn sent_to(actions: &[Action]) -> Option<EngineId> {
+pub fn sent_to(actions: &[Action]) -> Option<ExecutorId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { engine, .. } => Some(*engine),
+        Action::Send { executor, .. } => Some(*executor),
         _ => None,
     })
 }
--- a/tests/control/admission.rs
+++ b/tests/control/admission.rs
@@ -5,7 +5,7 @@
 use ottercroft::api::*;
 
 #[test]
-fn an_expensive_query_is_refused_at_once_under_pressure_and_a_light_one_passes() {
+fn an_expensive_request_is_refused_at_once_under_pressure_and_a_light_one_passes() {
     let mut rig = Rig::new(settings(), 2);
     under_pressure(&mut rig);
     let (_, actions) = rig.arrive(1, 30.0);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn without_pressure_expensive_queries_pass() {
+fn without_pressure_expensive_requests_pass() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(1, 30, 2.0);
     rig.pass(S);
@@ -44,7 +44,7 @@
         if let Some(e) = sent_to(&actions) {
             rig.finish(q, 0, e, Outcome::Ok, cost);
         } else {
-            // Closed by pressure: teach by told estimates of light queries.
+            // Closed by pressure: teach by told estimates of light requests.
             let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 1, 0.1) });
             rig.finish(q, 0, sent_to(&actions).unwrap(), Outcome::Ok, cost);
         }
@@ -53,9 +53,9 @@
     assert!(sent_to(&rig.arrive_as(of(8)).1).is_some());
 }
 
-/// Found on the bench: lateness alone as the brake stayed shut long after the engines were idle.
+/// Found on the bench: lateness alone as the brake stayed shut long after the executors were idle.
 #[test]
-fn pressure_from_lateness_eases_when_engines_have_room() {
+fn pressure_from_lateness_eases_when_executors_have_room() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -73,13 +73,13 @@
 
 /// Found on the bench (i2c17f0, i244026): utilisation saturates, memory granted tells of the line before.
 #[test]
-fn memory_near_its_end_makes_pressure_where_queries_wait_for_it() {
+fn memory_near_its_end_makes_pressure_where_requests_wait_for_it() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(1, 30, 2.0);
     rig.pass(2 * S);
     let full = Some(Report { util: Some(0.5), memory: Some(1.0), ..Report::default() });
     for e in [1, 2] {
-        rig.event(Event::Probed { engine: e, outcome: Outcome::Ok, latency: MS, report: full });
+        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report: full });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -93,23 +93,23 @@
     rig.pass(2 * S);
     let jammed = Some(Report { util: Some(0.3), disks: Some(1.05), ..Report::default() });
     for e in [1, 2] {
-        rig.event(Event::Probed { engine: e, outcome: Outcome::Ok, latency: MS, report: jammed });
+        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report: jammed });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
 }
 
-/// Found on the bench (main-dc): the engines of a bound class were full, and classes free to go elsewhere were refused.
+/// Found on the bench (main-dc): the executors of a bound class were full, and classes free to go elsewhere were refused.
 #[test]
 fn a_full_pool_of_a_bound_class_refuses_that_class_alone() {
     let mut rig = two_kinds(bound());
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
     rig.pass(2 * S);
-    for engine in 1..=4 {
-        let inflight = Some(if engine < 3 { 2.0 } else { 90.0 });
+    for executor in 1..=4 {
+        let inflight = Some(if executor < 3 { 2.0 } else { 90.0 });
         let report = Some(Report { inflight, ..Report::default() });
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -117,7 +117,7 @@
 }
 
 /// Found at a site whose largest merchant holds 73% of the fleet: one over its share got nothing at all from
-/// pressure 0.4, what is within its share included, and engines stood idle beside the refusals.
+/// pressure 0.4, what is within its share included, and executors stood idle beside the refusals.
 #[test]
 fn a_tenant_over_its_share_still_gets_a_part_of_it_at_half_pressure() {
     let tenants = vec![Tenant { quota_per_s: 40.0 }];
@@ -132,8 +132,8 @@
             sends[usize::from(n >= 200)] += 1;
             rig.finish_with(q, 0, e, Outcome::Ok, 0.2, busy);
         }
-        for engine in [1, 2] {
-            rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report: busy });
+        for executor in [1, 2] {
+            rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report: busy });
         }
         rig.pass(20 * MS);
     }
@@ -141,7 +141,7 @@
     assert!((8..60).contains(&sends[1]), "{sends:?}");
 }
 
-/// How many of 600 queries of the only class are refused while engines are a little over the load at which pressure
+/// How many of 600 requests of the only class are refused while executors are a little over the load at which pressure
 /// begins.
 fn refusals(worth: f64) -> usize {
     let mut s = settings();
--- a/tests/control/attempts.rs
+++ b/tests/control/attempts.rs
@@ -4,7 +4,7 @@
 use ottercroft::api::*;
 
 #[test]
-fn a_failed_attempt_is_tried_on_another_engine_at_once() {
+fn a_failed_attempt_is_tried_on_another_executor_at_once() {
     let mut rig = Rig::new(settings(), 3);
     let (q, actions) = rig.arrive(0, 0.2);
     let first = sent_to(&actions).unwrap();
@@ -12,7 +12,7 @@
     assert_ne!(first, again);
 }
 
-/// Found on the bench: with no stated budget every overloaded engine looked silent, and copies of all that
+/// Found on the bench: with no stated budget every overloaded executor looked silent, and copies of all that
 /// was stuck there made the overload worse.
 #[test]
 fn copies_stay_within_a_retry_budget_of_our_own() {
@@ -20,7 +20,7 @@
     rig.teach(0, 60, 0.2);
     let stuck: Vec<_> = (0..60).map(|_| rig.arrive(0, 0.2).0).collect();
     let sent = rig.pass(3 * S);
-    let copies = sent.iter().filter(|a| matches!(a, Action::Send { query, .. } if stuck.contains(query)));
+    let copies = sent.iter().filter(|a| matches!(a, Action::Send { request, .. } if stuck.contains(request)));
     assert!(copies.count() <= 3 + 30);
 }
 
@@ -32,11 +32,11 @@
         rig.teach(1, 60, 0.4);
         rig.pass(2 * S);
         let (q, actions) = rig.arrive(1, 0.4);
-        let engine = sent_to(&actions).unwrap();
+        let executor = sent_to(&actions).unwrap();
         let mut all = vec![];
         for i in 1..=20 {
             all.extend(rig.pass(100 * MS));
-            // Other queries are served meanwhile: the engine is not silent.
+            // Other requests are served meanwhile: the executor is not silent.
             for _ in 0..4 {
                 let (other, actions) = rig.arrive(0, 0.05);
                 if let Some(e) = sent_to(&actions) {
@@ -45,17 +45,17 @@
             }
             if progress.is_some() && i % 5 == 0 {
                 let note = Note::Progress(0.01 * f64::from(i));
-                rig.event(Event::Noted { query: q, attempt: 0, engine, note });
+                rig.event(Event::Noted { request: q, attempt: 0, executor, note });
             }
         }
-        let again = all.iter().position(|a| matches!(a, Action::Send { query, .. } if *query == q));
-        let cancel = all.iter().position(|a| *a == Action::Cancel { query: q, attempt: 0 });
+        let again = all.iter().position(|a| matches!(a, Action::Send { request, .. } if *request == q));
+        let cancel = all.iter().position(|a| *a == Action::Cancel { request: q, attempt: 0 });
         assert!(again.is_some() && cancel.is_some(), "progress {progress:?}: {all:?}");
     }
 }
 
 #[test]
-fn priorities_rise_for_cheap_queries_and_grants_follow_told_needs() {
+fn priorities_rise_for_cheap_requests_and_grants_follow_told_needs() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -72,34 +72,37 @@
     assert!(light.0 > 95.0 && light.0 < 115.0, "{light:?}");
 }
 
-// An engine may swallow one request and tell of all others: what no word comes of is tried elsewhere, long before
+// An executor may swallow one request and tell of all others: what no word comes of is tried elsewhere, long before
 // its time is over, and what word comes of is left alone.
 #[test]
 fn an_attempt_that_no_word_comes_of_is_tried_elsewhere() {
     let mut rig = Rig::new(Settings { progress: Some(500 * MS), ..settings() }, 3);
     let sent = |all: &[Action]| {
-        let engine = |a: &Action| if let Action::Send { engine, .. } = a { Some(*engine) } else { None };
-        all.iter().find_map(engine)
+        let executor =
+            |a: &Action| if let Action::Send { executor, .. } = a { Some(*executor) } else { None };
+        all.iter().find_map(executor)
     };
     let (lost, actions) = rig.arrive(1, 1.0);
-    let engine = sent(&actions).unwrap();
+    let executor = sent(&actions).unwrap();
     let told = loop {
-        let (query, actions) = rig.arrive(1, 1.0);
+        let (request, actions) = rig.arrive(1, 1.0);
         match sent(&actions) {
-            Some(e) if e == engine => break query,
-            other => drop(rig.finish(query, 0, other.unwrap(), Outcome::Ok, 1.0)),
+            Some(e) if e == executor => break request,
+            other => drop(rig.finish(request, 0, other.unwrap(), Outcome::Ok, 1.0)),
         }
     };
     let mut all = Vec::new();
     for step in 1..=5u32 {
         all.extend(rig.pass(500 * MS));
         let note = Note::Progress(0.19 * f64::from(step));
-        all.extend(rig.event(Event::Noted { query: told, attempt: 0, engine, note }));
+        all.extend(rig.event(Event::Noted { request: told, attempt: 0, executor, note }));
     }
     let again = |id| {
-        all.iter().any(|a| matches!(a, Action::Send { query, engine: e, .. } if *query == id && *e != engine))
+        all.iter().any(
+            |a| matches!(a, Action::Send { request, executor: e, .. } if *request == id && *e != executor),
+        )
     };
-    assert!(again(lost) && all.contains(&Action::Cancel { query: lost, attempt: 0 }), "{all:?}");
+    assert!(again(lost) && all.contains(&Action::Cancel { request: lost, attempt: 0 }), "{all:?}");
     assert!(!again(told));
 }
 
@@ -108,16 +111,17 @@
 fn a_fifth_of_attempts_lost_is_made_up_for() {
     let mut rig = Rig::new(Settings { budget: None, ..settings() }, 3);
     for n in 0..60 {
-        let (query, actions) = rig.arrive(0, 0.1);
-        let engine = |a: &Action| if let Action::Send { engine, .. } = a { Some(*engine) } else { None };
-        let first = actions.iter().find_map(engine).unwrap();
+        let (request, actions) = rig.arrive(0, 0.1);
+        let executor =
+            |a: &Action| if let Action::Send { executor, .. } = a { Some(*executor) } else { None };
+        let first = actions.iter().find_map(executor).unwrap();
         if n % 5 == 0 {
-            let again = rig.finish(query, 0, first, Outcome::Timeout, 0.1);
-            let second = again.iter().find_map(engine);
+            let again = rig.finish(request, 0, first, Outcome::Timeout, 0.1);
+            let second = again.iter().find_map(executor);
             assert!(second.is_some(), "request {n}: {again:?}");
-            rig.finish(query, 1, second.unwrap(), Outcome::Ok, 0.1);
+            rig.finish(request, 1, second.unwrap(), Outcome::Ok, 0.1);
         } else {
-            rig.finish(query, 0, first, Outcome::Ok, 0.1);
+            rig.finish(request, 0, first, Outcome::Ok, 0.1);
         }
     }
 }
--- a/tests/control/draw.rs
+++ b/tests/control/draw.rs
@@ -1,15 +1,15 @@
-//! Where a query goes.
+//! Where a request goes.
 
 use crate::common::*;
 use crate::{bound, two_kinds};
 use ottercroft::api::*;
 
 #[test]
-fn draw_prefers_the_engine_that_reports_less() {
+fn draw_prefers_the_executor_that_reports_less() {
     let mut rig = Rig::new(settings(), 2);
     for e in [1, 2] {
         let report = Some(Report { util: Some(if e == 1 { 0.95 } else { 0.1 }), ..Report::default() });
-        rig.event(Event::Probed { engine: e, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report });
     }
     let sends = (0..60).filter(|_| {
         let (q, actions) = rig.arrive(0, 0.2);
@@ -38,45 +38,45 @@
     let mut rig = Rig::new(settings(), 2);
     let idle = Some(Report { inflight: Some(0.5), ..Report::default() });
     for e in [1, 2] {
-        rig.event(Event::Probed { engine: e, outcome: Outcome::Ok, latency: MS, report: idle });
+        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report: idle });
     }
     let mut on_one = 0;
     for _ in 0..40 {
         let (_, actions) = rig.arrive(0, 0.2);
         on_one += u32::from(sent_to(&actions) == Some(1));
-        // Engine 1 repeats the same old report after each send.
-        rig.event(Event::Probed { engine: 1, outcome: Outcome::Ok, latency: MS, report: idle });
+        // Executor 1 repeats the same old report after each send.
+        rig.event(Event::Probed { executor: 1, outcome: Outcome::Ok, latency: MS, report: idle });
     }
     assert!(on_one <= 28, "{on_one} of 40 went to the engine with the old report");
 }
 
 // Weights are set by hand in a list from files: without effect on the draw they would be a comment.
 #[test]
-fn a_listed_weight_scales_what_an_engine_is_sent() {
+fn a_listed_weight_scales_what_an_executor_is_sent() {
     let mut rig = Rig::new(settings(), 2);
     let entries = vec![Entry { weight: Some(0.2), ..entry(1) }];
     rig.event(Event::List { kind: ListKind::Update, entries });
     let mut sent = [0, 0];
     for _ in 0..400 {
         let (q, actions) = rig.arrive(0, 0.1);
-        let engine = sent_to(&actions).unwrap();
-        sent[engine as usize - 1] += 1;
-        rig.finish(q, 0, engine, Outcome::Ok, 0.1);
+        let executor = sent_to(&actions).unwrap();
+        sent[executor as usize - 1] += 1;
+        rig.finish(q, 0, executor, Outcome::Ok, 0.1);
         rig.pass(50 * MS);
     }
     assert!(sent[0] > 10 && sent[0] * 3 < sent[1], "{sent:?}");
 }
 
-/// Found on the bench (main-dc): engines that tell only the memory they granted were drawn as if all were alike.
+/// Found on the bench (main-dc): executors that tell only the memory they granted were drawn as if all were alike.
 #[test]
 fn granted_memory_stands_for_threads_where_nothing_else_is_told() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 10, 0.2);
     let mut on_one = 0;
     for group in 0..60 {
-        for (engine, memory) in [(1, 0.06), (2, 0.01)] {
+        for (executor, memory) in [(1, 0.06), (2, 0.01)] {
             let report = Some(Report { memory: Some(memory), ..Report::default() });
-            rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+            rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
         }
         let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.2) });
         let e = sent_to(&actions).expect("sent");
@@ -87,7 +87,7 @@
     assert!(on_one <= 12, "{on_one} of 60 to the fuller engine");
 }
 
-/// Found on the bench (main-dc): loads and the queries that stand still meanwhile shared the homes of their group.
+/// Found on the bench (main-dc): loads and the requests that stand still meanwhile shared the homes of their group.
 #[test]
 fn loads_and_those_that_stand_still_meanwhile_go_apart() {
     let mut s = Settings { reports: Reports::Off, ..settings() };
@@ -108,9 +108,9 @@
     assert!(of(1) > 60 && of(0) < 24, "{count:?}");
 }
 
-/// Found on the bench (main-dc): engines that alone may take a bound class were filled with what could go elsewhere.
+/// Found on the bench (main-dc): executors that alone may take a bound class were filled with what could go elsewhere.
 #[test]
-fn classes_free_to_go_elsewhere_leave_the_engines_of_a_bound_class() {
+fn classes_free_to_go_elsewhere_leave_the_executors_of_a_bound_class() {
     let mut rig = two_kinds(Settings { reports: Reports::Off, ..bound() });
     let on_bound = (0..80).filter(|&group| {
         let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.2) });
@@ -122,26 +122,27 @@
     assert!((1..32).contains(&n), "{n} of 80");
 }
 
-// Reports come late, and an engine that swallows queries reports few: what this gateway has out on it is there at
+// Reports come late, and an executor that swallows requests reports few: what this dispatcher has out on it is there at
 // least, whatever the report says.
 #[test]
-fn an_engine_holds_no_less_than_what_is_out_on_it() {
+fn an_executor_holds_no_less_than_what_is_out_on_it() {
     let mut rig = Rig::new(settings(), 2);
     let sent = |all: &[Action]| {
-        let engine = |a: &Action| if let Action::Send { engine, .. } = a { Some(*engine) } else { None };
-        all.iter().find_map(engine).unwrap()
+        let executor =
+            |a: &Action| if let Action::Send { executor, .. } = a { Some(*executor) } else { None };
+        all.iter().find_map(executor).unwrap()
     };
-    let ask = |rig: &mut Rig, keep: Option<EngineId>| {
-        let (query, actions) = rig.arrive(1, 2.0);
-        let engine = sent(&actions);
-        if keep != Some(engine) {
-            rig.finish(query, 0, engine, Outcome::Ok, 2.0);
+    let ask = |rig: &mut Rig, keep: Option<ExecutorId>| {
+        let (request, actions) = rig.arrive(1, 2.0);
+        let executor = sent(&actions);
+        if keep != Some(executor) {
+            rig.finish(request, 0, executor, Outcome::Ok, 2.0);
         }
-        engine
+        executor
     };
-    let report = |rig: &mut Rig, engine, inflight| {
+    let report = |rig: &mut Rig, executor, inflight| {
         let report = Some(Report { inflight: Some(inflight), ..Report::default() });
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
     };
     let mut out = 0;
     while out < 12 {
@@ -158,19 +159,19 @@
     assert!(to_first < 20, "{to_first} of 40 went where twelve are out");
 }
 
-/// Found on both sites: a far engine was drawn two times for three of a near one as busy, and what crossed
+/// Found on both sites: a far executor was drawn two times for three of a near one as busy, and what crossed
 /// cost more than the refusals of the day.
 #[test]
-fn a_far_engine_is_drawn_when_the_near_one_is_clearly_busier() {
+fn a_far_executor_is_drawn_when_the_near_one_is_clearly_busier() {
     let far = |near: f64| {
         let mut rig = Rig::new(Settings { cross_zone_price: 0.02, ..settings() }, 2);
         let entries = vec![Entry { zone: 1, ..entry(2) }];
         rig.event(Event::List { kind: ListKind::Update, entries });
         let told = |util| Some(Report { util: Some(util), ..Report::default() });
         let drawn = (0..60).filter(|_| {
-            for (engine, util) in [(1, near), (2, 0.3)] {
+            for (executor, util) in [(1, near), (2, 0.3)] {
                 let outcome = Outcome::Ok;
-                rig.event(Event::Probed { engine, outcome, latency: MS, report: told(util) });
+                rig.event(Event::Probed { executor, outcome, latency: MS, report: told(util) });
             }
             let (q, actions) = rig.arrive(0, 0.2);
             let e = sent_to(&actions).unwrap();
--- a/tests/control/health.rs
+++ b/tests/control/health.rs
@@ -1,10 +1,10 @@
-//! Engines that fail, fall silent, leave or are cold.
+//! Executors that fail, fall silent, leave or are cold.
 
 use crate::common::*;
 use ottercroft::api::*;
 
 #[test]
-fn a_fast_failing_engine_is_ejected_and_does_not_cheapen_its_class() {
+fn a_fast_failing_executor_is_ejected_and_does_not_cheapen_its_class() {
     let mut rig = Rig::new(settings(), 4);
     rig.teach(0, 40, 0.2);
     let mut late_to_bad = 0;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_silent_engine_is_ejected_and_its_queries_get_a_second_copy() {
+fn a_silent_executor_is_ejected_and_its_requests_get_a_second_copy() {
     let mut rig = Rig::new(settings(), 3);
     rig.teach(0, 60, 0.2);
     let (q, actions) = rig.arrive(0, 0.2);
@@ -38,7 +38,7 @@
             rig.finish(other, 0, e, Outcome::Ok, 0.2);
         }
         let sent = rig.pass(100 * MS);
-        copies += sent.iter().filter(|a| matches!(a, Action::Send { query, .. } if *query == q)).count();
+        copies += sent.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == q)).count();
     }
     assert_eq!(copies, 1);
     let ejected = |a: &(Micros, Action)| matches!(&a.1, Action::Log(l) if l.contains("silent"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_drained_engine_gets_nothing_new() {
+fn a_drained_executor_gets_nothing_new() {
     let mut rig = Rig::new(settings(), 2);
     let entries = vec![Entry { readiness: Readiness::Leaving, ..entry(1) }];
     rig.event(Event::List { kind: ListKind::Update, entries });
@@ -57,28 +57,28 @@
     assert!(refused(&rig.arrive(0, 0.1).1).is_some(), "no engine: refused at once");
 }
 
-/// Found on the bench (i95b913): each reset was taken for a restart, and the limit for cold engines shut most
+/// Found on the bench (i95b913): each reset was taken for a restart, and the limit for cold executors shut most
 /// of a fleet whose links were bad.
 #[test]
-fn resets_do_not_make_an_engine_cold() {
+fn resets_do_not_make_an_executor_cold() {
     let mut rig = Rig::new(settings(), 1);
     rig.teach(0, 30, 0.2);
     rig.pass(2 * S);
     let (q, actions) = rig.arrive(0, 0.2);
     rig.finish(q, 0, sent_to(&actions).unwrap(), Outcome::Reset, 0.01);
-    // A cold engine of 8 cores would take some 13 of these from this gateway in the window.
+    // A cold executor of 8 cores would take some 13 of these from this dispatcher in the window.
     let sent = (0..30).filter(|_| sent_to(&rig.arrive(0, 0.05).1).is_some()).count();
     assert_eq!(sent, 30);
 }
 
 #[test]
-fn a_cold_engine_gets_little() {
+fn a_cold_executor_gets_little() {
     let mut rig = Rig::new(settings(), 1);
     rig.teach(0, 30, 0.2);
     rig.pass(2 * S);
     let started = Some(rig.now);
     rig.event(Event::List { kind: ListKind::Update, entries: vec![Entry { started, ..entry(1) }] });
-    // Saved up at 1.4 thread-seconds a second for this gateway at most: some 10 of these, of 0.2 each, in 1.5 s.
+    // Saved up at 1.4 thread-seconds a second for this dispatcher at most: some 10 of these, of 0.2 each, in 1.5 s.
     let mut sent = 0;
     for _ in 0..60 {
         rig.pass(25 * MS);
@@ -90,16 +90,16 @@
 /// A dispatcher that has just started gets its first list with the times of start, and took those that had started a
 /// moment ago for warm, as nothing had changed for it.
 #[test]
-fn an_engine_that_the_first_list_tells_to_be_cold_gets_little() {
+fn an_executor_that_the_first_list_tells_to_be_cold_gets_little() {
     let sent = |since: Micros| {
         let mut rig = Rig::new(settings(), 0);
-        rig.gateway = ottercroft::Gateway::new(settings(), 1).expect("good settings");
+        rig.dispatcher = ottercroft::Balancer::new(settings(), 1).expect("good settings");
         let entries = vec![Entry { started: Some(rig.now - since), ..entry(1) }];
         rig.event(Event::List { kind: ListKind::Restored, entries });
         rig.pass(2 * S);
         (0..60).filter(|_| sent_to(&rig.arrive(0, 0.2).1).is_some()).count()
     };
-    // 2.5 x 0.34 x 8 cores x 1.5 s push it over: 51 of these, half of them for one of two gateways.
+    // 2.5 x 0.34 x 8 cores x 1.5 s push it over: 51 of these, half of them for one of two dispatchers.
     assert!(sent(S) <= 25, "{} of 60 within a moment to one that started a second ago", sent(S));
     assert_eq!(sent(60 * S), 60, "one that started long ago is warm");
 }
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -16,7 +16,7 @@
     Some(Report { inflight: Some(60.0), ..Report::default() })
 }
 
-/// Learns both classes, then lets every engine report a crowd.
+/// Learns both classes, then lets every executor report a crowd.
 fn under_pressure(rig: &mut Rig) {
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -34,7 +34,7 @@
     s
 }
 
-/// Engines 1 and 2 of kind 0, 3 and 4 of kind 1, which alone may take the second class.
+/// Executors 1 and 2 of kind 0, 3 and 4 of kind 1, which alone may take the second class.
 fn two_kinds(s: Settings) -> Rig {
     let mut rig = Rig::new(s, 4);
     let entries = (1..=4).map(|i| Entry { kind: (i as usize - 1) / 2, ..entry(i) }).collect();
--- a/tests/control/requests.rs
+++ b/tests/control/requests.rs
@@ -1,7 +1,7 @@
 //! Lines of a key, odd events and settings.
 
 use crate::common::*;
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::*;
 
 #[test]
@@ -13,9 +13,9 @@
     let (a, first) = rig.arrive_as(keyed());
     let (_, second) = rig.arrive_as(keyed());
     assert!(sent_to(&first).is_some() && second.is_empty());
-    rig.event(Event::HungUp { query: a });
-    let engine = sent_to(&first).unwrap();
-    assert_eq!(sent_to(&rig.finish(a, 0, engine, Outcome::Cancelled, 0.1)), None);
+    rig.event(Event::HungUp { request: a });
+    let executor = sent_to(&first).unwrap();
+    assert_eq!(sent_to(&rig.finish(a, 0, executor, Outcome::Cancelled, 0.1)), None);
     assert_eq!(sent_to(&rig.pass(900 * MS)), None, "the key rests");
     assert!(sent_to(&rig.pass(400 * MS)).is_some());
 }
@@ -23,7 +23,7 @@
 /// Found by a hunt (h59d86a) and an incident (ie978fc) on the bench: a later try came with less patience than a tick,
 /// had to wait for its key, and its client left before the line was looked at.
 #[test]
-fn a_query_in_line_with_hardly_any_patience_is_answered_at_once() {
+fn a_request_in_line_with_hardly_any_patience_is_answered_at_once() {
     let mut s = settings();
     s.classes[0].keep_order = true;
     s.classes[0].effect = Effect::Unsafe;
@@ -35,17 +35,17 @@
     // One with patience waits, and has its answer once it could not be served any more.
     let (q, actions) = rig.arrive_as(keyed(2 * S));
     assert_eq!(refused(&actions), None);
-    let ended = |a: &Action| matches!(a, Action::Refuse { query, .. } if *query == q);
+    let ended = |a: &Action| matches!(a, Action::Refuse { request, .. } if *request == q);
     assert!(!rig.pass(1_500 * MS).iter().any(ended) && rig.pass(450 * MS).iter().any(ended));
 }
 
 #[test]
 fn odd_but_legal_events_have_no_effect() {
     let mut rig = Rig::new(settings(), 2);
-    rig.event(Event::HungUp { query: 99 });
+    rig.event(Event::HungUp { request: 99 });
     rig.event(Event::Timer { token: 123 });
-    rig.event(Event::Noted { query: 99, attempt: 0, engine: 1, note: Note::Waits });
-    rig.event(Event::Probed { engine: 77, outcome: Outcome::Ok, latency: 0, report: None });
+    rig.event(Event::Noted { request: 99, attempt: 0, executor: 1, note: Note::Waits });
+    rig.event(Event::Probed { executor: 77, outcome: Outcome::Ok, latency: 0, report: None });
     assert!(rig.finish(99, 3, 77, Outcome::Ok, 0.1).is_empty());
     let (q, actions) = rig.arrive(0, 0.1);
     let e = sent_to(&actions).unwrap();
@@ -57,10 +57,10 @@
 
 #[test]
 fn settings_that_make_no_sense_are_refused_with_the_reason() {
-    let why = |s: Settings| Gateway::new(s, 1).err().expect("refused").to_string();
+    let why = |s: Settings| Balancer::new(s, 1).err().expect("refused").to_string();
     assert!(why(Settings { classes: vec![], ..settings() }).contains("no class"));
     assert!(why(Settings { zone: 9, ..settings() }).contains("zone"));
-    assert!(why(Settings { gateways: 0, ..settings() }).contains("gateways"));
+    assert!(why(Settings { dispatchers: 0, ..settings() }).contains("gateways"));
     let mut s = settings();
     s.classes[1].worth = f64::NAN;
     assert!(why(s).contains("class 1"));
@@ -73,7 +73,7 @@
 /// ending, 28 were sent after its SIGTERM with more to run than was left and 23 waited all that time for their refusal.
 /// What is begun has to be seen to its end; the rest is told at once and can go elsewhere.
 #[test]
-fn what_an_ending_gateway_could_not_see_to_its_end_is_refused_at_once() {
+fn what_an_ending_dispatcher_could_not_see_to_its_end_is_refused_at_once() {
     let mut s = settings();
     (s.classes[1].effect, s.classes[1].keep_order) = (Effect::Unsafe, true);
     let mut rig = Rig::new(s, 3);
@@ -83,10 +83,13 @@
     assert!(sent_to(&first).is_some());
     let (behind, _) = rig.arrive_as(load(12.0));
     let end = rig.now + 3 * S;
-    rig.gateway.ends_at(end);
+    rig.dispatcher.ends_at(end);
     let told = rig.pass(200 * MS);
-    assert!(told.iter().any(|a| matches!(a, Action::Refuse { query, .. } if *query == behind)), "{told:?}");
-    let most = |a: &Action| matches!(a, Action::Terms { query, priority: 3, .. } if *query == head);
+    assert!(
+        told.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == behind)),
+        "{told:?}"
+    );
+    let most = |a: &Action| matches!(a, Action::Terms { request, priority: 3, .. } if *request == head);
     assert!(told.iter().any(most), "what nobody may run again goes first: {told:?}");
     assert!(refused(&rig.arrive_as(load(12.0)).1).is_some(), "a load too long for what is left");
     assert!(refused(&rig.arrive(0, 9.0).1).is_some(), "and so is anything else");
@@ -102,18 +105,18 @@
     let mut rig = Rig::new(s, 2);
     let keyed = |grace| Arrival { key: Some(7), grace, ..arrival(0, 0, 0.2) };
     let (first, actions) = rig.arrive_as(keyed(4 * S));
-    let engine = sent_to(&actions).expect("the first is sent");
+    let executor = sent_to(&actions).expect("the first is sent");
     for _ in 0..5_000 {
         assert!(rig.arrive_as(keyed(40 * S)).1.is_empty(), "they wait for the first");
     }
-    rig.gateway.ends_at(rig.now);
+    rig.dispatcher.ends_at(rig.now);
     // Its key rests now, and nobody is at the head of the line.
-    let mut actions = rig.finish(first, 0, engine, Outcome::Reset, 0.1);
+    let mut actions = rig.finish(first, 0, executor, Outcome::Reset, 0.1);
     actions.extend(rig.pass(300 * MS));
     assert!(actions.iter().filter(|a| refused(std::slice::from_ref(a)).is_some()).count() >= 5_000);
 }
 
-/// A keyed class that must not run twice, in which each query is expected to take a second.
+/// A keyed class that must not run twice, in which each request is expected to take a second.
 fn ordered() -> Rig {
     let mut s = settings();
     (s.classes[0].keep_order, s.classes[0].effect) = (true, Effect::Unsafe);
@@ -127,7 +130,7 @@
     let mut rig = ordered();
     let keyed = |held_back| Arrival { key: Some(5), grace: 4 * S, held_back, ..arrival(0, 0, 1.0) };
     let (head, sent) = rig.arrive_as(keyed(false));
-    let engine = sent_to(&sent).expect("the first is sent");
+    let executor = sent_to(&sent).expect("the first is sent");
     for _ in 0..3 {
         assert!(rig.arrive_as(keyed(true)).1.is_empty(), "three more seconds fit into four");
     }
@@ -136,7 +139,7 @@
     assert_eq!(wait, S, "when it would be reached in its time");
     assert!(rig.arrive_as(keyed(false)).1.is_empty(), "one that came as it was wanted waits for its chance");
     // The line moves on, so that there is time again.
-    rig.finish(head, 0, engine, Outcome::Ok, 1.0);
+    rig.finish(head, 0, executor, Outcome::Ok, 1.0);
     rig.pass(S);
     let (_, told) = rig.arrive_as(Arrival { grace: 8 * S, ..keyed(true) });
     assert_eq!(refused(&told), None);
--- a/tests/control_group/group.rs
+++ b/tests/control_group/group.rs
@@ -2,7 +2,7 @@
 
 use super::members::MemberProcess;
 use standins::asks::{Ask, PATIENCE, call};
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
 use standins::link::Link;
 use standins::scripted::*;
@@ -28,7 +28,7 @@
     pub members: Vec<MemberProcess>,
     pub member_settings: String,
     pub lines: String,
-    pub engines: Vec<Engine>,
+    pub executors: Vec<Executor>,
     pub dispatchers: Vec<(Dispatcher, SocketAddr)>,
     pub asks: Arc<Mutex<Vec<Ask>>>,
     pub stop: Arc<AtomicBool>,
@@ -65,7 +65,7 @@
             members: (0..3).map(process).collect(),
             member_settings: member_settings.into(),
             lines: format!("  lease = \"{LEASE}\"\n{lines}{LIMITS}"),
-            engines: (0..4).map(|_| Engine::new(work).unwrap()).collect(),
+            executors: (0..4).map(|_| Executor::new(work).unwrap()).collect(),
             dispatchers: Vec::new(),
             asks: Arc::default(),
             stop: Arc::default(),
@@ -117,10 +117,10 @@
             self.lines,
             self.member_blocks(order)
         ));
-        let known = |(n, e): (usize, &Engine)| {
+        let known = |(n, e): (usize, &Executor)| {
             target_of(&format!("s-{n:08x}"), e.address, ["old", "new"][n / 2], "up")
         };
-        let known: Vec<String> = self.engines.iter().enumerate().map(known).collect();
+        let known: Vec<String> = self.executors.iter().enumerate().map(known).collect();
         let config = Launch { settings: settings.to_string(), ..self.launch.clone() }
             .config_of(self.feed.address, &known)
             .replace(r#""name":"t""#, &format!(r#""name":"follower-{i}""#))
--- a/tests/control_group/requests.rs
+++ b/tests/control_group/requests.rs
@@ -2,7 +2,7 @@
 
 use super::group::{Group, NEW, OLD};
 use standins::asks::{Ask, PATIENCE, ask, table};
-use standins::engine::Pull;
+use standins::executor::Pull;
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
@@ -38,7 +38,7 @@
     /// When requests that satisfy this reached these executors, with the requests, in order of time.
     pub fn reached(&self, executors: [usize; 2], of: impl Fn(&Ask) -> bool) -> Vec<(SystemTime, Ask)> {
         let asks: Vec<Ask> = self.asks().into_iter().filter(|a| of(a)).collect();
-        let pulls = executors.iter().flat_map(|m| self.engines[*m].pulls());
+        let pulls = executors.iter().flat_map(|m| self.executors[*m].pulls());
         let named = |p: &Pull| asks.iter().find(|a| p.statement.contains(&table(a.rid))).cloned();
         let mut all: Vec<_> = pulls.filter_map(|p| Some((p.at, named(&p)?))).collect();
         all.sort_by_key(|(at, _)| *at);
--- a/tests/endings/executors.rs
+++ b/tests/endings/executors.rs
@@ -30,11 +30,11 @@
     let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long(CLASSES[n - 1], n as u64)));
     dialed(dead.address, 3);
     feed.tell(false, &[target("e2", other.address, "up")]);
-    d.logs("motor listed anew motor=\"e2\" state=Up");
+    d.logs("executor listed anew executor=\"e2\" state=Up");
     let _peers = answered(&other, 3);
     clients.iter_mut().for_each(|client| served(client, ROW));
     feed.tell(false, &[target("e2", other.address, "removed")]);
-    d.logs("motor listed anew motor=\"e2\" state=Removed");
+    d.logs("executor listed anew executor=\"e2\" state=Removed");
     for (n, client) in (11..).zip(&mut clients) {
         client.ask(&long(CLASSES[n as usize - 11], n));
     }
@@ -103,7 +103,7 @@
     let pulls = [0, 1, 2].map(|n: usize| peers[n].command().unwrap());
     let news = [target("e2", executor.address, "up"), target("e1", executor.address, "removed")];
     writeln!(feed, "{}", event(2, false, &news)).unwrap();
-    d.logs("motor listed anew motor=\"e1\" state=Removed");
+    d.logs("executor listed anew executor=\"e1\" state=Removed");
     let mut next = Client::asks(d.address, &long("load", 9));
     let mut new = executor.accept();
     let pull = pulled(&mut new, 9);
--- a/tests/endings/lists.rs
+++ b/tests/endings/lists.rs
@@ -47,7 +47,7 @@
         let (mut feed, line) = coordinator.accept();
         assert_eq!(line, "follow 1\n");
         writeln!(feed, "{}", swapped(2, &at)).unwrap();
-        d.logs("motor listed anew motor=\"e1\" state=Draining");
+        d.logs("executor listed anew executor=\"e1\" state=Draining");
         assert_eq!(silent.read(&mut [0; 9]).unwrap(), 0, "the silent one is closed");
         goes_only_to(&d, &at[1], &at[0], 11);
     }
@@ -64,7 +64,7 @@
     let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long(CLASSES[n - 1], n as u64)));
     dialed(at[0].address, 3);
     writeln!(feed, "{}", swapped(2, &at)).unwrap();
-    d.logs("motor listed anew motor=\"e1\" state=Draining");
+    d.logs("executor listed anew executor=\"e1\" state=Draining");
     // Whatever comes up there from now on brings nothing, also a second and more later.
     at[0].widens(filler);
     let _peers = answered(&at[1], 3);
@@ -113,7 +113,7 @@
     let (mut feed, line) = coordinator.accept();
     assert_eq!(line, "follow 1\n");
     writeln!(feed, "{}", swapped(2, &at)).unwrap();
-    d.logs("motor listed anew motor=\"e1\" state=Draining");
+    d.logs("executor listed anew executor=\"e1\" state=Draining");
     goes_only_to(&d, &at[1], &at[0], 11);
 }
 
@@ -129,7 +129,7 @@
         let (first, second) = (swapped(2, &at), event(3, false, &[target("e1", at[0].address, "removed")]));
         let half = &second[..second.len() / 2];
         broken.write_all(format!("{first}\n{half}").as_bytes()).unwrap();
-        d.logs("motor listed anew motor=\"e1\" state=Draining");
+        d.logs("executor listed anew executor=\"e1\" state=Draining");
         if reset {
             resets(broken);
         } else {
@@ -139,13 +139,13 @@
         assert_eq!(line, "follow 2\n");
         // Event 2 again would have e1 as it was, were it taken after 3.
         feed.write_all(format!("{second}\n{second}\n{first}\n3\n").as_bytes()).unwrap();
-        d.logs("motor listed anew motor=\"e1\" state=Removed");
+        d.logs("executor listed anew executor=\"e1\" state=Removed");
         goes_only_to(&d, &at[1], &at[0], 1);
         feed.write_all(
             format!("{}\n", event(4, false, &[target("e2", at[1].address, "draining")])).as_bytes(),
         )
         .unwrap();
-        assert!(d.logs("motor listed anew").contains("e2"), "nothing was listed meanwhile");
+        assert!(d.logs("executor listed anew").contains("e2"), "nothing was listed meanwhile");
     }
 }
 
@@ -179,7 +179,7 @@
         // In one moment the signal may be read before the other half: then the event is asked for again.
         assert!(asked == format!("follow {held}\n") || asked == "follow 1\n", "{asked}");
         feed.write_all(line.as_bytes()).unwrap();
-        d.logs("motor listed anew motor=\"e1\" state=Draining");
+        d.logs("executor listed anew executor=\"e1\" state=Draining");
         goes_only_to(&d, &at[1], &at[0], 1);
     }
 }
--- a/tests/endings/moves.rs
+++ b/tests/endings/moves.rs
@@ -18,7 +18,7 @@
     d.signal("HUP");
     d.logs("read again");
     writeln!(watch, "{}", event(2, false, &[target("e1", executors[0].address, "draining")])).unwrap();
-    d.logs("motor listed anew motor=\"e1\" state=Draining");
+    d.logs("executor listed anew executor=\"e1\" state=Draining");
     let mut client = Client::asks(d.address, &long("load", 1));
     let mut peer = executors[1].accept();
     let pull = pulled(&mut peer, 1);
--- a/tests/endings/resets.rs
+++ b/tests/endings/resets.rs
@@ -216,7 +216,7 @@
     pulled(&mut peer, 1);
     let gone = String::from(r#"{"uid":"e1","state":"removed"}"#);
     writeln!(feed, "{}", event(2, false, &[in_cell(0, "up"), gone])).unwrap();
-    d.logs("motor listed anew motor=\"e1\" state=Removed");
+    d.logs("executor listed anew executor=\"e1\" state=Removed");
     peer.resets();
     let got = client.got();
     assert!(matches!(got, Got::Error(1105, _)), "{got:?}");
--- a/tests/endings/shutdown.rs
+++ b/tests/endings/shutdown.rs
@@ -11,7 +11,7 @@
     request(class, rid, 15_000, 10)
 }
 
-/// A query as it stands on the wire.
+/// A request as it stands on the wire.
 pub(super) fn packet(sql: &str) -> Vec<u8> {
     let length = (sql.len() as u32 + 1).to_le_bytes();
     [&length[..3], &[0, 3], sql.as_bytes()].concat()
--- a/tests/fleet/loads.rs
+++ b/tests/fleet/loads.rs
@@ -1,25 +1,25 @@
-//! Loads, which are lost where they fail: what keeps them from engines that would lose them.
+//! Loads, which are lost where they fail: what keeps them from executors that would lose them.
 
 use crate::common::*;
 use ottercroft::api::*;
 
-/// Found on `zone+mass` (160 dispatchers): engines that fail at once look idle, and each dispatcher learned of each of
-/// them by itself, often by a load, which is lost then. A query that may be tried again is the one to find out.
+/// Found on `zone+mass` (160 dispatchers): executors that fail at once look idle, and each dispatcher learned of each of
+/// them by itself, often by a load, which is lost then. A request that may be tried again is the one to find out.
 #[test]
 fn what_may_not_run_twice_goes_where_something_was_served_before() {
     let mut s = Settings { reports: Reports::OnProbe, probes: false, ..settings() };
     s.classes[1].effect = Effect::Unsafe;
     let mut rig = Rig::new(s, 2);
-    // Engine 2 turns all away, so that nothing is known against it and nothing for it.
+    // Executor 2 turns all away, so that nothing is known against it and nothing for it.
     let mut first = |class| {
         let (q, actions) = rig.arrive(class, 0.1);
-        let engine = sent_to(&actions).expect("sent");
-        if engine == 2 {
+        let executor = sent_to(&actions).expect("sent");
+        if executor == 2 {
             rig.finish(q, 0, 2, Outcome::Moot, 0.001);
         }
-        rig.finish(q, u32::from(engine == 2), 1, Outcome::Ok, 0.1);
+        rig.finish(q, u32::from(executor == 2), 1, Outcome::Ok, 0.1);
         rig.pass(S);
-        engine
+        executor
     };
     let mut at_2 = |class| (0..100).filter(|_| first(class) == 2).count();
     assert!(at_2(0) > 25, "what may be tried again goes to both");
