--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! What is harmless at one gateway and harmful at a hundred. Each story drives the decisions of one gateway as
+//! What is harmless at one dispatcher and harmful at a hundred. Each story drives the decisions of one dispatcher as
 //! thin or as busy as it would be in a small or a large fleet, or several of them that share nothing.
 
 #[path = "../common/mod.rs"]
@@ -8,19 +8,19 @@
 use common::*;
 use ottercroft::api::*;
 
-/// Reports come with probes alone, and probes have a price, as where many gateways stand before many engines.
+/// Reports come with probes alone, and probes have a price, as where many dispatchers stand before many executors.
 fn priced() -> Settings {
-    Settings { reports: Reports::OnProbe, probe_price: 0.1, gateways: 100, ..settings() }
+    Settings { reports: Reports::OnProbe, probe_price: 0.1, dispatchers: 100, ..settings() }
 }
 
 fn probes(rig: &Rig) -> usize {
     rig.log.iter().filter(|(_, a)| matches!(a, Action::Probe { .. })).count()
 }
 
-/// Found on the days at size: with five queries a second no report was still fresh at the next one, so nearly
-/// each query had an engine probed, and a hundred gateways paid eight points of service for it.
+/// Found on the days at size: with five requests a second no report was still fresh at the next one, so nearly
+/// each request had an executor probed, and a hundred dispatchers paid eight points of service for it.
 #[test]
-fn probes_of_thin_traffic_stay_within_what_its_queries_pay_for() {
+fn probes_of_thin_traffic_stay_within_what_its_requests_pay_for() {
     let mut rig = Rig::new(priced(), 30);
     for i in 0..300 {
         let (q, actions) = rig.arrive(usize::from(i % 5 == 0), 0.2);
@@ -28,15 +28,15 @@
         rig.pass(200 * MS);
         rig.finish(q, 0, e, Outcome::Ok, 0.2);
     }
-    // A tenth of a probe for each query, and what the purse holds.
+    // A tenth of a probe for each request, and what the purse holds.
     assert!(probes(&rig) <= 40, "{} probes for 300 queries", probes(&rig));
     assert!(probes(&rig) >= 15, "what is paid for is used: {}", probes(&rig));
 }
 
-/// The same mechanism at a small fleet: a hundred queries a second pay for all the probes that they want.
+/// The same mechanism at a small fleet: a hundred requests a second pay for all the probes that they want.
 #[test]
 fn busy_traffic_probes_as_often_as_reports_grow_old() {
-    let mut rig = Rig::new(Settings { probe_price: 0.01, gateways: 3, ..priced() }, 6);
+    let mut rig = Rig::new(Settings { probe_price: 0.01, dispatchers: 3, ..priced() }, 6);
     for _ in 0..500 {
         let (q, actions) = rig.arrive(0, 0.02);
         rig.pass(10 * MS);
@@ -45,9 +45,9 @@
     assert!((12..=60).contains(&probes(&rig)), "{} probes in 5 s", probes(&rig));
 }
 
-/// Dear queries gain most by a report: cheap ones leave them half of what there is.
+/// Dear requests gain most by a report: cheap ones leave them half of what there is.
 #[test]
-fn cheap_queries_leave_probes_for_dear_ones() {
+fn cheap_requests_leave_probes_for_dear_ones() {
     let mut rig = Rig::new(priced(), 30);
     for _ in 0..400 {
         let (q, actions) = rig.arrive(0, 0.1);
@@ -59,12 +59,12 @@
     assert!(probes(&rig) >= before + 2, "{} probes for a dear query", probes(&rig) - before);
 }
 
-/// A fleet of gateways that share nothing, each with a query every 200 ms, four of five light. Eighteen of thirty
-/// engines start anew at once. Returns the work that each of these was sent, by seconds since.
-fn replaced(gateways: u32, seconds: usize) -> Vec<Vec<f64>> {
-    let s = Settings { gateways, probe_price: 0.1, reports: Reports::OnProbe, ..settings() };
+/// A fleet of dispatchers that share nothing, each with a request every 200 ms, four of five light. Eighteen of thirty
+/// executors start anew at once. Returns the work that each of these was sent, by seconds since.
+fn replaced(dispatchers: u32, seconds: usize) -> Vec<Vec<f64>> {
+    let s = Settings { dispatchers, probe_price: 0.1, reports: Reports::OnProbe, ..settings() };
     let mut sent = vec![vec![0.0; seconds]; 18];
-    for g in 0..gateways {
+    for g in 0..dispatchers {
         let mut rig = Rig::seeded(s.clone(), 30, u64::from(g) + 1);
         rig.teach(0, 30, 0.1);
         rig.teach(1, 10, 1.0);
@@ -85,11 +85,11 @@
     sent
 }
 
-/// Found on the days at size: a hundredth of an engine's budget is less than any query, so a hundred gateways
-/// that each saved it up sent eighteen cold engines a tenth of a thread each, while the twelve others held
+/// Found on the days at size: a hundredth of an executor's budget is less than any request, so a hundred dispatchers
+/// that each saved it up sent eighteen cold executors a tenth of a thread each, while the twelve others held
 /// forty. And none of them may be pushed over by all together.
 #[test]
-fn a_hundred_gateways_use_cold_engines_and_push_none_over() {
+fn a_hundred_dispatchers_use_cold_executors_and_push_none_over() {
     let cold = settings().cold;
     let (window, cores) = (cold.fall as f64 / 1e6, 8.0);
     let sent = replaced(100, 6);
@@ -102,15 +102,15 @@
     assert!(most < budget, "{most:.2} within the window, {budget:.2} push it over");
 }
 
-/// The same for three gateways: one mechanism, whatever the size.
+/// The same for three dispatchers: one mechanism, whatever the size.
 #[test]
-fn three_gateways_push_no_cold_engine_over_either() {
+fn three_dispatchers_push_no_cold_executor_over_either() {
     let cold = settings().cold;
     let most = replaced(3, 6).iter().flat_map(|e| e.windows(2).map(|w| w[0] + w[1])).fold(0.0, f64::max);
     assert!(most < cold.multiple * cold.from * 8.0 * cold.fall as f64 / 1e6, "{most:.2}");
 }
 
-/// Serves a query wherever engine 1, which fails all that it gets, does not have it. Whether it was sent there.
+/// Serves a request wherever executor 1, which fails all that it gets, does not have it. Whether it was sent there.
 fn met_the_bad_one(rig: &mut Rig, class: ClassId) -> bool {
     let (q, actions) = rig.arrive(class, 0.2);
     let Some(mut e) = sent_to(&actions) else { return false };
@@ -126,18 +126,18 @@
     met
 }
 
-/// Found on the days at size: each gateway had to see six errors of its own before it left a bad engine out, and
-/// a hundred gateways spent 1,400 attempts on learning it. What another engine then served was no bad statement.
+/// Found on the days at size: each dispatcher had to see six errors of its own before it left a bad executor out, and
+/// a hundred dispatchers spent 1,400 attempts on learning it. What another executor then served was no bad statement.
 #[test]
-fn two_errors_that_another_engine_does_not_make_are_proof() {
+fn two_errors_that_another_executor_does_not_make_are_proof() {
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..priced() }, 4);
     let met = (0..40).filter(|_| met_the_bad_one(&mut rig, 0)).count();
     assert!(met <= 2, "{met} queries sent to it within a second");
 }
 
-/// A statement that fails everywhere is no engine's fault: nobody is left out for it.
+/// A statement that fails everywhere is no executor's fault: nobody is left out for it.
 #[test]
-fn errors_that_every_engine_makes_blame_nobody() {
+fn errors_that_every_executor_makes_blame_nobody() {
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..priced() }, 4);
     for _ in 0..3 {
         let (q, actions) = rig.arrive(0, 0.2);
@@ -153,9 +153,9 @@
 }
 
 /// Found on the days at size: what may not run twice fails with its first error, so it is no trial for an
-/// engine that was left out, and one proven error keeps it away.
+/// executor that was left out, and one proven error keeps it away.
 #[test]
-fn what_may_not_run_twice_avoids_an_engine_that_failed_others() {
+fn what_may_not_run_twice_avoids_an_executor_that_failed_others() {
     let mut s = Settings { reports: Reports::Off, ..priced() };
     s.classes[1].effect = Effect::Unsafe;
     let mut rig = Rig::new(s, 4);
@@ -164,11 +164,11 @@
     assert!(met <= 3, "{met} of 60 sent there");
 }
 
-/// Found on the days at size: a hundred gateways that each spread a few queries a second over all engines open
-/// a connection for nearly every second query. Where connections have a price, a gateway stays with the engines
-/// it has met while these have room, each gateway with others; where they have none it spreads at once.
+/// Found on the days at size: a hundred dispatchers that each spread a few requests a second over all executors open
+/// a connection for nearly every second request. Where connections have a price, a dispatcher stays with the executors
+/// it has met while these have room, each dispatcher with others; where they have none it spreads at once.
 #[test]
-fn thin_traffic_stays_with_engines_that_it_has_met() {
+fn thin_traffic_stays_with_executors_that_it_has_met() {
     let reached = |handshake_price: f64, seed: u64| {
         let s = Settings { handshake_price, reports: Reports::Off, ..priced() };
         let mut rig = Rig::seeded(s, 30, seed);
@@ -187,17 +187,17 @@
     assert!(all.len() >= 28, "all gateways together reach {}", all.len());
 }
 
-/// Found on the days at size: a thin gateway hears of two or three engines at a time, and when these happened to
+/// Found on the days at size: a thin dispatcher hears of two or three executors at a time, and when these happened to
 /// be the busy ones it took the whole fleet to be full and refused what thirty others had room for.
 #[test]
 fn a_few_crowded_reports_do_not_close_a_large_fleet() {
-    let refusals = |engines: u32| {
-        let mut rig = Rig::new(priced(), engines);
+    let refusals = |executors: u32| {
+        let mut rig = Rig::new(priced(), executors);
         rig.teach(0, 30, 0.2);
         for _ in 0..20 {
             let report = Some(Report { inflight: Some(26.0), ..Report::default() });
-            for engine in 1..=2 {
-                rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+            for executor in 1..=2 {
+                rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
             }
             rig.pass(100 * MS);
         }
@@ -219,7 +219,7 @@
     let (first, _) = rig.arrive_as(load.clone());
     let priority = |rig: &Rig| {
         rig.log.iter().rev().find_map(|(_, a)| match a {
-            Action::Terms { query, priority, .. } if *query == first => Some(*priority),
+            Action::Terms { request, priority, .. } if *request == first => Some(*priority),
             _ => None,
         })
     };
--- a/tests/held_back/main.rs
+++ b/tests/held_back/main.rs
@@ -1,7 +1,7 @@
 //! Requests that their client held back before it wrote them, as the protocol has it space those of one key: its time has run
 //! meanwhile. Real processes on loopback sockets.
 
-use standins::engine::Engine;
+use standins::executor::Executor;
 use standins::scripted::*;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 /// A hot key's requests, at a dispatcher with one executor.
 fn hot_key(spaces: bool) -> Vec<SpacedRequest> {
-    let executor = Engine::new(|_| WORK).expect("an executor");
+    let executor = Executor::new(|_| WORK).expect("an executor");
     let mut launch = Launch::new(env!("CARGO_BIN_EXE_ottercroft"), env!("CARGO_TARGET_TMPDIR"));
     let load_class = r#""effect":"non_idempotent""#;
     let settings = Quiet::default().json();
--- a/tests/large_lists/choice.rs
+++ b/tests/large_lists/choice.rs
@@ -4,24 +4,24 @@
 use std::collections::BTreeSet;
 
 /// Where so many requests of different table groups are sent, each served at once.
-fn served_by(rig: &mut Rig, requests: u64, class: ClassId) -> Vec<EngineId> {
+fn served_by(rig: &mut Rig, requests: u64, class: ClassId) -> Vec<ExecutorId> {
     let mut all = Vec::new();
     for group in 0..requests {
-        let (query, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.1) });
+        let (request, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.1) });
         rig.pass(50 * MS);
-        let engine = sent_to(&actions).or_else(|| sent_later(rig, query));
-        if let Some(engine) = engine {
-            rig.finish(query, 0, engine, Outcome::Ok, 0.1);
-            all.push(engine);
+        let executor = sent_to(&actions).or_else(|| sent_later(rig, request));
+        if let Some(executor) = executor {
+            rig.finish(request, 0, executor, Outcome::Ok, 0.1);
+            all.push(executor);
         }
     }
     all
 }
 
-/// Where a query went that waited for probes first.
-fn sent_later(rig: &Rig, wanted: QueryId) -> Option<EngineId> {
+/// Where a request went that waited for probes first.
+fn sent_later(rig: &Rig, wanted: RequestId) -> Option<ExecutorId> {
     rig.log.iter().rev().find_map(|(_, a)| match a {
-        Action::Send { query, engine, .. } if *query == wanted => Some(*engine),
+        Action::Send { request, executor, .. } if *request == wanted => Some(*executor),
         _ => None,
     })
 }
@@ -39,25 +39,25 @@
     assert_eq!(BTreeSet::from_iter(served).len(), 3, "all three are used");
 }
 
-// All gateways send a table group to the same few executors more often than chance would.
+// All dispatchers send a table group to the same few executors more often than chance would.
 #[test]
-fn gateways_agree_on_the_homes_of_a_table_group() {
+fn dispatchers_agree_on_the_homes_of_a_table_group() {
     let mut all = Vec::new();
     for seed in 0..40 {
         let mut rig = Rig::seeded(settings(), 3_200, seed);
         for _ in 0..5 {
-            let (query, actions) = rig.arrive_as(Arrival { group: 7, ..arrival(0, 0, 0.1) });
+            let (request, actions) = rig.arrive_as(Arrival { group: 7, ..arrival(0, 0, 0.1) });
             rig.pass(50 * MS);
-            let engine = sent_to(&actions).or_else(|| sent_later(&rig, query)).expect("sent");
-            rig.finish(query, 0, engine, Outcome::Ok, 0.1);
-            all.push(engine);
+            let executor = sent_to(&actions).or_else(|| sent_later(&rig, request)).expect("sent");
+            rig.finish(request, 0, executor, Outcome::Ok, 0.1);
+            all.push(executor);
         }
     }
     let most = all.iter().map(|e| all.iter().filter(|o| *o == e).count()).max();
     assert!(most >= Some(all.len() / 20), "{most:?} of {} at one executor of 3,200", all.len());
 }
 
-// What a gateway stays with is gone or drains: it goes on with others at once.
+// What a dispatcher stays with is gone or drains: it goes on with others at once.
 #[test]
 fn a_subset_that_drains_is_replaced_at_once() {
     let mut rig = Rig::seeded(settings(), 3_200, 7);
@@ -69,12 +69,12 @@
     assert!(after.iter().all(|e| !before.contains(e)));
 }
 
-// 300 gateways with 3,200 executors: each executor is in the subsets of some of them.
+// 300 dispatchers with 3,200 executors: each executor is in the subsets of some of them.
 #[test]
 fn all_subsets_together_cover_the_list() {
     let mut served = BTreeSet::new();
     for seed in 0..300 {
-        // Without prices nothing keeps a gateway at those that it has met.
+        // Without prices nothing keeps a dispatcher at those that it has met.
         let free = Settings { handshake_price: 0.0, reports: Reports::Off, ..settings() };
         let mut rig = Rig::seeded(free, 3_200, seed);
         served.extend(served_by(&mut rig, 60, 0));
--- a/tests/large_lists/main.rs
+++ b/tests/large_lists/main.rs
@@ -9,10 +9,10 @@
 use common::*;
 use ottercroft::api::*;
 
-/// A fleet as it is where lists are long: each gateway sees little traffic, reports come with probes, which have a price.
+/// A fleet as it is where lists are long: each dispatcher sees little traffic, reports come with probes, which have a price.
 fn settings() -> Settings {
     Settings {
-        gateways: 300,
+        dispatchers: 300,
         reports: Reports::OnProbe,
         probe_price: 0.08,
         handshake_price: 0.08,
@@ -20,8 +20,8 @@
     }
 }
 
-/// A gateway with a list of which so many in a hundred have just started.
-fn gateway(engines: u32, cold_percent: u32) -> Rig {
+/// A dispatcher with a list of which so many in a hundred have just started.
+fn dispatcher(executors: u32, cold_percent: u32) -> Rig {
     let entry = |n| Entry { started: (n % 100 < cold_percent).then_some(START), ..entry(n) };
-    Rig::knowing(settings(), 7, (1..=engines).map(entry).collect())
+    Rig::knowing(settings(), 7, (1..=executors).map(entry).collect())
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -1,6 +1,6 @@
-//! Motores taken out for work by a fleet: three real dispatchers, an operator, and faults between them.
+//! Executors taken out for work by a fleet: three real dispatchers, an operator, and faults between them.
 
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
 use standins::link::{Link, Weather};
 use standins::scripted::*;
@@ -13,13 +13,13 @@
 
 /// No story takes this long unless something hangs.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// Nothing new goes to a motor later than this after its step was agreed, and a look of a few turns.
+/// Nothing new goes to an executor later than this after its step was agreed, and a look of a few turns.
 const GRACE: Duration = Duration::from_millis(500);
-/// One zone; motores are warm after a second.
+/// One zone; executors are warm after a second.
 const SETTINGS: &str = r#"{"areas":["a"],"balancers":3,"kinds":["k"],"domain":{"kindCores":[8],"memoryByKindMb":[16384],"parallelism":[1]},"permissions":{"cancel":true,"maxAttempts":3,"probes":true,"retryAfter":true,"maxRetryAfter":1.0,"dialTimeout":0.25},"report":{"how":"on_probe"},"requestClasses":[{"name":"read","promise":5.0,"hardLimit":20.0,"effect":"read_like"}],"rules":{"stopSendingWithin":0.5,"coldFrom":0.5,"rampTime":1,"fall":1,"fallMultiple":3}}"#;
 
 struct Fleet {
-    engines: Vec<Engine>,
+    executors: Vec<Executor>,
     feed: Feed,
     dispatchers: Vec<Option<(Dispatcher, SocketAddr)>>,
     links: Vec<((usize, usize), Link)>,
@@ -36,11 +36,11 @@
 }
 
 impl Fleet {
-    /// Three dispatchers, four motores and a client at each dispatcher that asks all the time.
+    /// Three dispatchers, four executors and a client at each dispatcher that asks all the time.
     fn start(maintenance: &str) -> Fleet {
         let mut launch = Launch::new(env!("CARGO_BIN_EXE_ottercroft"), env!("CARGO_TARGET_TMPDIR"));
         launch.settings = SETTINGS.into();
-        let engines: Vec<Engine> = (0..4).map(|_| Engine::new(work).unwrap()).collect();
+        let executors: Vec<Executor> = (0..4).map(|_| Executor::new(work).unwrap()).collect();
         let feed = Feed::at("127.0.0.1:0", 1).unwrap();
         let pairs = (0..3).flat_map(|i| (0..3).filter(move |j| *j != i).map(move |j| (i, j)));
         let links: Vec<((usize, usize), Link)> = pairs.map(|p| (p, Link::new().unwrap())).collect();
@@ -55,7 +55,7 @@
             ));
             let uids: Vec<String> = (0..4).map(uid).collect();
             let known: Vec<(&str, SocketAddr)> =
-                uids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
+                uids.iter().map(String::as_str).zip(executors.iter().map(|e| e.address)).collect();
             let config = launch
                 .config(feed.address, &known)
                 .replace(r#""name":"t""#, &format!(r#""name":"maintenance-{}-{i}""#, std::process::id()))
@@ -73,16 +73,16 @@
         for (d, _) in dispatchers.iter_mut().flatten() {
             d.logs("lease held");
         }
-        Fleet { engines, feed, dispatchers, links, stop, clients }
+        Fleet { executors, feed, dispatchers, links, stop, clients }
     }
 
     fn call(&self, at: usize, line: &str) -> String {
         call(self.dispatchers[at].as_ref().unwrap().1, line)
     }
 
-    /// Until the status at a dispatcher says this of a motor.
-    fn until(&self, at: usize, motor: usize, word: &str) -> String {
-        let (begun, line) = (Instant::now(), format!("{} {word}", uid(motor)));
+    /// Until the status at a dispatcher says this of an executor.
+    fn until(&self, at: usize, executor: usize, word: &str) -> String {
+        let (begun, line) = (Instant::now(), format!("{} {word}", uid(executor)));
         loop {
             let status = self.call(at, "DRAIN STATUS");
             if status.lines().any(|l| l.starts_with(&line)) {
@@ -94,19 +94,19 @@
     }
 
     /// Plays the machine's part: it goes, and comes back as a new process.
-    fn service(&self, motor: usize) {
-        let at = self.engines[motor].address;
-        self.feed.tell(false, &[target(&uid(motor), at, "draining")]);
+    fn service(&self, executor: usize) {
+        let at = self.executors[executor].address;
+        self.feed.tell(false, &[target(&uid(executor), at, "draining")]);
         thread::sleep(Duration::from_millis(100));
         let boot_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
         let back =
-            target(&uid(motor), at, "up").replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#));
+            target(&uid(executor), at, "up").replace(r#""boot_ms":0"#, &format!(r#""boot_ms":{boot_ms}"#));
         self.feed.tell(false, &[back]);
     }
 
-    /// What reached a motor between two moments.
-    fn pulls(&self, motor: usize, from: SystemTime, to: SystemTime) -> usize {
-        self.engines[motor].pulls().iter().filter(|p| p.at >= from && p.at < to).count()
+    /// What reached an executor between two moments.
+    fn pulls(&self, executor: usize, from: SystemTime, to: SystemTime) -> usize {
+        self.executors[executor].pulls().iter().filter(|p| p.at >= from && p.at < to).count()
     }
 
     /// Lets the clients end; requests that were not answered, or not as they should be.
@@ -151,10 +151,10 @@
     })
 }
 
-// A plan of two: one after the other is drained, handed over, serviced and warmed; nothing new reaches a motor
+// A plan of two: one after the other is drained, handed over, serviced and warmed; nothing new reaches an executor
 // that is out, the other waits for it, and clients are answered throughout.
 #[test]
-fn two_motores_are_serviced_one_after_the_other() {
+fn two_executors_are_serviced_one_after_the_other() {
     let mut fleet = Fleet::start("    min_motores = 2\n");
     assert_eq!(fleet.call(1, "DRAIN PLAN s-00000001,s-00000002"), "+OK planned s-00000001,s-00000002\n");
     let status = fleet.until(2, 0, "out");
@@ -212,10 +212,10 @@
     assert_eq!(fleet.unanswered(), 0);
 }
 
-// A motor that never comes back stops the plan with a reason, the budget keeps the others in service, and an
+// An executor that never comes back stops the plan with a reason, the budget keeps the others in service, and an
 // operator's word lets it go on; an abort leaves what had not begun as it was.
 #[test]
-fn a_motor_that_does_not_come_back_stops_the_plan() {
+fn a_executor_that_does_not_come_back_stops_the_plan() {
     let mut fleet = Fleet::start("    min_motores = 3\n    out_limit   = \"500ms\"\n");
     assert!(fleet.call(0, "DRAIN PLAN s-00000009").starts_with("-ERR no executor"));
     fleet.call(0, "DRAIN PLAN s-00000001,s-00000002,s-00000003");
--- a/tests/motor_lists/motores.rs
+++ b/tests/motor_lists/executors.rs
@@ -1,11 +1,11 @@
-//! What a list makes of the motores that it names and of those that it leaves out.
+//! What a list makes of the executors that it names and of those that it leaves out.
 
 use super::*;
 
-// A motor that holds a load is taken out of its list: the load runs to its end on the connection that it has,
-// nothing new goes there, and taken back in the middle of that the motor is up again.
+// An executor that holds a load is taken out of its list: the load runs to its end on the connection that it has,
+// nothing new goes there, and taken back in the middle of that the executor is up again.
 #[test]
-fn a_motor_taken_out_of_its_list_ends_its_load_and_gets_nothing_new() {
+fn a_executor_taken_out_of_its_list_ends_its_load_and_gets_nothing_new() {
     let (e1, e2, place) = (Executor::new(), Executor::new(), place());
     let both = [("e1", e1.address, ""), ("e2", e2.address, "state = \"draining\"")];
     place.put(&list(&both));
@@ -15,7 +15,7 @@
     let load = peer.command().unwrap();
     assert_eq!(load[0], "PULL");
     place.put(&list(&[("e2", e2.address, "")]));
-    d.logs("motor listed anew motor=\"e1\" state=Draining");
+    d.logs("executor listed anew executor=\"e1\" state=Draining");
     let mut client = Client::asks(d.address, &read(1));
     let mut other = e2.accept();
     let pull = other.command().unwrap();
@@ -23,9 +23,9 @@
     assert_eq!(client.got(), rows());
     peer.page(&load[1], "OK pages=1", ROW);
     assert_eq!(loader.got(), rows());
-    d.logs("motor drained and gone motor=\"e1\"");
+    d.logs("executor drained and gone executor=\"e1\"");
     place.put(&list(&[("e1", e1.address, ""), ("e2", e2.address, "state = \"draining\"")]));
-    d.logs("motor listed anew motor=\"e2\" state=Draining");
+    d.logs("executor listed anew executor=\"e2\" state=Draining");
     warm();
     client.ask(&read(2));
     let mut peer = e1.accept();
@@ -50,7 +50,7 @@
     let load = old.command().unwrap();
     assert_eq!(load[0], "PULL");
     place.put(&list(&[("new", e1.address, "")]));
-    d.logs("motor listed anew motor=\"old\" state=Draining");
+    d.logs("executor listed anew executor=\"old\" state=Draining");
     warm();
     client.ask(&read(1));
     let mut new = e1.accept();
@@ -62,9 +62,9 @@
     assert_eq!(loader.got(), rows());
 }
 
-// What a list says of a motor goes before what the feed says, if it stands first: the two never fight over one.
+// What a list says of an executor goes before what the feed says, if it stands first: the two never fight over one.
 #[test]
-fn a_file_and_the_feed_never_fight_over_a_motor() {
+fn a_file_and_the_feed_never_fight_over_a_executor() {
     let (e1, e2, place) = (Executor::new(), Executor::new(), place());
     place.put(&list(&[("e1", e1.address, "state = \"draining\""), ("e2", e2.address, "")]));
     let (d, coordinator) = place.launch().dispatcher(&[("e1", e1.address)]);
--- a/tests/motor_lists/main.rs
+++ b/tests/motor_lists/main.rs
@@ -1,8 +1,8 @@
-//! Motor lists in the program itself, against scripted motores: one story for each failure that they are to
+//! Executor lists in the program itself, against scripted executors: one story for each failure that they are to
 //! withstand.
 
 mod command_line;
-mod motores;
+mod executors;
 mod trouble;
 
 use standins::scripted::*;
@@ -37,11 +37,11 @@
     }
 }
 
-fn list(motores: &[(&str, SocketAddr, &str)]) -> String {
-    let motor = |(uid, at, more): &(&str, SocketAddr, &str)| {
+fn list(executors: &[(&str, SocketAddr, &str)]) -> String {
+    let executor = |(uid, at, more): &(&str, SocketAddr, &str)| {
         format!("motor \"{uid}\" {{\n address = \"{at}\"\n kind = \"k\"\n{more}\n}}\n")
     };
-    format!("room \"a\" {{\n{}}}\n", motores.iter().map(motor).collect::<String>())
+    format!("room \"a\" {{\n{}}}\n", executors.iter().map(executor).collect::<String>())
 }
 
 fn cli(arguments: &[&str]) -> Output {
@@ -63,7 +63,7 @@
             self.tops, self.list, self.accept, self.more
         );
         std::fs::write(&settings, own).unwrap();
-        // Motores are warm soon: what is cold is the decision module's matter, and has its own tests.
+        // Executors are warm soon: what is cold is the decision module's matter, and has its own tests.
         let mut launch = Launch::new(PROGRAM, &self.dir).with(&["--settings", &text(&settings)]);
         launch.settings = SETTINGS.replace("\"rampTime\":10", "\"rampTime\":0.1");
         launch
@@ -96,7 +96,7 @@
     "/* method=load,rid=00000000000000b1,budget=15000,obj=00000000000000c1 */ INSERT INTO sales_7.t";
 const ROW: &str = "1\tx\ty\n";
 
-/// Waits until a motor that appeared is warm: what is sent to a cold one is bounded, and may be refused.
+/// Waits until an executor that appeared is warm: what is sent to a cold one is bounded, and may be refused.
 fn warm() {
     std::thread::sleep(std::time::Duration::from_millis(300));
 }
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -1,7 +1,7 @@
-//! Three dispatchers with a link from each to each other, two old motores and two new ones, and clients.
+//! Three dispatchers with a link from each to each other, two old executors and two new ones, and clients.
 
 use standins::asks::{Ask, PATIENCE, ask, call, table};
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
 use standins::link::{Link, Weather};
 use standins::scripted::*;
@@ -12,12 +12,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime};
 
-/// One zone, two kinds of motor; the class may go to both.
+/// One zone, two kinds of executor; the class may go to both.
 pub const SETTINGS: &str = r#"{"areas":["a"],"balancers":3,"kinds":["old","new"],"domain":{"kindCores":[8,8],"memoryByKindMb":[16384,16384],"parallelism":[1]},"permissions":{"cancel":true,"maxAttempts":3,"probes":true,"retryAfter":true,"maxRetryAfter":1.0,"dialTimeout":0.25},"report":{"how":"on_probe"},"requestClasses":[{"name":"read","promise":5.0,"hardLimit":20.0,"effect":"read_like","boundTo":["old","new"]}],"rules":{"stopSendingWithin":0.5,"coldFrom":0.0,"rampTime":1,"fall":1,"fallMultiple":3}}"#;
 /// Changes have all the time that a slow machine needs.
 const BLOCK: &str = "  policy {\n    vote_limit = \"30s\"\n    close_limit = \"30s\"\n  }\n";
 
-/// Which motores a story looks at.
+/// Which executors a story looks at.
 pub const OLD: [usize; 2] = [0, 1];
 /// See [`OLD`].
 pub const NEW: [usize; 2] = [2, 3];
@@ -25,7 +25,7 @@
 pub struct Fleet {
     launch: Launch,
     files: Vec<(PathBuf, String)>,
-    pub engines: Vec<Engine>,
+    pub executors: Vec<Executor>,
     pub dispatchers: Vec<Option<(Dispatcher, SocketAddr)>>,
     links: Vec<((usize, usize), Link)>,
     asks: Arc<Mutex<Vec<Ask>>>,
@@ -54,14 +54,14 @@
     pub fn with(lines: &str, settings: [&str; 3]) -> Fleet {
         let launch = launch();
         let work = |_: &Pull| Duration::from_millis(20);
-        let engines: Vec<Engine> = (0..4).map(|_| Engine::new(work).unwrap()).collect();
+        let executors: Vec<Executor> = (0..4).map(|_| Executor::new(work).unwrap()).collect();
         let feed = Feed::at("127.0.0.1:0", 1).unwrap();
         let pairs = (0..3).flat_map(|i| (0..3).filter(move |j| *j != i).map(move |j| (i, j)));
         let links: Vec<((usize, usize), Link)> = pairs.map(|p| (p, Link::new().unwrap())).collect();
-        let known = |(n, e): (usize, &Engine)| {
+        let known = |(n, e): (usize, &Executor)| {
             target_of(&format!("s-{n:08x}"), e.address, ["old", "new"][n / 2], "up")
         };
-        let known: Vec<String> = engines.iter().enumerate().map(known).collect();
+        let known: Vec<String> = executors.iter().enumerate().map(known).collect();
         let mut files = Vec::new();
         for (i, settings) in settings.iter().enumerate() {
             let own = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -81,7 +81,7 @@
         let mut fleet = Fleet {
             launch,
             files,
-            engines,
+            executors,
             dispatchers,
             links,
             asks,
@@ -178,17 +178,17 @@
         self.asks.lock().unwrap().clone()
     }
 
-    /// When requests that satisfy this reached these motores, with the requests, in order of time.
-    pub fn reached(&self, motores: [usize; 2], of: impl Fn(&Ask) -> bool) -> Vec<(SystemTime, Ask)> {
+    /// When requests that satisfy this reached these executors, with the requests, in order of time.
+    pub fn reached(&self, executors: [usize; 2], of: impl Fn(&Ask) -> bool) -> Vec<(SystemTime, Ask)> {
         let asks: Vec<Ask> = self.asks().into_iter().filter(|a| of(a)).collect();
-        let pulls = motores.iter().flat_map(|m| self.engines[*m].pulls());
+        let pulls = executors.iter().flat_map(|m| self.executors[*m].pulls());
         let named = |p: &Pull| asks.iter().find(|a| p.statement.contains(&table(a.rid))).cloned();
         let mut all: Vec<_> = pulls.filter_map(|p| Some((p.at, named(&p)?))).collect();
         all.sort_by_key(|(at, _)| *at);
         all
     }
 
-    /// Until a request of those asked since then reached a new motor; when it did.
+    /// Until a request of those asked since then reached a new executor; when it did.
     pub fn first_new(&self, since: SystemTime) -> SystemTime {
         let begun = Instant::now();
         loop {
@@ -200,12 +200,12 @@
         }
     }
 
-    /// What was asked after a moment and reached an old motor all the same.
+    /// What was asked after a moment and reached an old executor all the same.
     pub fn late_old(&self, since: SystemTime) -> Vec<Ask> {
         self.reached(OLD, |a| a.asked > since).into_iter().map(|(_, a)| a).collect()
     }
 
-    /// How many of those asked after a moment reached a new motor.
+    /// How many of those asked after a moment reached a new executor.
     pub fn late_new(&self, since: SystemTime) -> usize {
         self.reached(NEW, |a| a.asked > since).len()
     }
--- a/tests/retry_storms.rs
+++ b/tests/retry_storms.rs
@@ -1,6 +1,6 @@
 //! Retry storms in the program itself: an outage, the return of its clients, and a calm day.
 
-use standins::engine::Engine;
+use standins::executor::Executor;
 use standins::scripted::*;
 use std::io::BufRead;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,20 +8,20 @@
 use std::thread;
 use std::time::Duration;
 
-fn dispatcher(engine: &Engine, storms: &str, name: &str) -> (Dispatcher, Coordinator) {
+fn dispatcher(executor: &Executor, storms: &str, name: &str) -> (Dispatcher, Coordinator) {
     let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let own = dir.join(format!("storms-{name}-{}.hcl", std::process::id()));
     std::fs::write(&own, storms).unwrap();
     let mut launch = Launch::new(env!("CARGO_BIN_EXE_ottercroft"), dir);
     launch.settings = SETTINGS.replace("\"rampTime\":10", "\"rampTime\":0.1");
-    launch.with(&["--settings", &own.display().to_string()]).dispatcher(&[("e1", engine.address)])
+    launch.with(&["--settings", &own.display().to_string()]).dispatcher(&[("e1", executor.address)])
 }
 
-fn engine(at: &str) -> Engine {
+fn executor(at: &str) -> Executor {
     let mut tries = 0;
     loop {
-        match Engine::at(at, false, |_| Duration::from_millis(20)) {
-            Ok(engine) => return engine,
+        match Executor::at(at, false, |_| Duration::from_millis(20)) {
+            Ok(executor) => return executor,
             // The listener of the one before may take a moment to go.
             Err(e) => assert!(tries < 200, "{e}"),
         }
@@ -30,7 +30,7 @@
     }
 }
 
-fn query(id: u64, who: u64) -> String {
+fn request(id: u64, who: u64) -> String {
     format!("/* method=read,rid={id:016x},budget=3000,est=20.0,space=9 */ SELECT w{who}w FROM sales_7.t")
 }
 
@@ -50,7 +50,7 @@
     for who in 0..clients {
         let (stop, waits, served, to) = (c.stop.clone(), c.waits.clone(), c.served.clone(), d.address);
         c.clients.push(thread::spawn(move || {
-            let mut client = Client::asks(to, &query(NEXT.fetch_add(1, Ordering::SeqCst), who));
+            let mut client = Client::asks(to, &request(NEXT.fetch_add(1, Ordering::SeqCst), who));
             loop {
                 let wait = match client.got() {
                     Got::Rows(rows) => {
@@ -71,7 +71,7 @@
                     return;
                 }
                 thread::sleep(Duration::from_millis(wait));
-                client.ask(&query(NEXT.fetch_add(1, Ordering::SeqCst), who));
+                client.ask(&request(NEXT.fetch_add(1, Ordering::SeqCst), who));
             }
         }));
     }
@@ -87,11 +87,11 @@
     }
 }
 
-// All motores go and come back, and all clients with them: the phases are told of, each refusal says when to come
+// All executors go and come back, and all clients with them: the phases are told of, each refusal says when to come
 // back within what clients honour, the times are spread, every request has its one answer, and service is back.
 #[test]
 fn an_outage_is_seen_and_its_clients_come_back_spread() {
-    let first = engine("127.0.0.1:0");
+    let first = executor("127.0.0.1:0");
     let at = first.address.to_string();
     let (mut d, _coordinator) = dispatcher(&first, "retry_storms {\n  longest_wait = \"1s\"\n}\n", "outage");
     let c = crowd(&d, 40);
@@ -102,7 +102,7 @@
     assert!(line.contains("phase=Outage was=Calm"), "{line}");
     thread::sleep(Duration::from_secs(2));
     let before = c.served.load(Ordering::SeqCst);
-    let _second = engine(&at);
+    let _second = executor(&at);
     assert!(d.logs("storm phase").contains("phase=Returning was=Outage"));
     // Back to service: as many as in a second of the calm day, within some seconds.
     for _ in 0..200 {
@@ -127,7 +127,7 @@
 // On a calm day the module is not there: nothing is refused, nothing remembered, no phase is told of.
 #[test]
 fn a_calm_day_knows_no_storm() {
-    let one = engine("127.0.0.1:0");
+    let one = executor("127.0.0.1:0");
     let (mut d, _coordinator) = dispatcher(&one, "retry_storms {}\n", "calm");
     let c = crowd(&d, 10);
     thread::sleep(Duration::from_secs(4));
--- a/tests/rules/checks.rs
+++ b/tests/rules/checks.rs
@@ -4,8 +4,8 @@
 use ottercroft::api::*;
 
 impl Stream {
-    pub(super) fn end(&mut self, query: QueryId) {
-        let o = self.open.get_mut(&query).expect("a final answer for a known query");
+    pub(super) fn end(&mut self, request: RequestId) {
+        let o = self.open.get_mut(&request).expect("a final answer for a known query");
         if !o.done {
             o.finals += 1;
             o.done = true;
@@ -18,25 +18,25 @@
         let now = self.now;
         match a {
             Action::Wake { token, after } => self.timers.push((now + after, token)),
-            Action::Send { query, engine, .. } => self.check_send(query, engine),
-            Action::Refuse { query, retry_after, .. } => {
+            Action::Send { request, executor, .. } => self.check_send(request, executor),
+            Action::Refuse { request, retry_after, .. } => {
                 assert!(
                     retry_after.is_none() || self.s.max_retry_after.is_some(),
                     "advice that nobody hears"
                 );
-                let o = &self.open[&query];
+                let o = &self.open[&request];
                 let never = o.attempts.iter().all(|a| a.2.is_some_and(Outcome::never_ran));
                 match self.s.classes[o.class].effect {
                     Effect::Safe | Effect::Keyed { group: Group::All, .. } => {}
                     _ => assert!(never, "refused what may have run"),
                 }
-                self.end(query);
+                self.end(request);
             }
-            Action::Fail { query, .. } => self.end(query),
-            Action::Cancel { query, attempt } => {
+            Action::Fail { request, .. } => self.end(request),
+            Action::Cancel { request, attempt } => {
                 assert!(self.s.cancel, "cancelled where that is not allowed");
                 assert!(
-                    (attempt as usize) < self.open[&query].attempts.len(),
+                    (attempt as usize) < self.open[&request].attempts.len(),
                     "cancelled what was never sent"
                 );
             }
@@ -45,22 +45,22 @@
         }
     }
 
-    fn check_send(&mut self, query: QueryId, engine: EngineId) {
+    fn check_send(&mut self, request: RequestId, executor: ExecutorId) {
         let now = self.now;
         self.sends += 1;
-        let o = &self.open[&query];
+        let o = &self.open[&request];
         let c = &self.s.classes[o.class];
-        let e = &self.list[&engine];
+        let e = &self.list[&executor];
         assert!(!o.done, "sent after the final answer");
         assert!(now < o.deadline, "sent after the deadline");
-        if let Some(told) = self.told.get(&engine) {
+        if let Some(told) = self.told.get(&executor) {
             assert!(now <= told + self.s.drain_grace, "sent to a draining or gone engine");
         }
         assert!(c.only_zones.as_ref().is_none_or(|z| z.contains(&e.zone)), "wrong zone");
         assert!(c.only_kinds.as_ref().is_none_or(|k| k.contains(&e.kind)), "wrong kind");
         assert!(o.attempts.len() < self.s.max_attempts as usize);
         assert!(self.s.second_copies || o.attempts.iter().all(|a| a.2.is_some()), "two attempts out at once");
-        let may_have_run = |a: &&(EngineId, Micros, Option<Outcome>)| !a.2.is_some_and(Outcome::never_ran);
+        let may_have_run = |a: &&(ExecutorId, Micros, Option<Outcome>)| !a.2.is_some_and(Outcome::never_ran);
         match c.effect {
             Effect::Safe => {}
             Effect::Unsafe => assert!(o.attempts.iter().find(may_have_run).is_none(), "unsafe repeated"),
@@ -72,9 +72,9 @@
             }
         }
         if let Some(k) = o.key {
-            for (id, other) in self.open.range(..query).filter(|(_, x)| x.key == Some(k)) {
+            for (id, other) in self.open.range(..request).filter(|(_, x)| x.key == Some(k)) {
                 let over = other.done && other.attempts.iter().all(|a| a.2.is_some());
-                assert!(over, "sent {query} while {id} of the same key is open");
+                assert!(over, "sent {request} while {id} of the same key is open");
             }
             if o.attempts.is_empty() {
                 assert!(self.rested.get(&k).is_none_or(|t| now >= *t), "key has not rested");
@@ -89,15 +89,18 @@
             assert!(sent <= b.free + b.ratio * taken + 1e-9, "attempt budget broken");
         }
         let r = self.s.cold;
-        if let Some(t) = self.cold.get(&engine).filter(|t| now < **t + r.ramp) {
+        if let Some(t) = self.cold.get(&executor).filter(|t| now < **t + r.ramp) {
             let _ = t;
             self.cold_count += 1;
-            let sends = self.cold_sends.entry(engine).or_default();
+            let sends = self.cold_sends.entry(executor).or_default();
             sends.push_back((now, WORK[o.class]));
             let work: f64 = sends.iter().filter(|(t, _)| t + r.fall > now).map(|(_, w)| w).sum();
             let budget = r.multiple * r.from * self.s.kinds[e.kind].cores * 0.85 * r.fall as f64 / 1e6;
-            assert!(work <= budget / f64::from(self.s.gateways), "cold engine overfed: {work} of {budget}");
+            assert!(
+                work <= budget / f64::from(self.s.dispatchers),
+                "cold engine overfed: {work} of {budget}"
+            );
         }
-        self.open.get_mut(&query).unwrap().attempts.push((engine, now, None));
+        self.open.get_mut(&request).unwrap().attempts.push((executor, now, None));
     }
 }
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -2,7 +2,7 @@
 
 use super::common::{self, MS, S, entry};
 use super::{Open, Stream, WORK};
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -11,7 +11,7 @@
 impl Stream {
     pub(super) fn new(s: Settings, seed: u64) -> Stream {
         let mut st = Stream {
-            gateway: Gateway::new(s.clone(), seed).unwrap(),
+            dispatcher: Balancer::new(s.clone(), seed).unwrap(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 50 * S,
             s,
@@ -32,7 +32,7 @@
         };
         let entries: Vec<Entry> =
             (1..=8).map(|i| Entry { zone: i as usize % 2, kind: i as usize / 2 % 2, ..entry(i) }).collect();
-        st.list = entries.iter().map(|e| (e.engine, e.clone())).collect();
+        st.list = entries.iter().map(|e| (e.executor, e.clone())).collect();
         st.event(Event::List { kind: ListKind::Restored, entries });
         st
     }
@@ -43,16 +43,16 @@
 
     fn event(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.gateway.handle(self.now, event, &mut out);
+        self.dispatcher.handle(self.now, event, &mut out);
         for a in out {
             self.check(a);
         }
     }
 
-    fn outcome(&mut self, query: QueryId, n: usize, outcome: Outcome) {
+    fn outcome(&mut self, request: RequestId, n: usize, outcome: Outcome) {
         let now = self.now;
-        let o = self.open.get_mut(&query).unwrap();
-        let (engine, sent, _) = o.attempts[n];
+        let o = self.open.get_mut(&request).unwrap();
+        let (executor, sent, _) = o.attempts[n];
         o.attempts[n].2 = Some(outcome);
         let ok = outcome == Outcome::Ok;
         if let (Some(k), Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) = (o.key, outcome) {
@@ -62,13 +62,13 @@
         }
         let work = WORK[o.class];
         if ok {
-            self.end(query);
+            self.end(request);
         }
-        let done = self.open[&query].done;
+        let done = self.open[&request].done;
         self.event(Event::Finished(Finished {
-            query,
+            request,
             attempt: n as u32,
-            engine,
+            executor,
             done,
             outcome,
             latency: now - sent,
@@ -81,7 +81,7 @@
         }));
     }
 
-    fn step(&mut self, next: QueryId) {
+    fn step(&mut self, next: RequestId) {
         self.now += 5 * MS;
         let due: Vec<(Micros, u64)> = self.timers.iter().copied().filter(|t| t.0 <= self.now).collect();
         self.timers.retain(|t| t.0 > self.now);
@@ -89,7 +89,7 @@
             self.event(Event::Timer { token });
         }
         // Attempts out at the deadline time out, others end now and then.
-        let out: Vec<(QueryId, usize, bool)> = self
+        let out: Vec<(RequestId, usize, bool)> = self
             .open
             .iter()
             .flat_map(|(id, o)| {
@@ -141,8 +141,8 @@
     }
 
     fn list_change(&mut self) {
-        let engine = 1 + self.below(8) as u32;
-        let e = self.list.get_mut(&engine).unwrap();
+        let executor = 1 + self.below(8) as u32;
+        let e = self.list.get_mut(&executor).unwrap();
         let (readiness, started) = match e.readiness {
             Readiness::Active => match self.rng.next_u64() % 3 {
                 0 => (Readiness::Leaving, e.started),
@@ -153,11 +153,11 @@
         };
         (e.readiness, e.started) = (readiness, started);
         if readiness == Readiness::Active {
-            self.told.remove(&engine);
-            self.cold.insert(engine, self.now);
-            self.cold_sends.remove(&engine);
+            self.told.remove(&executor);
+            self.cold.insert(executor, self.now);
+            self.cold_sends.remove(&executor);
         } else {
-            self.told.entry(engine).or_insert(self.now);
+            self.told.entry(executor).or_insert(self.now);
         }
         let entries = vec![e.clone()];
         self.event(Event::List { kind: ListKind::Update, entries });
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -6,17 +6,17 @@
 mod events;
 
 use common::{MS, S, class, settings};
-use ottercroft::Gateway;
+use ottercroft::Balancer;
 use ottercroft::api::*;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Work of a query of each class, as answers tell it: constant, so that the usual work is known.
+/// Work of a request of each class, as answers tell it: constant, so that the usual work is known.
 const WORK: [f64; 4] = [0.2, 2.0, 0.3, 0.4];
 
 fn many_kinds() -> Settings {
     let mut s = settings();
-    s.gateways = 1;
+    s.dispatchers = 1;
     let keyed = Effect::Keyed { group: Group::Cell, window: 2 * S };
     s.classes = vec![
         class(S, 1.0, 1),
@@ -34,7 +34,7 @@
     deadline: Micros,
     finals: u32,
     done: bool,
-    attempts: Vec<(EngineId, Micros, Option<Outcome>)>,
+    attempts: Vec<(ExecutorId, Micros, Option<Outcome>)>,
     ended_at: Micros,
 }
 
@@ -42,13 +42,13 @@
     s: Settings,
     rng: Pcg64Mcg,
     now: Micros,
-    gateway: Gateway,
+    dispatcher: Balancer,
     timers: Vec<(Micros, u64)>,
-    open: BTreeMap<QueryId, Open>,
-    list: BTreeMap<EngineId, Entry>,
-    told: BTreeMap<EngineId, Micros>,
-    cold: BTreeMap<EngineId, Micros>,
-    cold_sends: BTreeMap<EngineId, VecDeque<(Micros, f64)>>,
+    open: BTreeMap<RequestId, Open>,
+    list: BTreeMap<ExecutorId, Entry>,
+    told: BTreeMap<ExecutorId, Micros>,
+    cold: BTreeMap<ExecutorId, Micros>,
+    cold_sends: BTreeMap<ExecutorId, VecDeque<(Micros, f64)>>,
     further: Vec<Micros>,
     taken: Vec<Micros>,
     rested: BTreeMap<u64, Micros>,
@@ -56,7 +56,7 @@
     further_sends: u32,
     cold_count: u32,
     finals: u32,
-    /// Engines report queries held; else only a line that never forms.
+    /// Executors report requests held; else only a line that never forms.
     telling: bool,
 }
 
--- a/tests/sliver/admission.rs
+++ b/tests/sliver/admission.rs
@@ -1,10 +1,10 @@
-//! What passes and what is refused: shares, cold engines, overload.
+//! What passes and what is refused: shares, cold executors, overload.
 
 use super::*;
 
-/// Found on the bench: a bucket of a small share held less than one query and refused it for ever.
+/// Found on the bench: a bucket of a small share held less than one request and refused it for ever.
 #[test]
-fn a_small_share_passes_an_expensive_query_when_nothing_presses() {
+fn a_small_share_passes_an_expensive_request_when_nothing_presses() {
     let mut rig = Rig::new(fleet(300), 40);
     rig.teach(1, 30, 2.0);
     rig.pass(S);
@@ -14,9 +14,9 @@
     }
 }
 
-/// Found on the bench: the fixed part of the cold budget was under one query, so that nobody sent anything.
+/// Found on the bench: the fixed part of the cold budget was under one request, so that nobody sent anything.
 #[test]
-fn three_hundred_gateways_together_use_a_cold_engine_within_its_budget() {
+fn three_hundred_dispatchers_together_use_a_cold_executor_within_its_budget() {
     let mut sent: Vec<(Micros, f64)> = vec![];
     for seed in 0..300 {
         let mut rig = Rig::seeded(fleet(300), 2, seed);
@@ -27,11 +27,11 @@
         for _ in 0..10 {
             rig.pass(400 * MS + seed * MS);
             let (q, actions) = rig.arrive(0, 0.2);
-            let Some(engine) = sent_to(&actions) else { continue };
-            if engine == 1 {
+            let Some(executor) = sent_to(&actions) else { continue };
+            if executor == 1 {
                 sent.push((rig.now - start, 0.2));
             }
-            rig.finish(q, 0, engine, Outcome::Ok, 0.2);
+            rig.finish(q, 0, executor, Outcome::Ok, 0.2);
         }
     }
     let c = fleet(300).cold;
@@ -47,17 +47,17 @@
 /// Found on the bench (llandudno-dc-later, overload): after a jam had begun, no report ended well, so that
 /// the class never had its eight outcomes and its buckets stayed open for good.
 #[test]
-fn buckets_of_a_class_close_though_none_of_its_queries_ends_well() {
+fn buckets_of_a_class_close_though_none_of_its_requests_ends_well() {
     let mut rig = Rig::new(fleet(2), 2);
     rig.teach(0, 30, 0.2);
     for _ in 0..8 {
         let (q, actions) = rig.arrive(1, 2.0);
-        rig.event(Event::HungUp { query: q });
+        rig.event(Event::HungUp { request: q });
         rig.finish(q, 0, sent_to(&actions).expect("sent"), Outcome::Cancelled, 2.0);
     }
-    for engine in [1, 2] {
+    for executor in [1, 2] {
         let report = Some(Report { inflight: Some(200.0), ..Report::default() });
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     rig.pass(300 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -70,9 +70,9 @@
     let mut rig = Rig::new(fleet(2), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
-    for engine in [1, 2] {
+    for executor in [1, 2] {
         let report = Some(Report { inflight: Some(200.0), ..Report::default() });
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     rig.pass(300 * MS);
     assert!(refused(&rig.arrive(1, 0.7).1).is_some());
@@ -81,10 +81,10 @@
 
 #[test]
 fn sizes_are_no_limit() {
-    for (gateways, engines) in [(300, 43), (1, 1)] {
-        let mut rig = Rig::new(fleet(gateways), engines);
+    for (dispatchers, executors) in [(300, 43), (1, 1)] {
+        let mut rig = Rig::new(fleet(dispatchers), executors);
         rig.teach(0, 20, 0.2);
         rig.pass(S);
-        assert!(sent_to(&rig.arrive(0, 0.2).1).is_some(), "{gateways} gateways, {engines} engines");
+        assert!(sent_to(&rig.arrive(0, 0.2).1).is_some(), "{dispatchers} gateways, {executors} engines");
     }
 }
--- a/tests/sliver/grants.rs
+++ b/tests/sliver/grants.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Found on the bench: a gateway that sees few outcomes kept granting too little; 45% of queries spilled.
+/// Found on the bench: a dispatcher that sees few outcomes kept granting too little; 45% of requests spilled.
 #[test]
 fn one_spill_note_raises_the_next_grant() {
     let mut rig = Rig::new(Settings { tells_cost: false, ..fleet(300) }, 3);
@@ -11,9 +11,9 @@
             .iter()
             .find_map(|a| if let Action::Terms { memory_mb, .. } = a { Some(*memory_mb) } else { None })
     };
-    let (query, actions) = rig.arrive(1, 2.0);
-    let (before, engine) = (grant(&actions).expect("a grant"), sent_to(&actions).expect("sent"));
-    rig.event(Event::Noted { query, attempt: 0, engine, note: Note::Spill(300.0) });
+    let (request, actions) = rig.arrive(1, 2.0);
+    let (before, executor) = (grant(&actions).expect("a grant"), sent_to(&actions).expect("sent"));
+    rig.event(Event::Noted { request, attempt: 0, executor, note: Note::Spill(300.0) });
     let after = grant(&rig.arrive(1, 2.0).1).expect("a grant");
     assert!(after > 1.2 * before, "{before} then {after}");
 }
@@ -25,17 +25,17 @@
     let mut rig = Rig::new(Settings { tells_cost: false, progress: None, ..fleet(2) }, 3);
     let mut grants = vec![];
     for _ in 0..60 {
-        let (query, actions) = rig.arrive(1, 0.2);
+        let (request, actions) = rig.arrive(1, 0.2);
         grants.extend(
             actions
                 .iter()
                 .find_map(|a| if let Action::Terms { memory_mb, .. } = a { Some(*memory_mb) } else { None }),
         );
-        let engine = sent_to(&actions).expect("sent");
+        let executor = sent_to(&actions).expect("sent");
         rig.event(Event::Finished(Finished {
-            query,
+            request,
             attempt: 0,
-            engine,
+            executor,
             done: true,
             outcome: Outcome::Ok,
             latency: 100 * MS,
--- a/tests/sliver/homes.rs
+++ b/tests/sliver/homes.rs
@@ -1,10 +1,10 @@
-//! Homes of table groups, found with no word between gateways.
+//! Homes of table groups, found with no word between dispatchers.
 
 use super::*;
 
-/// Found on the bench: 11% of reads were warm at size. Gateways find the same homes with no word between them.
+/// Found on the bench: 11% of reads were warm at size. Dispatchers find the same homes with no word between them.
 #[test]
-fn gateways_agree_on_the_homes_of_a_table_group() {
+fn dispatchers_agree_on_the_homes_of_a_table_group() {
     let mut count = [0; 21];
     for seed in 0..40 {
         let mut rig = Rig::seeded(fleet(300), 20, seed);
@@ -19,13 +19,13 @@
     assert!(count[19] + count[20] > 100, "two engines of twenty take half of 200: {count:?}");
 }
 
-/// Found on the bench: a fixed weight of homes kept a third of a group's queries together on 14 engines, an eighth on 60.
+/// Found on the bench: a fixed weight of homes kept a third of a group's requests together on 14 executors, an eighth on 60.
 #[test]
 fn homes_take_the_same_part_of_a_group_at_any_size() {
-    for engines in [14, 60] {
-        let mut count = vec![0; engines as usize + 1];
+    for executors in [14, 60] {
+        let mut count = vec![0; executors as usize + 1];
         for seed in 0..40 {
-            let mut rig = Rig::seeded(Settings { reports: Reports::Off, ..fleet(300) }, engines, seed);
+            let mut rig = Rig::seeded(Settings { reports: Reports::Off, ..fleet(300) }, executors, seed);
             for _ in 0..10 {
                 let (q, actions) = rig.arrive_as(Arrival { group: 9, ..arrival(0, 0, 0.2) });
                 let e = sent_to(&actions).expect("sent");
@@ -35,12 +35,12 @@
         }
         count.sort_unstable();
         let home = count[count.len() - 1] + count[count.len() - 2];
-        assert!((90..200).contains(&home), "{home} of 400 on {engines} engines");
+        assert!((90..200).contains(&home), "{home} of 400 on {executors} engines");
     }
 }
 
-/// Found by an incident on the bench (id4c00a): four table groups drew all queries, their homes were full and always
-/// the three engines heard of, so that the idle rest was never asked.
+/// Found by an incident on the bench (id4c00a): four table groups drew all requests, their homes were full and always
+/// the three executors heard of, so that the idle rest was never asked.
 #[test]
 fn full_homes_do_not_keep_the_rest_from_being_asked() {
     let mut count = [0; 13];
@@ -52,13 +52,13 @@
     let mut order: Vec<u32> = (1..=12).collect();
     order.sort_by_key(|&e| std::cmp::Reverse(count[e as usize]));
     let mut rig = Rig::new(fleet(300), 12);
-    for (n, &engine) in order[..3].iter().enumerate() {
+    for (n, &executor) in order[..3].iter().enumerate() {
         let inflight = Some(if n < 2 { 12.0 } else { 1.0 });
         let report = Some(Report { inflight, ..Report::default() });
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     let asked = rig.event(Event::Arrival(Arrival { group: 9, ..arrival(900, 0, 0.2) }));
     let probed =
-        asked.iter().filter(|a| matches!(a, Action::Probe { engine } if !order[..3].contains(engine)));
+        asked.iter().filter(|a| matches!(a, Action::Probe { executor } if !order[..3].contains(executor)));
     assert_eq!(probed.count(), 2, "{asked:?}");
 }
--- a/tests/sliver/main.rs
+++ b/tests/sliver/main.rs
@@ -1,4 +1,4 @@
-//! Fleets of hundreds of gateways, each of which sees a sliver: what one does, and what all do together.
+//! Fleets of hundreds of dispatchers, each of which sees a sliver: what one does, and what all do together.
 
 mod admission;
 #[path = "../common/mod.rs"]
@@ -11,8 +11,8 @@
 use common::*;
 use ottercroft::api::*;
 
-fn fleet(gateways: u32) -> Settings {
-    Settings { gateways, ..settings() }
+fn fleet(dispatchers: u32) -> Settings {
+    Settings { dispatchers, ..settings() }
 }
 
 fn probes(rig: &Rig) -> usize {
--- a/tests/sliver/mute.rs
+++ b/tests/sliver/mute.rs
@@ -1,8 +1,8 @@
-//! Engines whose reports tell of no load.
+//! Executors whose reports tell of no load.
 
 use super::*;
 
-/// Reports that tell of no load, and notes: the pace of own queries stands in.
+/// Reports that tell of no load, and notes: the pace of own requests stands in.
 fn mute() -> Settings {
     Settings { progress: Some(500 * MS), tells_cost: false, ..fleet(300) }
 }
@@ -10,27 +10,27 @@
 const MUTE: Option<Report> =
     Some(Report { util: None, inflight: None, queue: Some(0.0), memory: None, disks: None });
 
-/// Serves one query that takes so many times what was estimated.
-fn paced(rig: &mut Rig, class: ClassId, group: u64, times: f64) -> Option<EngineId> {
-    let (query, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.2) });
-    let engine = sent_to(&actions)?;
+/// Serves one request that takes so many times what was estimated.
+fn paced(rig: &mut Rig, class: ClassId, group: u64, times: f64) -> Option<ExecutorId> {
+    let (request, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.2) });
+    let executor = sent_to(&actions)?;
     let threads = f64::from(mute().classes[class].threads);
     let latency = (0.2 / threads * times * 1e6) as Micros;
     rig.pass(latency);
     rig.event(Event::Finished(Finished {
-        query,
+        request,
         attempt: 0,
-        engine,
+        executor,
         done: true,
         outcome: Outcome::Ok,
         latency,
         bill: None,
         report: MUTE,
     }));
-    Some(engine)
+    Some(executor)
 }
 
-/// Found on the bench (tunis-lac-campus): three probes a query that told of nothing cost 0.018 of G.
+/// Found on the bench (tunis-lac-campus): three probes a request that told of nothing cost 0.018 of G.
 #[test]
 fn reports_that_tell_nothing_are_not_asked_for() {
     let mut rig = Rig::new(mute(), 40);
@@ -44,7 +44,7 @@
 
 /// Found on the bench (tunis-lac-campus): with nothing reported, pressure came from lateness alone, too late.
 #[test]
-fn the_pace_of_own_queries_makes_pressure_and_is_forgotten() {
+fn the_pace_of_own_requests_makes_pressure_and_is_forgotten() {
     let mut rig = Rig::new(mute(), 4);
     for group in 0..30 {
         paced(&mut rig, 0, group, 1.0);
--- a/tests/sliver/probes.rs
+++ b/tests/sliver/probes.rs
@@ -1,10 +1,10 @@
-//! Engines that are asked, and those that do not answer.
+//! Executors that are asked, and those that do not answer.
 
 use super::*;
 
-/// Found on the bench: paced probes cost 0.2 to 0.35 of G, as engines times gateways.
+/// Found on the bench: paced probes cost 0.2 to 0.35 of G, as executors times dispatchers.
 #[test]
-fn probes_stay_in_proportion_to_queries_and_an_idle_gateway_sends_none() {
+fn probes_stay_in_proportion_to_requests_and_an_idle_dispatcher_sends_none() {
     for reports in [Reports::Inline, Reports::OnProbe] {
         let mut rig = Rig::new(Settings { reports, ..fleet(300) }, 40);
         rig.pass(20 * S);
@@ -18,38 +18,42 @@
     }
 }
 
-/// A hanging engine answers no probe: the query goes elsewhere after a short wait, and the engine is ejected.
+/// A hanging executor answers no probe: the request goes elsewhere after a short wait, and the executor is ejected.
 #[test]
-fn an_engine_that_answers_no_probe_is_passed_over() {
+fn an_executor_that_answers_no_probe_is_passed_over() {
     let mut rig = Rig::new(fleet(300), 3);
-    let (query, probed) =
-        (900, |a: &Action| if let Action::Probe { engine } = a { Some(*engine) } else { None });
-    let asked = rig.event(Event::Arrival(arrival(query, 0, 0.2)));
+    let (request, probed) =
+        (900, |a: &Action| if let Action::Probe { executor } = a { Some(*executor) } else { None });
+    let asked = rig.event(Event::Arrival(arrival(request, 0, 0.2)));
     assert_eq!(sent_to(&asked), None);
     let dumb = asked.iter().find_map(probed).expect("probes first");
-    for engine in asked.iter().filter_map(probed).filter(|e| *e != dumb) {
+    for executor in asked.iter().filter_map(probed).filter(|e| *e != dumb) {
         let report = Some(Report { inflight: Some(1.0), ..Report::default() });
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
     }
-    let engine = sent_to(&rig.pass(60 * MS)).expect("sent once the wait is over");
-    assert_ne!(engine, dumb);
-    let out =
-        rig.event(Event::Probed { engine: dumb, outcome: Outcome::Timeout, latency: 250 * MS, report: None });
+    let executor = sent_to(&rig.pass(60 * MS)).expect("sent once the wait is over");
+    assert_ne!(executor, dumb);
+    let out = rig.event(Event::Probed {
+        executor: dumb,
+        outcome: Outcome::Timeout,
+        latency: 250 * MS,
+        report: None,
+    });
     assert!(out.iter().any(|a| matches!(a, Action::Log(l) if l.contains("no answer to a probe"))));
 }
 
-/// Found on the bench: a gateway that stood still read its own silence as that of every engine.
+/// Found on the bench: a dispatcher that stood still read its own silence as that of every executor.
 #[test]
-fn a_gateway_that_stood_still_ejects_nobody() {
+fn a_dispatcher_that_stood_still_ejects_nobody() {
     let mut rig = Rig::new(fleet(300), 3);
     rig.teach(0, 60, 0.2);
     let (q, actions) = rig.arrive(0, 0.2);
-    let engine = sent_to(&actions).expect("sent");
+    let executor = sent_to(&actions).expect("sent");
     rig.now += 5 * S;
     rig.timers.iter_mut().for_each(|t| t.0 = rig.now); // all that was due comes now
     let late = rig.pass(0);
     assert!(!late.iter().any(|a| matches!(a, Action::Log(_))), "{late:?}");
-    rig.finish(q, 0, engine, Outcome::Ok, 0.2);
+    rig.finish(q, 0, executor, Outcome::Ok, 0.2);
     assert!(!rig.pass(S).iter().any(|a| matches!(a, Action::Log(_))));
 }
 
@@ -57,7 +61,7 @@
 #[test]
 fn a_short_grace_is_not_spent_on_probes() {
     let mut rig = Rig::new(fleet(300), 40);
-    let query = Arrival { grace: 30 * MS, ..arrival(901, 0, 0.2) };
-    let actions = rig.event(Event::Arrival(query));
+    let request = Arrival { grace: 30 * MS, ..arrival(901, 0, 0.2) };
+    let actions = rig.event(Event::Arrival(request));
     assert!(sent_to(&actions).is_some(), "{actions:?}");
 }
--- a/tests/stories/executors.rs
+++ b/tests/stories/executors.rs
@@ -71,7 +71,7 @@
     assert!(backoff.is_some_and(|ms| ms <= 1000), "{text}");
 }
 
-// KILL QUERY comes on another session and means that the client has left: work stops, nothing is owed. An
+// KILL REQUEST comes on another session and means that the client has left: work stops, nothing is owed. An
 // id of another dispatcher or an earlier life is unknown here and must hit nobody.
 #[test]
 fn a_killed_request_stops_at_its_executor() {
--- a/tests/stories/program.rs
+++ b/tests/stories/program.rs
@@ -18,7 +18,7 @@
     let last = event(3, false, &[target("e1", at[0], "draining")]);
     writeln!(feed, "{}\n{last}\n9", event(2, false, &[target("e2", at[1], "removed")])).unwrap();
     assert_eq!(coordinator.accept().1, "follow 3\n"); // 9 is there and 3 is held: a gap
-    std::thread::sleep(std::time::Duration::from_millis(700)); // a new engine is spared at first: it is cold
+    std::thread::sleep(std::time::Duration::from_millis(700)); // a new executor is spared at first: it is cold
     let mut client = Client::asks(d.address, READ);
     let mut peer = executors[1].accept();
     let pull = peer.command().unwrap();
@@ -74,7 +74,7 @@
     let (mut followed, line) = new.accept();
     assert_eq!(line, "follow 1\n");
     writeln!(followed, "{}", event(2, false, &[target("e1", executor.address, "draining")])).unwrap();
-    d.logs("motor listed anew motor=\"e1\" state=Draining");
+    d.logs("executor listed anew executor=\"e1\" state=Draining");
     assert_eq!((&feed).read(&mut [0; 8]).unwrap(), 0, "the old feed is closed");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
     assert_eq!(client.got(), Got::Rows(vec![row(["1", "x", "y"])]));
@@ -91,7 +91,7 @@
     let (mut feed, line) = coordinator.accept();
     assert_eq!(line, "follow 1\n");
     writeln!(feed, "{change}\n{}", event(3, false, &[target("e2", e2.address, "draining")])).unwrap();
-    d.logs("motor listed anew motor=\"e2\" state=Draining was=Up");
+    d.logs("executor listed anew executor=\"e2\" state=Draining was=Up");
 }
 
 // A configuration that can't be used is one clear line and a failure, not a dispatcher that half works.
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,6 +1,6 @@
 //! Several dispatchers with faults between them: what becomes of the work that one of them had in hand.
 
-use standins::engine::{Engine, Pull};
+use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
 use standins::link::{Link, Weather};
 use standins::scripted::*;
@@ -10,9 +10,9 @@
 /// No story takes this long unless something hangs.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Three dispatchers, two motores that take a second and a half, and a link from each peer to each other.
+/// Three dispatchers, two executors that take a second and a half, and a link from each peer to each other.
 struct Fleet {
-    engines: Vec<Engine>,
+    executors: Vec<Executor>,
     dispatchers: Vec<Option<Dispatcher>>,
     links: Vec<((usize, usize), Link)>,
     _feed: Feed,
@@ -28,7 +28,7 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let engines: Vec<Engine> = (0..2).map(|_| Engine::new(work).unwrap()).collect();
+        let executors: Vec<Executor> = (0..2).map(|_| Executor::new(work).unwrap()).collect();
         let feed = Feed::at("127.0.0.1:0", 1).unwrap();
         let pairs = (0..3).flat_map(|i| (0..3).filter(move |j| *j != i).map(move |j| (i, j)));
         let links: Vec<((usize, usize), Link)> = pairs.map(|p| (p, Link::new().unwrap())).collect();
@@ -44,7 +44,7 @@
             let file = launch().file(&hcl);
             let uids = ["s-00000001", "s-00000002"];
             let known: Vec<(&str, SocketAddr)> =
-                uids.into_iter().zip(engines.iter().map(|e| e.address)).collect();
+                uids.into_iter().zip(executors.iter().map(|e| e.address)).collect();
             let config = launch().config(feed.address, &known);
             let mut d = launch().with(&["--settings", &file.display().to_string()]).serving(&config);
             let line = d.logs("peers' address ");
@@ -57,7 +57,7 @@
         }
         // Past its first second the fleet vouches for what it does not know.
         std::thread::sleep(Duration::from_millis(1_200));
-        Fleet { engines, dispatchers, links, _feed: feed }
+        Fleet { executors, dispatchers, links, _feed: feed }
     }
 
     fn at(&mut self, i: usize) -> &mut Dispatcher {
@@ -68,9 +68,9 @@
         self.dispatchers[i].as_ref().unwrap().address
     }
 
-    /// What the motores got of a statement.
+    /// What the executors got of a statement.
     fn pulls(&self, text: &str) -> Vec<Pull> {
-        self.engines.iter().flat_map(|e| e.pulls()).filter(|p| p.statement.contains(text)).collect()
+        self.executors.iter().flat_map(|e| e.pulls()).filter(|p| p.statement.contains(text)).collect()
     }
 
     fn until_pulled(&self, text: &str) {
@@ -104,7 +104,7 @@
 }
 
 // The dispatcher is killed with a load in hand: it may have run, so that whoever is asked again says so at once
-// and no motor ever gets it a second time.
+// and no executor ever gets it a second time.
 #[test]
 fn a_load_of_a_killed_dispatcher_runs_once_and_is_answered() {
     let mut fleet = Fleet::start();
