--- a/crates/lab/src/scale/list.rs
+++ b/crates/lab/src/scale/list.rs
@@ -4,7 +4,7 @@
 use super::table::Table;
 use crate::fleet::{Failure, SETTINGS};
 use ottercroft::Balancer;
-use ottercroft::api::{Arrival, Entry, Event, ListKind};
+use ottercroft::api::{Arrival, Endpoint, EndpointListKind, Event};
 use ottercroft::settings::config::Config;
 use standins::feed::Feed;
 use standins::scripted::{Launch, target};
@@ -38,7 +38,7 @@
     Ok(table)
 }
 
-fn entry(n: usize) -> String {
+fn endpoint(n: usize) -> String {
     let at: SocketAddr = ([127, 8, (n / 250) as u8, (n % 250 + 1) as u8], 9).into();
     target(&format!("s-{n:08x}"), at, "up")
 }
@@ -49,7 +49,7 @@
     let feed = Feed::at("127.0.0.1:0", 1)?;
     let mut launch = Launch::new(program, folder);
     (launch.settings, launch.log) = (SETTINGS.into(), Some("info".into()));
-    let known: Vec<String> = (0..size).map(entry).collect();
+    let known: Vec<String> = (0..size).map(endpoint).collect();
     let begun = Instant::now();
     let process = launch.serving(&launch.config_of(feed.address, &known));
     let start_s = begun.elapsed().as_secs_f64();
@@ -57,9 +57,9 @@
     let (pid, before) = (process.child.id(), usage(process.child.id()));
     thread::sleep(Duration::from_secs(2));
     let rest = usage(pid);
-    let event = entry(0);
+    let event = endpoint(0);
     for n in 0..100 {
-        feed.tell(false, &[entry(n % size)]);
+        feed.tell(false, &[endpoint(n % size)]);
         thread::sleep(Duration::from_millis(10));
     }
     thread::sleep(Duration::from_secs(1));
@@ -79,17 +79,17 @@
     let (settings, _) = config.settings.settings().map_err(|e| e.to_string())?;
     let mut dispatcher = Balancer::new(settings, 42).map_err(|e| e.to_string())?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
-    let entries: Vec<Entry> =
-        (1..=size as u32).map(|executor| Entry { executor, rating: 1.0, ..Entry::default() }).collect();
+    let endpoints: Vec<Endpoint> =
+        (1..=size as u32).map(|executor| Endpoint { executor, rating: 1.0, ..Endpoint::default() }).collect();
     let begun = Instant::now();
-    dispatcher.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
+    dispatcher.handle(now, Event::EndpointList { kind: EndpointListKind::Restored, endpoints }, &mut actions);
     let whole = begun.elapsed().as_secs_f64() * 1e6;
     let arrival = |request| Arrival {
         request,
         class: 0,
         tenant: None,
         key: None,
-        grace: 6_000_000,
+        time_budget: 6_000_000,
         estimate_s: Some(0.2),
         memory_mb: Some(100.0),
         group: request % 50,
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant};
 
 fn settings() -> Settings {
-    let class = |aim, worth, threads| Class {
-        aim,
-        aim_stretch: 2.0,
-        deadline: 20 * aim,
-        worth,
-        late_worth: 0.0,
+    let class = |latency_objective, priority_weight, threads| Class {
+        latency_objective,
+        latency_objective_stretch: 2.0,
+        deadline: 20 * latency_objective,
+        priority_weight,
+        late_priority_weight: 0.0,
         threads,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         keep_order: false,
         loads: false,
         yields_to_loads: false,
@@ -26,25 +26,25 @@
         tenants: vec![],
         zones: 1,
         zone: 0,
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         cross_zone_price: 0.04,
         probe_price: 0.08,
         handshake_price: 0.08,
         reports: Reports::OnProbe,
-        list_must_be_asked: false,
+        list_must_be_polled: false,
         probes: true,
         cancel: true,
-        second_copies: true,
+        hedging: true,
         max_attempts: 4,
         max_retry_after: Some(1_000_000),
         grants: true,
         priorities: true,
-        most_grant: 0.4,
-        shortage: Shortage::Queue,
+        max_grant_fraction: 0.4,
+        memory_shortage: MemoryShortage::Queue,
         progress: Some(1_000_000),
-        tells_cost: false,
+        reports_cost: false,
         budget: None,
-        cold: ColdRule { from: 0.3, ramp: 15_000_000, multiple: 3.0, fall: 2_000_000 },
+        cold: SlowStart { from: 0.3, ramp: 15_000_000, multiple: 3.0, fall: 2_000_000 },
         drain_grace: 2_000_000,
         key_quiet: None,
         step: 5_000,
@@ -57,9 +57,10 @@
     let mut dispatcher = Balancer::new(settings(), 42)?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
     let started = |executor: u32| (executor % 100 < cold).then_some(now);
-    let entry = |executor| Entry { executor, rating: 1.0, started: started(executor), ..Entry::default() };
-    let entries = (1..=executors).map(entry).collect();
-    dispatcher.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
+    let endpoint =
+        |executor| Endpoint { executor, rating: 1.0, started: started(executor), ..Endpoint::default() };
+    let endpoints = (1..=executors).map(endpoint).collect();
+    dispatcher.handle(now, Event::EndpointList { kind: EndpointListKind::Restored, endpoints }, &mut actions);
     let start = Instant::now();
     for request in 0..open {
         now += 10;
@@ -71,7 +72,7 @@
                 class,
                 tenant: None,
                 key: None,
-                grace: 20_000_000,
+                time_budget: 20_000_000,
                 estimate_s: Some(0.2 + 2.0 * class as f64),
                 memory_mb: Some(100.0),
                 group: request % 50,
@@ -106,11 +107,12 @@
 /// Median of a tick with so many requests in the lines of some keys, the first of each out at an executor that hangs.
 fn measure_lines(waiting: u64) -> Result<Duration, SettingsError> {
     let mut settings = settings();
-    (settings.classes[0].keep_order, settings.classes[0].effect) = (true, Effect::Unsafe);
+    (settings.classes[0].keep_order, settings.classes[0].idempotency) = (true, Idempotency::NotIdempotent);
     let mut dispatcher = Balancer::new(settings, 42)?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
-    let entries = (1..=8).map(|executor| Entry { executor, rating: 1.0, ..Entry::default() }).collect();
-    dispatcher.handle(now, Event::List { kind: ListKind::Restored, entries }, &mut actions);
+    let endpoints =
+        (1..=8).map(|executor| Endpoint { executor, rating: 1.0, ..Endpoint::default() }).collect();
+    dispatcher.handle(now, Event::EndpointList { kind: EndpointListKind::Restored, endpoints }, &mut actions);
     for request in 0..waiting {
         now += 10;
         let arrival = Arrival {
@@ -118,7 +120,7 @@
             class: 0,
             tenant: None,
             key: Some(request % KEYS),
-            grace: 20_000_000,
+            time_budget: 20_000_000,
             estimate_s: Some(0.2),
             memory_mb: Some(100.0),
             group: request % KEYS,
--- a/examples/one_dispatcher.rs
+++ b/examples/one_dispatcher.rs
@@ -4,14 +4,14 @@
 use ottercroft::{Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
-    let class = |aim, worth, threads| Class {
-        aim,
-        aim_stretch: 2.0,
-        deadline: 5 * aim,
-        worth,
-        late_worth: 0.0,
+    let class = |latency_objective, priority_weight, threads| Class {
+        latency_objective,
+        latency_objective_stretch: 2.0,
+        deadline: 5 * latency_objective,
+        priority_weight,
+        late_priority_weight: 0.0,
         threads,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         keep_order: false,
         loads: false,
         yields_to_loads: false,
@@ -25,45 +25,45 @@
         tenants: vec![],
         zones: 1,
         zone: 0,
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         cross_zone_price: 0.0,
         probe_price: 0.0,
         handshake_price: 0.0,
         reports: Reports::Inline,
-        list_must_be_asked: false,
+        list_must_be_polled: false,
         probes: true,
         cancel: true,
-        second_copies: true,
+        hedging: true,
         max_attempts: 4,
         max_retry_after: Some(2_000_000),
         grants: true,
         priorities: true,
-        most_grant: 0.4,
-        shortage: Shortage::Queue,
+        max_grant_fraction: 0.4,
+        memory_shortage: MemoryShortage::Queue,
         progress: None,
-        tells_cost: false,
-        budget: Some(Budget { free: 3.0, ratio: 0.1, span: 5_000_000, slack: 0 }),
-        cold: ColdRule { from: 0.3, ramp: 14_000_000, multiple: 2.5, fall: 2_000_000 },
+        reports_cost: false,
+        budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span: 5_000_000, slack: 0 }),
+        cold: SlowStart { from: 0.3, ramp: 14_000_000, multiple: 2.5, fall: 2_000_000 },
         drain_grace: 1_000_000,
         key_quiet: None,
         step: 5_000,
     };
     let mut dispatcher = Balancer::new(settings, 42)?;
-    let executors = [11, 12].map(|executor| Entry { executor, rating: 1.0, ..Entry::default() });
+    let executors = [11, 12].map(|executor| Endpoint { executor, rating: 1.0, ..Endpoint::default() });
     let request = Arrival {
         request: 1,
         class: 1,
         tenant: None,
         key: None,
-        grace: 15_000_000,
+        time_budget: 15_000_000,
         estimate_s: Some(2.5),
         memory_mb: Some(640.0),
         group: 7,
         repeated: false,
         held_back: false,
     };
-    let gone = executors.clone().map(|e| Entry { readiness: Readiness::Left, ..e });
-    let list = |kind, entries: &[Entry]| Event::List { kind, entries: entries.to_vec() };
+    let gone = executors.clone().map(|e| Endpoint { readiness: Readiness::Left, ..e });
+    let list = |kind, endpoints: &[Endpoint]| Event::EndpointList { kind, endpoints: endpoints.to_vec() };
     let mut sent = None;
     let mut play = |now: Micros, event: Event| {
         let mut actions = Vec::new();
@@ -76,25 +76,25 @@
         }
         sent
     };
-    play(1_000_000, list(ListKind::Restored, &executors));
+    play(1_000_000, list(EndpointListKind::Restored, &executors));
     play(1_020_000, Event::Arrival(request.clone()));
     // The probes bring no answer within the wait: the request is sent all the same.
     let first = play(1_060_000, Event::Timer { token: 1 }).expect("sent");
     // The executor fails it at once: it is tried again elsewhere.
-    let failed = Finished {
+    let failed = AttemptFinished {
         request: 1,
         attempt: 0,
         executor: first,
         done: false,
         outcome: Outcome::Error,
         latency: 5_000,
-        bill: None,
+        reported_cost: None,
         report: None,
     };
-    let second = play(1_065_000, Event::Finished(failed)).expect("sent again");
+    let second = play(1_065_000, Event::AttemptFinished(failed)).expect("sent again");
     assert_ne!(first, second);
     // With no executor left a request is refused at once, with advice when to come back.
-    play(1_200_000, list(ListKind::Update, &gone));
+    play(1_200_000, list(EndpointListKind::Update, &gone));
     play(1_210_000, Event::Arrival(Arrival { request: 2, ..request }));
     Ok(())
 }
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Set memory and priority for the request's further sends; the priority also for what is out.
-    Terms {
+    SetTerms {
         /// The request.
         request: RequestId,
         /// Memory in MB; 0 leaves it to the executor.
@@ -31,7 +31,7 @@
         attempt: u32,
     },
     /// Final answer: turned away, trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When to come back.
@@ -56,21 +56,21 @@
     /// Stop hearing of changes.
     Unwatch,
     /// Ask for the whole executor list once.
-    ReadList,
+    FetchEndpointList,
     /// Close idle connections to an executor.
     CloseIdle {
         /// The executor.
         executor: ExecutorId,
     },
     /// Tell one dispatcher of the tier something, or all of them.
-    Tell {
+    Gossip {
         /// Its number; `None` for all.
         to: Option<u32>,
         /// What is told.
         content: String,
     },
     /// Set a timer.
-    Wake {
+    SetTimer {
         /// Comes back with the timer.
         token: u64,
         /// From now.
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,6 +1,6 @@
 //! What happens to a dispatcher.
 
-use super::{ClassId, Entry, ExecutorId, ListKind, Micros, Report, RequestId, TenantId};
+use super::{ClassId, Endpoint, EndpointListKind, ExecutorId, Micros, Report, RequestId, TenantId};
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// The executor answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     Timeout,
     /// No connection; never ran.
@@ -20,28 +20,28 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// What a request cost, where answers tell it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bill {
+pub struct ReportedCost {
     /// Work of all threads, in seconds.
-    pub work_s: f64,
+    pub thread_seconds: f64,
     /// Memory needed, in MB.
     pub memory_mb: f64,
 }
 
 /// Word on an attempt that is out.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum AttemptProgress {
     /// Share done, rough.
     Progress(f64),
     /// It spills; so many MB are missing.
@@ -62,7 +62,7 @@
     /// Its key, for classes that keep order.
     pub key: Option<u64>,
     /// How long until the client gives up on this try.
-    pub grace: Micros,
+    pub time_budget: Micros,
     /// Estimated work of all threads, in seconds.
     pub estimate_s: Option<f64>,
     /// Estimated memory in MB.
@@ -77,7 +77,7 @@
 
 /// An attempt that is over.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Finished {
+pub struct AttemptFinished {
     /// The request.
     pub request: RequestId,
     /// The attempt.
@@ -91,7 +91,7 @@
     /// Time since it was sent.
     pub latency: Micros,
     /// What it cost, if told.
-    pub bill: Option<Bill>,
+    pub reported_cost: Option<ReportedCost>,
     /// A load report, if one came along.
     pub report: Option<Report>,
 }
@@ -100,11 +100,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the executor list.
-    List {
+    EndpointList {
         /// What the entries are.
-        kind: ListKind,
+        kind: EndpointListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        endpoints: Vec<Endpoint>,
     },
     /// A request arrived.
     Arrival(Arrival),
@@ -116,9 +116,9 @@
         attempt: u32,
     },
     /// An attempt is over.
-    Finished(Finished),
+    AttemptFinished(AttemptFinished),
     /// Word on an attempt that is out.
-    Noted {
+    AttemptProgressed {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -126,10 +126,10 @@
         /// Where it runs.
         executor: ExecutorId,
         /// The word.
-        note: Note,
+        progress_note: AttemptProgress,
     },
     /// The client left; no answer is owed.
-    HungUp {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -139,14 +139,14 @@
         token: u64,
     },
     /// Another dispatcher of the tier told something.
-    Told {
+    Gossip {
         /// Its number.
         from: u32,
         /// What it told.
         content: String,
     },
     /// A probe is over.
-    Probed {
+    ProbeFinished {
         /// The executor.
         executor: ExecutorId,
         /// How it ended.
--- a/src/api/executors.rs
+++ b/src/api/executors.rs
@@ -16,7 +16,7 @@
 
 /// An entry of the executor list.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// The executor.
     pub executor: ExecutorId,
     /// Its zone.
@@ -37,7 +37,7 @@
 
 /// Why a list arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointListKind {
     /// Only entries that changed.
     Update,
     /// All entries.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -12,9 +12,11 @@
 
 pub use action::Action;
 pub use end_reason::{EndCounts, EndReason};
-pub use event::{Arrival, Bill, Event, Finished, Note, Outcome};
-pub use executors::{Entry, ListKind, Readiness, Report};
-pub use settings::{Budget, Class, ColdRule, Effect, Group, Kind, Reports, Settings, Shortage, Tenant};
+pub use event::{Arrival, AttemptFinished, AttemptProgress, Event, Outcome, ReportedCost};
+pub use executors::{Endpoint, EndpointListKind, Readiness, Report};
+pub use settings::{
+    Class, Idempotency, KeyScope, Kind, MemoryShortage, Reports, RetryBudget, Settings, SlowStart, Tenant,
+};
 pub use validation::{SettingsError, check};
 
 /// A point in time or a span, in microseconds.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,26 +1,26 @@
 //! What a dispatcher is told at its start: classes, kinds of machine, tenants, and what executors do.
 
-use super::{Entry, KindId, Micros, ZoneId};
+use super::{Endpoint, KindId, Micros, ZoneId};
 
 /// What may be done about an attempt whose fate is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated freely.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside a group of executors, for a while.
-    Keyed {
+    IdempotencyKey {
         /// The executors that drop each other's repeats.
-        group: Group,
+        scope: KeyScope,
         /// For how long after the first attempt that may have run.
         window: Micros,
     },
     /// Must not run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which executors drop repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// Any executor.
     All,
     /// Executors of the same zone.
@@ -29,13 +29,13 @@
     Cell,
 }
 
-impl Group {
+impl KeyScope {
     /// Whether two executors are of one group.
-    pub fn holds(self, a: &Entry, b: &Entry) -> bool {
+    pub fn holds(self, a: &Endpoint, b: &Endpoint) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => a.zone == b.zone,
-            Group::Cell => a.cell == b.cell,
+            KeyScope::All => true,
+            KeyScope::Zone => a.zone == b.zone,
+            KeyScope::Cell => a.cell == b.cell,
         }
     }
 }
@@ -44,19 +44,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time, plus `aim_stretch`, earns the whole worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this times the request's work over its threads.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Worth of one answer.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer still earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Threads that a request runs on.
     pub threads: u32,
     /// What may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Requests of one key run one at a time.
     pub keep_order: bool,
     /// It holds its table group on its executor while it runs.
@@ -87,7 +87,7 @@
 
 /// What happens when grants pass an executor's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shortage {
+pub enum MemoryShortage {
     /// The request waits in the executor's line.
     Queue,
     /// It gets what is left, and spills.
@@ -109,7 +109,7 @@
 
 /// The attempt budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Further attempts allowed in every window whatever the traffic.
     pub free: f64,
     /// Further attempts allowed for each request taken in the window.
@@ -122,7 +122,7 @@
 
 /// The cold-executor rule.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdRule {
+pub struct SlowStart {
     /// An executor starts at this share of its capacity or more.
     pub from: f64,
     /// It is warm this long after its start.
@@ -149,7 +149,7 @@
     /// This dispatcher's zone.
     pub zone: ZoneId,
     /// Worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Price of an attempt that crosses zones, in points of service for each first try.
     pub cross_zone_price: f64,
     /// Price of a probe, in points of service for each first try.
@@ -159,13 +159,13 @@
     /// Load reports.
     pub reports: Reports,
     /// The executor list must be asked for.
-    pub list_must_be_asked: bool,
+    pub list_must_be_polled: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Most attempts for a request.
     pub max_attempts: u32,
     /// The longest wait that a client will follow; `None` where advice is not passed on.
@@ -175,17 +175,17 @@
     /// Priorities are heeded.
     pub priorities: bool,
     /// Share of an executor's memory that one request gets at most.
-    pub most_grant: f64,
+    pub max_grant_fraction: f64,
     /// What a shortage of memory does.
-    pub shortage: Shortage,
+    pub memory_shortage: MemoryShortage,
     /// Pace of progress notes; `None` where there are none.
     pub progress: Option<Micros>,
     /// Answers tell what a request cost.
-    pub tells_cost: bool,
+    pub reports_cost: bool,
     /// The attempt budget, where one is stated.
-    pub budget: Option<Budget>,
+    pub budget: Option<RetryBudget>,
     /// The cold-executor rule.
-    pub cold: ColdRule,
+    pub cold: SlowStart,
     /// Nothing new may go to an executor this long after word that it drains or is gone.
     pub drain_grace: Micros,
     /// How long a key rests after an attempt that may still run.
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -28,7 +28,10 @@
     need(s.tenants.iter().all(|t| sane(t.quota_per_s)), "quota of a tenant is negative or not finite")?;
     for (i, c) in s.classes.iter().enumerate() {
         let need = |ok: bool, what: &str| need(ok, &format!("class {i}: {what}"));
-        need(sane(c.aim_stretch) && sane(c.worth) && sane(c.late_worth), "negative or non-finite number")?;
+        need(
+            sane(c.latency_objective_stretch) && sane(c.priority_weight) && sane(c.late_priority_weight),
+            "negative or non-finite number",
+        )?;
         need(c.threads > 0, "no threads")?;
         need(c.deadline > 0, "no deadline")?;
         need(c.only_zones.iter().flatten().all(|z| *z < s.zones), "unknown zone")?;
@@ -38,8 +41,8 @@
     need(sane(c.from) && sane(c.multiple), "cold-engine rule: negative or non-finite number")?;
     need(s.budget.is_none_or(|b| sane(b.free) && sane(b.ratio)), "attempt budget: bad number")?;
     need(
-        [s.over_share_worth, s.cross_zone_price, s.probe_price, s.handshake_price].into_iter().all(sane),
+        [s.over_quota_weight, s.cross_zone_price, s.probe_price, s.handshake_price].into_iter().all(sane),
         "worth or price: bad number",
     )?;
-    need(sane(s.most_grant), "most grant: bad number")
+    need(sane(s.max_grant_fraction), "most grant: bad number")
 }
--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -73,7 +73,7 @@
     customer: Option<Customer>,
     #[serde(default)]
     order_key: Option<u64>,
-    grace: f64,
+    time_budget: f64,
     #[serde(default)]
     estimate: Option<f64>,
     #[serde(default)]
@@ -109,7 +109,7 @@
     ending: u64,
     wait_time: f64,
     #[serde(default)]
-    bill: Option<u64>,
+    reported_cost: Option<u64>,
     #[serde(default)]
     stats: Option<StatsIn>,
 }
--- a/src/bin/ottercroft-adapter/wire/actions.rs
+++ b/src/bin/ottercroft-adapter/wire/actions.rs
@@ -61,24 +61,24 @@
 pub fn action<'a>(who: &'a str, action: &'a Action) -> Out<'a> {
     let hex = |q: &RequestId| format!("{q:016x}");
     match action {
-        Action::Terms { request, memory_mb, priority } => {
+        Action::SetTerms { request, memory_mb, priority } => {
             Out::Resources { who, call: hex(request), mem_mb: *memory_mb, prio: *priority }
         }
         Action::Send { request, executor, timeout } => {
             Out::Assign { who, call: hex(request), node: *executor, timeout: timeout.map(seconds) }
         }
         Action::Cancel { request, attempt } => Out::Recall { who, call: hex(request), go: *attempt },
-        Action::Refuse { request, retry_after, .. } => {
+        Action::Reject { request, retry_after, .. } => {
             Out::Refuse { who, call: hex(request), hold_off: retry_after.map(seconds) }
         }
         Action::Fail { request, .. } => Out::Surrender { who, call: hex(request) },
         Action::Probe { executor } => Out::Probe { who, node: *executor },
         Action::Watch => Out::Track { who, enable: true },
         Action::Unwatch => Out::Track { who, enable: false },
-        Action::ReadList => Out::ReadList { who },
+        Action::FetchEndpointList => Out::ReadList { who },
         Action::CloseIdle { executor } => Out::CloseIdle { who, node: *executor },
-        Action::Tell { to, content } => Out::Tell { who, dest: *to, content },
-        Action::Wake { token, after } => Out::WakeAt { who, ctx: *token, span: seconds(*after) },
+        Action::Gossip { to, content } => Out::Tell { who, dest: *to, content },
+        Action::SetTimer { token, after } => Out::WakeAt { who, ctx: *token, span: seconds(*after) },
         Action::Log(what) => Out::Debug { who, what },
     }
 }
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -15,22 +15,22 @@
     Ok(match code {
         10 => Outcome::Ok,
         20 => Outcome::Error,
-        30 => Outcome::Full,
+        30 => Outcome::Rejected,
         40 => Outcome::Timeout,
         50 => Outcome::ConnectFailed,
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
-        80 => Outcome::Moot,
+        80 => Outcome::NotSent,
         other => return Err(bad(name, "ending", format_args!("unknown outcome code {other}"))),
     })
 }
 
-fn entries(names: &Names, hosts: &[HostIn]) -> Result<Vec<Entry>, Malformed> {
+fn endpoints(names: &Names, hosts: &[HostIn]) -> Result<Vec<Endpoint>, Malformed> {
     const M: &str = "DEFINE_LIST";
     hosts
         .iter()
         .map(|h| {
-            Ok(Entry {
+            Ok(Endpoint {
                 executor: h.node,
                 zone: lookup(&names.zones, M, "az", &h.az)?,
                 kind: lookup(&names.kinds, M, "shape", &h.shape)?,
@@ -59,22 +59,22 @@
         "FLEET" => {
             let f: FleetIn = body(name, text)?;
             let kind = match f.form.as_str() {
-                "update" => ListKind::Update,
-                "replace" => ListKind::Replace,
-                "restored" => ListKind::Restored,
-                "unavailable" => ListKind::Unavailable,
+                "update" => EndpointListKind::Update,
+                "replace" => EndpointListKind::Replace,
+                "restored" => EndpointListKind::Restored,
+                "unavailable" => EndpointListKind::Unavailable,
                 other => return Err(bad(name, "form", format_args!("unknown value {other:?}"))),
             };
-            let entries = match kind {
-                ListKind::Unavailable => Vec::new(),
+            let endpoints = match kind {
+                EndpointListKind::Unavailable => Vec::new(),
                 _ => {
                     let id = f.set_id.ok_or_else(|| bad(name, "setId", "missing"))?;
                     let hosts =
                         lists.get(&id).ok_or_else(|| bad(name, "setId", format_args!("no list {id}")))?;
-                    entries(names, hosts)?
+                    endpoints(names, hosts)?
                 }
             };
-            Event::List { kind, entries }
+            Event::EndpointList { kind, endpoints }
         }
         "INBOUND" => {
             let m: Inbound = body(name, text)?;
@@ -91,7 +91,7 @@
                     }
                 },
                 key: m.order_key,
-                grace: micros(name, "grace", m.grace)?,
+                time_budget: micros(name, "grace", m.time_budget)?,
                 estimate_s: m.estimate.filter(|e| bits & 1 != 0 && e.is_finite() && *e > 0.0),
                 memory_mb: m.est_memory_mb.filter(|e| e.is_finite() && *e > 0.0),
                 group: m.tables.unwrap_or(0),
@@ -105,42 +105,47 @@
         }
         "NOTICE" => {
             let m: NoticeIn = body(name, text)?;
-            let note = match m.topic {
-                1 => Note::Progress(m.amount),
-                2 => Note::Spill(m.amount),
-                3 => Note::Waits,
+            let progress_note = match m.topic {
+                1 => AttemptProgress::Progress(m.amount),
+                2 => AttemptProgress::Spill(m.amount),
+                3 => AttemptProgress::Waits,
                 _ => return Ok(None),
             };
-            Event::Noted { request: request(name, &m.call)?, attempt: m.go, executor: m.node, note }
+            Event::AttemptProgressed {
+                request: request(name, &m.call)?,
+                attempt: m.go,
+                executor: m.node,
+                progress_note,
+            }
         }
         "REPLY" => {
             let m: ReplyIn = body(name, text)?;
-            Event::Finished(Finished {
+            Event::AttemptFinished(AttemptFinished {
                 request: request(name, &m.call)?,
                 attempt: m.go,
                 executor: m.node,
                 done: m.done_flag,
                 outcome: outcome(name, m.ending)?,
                 latency: micros(name, "waitTime", m.wait_time)?,
-                bill: m
-                    .bill
-                    .filter(|b| *b > 0)
-                    .map(|b| Bill { work_s: (b / 4096) as f64 / 1e3, memory_mb: (b % 4096) as f64 * 4.0 }),
+                reported_cost: m.reported_cost.filter(|b| *b > 0).map(|b| ReportedCost {
+                    thread_seconds: (b / 4096) as f64 / 1e3,
+                    memory_mb: (b % 4096) as f64 * 4.0,
+                }),
                 report: m.stats.map(Report::from),
             })
         }
         "INBOX" => {
             let m: Inbox = body(name, text)?;
-            Event::Told { from: m.from, content: m.content }
+            Event::Gossip { from: m.from, content: m.content }
         }
         "HANGUP" => {
             let m: Call = body(name, text)?;
-            Event::HungUp { request: request(name, &m.call)? }
+            Event::ClientDisconnected { request: request(name, &m.call)? }
         }
         "WAKEUP" => Event::Timer { token: body::<Wakeup>(name, text)?.ctx },
         "CHECK_RESULT" => {
             let m: CheckResult = body(name, text)?;
-            Event::Probed {
+            Event::ProbeFinished {
                 executor: m.node,
                 outcome: outcome(name, m.ending)?,
                 latency: micros(name, "waitTime", m.wait_time)?,
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -126,10 +126,10 @@
     for (name, i) in &names.classes {
         let Some(c) = s.classes.get(*i) else { continue };
         let of = [
-            ("aim", span(c.aim)),
+            ("aim", span(c.latency_objective)),
             ("deadline", span(c.deadline)),
-            ("worth", c.worth.to_string()),
-            ("late_worth", c.late_worth.to_string()),
+            ("worth", c.priority_weight.to_string()),
+            ("late_worth", c.late_priority_weight.to_string()),
             ("kinds", some(&c.only_kinds, &names.kinds)),
             ("zones", some(&c.only_zones, &names.zones)),
         ];
@@ -139,8 +139,9 @@
         let Some(t) = s.tenants.get(*i) else { continue };
         all.insert(format!("tenant \"{}\": quota_per_s", shown(name)), t.quota_per_s.to_string());
     }
-    let ration = |of: fn(&crate::api::Budget) -> String| s.budget.as_ref().map_or("none".to_string(), of);
-    all.insert("over_share_worth".into(), s.over_share_worth.to_string());
+    let ration =
+        |of: fn(&crate::api::RetryBudget) -> String| s.budget.as_ref().map_or("none".to_string(), of);
+    all.insert("over_share_worth".into(), s.over_quota_weight.to_string());
     all.insert("attempts: most".into(), s.max_attempts.to_string());
     all.insert("attempts: free".into(), ration(|b| b.free.to_string()));
     all.insert("attempts: ratio".into(), ration(|b| b.ratio.to_string()));
--- a/src/control/constants.rs
+++ b/src/control/constants.rs
@@ -102,7 +102,8 @@
 pub(super) const SILENT_GAP_MOST: f64 = 0.3;
 pub(super) const GAP_WEIGHT: f64 = 0.1;
 /// Retry budget of our own where no rule states one: free attempts, share of requests, window.
-pub(super) const OWN_BUDGET: Budget = Budget { free: 3.0, ratio: 0.25, span: 10 * SECOND, slack: 0 };
+pub(super) const OWN_BUDGET: RetryBudget =
+    RetryBudget { free: 3.0, ratio: 0.25, span: 10 * SECOND, slack: 0 };
 /// An attempt has a bad plan once it looks this many times longer than expected.
 pub(super) const RUNAWAY: f64 = 4.0;
 /// Executors that a decision looks at, whatever the length of the list; usual fleets have fewer. In a large
--- a/src/control/cost.rs
+++ b/src/control/cost.rs
@@ -5,8 +5,8 @@
 impl Balancer {
     pub(super) fn class_mean(&self, class: ClassId) -> f64 {
         let (m, c) = (&self.models[class], &self.s.classes[class]);
-        let aim = c.aim as f64 / 1e6 * f64::from(c.threads);
-        if m.cost.n >= ENOUGH { m.cost.value } else { m.estimate.or(aim) }
+        let latency_objective = c.latency_objective as f64 / 1e6 * f64::from(c.threads);
+        if m.cost.n >= ENOUGH { m.cost.value } else { m.estimate.or(latency_objective) }
     }
 
     /// Thread-seconds: the told estimate, corrected; else the cache's mean; else the class's.
@@ -19,22 +19,28 @@
         self.cache.get(&(a.class, a.group)).copied().map_or_else(|| self.class_mean(a.class), |m| m.value)
     }
 
-    pub(super) fn learn(&mut self, id: RequestId, attempt: usize, latency: Micros, bill: Option<Bill>) {
+    pub(super) fn learn(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        latency: Micros,
+        reported_cost: Option<ReportedCost>,
+    ) {
         let q = &self.requests[&id];
         let threads = f64::from(self.s.classes[q.class].threads);
         let spent = latency as f64 / 1e6 * threads;
-        let cost = bill.map_or(spent.min(OUTLIER * q.cost), |b| b.work_s);
+        let cost = reported_cost.map_or(spent.min(OUTLIER * q.cost), |b| b.thread_seconds);
         let m = &mut self.models[q.class];
         m.cost.add(cost, LEARN);
         m.pace.add((spent / q.cost.max(1e-6)).min(10.0), LEARN * 2.0);
         q.estimate.into_iter().for_each(|e| m.compare(e, cost.min(20.0 * q.cost), TRUSTED, LEARN));
         let a = &q.attempts[attempt];
-        bill.into_iter().for_each(|b| m.memory.add(b.memory_mb, LEARN));
+        reported_cost.into_iter().for_each(|b| m.memory.add(b.memory_mb, LEARN));
         // Without notes or told needs nothing is learned: a grant that fell with each answer spilled unseen.
-        if let Some(e) = q.memory_estimate.filter(|_| bill.is_some() || self.s.progress.is_some()) {
+        if let Some(e) = q.memory_estimate.filter(|_| reported_cost.is_some() || self.s.progress.is_some()) {
             // A spill was learned when the note came; a told need moves the first few grants far.
-            let first = bill.map_or(0.0, |_| 1.0 / f64::from(m.memory.n + 1));
-            let short = bill.is_some_and(|b| b.memory_mb > e * m.memory_bias.exp());
+            let first = reported_cost.map_or(0.0, |_| 1.0 / f64::from(m.memory.n + 1));
+            let short = reported_cost.is_some_and(|b| b.memory_mb > e * m.memory_bias.exp());
             let way = if short { GRANT_QUANTILE } else { GRANT_QUANTILE - 1.0 };
             m.memory_bias += if short || !a.spilled { GRANT_STEP.max(first) * way } else { 0.0 };
         }
--- a/src/control/draw.rs
+++ b/src/control/draw.rs
@@ -4,7 +4,7 @@
 
 impl Balancer {
     fn distance(&self, e: &Executor) -> f64 {
-        if e.entry.zone == self.s.zone { 1.0 } else { 1.0 + CROSS_WEIGHT * self.s.cross_zone_price }
+        if e.endpoint.zone == self.s.zone { 1.0 } else { 1.0 + CROSS_WEIGHT * self.s.cross_zone_price }
     }
 
     /// Executors of a table group, the same at all dispatchers by rendezvous hashing: homes, or its loads' homes.
@@ -12,8 +12,8 @@
         let yields = self.s.classes[class].yields_to_loads;
         let of = self.s.classes.iter().position(|c| yields && c.loads).unwrap_or(class);
         let score = |e: &Executor| {
-            let unit = hashed(group, e.entry.executor);
-            (-unit.ln() / e.cores * self.distance(e) / self.spared(of, e), e.entry.executor)
+            let unit = hashed(group, e.endpoint.executor);
+            (-unit.ln() / e.cores * self.distance(e) / self.spared(of, e), e.endpoint.executor)
         };
         let near = self.neighbours(of, group);
         self.look_at(near.len());
@@ -32,10 +32,10 @@
     }
 
     fn weight(&self, q: &Request, e: &Executor) -> f64 {
-        let capacity = e.cores * self.warmth(e) * e.entry.weight.unwrap_or(1.0);
+        let capacity = e.cores * self.warmth(e) * e.endpoint.weight.unwrap_or(1.0);
         let load = self.load(e) * e.cores / capacity.max(1e-9);
         let c = &self.s.classes[q.class];
-        let home = match q.homes.contains(&e.entry.executor) {
+        let home = match q.homes.contains(&e.endpoint.executor) {
             false => 1.0,
             true if c.yields_to_loads => 1.0 / LOAD_BONUS, // its group may be held there
             true if c.loads => LOAD_BONUS,
@@ -44,7 +44,7 @@
         let new =
             if e.met || self.warmth(e) < 1.0 { 1.0 } else { 1.0 + HANDSHAKE_WEIGHT * self.s.handshake_price };
         let slow = e.slow.or(1.0).max(0.5) * self.distance(e) * new;
-        let once = usize::from(c.effect == Effect::Unsafe);
+        let once = usize::from(c.idempotency == Idempotency::NotIdempotent);
         let untried = once == 1 && e.slow.n == 0 && self.s.reports == Reports::OnProbe;
         let sure = (1.0 - e.errors).powi(ERROR_POWERS[once]) * if untried { UNTRIED } else { 1.0 };
         let w =
@@ -62,7 +62,7 @@
             let allowed: Vec<usize> = candidates.into_iter().filter(|&i| self.permitted(q, i)).collect();
             let cores = |v: &[usize]| v.iter().map(|&i| self.executors[i].cores).sum::<f64>();
             // What can't be tried again is no trial.
-            let trial = self.s.classes[q.class].effect != Effect::Unsafe;
+            let trial = self.s.classes[q.class].idempotency != Idempotency::NotIdempotent;
             let healthy = |e: &Executor| self.healthy(e) && (trial || e.ejected_until.is_none());
             fit = allowed.iter().copied().filter(|&i| healthy(&self.executors[i])).collect();
             if !allowed.is_empty() && cores(&fit) >= LEAST_USABLE * cores(&allowed) {
@@ -100,7 +100,7 @@
         let q = &self.requests[&id];
         let asked = |e: &Executor| e.probe_sent.is_some_and(|t| self.now < t + SECOND);
         let seeks = !self.s.classes[q.class].yields_to_loads;
-        let home = |e: &Executor| q.homes.contains(&e.entry.executor);
+        let home = |e: &Executor| q.homes.contains(&e.endpoint.executor);
         let wants = |i: &usize| seeks && home(&self.executors[*i]) || asked(&self.executors[*i]);
         let (mut wanted, mut unknown) = unknown.into_iter().partition::<Vec<_>, _>(wants);
         // Homes without room are no choice: else a few hot groups would never leave theirs.
@@ -125,7 +125,7 @@
                 }
                 (self.purse, e.probe_sent, e.met) = (self.purse - 1.0, Some(self.now), true);
                 self.roster.active.insert(i);
-                self.actions.push(Action::Probe { executor: e.entry.executor });
+                self.actions.push(Action::Probe { executor: e.endpoint.executor });
             }
             waits = true;
         }
--- a/src/control/guards.rs
+++ b/src/control/guards.rs
@@ -18,12 +18,12 @@
 
     /// Effects: unsafe only after proven non-runs; keyed inside its group and window.
     fn effect_allows(&self, q: &Request, e: &Executor) -> bool {
-        match self.s.classes[q.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => q.never_ran(),
-            Effect::Keyed { group, window } => {
+        match self.s.classes[q.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => q.never_ran(),
+            Idempotency::IdempotencyKey { scope, window } => {
                 let ran = |a: &&Attempt| !a.outcome.is_some_and(Outcome::never_ran);
-                let holds = |a: &Attempt| group.holds(&self.executors[a.executor].entry, &e.entry);
+                let holds = |a: &Attempt| scope.holds(&self.executors[a.executor].endpoint, &e.endpoint);
                 q.attempts.iter().filter(ran).all(|a| self.now < a.sent + window && holds(a))
             }
         }
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -3,28 +3,28 @@
 use super::*;
 
 impl Balancer {
-    pub(super) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        if kind == ListKind::Unavailable {
+    pub(super) fn list(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
+        if kind == EndpointListKind::Unavailable {
             return self.actions.push(Action::Watch);
         }
         let first = !std::mem::replace(&mut self.loaded, true);
-        if kind != ListKind::Update {
-            self.only_present(&entries);
+        if kind != EndpointListKind::Update {
+            self.only_present(&endpoints);
         }
-        for entry in entries {
-            let known = self.index.get(&entry.executor).map(|&i| &self.executors[i]);
+        for endpoint in endpoints {
+            let known = self.index.get(&endpoint.executor).map(|&i| &self.executors[i]);
             // An executor that appears or comes back without a time of start is cold from now.
-            let fresh = known.map_or(!first, |e| !e.present || e.entry.readiness == Readiness::Left);
-            let changed = fresh || known.is_none_or(|e| e.entry.started != entry.started);
-            let started = entry.started.filter(|t| self.now.saturating_sub(*t) < self.s.cold.ramp);
+            let fresh = known.map_or(!first, |e| !e.present || e.endpoint.readiness == Readiness::Left);
+            let changed = fresh || known.is_none_or(|e| e.endpoint.started != endpoint.started);
+            let started = endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.s.cold.ramp);
             let cold = started.or(fresh.then_some(self.now));
-            let i = self.enter(entry, cold.filter(|_| changed));
+            let i = self.enter(endpoint, cold.filter(|_| changed));
             self.executors[i].pool = self.pool_of(&self.executors[i]);
-            if kind == ListKind::Update {
+            if kind == EndpointListKind::Update {
                 self.place(i);
             }
         }
-        if kind != ListKind::Update {
+        if kind != EndpointListKind::Update {
             self.place_all();
         }
     }
@@ -43,7 +43,7 @@
         let span = (EJECT[0] << e.ejections.min(5)).min(EJECT[1]);
         e.ejected_until = Some(self.now + span);
         e.ejections += 1;
-        self.actions.push(Action::Log(format!("executor {} ejected: {why}", e.entry.executor)));
+        self.actions.push(Action::Log(format!("executor {} ejected: {why}", e.endpoint.executor)));
     }
 
     /// Health from an outcome. A cancel or moot says nothing; a time-out only if nothing else was heard.
@@ -57,7 +57,7 @@
                     // One answer does not clear an executor that fails every second time.
                     (e.ejected_until, e.silent) = (None, false);
                     (e.ejections, e.errors) = (e.ejections.saturating_sub(1), e.errors / 2.0);
-                    self.actions.push(Action::Log(format!("executor {} is back", e.entry.executor)));
+                    self.actions.push(Action::Log(format!("executor {} is back", e.endpoint.executor)));
                 }
             }
             // Only the list says that an executor is cold: taking each reset for a start shut most of a fleet.
@@ -69,8 +69,8 @@
                 }
             }
             Outcome::ConnectFailed => self.eject(i, "no connection"),
-            Outcome::Full => e.full_until = now + 3 * TICK,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Rejected => e.full_until = now + 3 * TICK,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -90,7 +90,7 @@
         self.touch(i);
         match outcome {
             Outcome::Ok => self.go_on(),
-            Outcome::Full | Outcome::Moot | Outcome::Error | Outcome::Cancelled => {}
+            Outcome::Rejected | Outcome::NotSent | Outcome::Error | Outcome::Cancelled => {}
             _ => self.eject(i, "no answer to a probe"),
         }
     }
@@ -115,7 +115,7 @@
                 self.executors[i].silent = true;
                 self.eject(i, "silent");
                 let out = Vec::from_iter(self.executors[i].out.iter().copied());
-                out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.s.second_copies));
+                out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.s.hedging));
             }
         }
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -55,26 +55,28 @@
         self.now = now.max(self.now);
         if !self.started {
             self.started = true;
-            self.actions.push(Action::Wake { token: 0, after: TICK });
-            self.actions.extend(self.s.list_must_be_asked.then_some(Action::Watch));
+            self.actions.push(Action::SetTimer { token: 0, after: TICK });
+            self.actions.extend(self.s.list_must_be_polled.then_some(Action::Watch));
         }
         match event {
-            Event::List { kind, entries } => self.list(kind, entries),
+            Event::EndpointList { kind, endpoints } => self.list(kind, endpoints),
             Event::Arrival(a) => self.arrival(a),
             Event::FirstByte { request, .. } => self.streams(request),
-            Event::Finished(f) => self.finished(f),
-            Event::Noted { request, attempt, note, .. } => self.noted(request, attempt, note),
-            Event::HungUp { request } => self.close(request),
+            Event::AttemptFinished(f) => self.finished(f),
+            Event::AttemptProgressed { request, attempt, progress_note, .. } => {
+                self.noted(request, attempt, progress_note)
+            }
+            Event::ClientDisconnected { request } => self.close(request),
             Event::Timer { token: 0 } => self.tick(),
             Event::Timer { token: 1 } => self.go_on(),
-            Event::Timer { .. } | Event::Told { .. } => {}
-            Event::Probed { executor, outcome, report, .. } => self.probed(executor, outcome, report),
+            Event::Timer { .. } | Event::Gossip { .. } => {}
+            Event::ProbeFinished { executor, outcome, report, .. } => self.probed(executor, outcome, report),
         }
         actions.append(&mut self.actions);
     }
 
     fn tick(&mut self) {
-        self.actions.push(Action::Wake { token: 0, after: TICK });
+        self.actions.push(Action::SetTimer { token: 0, after: TICK });
         let dt = TICK as f64 / 1e6;
         self.models.iter_mut().for_each(|m| m.count(dt, RATE_SPAN_S));
         self.tenants.iter_mut().for_each(|t| *t *= 1.0 - dt / TENANT_SPAN_S);
--- a/src/control/pressure.rs
+++ b/src/control/pressure.rs
@@ -81,7 +81,8 @@
             self.share += (part - self.share) * SHARE_WEIGHT;
         }
         let over = |x: f64, [from, to]: [f64; 2]| (x - from) / (to - from);
-        let line = if self.s.shortage == Shortage::Queue { MEMORY_LINE } else { MEMORY_OCCUPANCY };
+        let line =
+            if self.s.memory_shortage == MemoryShortage::Queue { MEMORY_LINE } else { MEMORY_OCCUPANCY };
         let ease = if self.occupancy < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK as f64 / 1e6;
         for p in pools.values_mut() {
             let short = if self.s.grants && !mute { over(p.part(p.memory), line) } else { 0.0 };
--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -14,8 +14,9 @@
         a.tenant.into_iter().for_each(|t| self.tenants[t] += 1.0); // a running count, see tick
         let admitted = self.admit(&a, cost);
         let (homes, c) = (self.homes(a.class, a.group), &self.s.classes[a.class]);
-        let aim = c.aim + (c.aim_stretch * cost / f64::from(c.threads) * 1e6) as Micros;
-        let q = Request::new(&a, self.now, cost, aim, homes, c, self.s.max_attempts);
+        let latency_objective =
+            c.latency_objective + (c.latency_objective_stretch * cost / f64::from(c.threads) * 1e6) as Micros;
+        let q = Request::new(&a, self.now, cost, latency_objective, homes, c, self.s.max_attempts);
         self.requests.insert(a.request, q);
         if let Err(wait) = admitted {
             return self.end(a.request, wait, EndReason::OverLimit);
@@ -40,7 +41,7 @@
             self.end(id, SECOND, EndReason::NoExecutor);
         } else if asked_until.is_none() {
             self.asking.push(id);
-            self.actions.push(Action::Wake { token: 1, after: ASK_WAIT });
+            self.actions.push(Action::SetTimer { token: 1, after: ASK_WAIT });
         }
     }
 
@@ -60,10 +61,13 @@
     /// The one place that ends a request: refused where that is harmless, else failed.
     pub(super) fn end(&mut self, id: RequestId, wait: Micros, reason: EndReason) {
         let Some(q) = self.requests.get(&id).filter(|q| !q.done) else { return };
-        let effect = self.s.classes[q.class].effect;
-        let free = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let idempotency = self.s.classes[q.class].idempotency;
+        let free = matches!(
+            idempotency,
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+        );
         let retry_after = self.s.max_retry_after.map(|most| wait.clamp(TICK, most.max(TICK)));
-        let refuse = Action::Refuse { request: id, retry_after, reason };
+        let refuse = Action::Reject { request: id, retry_after, reason };
         let fail = Action::Fail { request: id, reason };
         self.actions.push(if free || q.never_ran() { refuse } else { fail });
         self.close(id);
@@ -72,7 +76,9 @@
     /// The request has its answer: call off what is out, let the next of its key go.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(q) = self.requests.get_mut(&id) else { return };
-        let stoppable = self.s.cancel && !q.streaming && self.s.classes[q.class].effect != Effect::Unsafe;
+        let stoppable = self.s.cancel
+            && !q.streaming
+            && self.s.classes[q.class].idempotency != Idempotency::NotIdempotent;
         let stop = !std::mem::replace(&mut q.done, true) && stoppable;
         q.live().into_iter().filter(|_| stop).for_each(|n| self.cancel(id, n));
         self.forget(id);
--- a/src/control/rules.rs
+++ b/src/control/rules.rs
@@ -12,7 +12,7 @@
             Rule { class: Some(class), threshold, priority, closes_from, ..open.clone() }
         }));
     }
-    if s.over_share_worth < 1.0 {
+    if s.over_quota_weight < 1.0 {
         let over = Rule { over_share: true, threshold: OVER_SHARE_MULTIPLE, priority: 90, ..open };
         rules.extend((0..s.tenants.len()).map(|t| Rule { tenant: Some(t), ..over.clone() }));
     }
@@ -58,7 +58,7 @@
     /// Rates start from summed cores times this dispatcher's share, in thread-seconds, and follow pressure.
     pub(super) fn set_rates(&mut self) {
         let mut rules = std::mem::take(&mut self.rules);
-        let density = |c: ClassId| self.s.classes[c].worth / self.class_mean(c).max(1e-6);
+        let density = |c: ClassId| self.s.classes[c].priority_weight / self.class_mean(c).max(1e-6);
         let least = (0..self.s.classes.len()).map(density).fold(f64::MAX, f64::min).max(1e-9);
         for r in &mut rules {
             let fits = |pool: u64| r.class.is_none_or(|c| pool >> c & 1 == 1);
--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -2,7 +2,7 @@
 
 use super::open::Attempt;
 use super::{Answer, BACKOFF_MS, Dispatch, Order, Terms, Ticket};
-use crate::api::{Action, Event, Finished, Micros, Outcome};
+use crate::api::{Action, AttemptFinished, Event, Micros, Outcome};
 use crate::must;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 
     fn act(&mut self, now: Micros, action: Action, events: &mut VecDeque<Event>) {
         match action {
-            Action::Terms { request, memory_mb, priority } => {
+            Action::SetTerms { request, memory_mb, priority } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
                 (open.memory_mb, open.priority) = (memory_mb, priority);
                 for (n, a) in (0..).zip(&mut open.attempts) {
@@ -40,19 +40,19 @@
                 };
                 if open.before + open.attempts.len() >= self.most_attempts && open.before > 0 {
                     // With those of the dispatcher that was lost there were enough.
-                    let (attempt, outcome) = (open.attempts.len() as u32, Some(Outcome::Moot));
+                    let (attempt, outcome) = (open.attempts.len() as u32, Some(Outcome::NotSent));
                     let (begun, priority) = (false, open.priority);
                     open.attempts.push(Attempt { executor, sent: now, begun, outcome, priority });
-                    let (done, latency, bill, report) = (false, 0, None, None);
-                    let outcome = Outcome::Moot;
-                    events.push_back(Event::Finished(Finished {
+                    let (done, latency, reported_cost, report) = (false, 0, None, None);
+                    let outcome = Outcome::NotSent;
+                    events.push_back(Event::AttemptFinished(AttemptFinished {
                         request,
                         attempt,
                         executor,
                         done,
                         outcome,
                         latency,
-                        bill,
+                        reported_cost,
                         report,
                     }));
                     return;
@@ -84,7 +84,7 @@
                     self.forget(request);
                 }
             }
-            Action::Refuse { request, retry_after, reason } => {
+            Action::Reject { request, retry_after, reason } => {
                 let backoff_ms = retry_after.map_or(BACKOFF_MS, |t| t.div_ceil(1000));
                 self.answer(now, request, Answer::Refused(backoff_ms), reason);
                 self.forget(request);
@@ -97,14 +97,14 @@
                 self.tally.probes += 1;
                 self.orders.push(Order::Probe(executor));
             }
-            Action::Wake { token, after } => self.wakes.push(Reverse((now + after, token))),
+            Action::SetTimer { token, after } => self.wakes.push(Reverse((now + after, token))),
             Action::Log(line) => tracing::info!("{line}"),
             // The list is pushed here, idle connections end by their own clock, and there are no peers.
             Action::Watch
             | Action::Unwatch
-            | Action::ReadList
+            | Action::FetchEndpointList
             | Action::CloseIdle { .. }
-            | Action::Tell { .. } => {}
+            | Action::Gossip { .. } => {}
         }
     }
 }
--- a/src/dispatch/ends.rs
+++ b/src/dispatch/ends.rs
@@ -2,7 +2,7 @@
 
 use super::open::Open;
 use super::{Answer, BACKOFF_MS, Dispatch, Load, Order, Ticket};
-use crate::api::{EndReason, Event, Finished, Micros, Outcome};
+use crate::api::{AttemptFinished, EndReason, Event, Micros, Outcome};
 use crate::must;
 use std::cmp::Reverse;
 
@@ -74,7 +74,7 @@
         self.held.remove(&id);
         let answer = if harmless { Answer::Refused(BACKOFF_MS) } else { Answer::Failed };
         self.answer(now, id, answer, reason);
-        let orders = self.run(now, Event::HungUp { request: id });
+        let orders = self.run(now, Event::ClientDisconnected { request: id });
         self.forget(id);
         orders
     }
@@ -101,8 +101,17 @@
         let latency = now.saturating_sub(attempt.sent);
         let (request, attempt, executor) = (t.request, t.attempt, attempt.executor);
         let report = load.map(Load::report);
-        let finished = Finished { request, attempt, executor, done, outcome, latency, bill: None, report };
-        Some(Event::Finished(finished))
+        let finished = AttemptFinished {
+            request,
+            attempt,
+            executor,
+            done,
+            outcome,
+            latency,
+            reported_cost: None,
+            report,
+        };
+        Some(Event::AttemptFinished(finished))
     }
 
     /// The one place that gives a final answer.
--- a/src/dispatch/exchange.rs
+++ b/src/dispatch/exchange.rs
@@ -80,9 +80,9 @@
     /// The first byte of an attempt was written: from here on it may run.
     Begun(Ticket),
     /// Word on an attempt.
-    Noted(Ticket, Word),
+    AttemptProgressed(Ticket, Word),
     /// A probe is over, after so long.
-    Probed(ExecutorId, Echo, Micros),
+    ProbeFinished(ExecutorId, Echo, Micros),
     /// The client of a request has left.
     Left(u64),
 }
--- a/src/dispatch/fleet.rs
+++ b/src/dispatch/fleet.rs
@@ -1,7 +1,7 @@
 //! The executors of the list, and news of them.
 
 use super::{Dispatch, Order};
-use crate::api::{Entry, Event, ExecutorId, ListKind, Micros, Readiness};
+use crate::api::{Endpoint, EndpointListKind, Event, ExecutorId, Micros, Readiness};
 
 /// An executor as the list has it.
 #[derive(Debug, Clone, PartialEq)]
@@ -77,11 +77,11 @@
     /// News of the executors.
     pub fn members(&mut self, now: Micros, news: News, members: &[Member]) -> Vec<Order<R>> {
         let kind = match news {
-            News::Restored => ListKind::Restored,
-            News::Whole => ListKind::Replace,
-            News::Changes => ListKind::Update,
+            News::Restored => EndpointListKind::Restored,
+            News::Whole => EndpointListKind::Replace,
+            News::Changes => EndpointListKind::Update,
         };
-        let entry = |m: &Member| Entry {
+        let endpoint = |m: &Member| Endpoint {
             executor: m.executor,
             zone: m.zone,
             kind: m.kind,
@@ -95,6 +95,6 @@
             started: m.started,
             weight: m.weight,
         };
-        self.run(now, Event::List { kind, entries: members.iter().map(entry).collect() })
+        self.run(now, Event::EndpointList { kind, endpoints: members.iter().map(endpoint).collect() })
     }
 }
--- a/src/dispatch/intake.rs
+++ b/src/dispatch/intake.rs
@@ -1,7 +1,7 @@
 //! How a request is taken in, held or turned away.
 
 use super::open::Open;
-use super::request::{arrival, grace};
+use super::request::{arrival, time_budget};
 use super::{Answer, BACKOFF_MS, Class, Dispatch, Order, Request, on_sockets};
 use crate::api::{EndReason, Event, Micros, Settings, SettingsError};
 use crate::must;
@@ -97,7 +97,7 @@
             Some(deadline) if now < deadline => {
                 let mut event = arrival(&request);
                 if let Event::Arrival(a) = &mut event {
-                    a.grace = deadline - now;
+                    a.time_budget = deadline - now;
                 }
                 self.run(now, event)
             }
@@ -123,7 +123,7 @@
         self.tally.taken += 1;
         let open = Open {
             arrived: now,
-            deadline: now + grace(request),
+            deadline: now + time_budget(request),
             safe,
             window,
             closed: false,
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -30,7 +30,7 @@
 pub use request::{Request, Ticket};
 
 use crate::Balancer;
-use crate::api::{self, Effect, EndCounts, Group, Micros, Settings, SettingsError};
+use crate::api::{self, EndCounts, Idempotency, KeyScope, Micros, Settings, SettingsError};
 use lru::LruCache;
 use open::Open;
 use std::cmp::Reverse;
@@ -127,8 +127,15 @@
         settings = on_sockets(settings);
         let budget_slack = settings.budget.map(|b| b.slack);
         let class = |c: &api::Class| Class {
-            safe: matches!(c.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. }),
-            window: if let Effect::Keyed { window, .. } = c.effect { Some(window) } else { None },
+            safe: matches!(
+                c.idempotency,
+                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+            ),
+            window: if let Idempotency::IdempotencyKey { window, .. } = c.idempotency {
+                Some(window)
+            } else {
+                None
+            },
             most_budget: c.deadline + SLACK,
             keeps_order: c.keep_order,
         };
--- a/src/dispatch/reports.rs
+++ b/src/dispatch/reports.rs
@@ -13,16 +13,24 @@
                 self.out(t).into_iter().for_each(|a| a.begun = true);
                 Vec::new()
             }
-            Report::Noted(t, word) => {
+            Report::AttemptProgressed(t, word) => {
                 let Some(executor) = self.out(t).map(|a| a.executor) else { return Vec::new() };
-                let note = match word {
-                    Word::Progress(x) => api::Note::Progress(x),
-                    Word::Spills(x) => api::Note::Spill(x),
-                    Word::Waits => api::Note::Waits,
+                let progress_note = match word {
+                    Word::Progress(x) => api::AttemptProgress::Progress(x),
+                    Word::Spills(x) => api::AttemptProgress::Spill(x),
+                    Word::Waits => api::AttemptProgress::Waits,
                 };
-                self.run(now, Event::Noted { request: t.request, attempt: t.attempt, executor, note })
+                self.run(
+                    now,
+                    Event::AttemptProgressed {
+                        request: t.request,
+                        attempt: t.attempt,
+                        executor,
+                        progress_note,
+                    },
+                )
             }
-            Report::Probed(executor, echo, latency) => {
+            Report::ProbeFinished(executor, echo, latency) => {
                 let (outcome, load) = match echo {
                     Echo::Up(load) => (Outcome::Ok, load),
                     Echo::Down => (Outcome::Error, None),
@@ -31,7 +39,7 @@
                     Echo::Silent => (Outcome::Timeout, None),
                 };
                 let report = load.map(Load::report);
-                self.run(now, Event::Probed { executor, outcome, latency, report })
+                self.run(now, Event::ProbeFinished { executor, outcome, latency, report })
             }
             Report::Left(id) => match self.open.get_mut(&id) {
                 Some(o) if !o.closed => {
@@ -39,7 +47,7 @@
                     self.held.remove(&id);
                     self.tally.left += 1;
                     self.withdraw(id);
-                    let mut orders = self.run(now, Event::HungUp { request: id });
+                    let mut orders = self.run(now, Event::ClientDisconnected { request: id });
                     self.forget(id);
                     orders.append(&mut self.orders);
                     orders
@@ -62,8 +70,8 @@
                 }
                 Outcome::Ok
             }
-            End::Full => Outcome::Full,
-            End::Void => Outcome::Moot,
+            End::Full => Outcome::Rejected,
+            End::Void => Outcome::NotSent,
             End::Error => Outcome::Error,
             End::NeverSent => {
                 self.tally.never_sent += 1;
@@ -81,7 +89,7 @@
             }
         };
         let event = self.finish(now, t, outcome, load);
-        let whole = matches!(&event, Some(Event::Finished(f)) if f.executor == executor);
+        let whole = matches!(&event, Some(Event::AttemptFinished(f)) if f.executor == executor);
         must!(whole, "an attempt that was out has no end to tell");
         let mut orders = event.map_or_else(Vec::new, |e| self.run(now, e));
         self.forget(t.request);
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -44,7 +44,7 @@
     /// How long the client still waits.
     pub budget: Micros,
     /// Estimated work of all threads, in seconds.
-    pub work_s: Option<f64>,
+    pub thread_seconds: Option<f64>,
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
     /// Its group of tables.
@@ -56,7 +56,7 @@
 }
 
 /// How long a request may take here, so that its answer is seen before its client leaves.
-pub(super) fn grace(request: &Request) -> Micros {
+pub(super) fn time_budget(request: &Request) -> Micros {
     request.budget.saturating_sub(MARGIN.min(request.budget / MARGIN_PART)).max(1)
 }
 
@@ -67,8 +67,8 @@
         class: request.class,
         tenant: request.tenant,
         key: request.key,
-        grace: grace(request),
-        estimate_s: told(request.work_s, MOST_WORK_S),
+        time_budget: time_budget(request),
+        estimate_s: told(request.thread_seconds, MOST_WORK_S),
         memory_mb: told(request.memory_mb, MOST_MEMORY_MB),
         group: request.group,
         repeated: request.repeated,
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -22,7 +22,7 @@
     ] {
         d.members(at, News::Changes, &[member(5, standing, weight), member(6, Standing::Up, weight)]);
     }
-    let cold: Vec<_> = d.dispatcher.executors.iter().map(|e| (e.entry.executor, e.cold_since)).collect();
+    let cold: Vec<_> = d.dispatcher.executors.iter().map(|e| (e.endpoint.executor, e.cold_since)).collect();
     assert_eq!(cold, [(5, None), (6, Some(2_000))]);
 }
 
@@ -36,11 +36,11 @@
         let change = [member(n, Standing::Gone), member(n + 1, Standing::Up)];
         d.members(u64::from(n) * 1_000, News::Changes, &change);
     }
-    let left: Vec<_> = d.dispatcher.executors.iter().map(|e| e.entry.executor).collect();
+    let left: Vec<_> = d.dispatcher.executors.iter().map(|e| e.endpoint.executor).collect();
     assert_eq!(left, [5, 60]);
     let end = Report::Ended(Ticket { request: 1, attempt: 0 }, End::Served(()), None);
     assert_eq!(answers(&d.report(70_000, end)), [&Answer::Served(())]);
     d.members(80_000, News::Changes, &[member(61, Standing::Up)]);
-    let left: Vec<_> = d.dispatcher.executors.iter().map(|e| e.entry.executor).collect();
+    let left: Vec<_> = d.dispatcher.executors.iter().map(|e| e.endpoint.executor).collect();
     assert_eq!(left, [60, 61]);
 }
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -34,7 +34,7 @@
         key: None,
         told: budget,
         budget,
-        work_s: None,
+        thread_seconds: None,
         memory_mb: None,
         group: 0,
         repeated: false,
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -87,7 +87,7 @@
             Ok(key) => key,
             Err(lack) => {
                 let echo = if lack == Lack::Ours { Echo::Unknown } else { Echo::Unreachable };
-                return self.reports.push_back(Report::Probed(to, echo, 0));
+                return self.reports.push_back(Report::ProbeFinished(to, echo, 0));
             }
         };
         self.meter(key, now, poll);
--- a/src/net/executors/pool.rs
+++ b/src/net/executors/pool.rs
@@ -141,7 +141,7 @@
         }
         let echo = if conn.up { Echo::Unknown } else { Echo::Unreachable };
         for _ in conn.probes {
-            self.reports.push_back(Report::Probed(conn.executor, echo, 0));
+            self.reports.push_back(Report::ProbeFinished(conn.executor, echo, 0));
         }
     }
 
--- a/src/net/executors/silence.rs
+++ b/src/net/executors/silence.rs
@@ -67,7 +67,11 @@
                         let executor = conn.executor;
                         let lives = self.list.get(&executor).is_some_and(|e| e.heard > sent);
                         let echo = if lives { Echo::Unknown } else { Echo::Silent };
-                        self.reports.push_back(Report::Probed(executor, echo, now.saturating_sub(sent)));
+                        self.reports.push_back(Report::ProbeFinished(
+                            executor,
+                            echo,
+                            now.saturating_sub(sent),
+                        ));
                     }
                 }
                 Due::Part(key) => {
--- a/src/net/executors/traffic.rs
+++ b/src/net/executors/traffic.rs
@@ -67,7 +67,11 @@
                 Answer::Probe { tag, up, gauges } => {
                     if let Some(sent) = conn.probes.remove(&tag) {
                         let echo = if up { Echo::Up(gauges.map(load)) } else { Echo::Down };
-                        self.reports.push_back(Report::Probed(conn.executor, echo, now.saturating_sub(sent)));
+                        self.reports.push_back(Report::ProbeFinished(
+                            conn.executor,
+                            echo,
+                            now.saturating_sub(sent),
+                        ));
                     }
                 }
                 Answer::Request { id, word, body, gauges } => {
@@ -83,7 +87,7 @@
                                 None
                             }
                             Step::Noted(word) => {
-                                self.reports.push_back(Report::Noted(s.ticket, word));
+                                self.reports.push_back(Report::AttemptProgressed(s.ticket, word));
                                 None
                             }
                             Step::Pages(pages) => {
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -10,7 +10,7 @@
 use super::peers::Peers;
 use super::poll::{Key, Poll};
 use super::upkeep::Upkeep;
-use crate::api::{Effect, Micros, Settings};
+use crate::api::{Idempotency, Micros, Settings};
 use crate::settings::{Names, options};
 use crate::takeover::{Bounds, Takeover};
 use fleet::ledger::Limits;
@@ -55,7 +55,7 @@
             |i: usize| names.classes.iter().find(|(_, n)| **n == i).map_or("", |(name, _)| name.as_str());
         Classes {
             names: (0..settings.classes.len()).map(|i| name(i).into()).collect(),
-            repeats: settings.classes.iter().map(|c| c.effect == Effect::Safe).collect(),
+            repeats: settings.classes.iter().map(|c| c.idempotency == Idempotency::Idempotent).collect(),
             attempts: settings.max_attempts as usize,
             cores: settings.kinds.iter().map(|k| k.cores).collect(),
             ramp: settings.cold.ramp,
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -67,7 +67,7 @@
             key: record.key,
             told: budget.max(1),
             budget,
-            work_s: record.work_s,
+            thread_seconds: record.work_s,
             memory_mb: record.memory_mb,
             group: record.group,
             repeated: true,
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -21,7 +21,7 @@
                 tenant: r.tenant.map(index),
                 key: r.key,
                 group: r.group,
-                work_s: r.work_s,
+                work_s: r.thread_seconds,
                 memory_mb: r.memory_mb,
                 repeats: self.repeats.get(r.class).copied().unwrap_or(false),
                 // Another dispatcher would send it without its token: it does not send it at all.
--- a/src/net/session/statements.rs
+++ b/src/net/session/statements.rs
@@ -116,7 +116,7 @@
         key: get("obj").map(|t| hex("obj", t)).transpose()?,
         told: (budget_ms * 1e3) as Micros,
         budget: (budget_ms * 1e3) as Micros,
-        work_s: number("est")?.map(|ms| ms / 1e3),
+        thread_seconds: number("est")?.map(|ms| ms / 1e3),
         memory_mb: number("space")?,
         group: statement::table_group(s.text).unwrap_or(0),
         repeated: number("try")?.is_some_and(|n| n > 1.0),
--- a/src/policies/apply.rs
+++ b/src/policies/apply.rs
@@ -45,15 +45,15 @@
         let Some(i) = self.index("class", &p.name, &self.names.classes) else { return };
         let base = &self.base.classes[i];
         let to = &mut s.classes[i];
-        to.aim = p.aim.map_or(to.aim, micros);
+        to.latency_objective = p.latency_objective.map_or(to.latency_objective, micros);
         to.deadline = p.deadline.map_or(to.deadline, micros);
-        to.worth = p.worth.unwrap_or(to.worth);
-        to.late_worth = p.late_worth.unwrap_or(to.late_worth);
+        to.priority_weight = p.priority_weight.unwrap_or(to.priority_weight);
+        to.late_priority_weight = p.late_priority_weight.unwrap_or(to.late_priority_weight);
         if to.deadline > base.deadline {
             let most = humantime::format_duration(Duration::from_micros(base.deadline));
             self.fault("class", &p.name, format_args!("deadline: its clients wait {most} at most"));
         }
-        if to.aim > to.deadline {
+        if to.latency_objective > to.deadline {
             self.fault("class", &p.name, "aim: later than its deadline");
         }
         let places = [
@@ -87,7 +87,7 @@
             s.tenants[i].quota_per_s = *quota;
         }
     }
-    s.over_share_worth = policy.over_share_worth.unwrap_or(s.over_share_worth);
+    s.over_quota_weight = policy.over_quota_weight.unwrap_or(s.over_quota_weight);
     let a = &policy.attempts;
     if let Some(most) = a.most {
         s.max_attempts = most;
@@ -96,13 +96,13 @@
         }
     }
     if a.free.or(a.ratio).is_some() || a.span.is_some() {
-        let own = base.budget.unwrap_or(api::Budget {
+        let own = base.budget.unwrap_or(api::RetryBudget {
             free: f64::MAX,
             ratio: f64::MAX,
             span: 10_000_000,
             slack: 0,
         });
-        let budget = api::Budget {
+        let budget = api::RetryBudget {
             free: a.free.unwrap_or(own.free),
             ratio: a.ratio.unwrap_or(own.ratio),
             span: a.span.map_or(own.span, micros),
--- a/src/policies/stricter.rs
+++ b/src/policies/stricter.rs
@@ -1,6 +1,6 @@
 //! The stricter of two policies, as settings: what both allow. For a dispatcher that can't know which of them holds.
 
-use crate::api::{Budget, Settings};
+use crate::api::{RetryBudget, Settings};
 
 /// What both allow of a choice; `None` allows all.
 fn both(a: &Option<Vec<usize>>, b: &Option<Vec<usize>>) -> Option<Vec<usize>> {
@@ -16,17 +16,17 @@
     let mut s = a.clone();
     for (to, other) in s.classes.iter_mut().zip(&b.classes) {
         to.deadline = to.deadline.min(other.deadline);
-        to.aim = to.aim.min(to.deadline);
+        to.latency_objective = to.latency_objective.min(to.deadline);
         to.only_kinds = both(&to.only_kinds, &other.only_kinds);
         to.only_zones = both(&to.only_zones, &other.only_zones);
     }
     for (to, other) in s.tenants.iter_mut().zip(&b.tenants) {
         to.quota_per_s = to.quota_per_s.min(other.quota_per_s);
     }
-    s.over_share_worth = s.over_share_worth.min(b.over_share_worth);
+    s.over_quota_weight = s.over_quota_weight.min(b.over_quota_weight);
     s.max_attempts = s.max_attempts.min(b.max_attempts);
     s.budget = match (a.budget, b.budget) {
-        (Some(a), Some(b)) => Some(Budget {
+        (Some(a), Some(b)) => Some(RetryBudget {
             free: a.free.min(b.free),
             ratio: a.ratio.min(b.ratio),
             span: a.span.max(b.span),
--- a/src/policies/text.rs
+++ b/src/policies/text.rs
@@ -9,13 +9,13 @@
     /// Its name.
     pub name: String,
     /// An answer within this time earns the whole worth.
-    pub aim: Option<Duration>,
+    pub latency_objective: Option<Duration>,
     /// It is given up after this time, where its client would wait longer.
     pub deadline: Option<Duration>,
     /// Worth of one answer.
-    pub worth: Option<f64>,
+    pub priority_weight: Option<f64>,
     /// Share of the worth that a late answer earns.
-    pub late_worth: Option<f64>,
+    pub late_priority_weight: Option<f64>,
     /// The only kinds of machine allowed.
     pub kinds: Option<Vec<String>>,
     /// The only zones allowed.
@@ -45,7 +45,7 @@
     /// Requests a second inside its share, by tenant.
     pub tenants: Vec<(String, f64)>,
     /// Worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: Option<f64>,
+    pub over_quota_weight: Option<f64>,
     /// Attempts.
     pub attempts: Attempts,
 }
@@ -82,17 +82,17 @@
 fn policy(t: &Table<'_>, faults: &mut Vec<Fault>) -> Policy {
     t.only(&["over_share_worth"], &["class", "tenant", "attempts"], faults);
     let mut p = Policy {
-        over_share_worth: t.get("over_share_worth", faults, hcl::number(0.0..=1.0)),
+        over_quota_weight: t.get("over_share_worth", faults, hcl::number(0.0..=1.0)),
         ..Policy::default()
     };
     for (names, c) in t.blocks("class", 1, faults) {
         c.only(&["aim", "deadline", "worth", "late_worth", "kinds", "zones"], &[], faults);
         let class = Class {
             name: names.concat(),
-            aim: c.get("aim", faults, hcl::duration(MS(1)..=LONGEST)),
+            latency_objective: c.get("aim", faults, hcl::duration(MS(1)..=LONGEST)),
             deadline: c.get("deadline", faults, hcl::duration(MS(1)..=LONGEST)),
-            worth: c.get("worth", faults, hcl::number(0.0..=1e6)),
-            late_worth: c.get("late_worth", faults, hcl::number(0.0..=1.0)),
+            priority_weight: c.get("worth", faults, hcl::number(0.0..=1e6)),
+            late_priority_weight: c.get("late_worth", faults, hcl::number(0.0..=1.0)),
             kinds: names_of(&c, "kinds", faults),
             zones: names_of(&c, "zones", faults),
         };
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -140,17 +140,17 @@
         let mut classes = Vec::new();
         for (i, c) in self.request_classes.iter().enumerate() {
             let f = |field: &str| format!("env.requestClasses[{i}].{field}");
-            let group = match c.group.as_deref() {
-                None | Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                Some("cell") => Group::Cell,
+            let scope = match c.group.as_deref() {
+                None | Some("all") => KeyScope::All,
+                Some("zone") => KeyScope::Zone,
+                Some("cell") => KeyScope::Cell,
                 Some(other) => return Err(bad(M, &f("group"), format_args!("unknown value {other:?}"))),
             };
             let window = micros(M, &f("dedupWindow"), c.dedup_window.unwrap_or(0.0))?;
-            let effect = match c.effect.as_str() {
-                "read_like" => Effect::Safe,
-                "idempotency_key" => Effect::Keyed { group, window },
-                "non_idempotent" => Effect::Unsafe,
+            let idempotency = match c.effect.as_str() {
+                "read_like" => Idempotency::Idempotent,
+                "idempotency_key" => Idempotency::IdempotencyKey { scope, window },
+                "non_idempotent" => Idempotency::NotIdempotent,
                 other => return Err(bad(M, &f("effect"), format_args!("unknown value {other:?}"))),
             };
             let set = |map: &BTreeMap<String, usize>, field: &str, list: &Option<Vec<String>>| {
@@ -159,13 +159,13 @@
                     .transpose()
             };
             classes.push(Class {
-                aim: micros(M, &f("promise"), c.promise)?,
-                aim_stretch: c.aim_stretch.unwrap_or(0.0),
+                latency_objective: micros(M, &f("promise"), c.promise)?,
+                latency_objective_stretch: c.aim_stretch.unwrap_or(0.0),
                 deadline: micros(M, &f("hardLimit"), c.hard_limit)?,
-                worth: c.credit.unwrap_or(1.0),
-                late_worth: c.late_worth.unwrap_or(0.0),
+                priority_weight: c.credit.unwrap_or(1.0),
+                late_priority_weight: c.late_worth.unwrap_or(0.0),
                 threads: self.domain.parallelism.get(i).copied().unwrap_or(1),
-                effect,
+                idempotency,
                 keep_order: c.keep_order.unwrap_or(false),
                 loads: self.domain.class_load.get(i).copied().unwrap_or(false),
                 yields_to_loads: self.domain.yields_to_loads.get(i).copied().unwrap_or(false),
@@ -186,7 +186,7 @@
         let stated = r.free_resends.or(r.further_ratio).or(r.ratio_span).is_some();
         let span = micros(M, "env.rules.ratioSpan", r.ratio_span.unwrap_or(BUDGET_SPAN_S))?;
         let (free, ratio) = (r.free_resends.unwrap_or(0.0), r.further_ratio.unwrap_or(0.0));
-        let budget = stated.then_some(Budget { free, ratio, span, slack: 0 });
+        let budget = stated.then_some(RetryBudget { free, ratio, span, slack: 0 });
         let settings = Settings {
             dispatchers: self.balancers,
             kinds: (0..self.kinds.len().max(1)).map(kind).collect(),
@@ -199,7 +199,7 @@
                 Some(z) => lookup(&names.zones, M, "env.zone", z)?,
                 None => 0,
             },
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            over_quota_weight: self.over_share_worth.unwrap_or(1.0),
             cross_zone_price: self.costs.cross_zone.unwrap_or(0.0),
             probe_price: self.costs.probe.unwrap_or(0.0),
             handshake_price: self.costs.handshake.unwrap_or(0.0),
@@ -209,27 +209,27 @@
                 None | Some("off") => Reports::Off,
                 Some(other) => return Err(bad(M, "env.report.how", format_args!("unknown value {other:?}"))),
             },
-            list_must_be_asked: self.discovery.as_deref() == Some("ask"),
+            list_must_be_polled: self.discovery.as_deref() == Some("ask"),
             probes: p.probes.unwrap_or(false),
             cancel: p.cancel.unwrap_or(false),
-            second_copies: p.may_duplicate.unwrap_or(false),
+            hedging: p.may_duplicate.unwrap_or(false),
             max_attempts: p.max_attempts.unwrap_or(1),
             max_retry_after: (p.retry_after.unwrap_or(false) && retry_after > 0).then_some(retry_after),
             grants: d.memory_heeded.unwrap_or(false),
             priorities: d.takes_priority.unwrap_or(false),
-            most_grant: d.grant_cap.unwrap_or(1.0),
-            shortage: match d.on_shortage.as_deref() {
-                None | Some("queue") => Shortage::Queue,
-                Some("trim") => Shortage::Trim,
-                Some("swap") => Shortage::Swap,
+            max_grant_fraction: d.grant_cap.unwrap_or(1.0),
+            memory_shortage: match d.on_shortage.as_deref() {
+                None | Some("queue") => MemoryShortage::Queue,
+                Some("trim") => MemoryShortage::Trim,
+                Some("swap") => MemoryShortage::Swap,
                 Some(other) => {
                     return Err(bad(M, "env.domain.onShortage", format_args!("unknown value {other:?}")));
                 }
             },
             progress: (progress > 0).then_some(progress),
-            tells_cost: d.tells_cost.unwrap_or(false),
+            reports_cost: d.tells_cost.unwrap_or(false),
             budget,
-            cold: ColdRule {
+            cold: SlowStart {
                 from: r.cold_from,
                 ramp: micros(M, "env.rules.rampTime", r.ramp_time)?,
                 multiple: r.fall_multiple,
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -5,7 +5,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Executor {
-    pub(crate) entry: Entry,
+    pub(crate) endpoint: Endpoint,
     pub(crate) present: bool,
     /// Which classes it is open to, a bit each.
     pub(crate) pool: u64,
@@ -46,8 +46,8 @@
         self.heard = now;
     }
 
-    pub(crate) fn new(entry: Entry, cores: f64, now: Micros, cold: Option<Micros>) -> Executor {
-        let mut e = Executor { entry, present: true, cores, heard: now, ..Executor::default() };
+    pub(crate) fn new(endpoint: Endpoint, cores: f64, now: Micros, cold: Option<Micros>) -> Executor {
+        let mut e = Executor { endpoint, present: true, cores, heard: now, ..Executor::default() };
         e.restarted(now, cold);
         e
     }
@@ -62,13 +62,13 @@
 
     /// Of one of the only zones and kinds allowed, if bound.
     pub(crate) fn within(&self, zones: &Option<Vec<ZoneId>>, kinds: &Option<Vec<KindId>>) -> bool {
-        zones.as_ref().is_none_or(|z| z.contains(&self.entry.zone))
-            && kinds.as_ref().is_none_or(|k| k.contains(&self.entry.kind))
+        zones.as_ref().is_none_or(|z| z.contains(&self.endpoint.zone))
+            && kinds.as_ref().is_none_or(|k| k.contains(&self.endpoint.kind))
     }
 
     /// In the list, and taking requests.
     pub(crate) fn listed(&self) -> bool {
-        self.present && self.entry.readiness == Readiness::Active
+        self.present && self.endpoint.readiness == Readiness::Active
     }
 
     /// Counts an attempt in.
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -11,9 +11,9 @@
 
     /// Executors on the list, and of these those that take nothing new now: leaving, silent or ejected.
     pub(crate) fn avoided(&self, now: Micros) -> (usize, usize) {
-        let listed = self.executors.iter().filter(|e| e.present && e.entry.readiness != Readiness::Left);
+        let listed = self.executors.iter().filter(|e| e.present && e.endpoint.readiness != Readiness::Left);
         let avoided = |e: &&Executor| {
-            e.entry.readiness != Readiness::Active || e.silent || e.ejected_until.is_some_and(|t| t > now)
+            e.endpoint.readiness != Readiness::Active || e.silent || e.ejected_until.is_some_and(|t| t > now)
         };
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -51,7 +51,7 @@
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
     pub(crate) fn memory_use(&self, e: &Executor, held: f64) -> f64 {
-        held * self.thread_mb.or(0.0) / self.s.kinds[e.entry.kind].memory_mb.max(1.0)
+        held * self.thread_mb.or(0.0) / self.s.kinds[e.endpoint.kind].memory_mb.max(1.0)
     }
 
     /// Running means of own threads, requests and memory in flight.
--- a/src/state/roster.rs
+++ b/src/state/roster.rs
@@ -137,7 +137,7 @@
         let cold = e.cold_since.filter(|t| self.s.cold.fall > 0 && self.now < t + self.s.cold.ramp);
         // A start that lies ahead is one that is just now.
         let cold_since = cold.map(|t| t.min(self.now));
-        e.listed().then_some(Place { pool: e.pool, kind: e.entry.kind, cold_since })
+        e.listed().then_some(Place { pool: e.pool, kind: e.endpoint.kind, cold_since })
     }
 
     /// Puts an executor where it belongs now: called wherever its entry, its presence or its start changes.
@@ -145,7 +145,7 @@
         let to = self.place_of(&self.executors[i]);
         let from = std::mem::replace(&mut self.executors[i].place, to);
         if from != to {
-            self.roster.moves(i, self.executors[i].entry.executor, from, to);
+            self.roster.moves(i, self.executors[i].endpoint.executor, from, to);
         }
     }
 
@@ -157,7 +157,7 @@
             let to = self.place_of(&self.executors[i]);
             self.executors[i].place = to;
             if let Some(place) = to {
-                let point = point(self.executors[i].entry.executor);
+                let point = point(self.executors[i].endpoint.executor);
                 self.roster.adds(i, place).places.push((point, i));
             }
         }
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -10,9 +10,9 @@
 
 impl Balancer {
     /// Marks all executors absent that a whole list does not name.
-    pub(crate) fn only_present(&mut self, entries: &[Entry]) {
-        let named: BTreeSet<ExecutorId> = entries.iter().map(|n| n.executor).collect();
-        self.executors.iter_mut().for_each(|e| e.present = named.contains(&e.entry.executor));
+    pub(crate) fn only_present(&mut self, endpoints: &[Endpoint]) {
+        let named: BTreeSet<ExecutorId> = endpoints.iter().map(|n| n.executor).collect();
+        self.executors.iter_mut().for_each(|e| e.present = named.contains(&e.endpoint.executor));
     }
 
     /// Takes executors out of the table that are gone and that no open request was sent to: on a long day they would
@@ -26,7 +26,7 @@
         let sent: BTreeSet<usize> =
             self.requests.values().flat_map(|q| q.attempts.iter().map(|a| a.executor)).collect();
         let gone = |i: usize, e: &Executor| {
-            (!e.present || e.entry.readiness == Readiness::Left) && e.out.is_empty() && !sent.contains(&i)
+            (!e.present || e.endpoint.readiness == Readiness::Left) && e.out.is_empty() && !sent.contains(&i)
         };
         let kept: Vec<bool> = self.executors.iter().enumerate().map(|(i, e)| !gone(i, e)).collect();
         if kept.iter().all(|k| *k) {
@@ -44,29 +44,29 @@
         for a in self.requests.values_mut().flat_map(|q| &mut q.attempts) {
             a.executor = places[a.executor] - 1;
         }
-        self.index = self.executors.iter().enumerate().map(|(i, e)| (e.entry.executor, i)).collect();
+        self.index = self.executors.iter().enumerate().map(|(i, e)| (e.endpoint.executor, i)).collect();
         let active = std::mem::take(&mut self.roster.active);
         self.roster.active = active.into_iter().filter(|i| kept[*i]).map(|i| places[i] - 1).collect();
         self.place_all();
     }
 
     /// Enters an executor in the table, or what changed of it; `restarted` is when it started, if it did.
-    pub(crate) fn enter(&mut self, entry: Entry, restarted: Option<Micros>) -> usize {
-        let Some(&i) = self.index.get(&entry.executor) else {
+    pub(crate) fn enter(&mut self, endpoint: Endpoint, restarted: Option<Micros>) -> usize {
+        let Some(&i) = self.index.get(&endpoint.executor) else {
             // A list is one event: what is gone is looked for once in it, not for each of its executors.
             if std::mem::replace(&mut self.swept, self.now) != self.now {
                 self.drop_gone();
             }
-            self.index.insert(entry.executor, self.executors.len());
-            let cores = self.s.kinds[entry.kind].cores;
-            self.executors.push(Executor::new(entry, cores, self.now, restarted));
+            self.index.insert(endpoint.executor, self.executors.len());
+            let cores = self.s.kinds[endpoint.kind].cores;
+            self.executors.push(Executor::new(endpoint, cores, self.now, restarted));
             return self.executors.len() - 1;
         };
         let e = &mut self.executors[i];
         if restarted.is_some() {
             e.restarted(self.now, restarted);
         }
-        (e.entry, e.present) = (entry, true);
+        (e.endpoint, e.present) = (endpoint, true);
         i
     }
 
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -24,7 +24,7 @@
     fn act(&mut self, action: Action) {
         let now = self.world.now;
         match action {
-            Action::Wake { token, after } => self.timers.push((now + after.max(1), token)),
+            Action::SetTimer { token, after } => self.timers.push((now + after.max(1), token)),
             Action::Send { request, executor, .. } => {
                 self.world.send(request, executor);
             }
@@ -39,23 +39,23 @@
                     *fate = Some((soon, Outcome::Cancelled));
                 }
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 let told = self.world.referee.plan.retry_after == Some(true);
                 assert!(told || retry_after.is_none(), "advice that nobody hears");
                 self.world.referee.refuse(now, request);
             }
             Action::Fail { request, .. } => self.world.referee.fail(now, request),
             Action::Probe { executor } => self.world.probe(executor),
-            Action::Terms { priority, memory_mb, .. } => {
+            Action::SetTerms { priority, memory_mb, .. } => {
                 assert!(priority <= 3 && memory_mb.is_finite() && memory_mb >= 0.0);
             }
-            Action::Tell { .. } => panic!("told a peer, which no settings here permit"),
+            Action::Gossip { .. } => panic!("told a peer, which no settings here permit"),
             Action::Log(line) => assert!(!line.contains(&self.world.referee.plan.class_name(0))),
-            Action::Watch | Action::Unwatch | Action::ReadList | Action::CloseIdle { .. } => {}
+            Action::Watch | Action::Unwatch | Action::FetchEndpointList | Action::CloseIdle { .. } => {}
         }
     }
 
-    fn entry(&self, executor: u32, standing: Standing, started: Option<u64>) -> Entry {
+    fn endpoint(&self, executor: u32, standing: Standing, started: Option<u64>) -> Endpoint {
         let p = self.world.referee.places[&executor];
         let readiness = match standing {
             Standing::Up => Readiness::Active,
@@ -63,7 +63,7 @@
             Standing::Gone => Readiness::Left,
         };
         let (zone, kind, cell) = (p.zone, p.kind, p.cell);
-        Entry { executor, zone, kind, cell, readiness, rating: 1.0, started, weight: None }
+        Endpoint { executor, zone, kind, cell, readiness, rating: 1.0, started, weight: None }
     }
 
     fn report(&mut self) -> Option<Report> {
@@ -84,7 +84,7 @@
         for executor in self.world.echoes() {
             let outcome = if self.world.broken(executor) { Outcome::Timeout } else { Outcome::Ok };
             let report = self.report().filter(|_| outcome == Outcome::Ok);
-            self.event(Event::Probed { executor, outcome, latency: 2_000, report });
+            self.event(Event::ProbeFinished { executor, outcome, latency: 2_000, report });
         }
         for (request, n, outcome) in self.world.ends() {
             if !self.world.referee.end(now, request, n, outcome) {
@@ -98,29 +98,30 @@
             let inline = self.world.referee.plan.reports == 0;
             let report = self.report().filter(|_| inline);
             let (executor, latency) = (a.executor, now - a.sent);
-            let bill = (outcome == Outcome::Ok && request % 2 == 0)
-                .then_some(Bill { work_s: latency as f64 / 1e6, memory_mb: 120.0 });
-            let finished = Finished { request, attempt, executor, done, outcome, latency, bill, report };
-            self.event(Event::Finished(finished));
+            let reported_cost = (outcome == Outcome::Ok && request % 2 == 0)
+                .then_some(ReportedCost { thread_seconds: latency as f64 / 1e6, memory_mb: 120.0 });
+            let finished =
+                AttemptFinished { request, attempt, executor, done, outcome, latency, reported_cost, report };
+            self.event(Event::AttemptFinished(finished));
         }
         self.word();
         if let Some(id) = self.world.leaver() {
-            self.event(Event::HungUp { request: id });
+            self.event(Event::ClientDisconnected { request: id });
         }
         if let Some(c) = self.world.change() {
             let started = (c.standing == Standing::Up).then_some(now);
-            let changed = self.entry(c.executor, c.standing, started);
-            let (kind, entries) = if self.world.below(4) > 0 {
-                (ListKind::Update, vec![changed])
+            let changed = self.endpoint(c.executor, c.standing, started);
+            let (kind, endpoints) = if self.world.below(4) > 0 {
+                (EndpointListKind::Update, vec![changed])
             } else {
                 // The whole list, in which those that are gone are simply missing.
                 let listed = self.world.standing.iter().filter(|(_, s)| **s != Standing::Gone);
-                (ListKind::Replace, listed.map(|(e, s)| self.entry(*e, *s, started)).collect())
+                (EndpointListKind::Replace, listed.map(|(e, s)| self.endpoint(*e, *s, started)).collect())
             };
-            self.event(Event::List { kind, entries });
+            self.event(Event::EndpointList { kind, endpoints });
         }
         if self.world.below(200) == 0 {
-            self.event(Event::List { kind: ListKind::Unavailable, entries: vec![] });
+            self.event(Event::EndpointList { kind: EndpointListKind::Unavailable, endpoints: vec![] });
         }
         if let Some(r) = more.then(|| self.world.request()).flatten() {
             self.event(Event::Arrival(Arrival {
@@ -128,7 +129,7 @@
                 class: r.class,
                 tenant: r.tenant,
                 key: r.key,
-                grace: r.grace,
+                time_budget: r.time_budget,
                 estimate_s: r.estimate_s,
                 memory_mb: r.memory_mb,
                 group: r.group,
@@ -146,12 +147,12 @@
         let n = self.world.below(self.world.fates.len() as u64) as usize;
         let (request, n) = *self.world.fates.keys().nth(n).unwrap();
         let executor = self.world.referee.open[&request].attempts[n].executor;
-        let note = match self.world.below(6) {
-            0..4 => Note::Progress(self.world.below(100) as f64 / 100.0),
-            4 => Note::Spill(64.0),
-            _ => Note::Waits,
+        let progress_note = match self.world.below(6) {
+            0..4 => AttemptProgress::Progress(self.world.below(100) as f64 / 100.0),
+            4 => AttemptProgress::Spill(64.0),
+            _ => AttemptProgress::Waits,
         };
-        self.event(Event::Noted { request, attempt: n as u32, executor, note });
+        self.event(Event::AttemptProgressed { request, attempt: n as u32, executor, progress_note });
     }
 }
 
@@ -160,8 +161,8 @@
     let dispatcher = Balancer::new(settings, plan.seed).unwrap();
     let mut life = Life { world: World::new(plan), dispatcher, timers: vec![] };
     assert_eq!(life.world.now, START);
-    let entries = life.world.standing.iter().map(|(e, s)| life.entry(*e, *s, None)).collect();
-    life.event(Event::List { kind: ListKind::Restored, entries });
+    let endpoints = life.world.standing.iter().map(|(e, s)| life.endpoint(*e, *s, None)).collect();
+    life.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
     (0..steps).for_each(|_| life.step(true));
     while life.world.owed() {
         life.step(false);
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -115,7 +115,7 @@
                 (true, _) => Echo::Silent,
                 (false, _) => Echo::Unknown,
             };
-            let orders = self.dispatch.report(now, Report::Probed(executor, echo, 2_000));
+            let orders = self.dispatch.report(now, Report::ProbeFinished(executor, echo, 2_000));
             self.act(orders);
         }
         for (id, n, outcome) in self.world.ends() {
@@ -125,7 +125,7 @@
             let end = match outcome {
                 Outcome::Ok => End::Served(id),
                 Outcome::Error => End::Error,
-                Outcome::Full => End::Full,
+                Outcome::Rejected => End::Full,
                 Outcome::ConnectFailed => End::NeverSent,
                 Outcome::Reset if self.world.below(2) == 0 => End::Lost,
                 Outcome::Reset => End::Spoilt,
@@ -162,9 +162,9 @@
                 class: r.class,
                 tenant: r.tenant,
                 key: r.key,
-                told: r.grace,
-                budget: r.grace,
-                work_s: wild.or(r.estimate_s),
+                told: r.time_budget,
+                budget: r.time_budget,
+                thread_seconds: wild.or(r.estimate_s),
                 memory_mb: wild.or(r.memory_mb),
                 group: r.group,
                 repeated: false,
--- a/tests/any_settings/plan.rs
+++ b/tests/any_settings/plan.rs
@@ -11,16 +11,16 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     ReadLike,
     NonIdempotent,
-    Keyed(Reach),
+    IdempotencyKey(Reach),
 }
 
 /// All spans are microseconds.
 #[derive(Debug, Clone)]
 pub struct Class {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub window: u64,
     pub keep_order: bool,
     pub zones: Option<Vec<usize>>,
@@ -31,11 +31,11 @@
     pub loads: bool,
     pub yields: bool,
     /// Credit, late worth and stretch; absent in some.
-    pub worth: Option<[f64; 3]>,
+    pub priority_weight: Option<[f64; 3]>,
 }
 
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     pub free: Option<f64>,
     pub ratio: Option<f64>,
     pub span: u64,
@@ -53,7 +53,7 @@
     pub probes: Option<bool>,
     pub retry_after: Option<bool>,
     pub max_attempts: u32,
-    pub budget: Option<Budget>,
+    pub budget: Option<RetryBudget>,
     pub drain: u64,
     pub key_quiet: Option<u64>,
     /// Beyond the deadline, an answer still counts for so long.
@@ -70,13 +70,13 @@
 }
 
 /// Kinds of effect that a class of the settings gets.
-fn effect() -> impl Strategy<Value = Effect> {
+fn idempotency() -> impl Strategy<Value = Idempotency> {
     prop_oneof![
-        3 => Just(Effect::ReadLike),
-        3 => Just(Effect::NonIdempotent),
-        1 => Just(Effect::Keyed(Reach::All)),
-        2 => Just(Effect::Keyed(Reach::Zone)),
-        2 => Just(Effect::Keyed(Reach::Cell)),
+        3 => Just(Idempotency::ReadLike),
+        3 => Just(Idempotency::NonIdempotent),
+        1 => Just(Idempotency::IdempotencyKey(Reach::All)),
+        2 => Just(Idempotency::IdempotencyKey(Reach::Zone)),
+        2 => Just(Idempotency::IdempotencyKey(Reach::Cell)),
     ]
 }
 
@@ -89,30 +89,43 @@
     let spans = (1u64..=20, 1u64..=8, 1u64..=40);
     let flags = (any::<bool>(), prop::bool::weighted(0.2), prop::bool::weighted(0.3));
     // Worth nothing, also late, is a worth too.
-    let worth = prop::option::of((0u8..=3, 0u8..=2, 0u8..=3));
-    (effect(), spans, flags, only(zones), only(kinds), 1u32..=8, worth).prop_map(
+    let priority_weight = prop::option::of((0u8..=3, 0u8..=2, 0u8..=3));
+    (idempotency(), spans, flags, only(zones), only(kinds), 1u32..=8, priority_weight).prop_map(
         move |(
-            effect,
+            idempotency,
             (promise, times, window),
             (keep_order, loads, yields),
             zones,
             kinds,
             threads,
-            worth,
+            priority_weight,
         )| {
             let promise = (scale * promise / 10).max(1_000);
             let (limit, window) = (promise * times + 1_000, scale * window / 10);
-            let worth = worth.map(|(w, late, more)| [f64::from(w), f64::from(late) / 2.0, f64::from(more)]);
-            let keep_order = keep_order && effect != Effect::ReadLike;
-            Class { effect, window, keep_order, zones, kinds, promise, limit, threads, loads, yields, worth }
+            let priority_weight =
+                priority_weight.map(|(w, late, more)| [f64::from(w), f64::from(late) / 2.0, f64::from(more)]);
+            let keep_order = keep_order && idempotency != Idempotency::ReadLike;
+            Class {
+                idempotency,
+                window,
+                keep_order,
+                zones,
+                kinds,
+                promise,
+                limit,
+                threads,
+                loads,
+                yields,
+                priority_weight,
+            }
         },
     )
 }
 
-fn budget() -> impl Strategy<Value = Budget> {
+fn budget() -> impl Strategy<Value = RetryBudget> {
     let free = prop::option::weighted(0.7, 0u8..=5).prop_map(|f| f.map(f64::from));
     let ratio = prop::option::weighted(0.7, prop_oneof![Just(0.0), 0.02..1.5f64]);
-    (free, ratio, 100_000u64..20_000_000).prop_map(|(free, ratio, span)| Budget { free, ratio, span })
+    (free, ratio, 100_000u64..20_000_000).prop_map(|(free, ratio, span)| RetryBudget { free, ratio, span })
 }
 
 /// Settings of any customer: how many classes, and times from milliseconds to minutes, come first.
--- a/tests/any_settings/referee.rs
+++ b/tests/any_settings/referee.rs
@@ -1,6 +1,6 @@
 //! The platform's rules, by the plan and not by what the program made of it.
 
-use crate::plan::{Effect, Plan, Reach};
+use crate::plan::{Idempotency, Plan, Reach};
 use crate::seen::Seen;
 use ottercroft::api::Outcome;
 use std::collections::BTreeMap;
@@ -54,10 +54,10 @@
         Referee { plan, places, open, told, rested, taken: vec![], further: vec![], seen: Seen::default() }
     }
 
-    pub fn take(&mut self, now: u64, id: u64, class: usize, key: Option<u64>, grace: u64) {
+    pub fn take(&mut self, now: u64, id: u64, class: usize, key: Option<u64>, time_budget: u64) {
         self.taken.push(now);
         let key = key.filter(|_| self.plan.classes[class].keep_order);
-        let open = Open { class, key, deadline: now + grace, over: false, attempts: vec![] };
+        let open = Open { class, key, deadline: now + time_budget, over: false, attempts: vec![] };
         assert!(self.open.insert(id, open).is_none());
     }
 
@@ -78,13 +78,13 @@
         seen.copies += u32::from(out);
         let ran: Vec<&Attempt> =
             o.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran)).collect();
-        match c.effect {
-            Effect::ReadLike => {}
-            Effect::NonIdempotent => {
+        match c.idempotency {
+            Idempotency::ReadLike => {}
+            Idempotency::NonIdempotent => {
                 assert!(ran.is_empty(), "what must not run twice is sent again");
                 seen.unsafe_again += u32::from(!o.attempts.is_empty());
             }
-            Effect::Keyed(reach) => {
+            Idempotency::IdempotencyKey(reach) => {
                 for a in &ran {
                     let there = self.places[&a.executor];
                     let same = match reach {
@@ -112,7 +112,7 @@
         if let Some(b) = p.budget.as_ref().filter(|_| !o.attempts.is_empty()) {
             // Those that never left are not counted: the program may count them all the same.
             let moot = |id: &u64, n: usize| {
-                self.open[id].attempts.get(n).is_some_and(|a| a.outcome == Some(Outcome::Moot))
+                self.open[id].attempts.get(n).is_some_and(|a| a.outcome == Some(Outcome::NotSent))
             };
             let counted = self.further.iter().filter(|(t, id, n)| t + b.span >= now && !moot(id, *n));
             let taken = self.taken.iter().filter(|t| **t + b.span > now).count() as f64;
@@ -144,9 +144,10 @@
         o.over = true;
         assert!(now <= o.deadline + self.plan.slack, "answered late");
         self.seen.overdue += u32::from(now >= o.deadline);
-        let (ran, effect) = (!o.never_ran(), self.plan.classes[o.class].effect);
-        self.seen.unsafe_kept += u32::from(ran && effect == Effect::NonIdempotent);
-        self.seen.keyed_kept += u32::from(ran && matches!(effect, Effect::Keyed(Reach::Zone | Reach::Cell)));
+        let (ran, idempotency) = (!o.never_ran(), self.plan.classes[o.class].idempotency);
+        self.seen.unsafe_kept += u32::from(ran && idempotency == Idempotency::NonIdempotent);
+        self.seen.keyed_kept +=
+            u32::from(ran && matches!(idempotency, Idempotency::IdempotencyKey(Reach::Zone | Reach::Cell)));
     }
 
     pub fn serve(&mut self, now: u64, id: u64) {
@@ -161,7 +162,10 @@
 
     pub fn refuse(&mut self, now: u64, id: u64) {
         let o = &self.open[&id];
-        let free = matches!(self.plan.classes[o.class].effect, Effect::ReadLike | Effect::Keyed(Reach::All));
+        let free = matches!(
+            self.plan.classes[o.class].idempotency,
+            Idempotency::ReadLike | Idempotency::IdempotencyKey(Reach::All)
+        );
         assert!(free || o.never_ran(), "refused what may have run");
         self.seen.refused += 1;
         self.answer(now, id);
--- a/tests/any_settings/text.rs
+++ b/tests/any_settings/text.rs
@@ -1,6 +1,6 @@
 //! The plan of a customer as the JSON text that the platform would write.
 
-use crate::plan::{Class, Effect, Plan, Reach};
+use crate::plan::{Class, Idempotency, Plan, Reach};
 use ottercroft::api::{self, Settings};
 use ottercroft::settings::{Env, Names};
 use serde::Serialize;
@@ -41,27 +41,32 @@
         let names = |l: &Option<Vec<usize>>, f: &dyn Fn(usize) -> String| {
             l.as_ref().map(|l| l.iter().map(|i| f(*i)).collect::<Vec<_>>())
         };
-        let (effect, group) = match c.effect {
-            Effect::ReadLike => ("read_like", None),
-            Effect::NonIdempotent => ("non_idempotent", None),
+        let (idempotency, group) = match c.idempotency {
+            Idempotency::ReadLike => ("read_like", None),
+            Idempotency::NonIdempotent => ("non_idempotent", None),
             // The usual group may stay unsaid.
-            Effect::Keyed(Reach::All) => ("idempotency_key", (self.seed % 2 == 0).then_some("all")),
-            Effect::Keyed(Reach::Zone) => ("idempotency_key", Some("zone")),
-            Effect::Keyed(Reach::Cell) => ("idempotency_key", Some("cell")),
+            Idempotency::IdempotencyKey(Reach::All) => {
+                ("idempotency_key", (self.seed % 2 == 0).then_some("all"))
+            }
+            Idempotency::IdempotencyKey(Reach::Zone) => ("idempotency_key", Some("zone")),
+            Idempotency::IdempotencyKey(Reach::Cell) => ("idempotency_key", Some("cell")),
         };
         self.object(vec![
             ("name", text(self.class_name(i))),
-            ("effect", text(effect)),
+            ("effect", text(idempotency)),
             ("group", text(group)),
-            ("dedupWindow", text(matches!(c.effect, Effect::Keyed(_)).then(|| secs(c.window)))),
+            (
+                "dedupWindow",
+                text(matches!(c.idempotency, Idempotency::IdempotencyKey(_)).then(|| secs(c.window))),
+            ),
             ("keepOrder", text(c.keep_order.then_some(true))),
             ("promise", seconds(c.promise)),
             ("hardLimit", seconds(c.limit)),
             ("areasOnly", text(names(&c.zones, &|i| self.zone_name(i)))),
             ("boundTo", text(names(&c.kinds, &|i| self.kind_name(i)))),
-            ("credit", text(c.worth.map(|w| w[0]))),
-            ("lateWorth", text(c.worth.map(|w| w[1]))),
-            ("aimStretch", text(c.worth.map(|w| w[2]))),
+            ("credit", text(c.priority_weight.map(|w| w[0]))),
+            ("lateWorth", text(c.priority_weight.map(|w| w[1]))),
+            ("aimStretch", text(c.priority_weight.map(|w| w[2]))),
             ("streamed", text(false)),
         ])
     }
@@ -142,15 +147,24 @@
         for (i, c) in self.classes.iter().enumerate() {
             let read = &s.classes[names.classes[&self.class_name(i)]];
             let window = c.window;
-            let effect = match c.effect {
-                Effect::ReadLike => api::Effect::Safe,
-                Effect::NonIdempotent => api::Effect::Unsafe,
-                Effect::Keyed(Reach::All) => api::Effect::Keyed { group: api::Group::All, window },
-                Effect::Keyed(Reach::Zone) => api::Effect::Keyed { group: api::Group::Zone, window },
-                Effect::Keyed(Reach::Cell) => api::Effect::Keyed { group: api::Group::Cell, window },
+            let idempotency = match c.idempotency {
+                Idempotency::ReadLike => api::Idempotency::Idempotent,
+                Idempotency::NonIdempotent => api::Idempotency::NotIdempotent,
+                Idempotency::IdempotencyKey(Reach::All) => {
+                    api::Idempotency::IdempotencyKey { scope: api::KeyScope::All, window }
+                }
+                Idempotency::IdempotencyKey(Reach::Zone) => {
+                    api::Idempotency::IdempotencyKey { scope: api::KeyScope::Zone, window }
+                }
+                Idempotency::IdempotencyKey(Reach::Cell) => {
+                    api::Idempotency::IdempotencyKey { scope: api::KeyScope::Cell, window }
+                }
             };
-            assert_eq!(read.effect, effect, "{text}");
-            assert_eq!((read.aim, read.deadline, read.keep_order), (c.promise, c.limit, c.keep_order));
+            assert_eq!(read.idempotency, idempotency, "{text}");
+            assert_eq!(
+                (read.latency_objective, read.deadline, read.keep_order),
+                (c.promise, c.limit, c.keep_order)
+            );
             assert_eq!((&read.only_zones, &read.only_kinds), (&c.zones, &c.kinds));
         }
         (s, names)
--- a/tests/any_settings/world.rs
+++ b/tests/any_settings/world.rs
@@ -17,7 +17,7 @@
     pub id: u64,
     pub class: usize,
     pub key: Option<u64>,
-    pub grace: u64,
+    pub time_budget: u64,
     pub tenant: Option<usize>,
     pub estimate_s: Option<f64>,
     pub memory_mb: Option<f64>,
@@ -99,7 +99,7 @@
         let fate = match roll {
             0..62 => Some((usual, Outcome::Ok)),
             62..70 => Some((usual, Outcome::Error)),
-            70..78 => Some((quick, Outcome::Full)),
+            70..78 => Some((quick, Outcome::Rejected)),
             78..86 => Some((quick, Outcome::ConnectFailed)),
             86..93 => Some((usual, Outcome::Reset)),
             _ => None,
@@ -132,7 +132,7 @@
         let c = self.referee.plan.classes[class].clone();
         let (limit, tenants) = (c.limit, self.referee.plan.tenants as u64);
         let part = [1, 2, 4, 20][self.below(4) as usize];
-        let grace = (limit / part).max(1_000);
+        let time_budget = (limit / part).max(1_000);
         let tenant = (self.below(3) < 2 && tenants > 0).then(|| self.below(tenants) as usize);
         let work = c.promise as f64 / 1e6 * (0.1 + self.below(200) as f64 / 100.0);
         let estimate_s = (self.below(3) > 0).then_some(work);
@@ -141,8 +141,8 @@
         let (id, group) = (self.next, self.below(9));
         self.next += 1;
         self.taken_at.insert(id, self.now);
-        self.referee.take(self.now, id, class, key, grace);
-        Some(Request { id, class, key, grace, tenant, estimate_s, memory_mb, group })
+        self.referee.take(self.now, id, class, key, time_budget);
+        Some(Request { id, class, key, time_budget, tenant, estimate_s, memory_mb, group })
     }
 
     /// The list changes now and then.
--- a/tests/cold_sum/count.rs
+++ b/tests/cold_sum/count.rs
@@ -18,7 +18,7 @@
 /// What the budget of an executor follows from.
 #[derive(Debug, Clone, Copy)]
 pub struct Rule {
-    pub cold: ColdRule,
+    pub cold: SlowStart,
     pub cores: f64,
     pub mean_work: f64,
     pub cold_executors: u32,
--- a/tests/cold_sum/module.rs
+++ b/tests/cold_sum/module.rs
@@ -16,10 +16,10 @@
 #[derive(Debug, Clone)]
 enum Next {
     Arrival,
-    Told,
+    Gossip,
     Restart,
     Timer(u64),
-    Probed(ExecutorId),
+    ProbeFinished(ExecutorId),
     Over(RequestId, u32, Outcome),
 }
 
@@ -61,12 +61,12 @@
     };
     m.rate = scene.rate * if m.chance() < 0.1 { 4.0 } else { 2.0 / 3.0 };
     let late = if m.chance() < scene.late { (m.chance() * 1e6) as Micros } else { 0 };
-    m.plan(START - BEGIN + late, Next::Told);
+    m.plan(START - BEGIN + late, Next::Gossip);
     if m.chance() < scene.restarted {
         let after = m.chance() * scene.played as f64 / 2.0;
         m.plan(START - BEGIN + late + after as Micros, Next::Restart);
     }
-    m.list(ListKind::Restored);
+    m.list(EndpointListKind::Restored);
     m.plan_arrival();
     while let Some(((at, _), next)) = m.next.pop_first().filter(|((at, _), _)| *at < START + scene.played) {
         m.now = at;
@@ -96,20 +96,20 @@
     }
 
     /// Tells the whole list, or of those that started anew.
-    fn list(&mut self, kind: ListKind) {
+    fn list(&mut self, kind: EndpointListKind) {
         let (rule, told) = (self.scene.rule, self.told);
         let cold = |e: ExecutorId| e <= rule.cold_executors;
         let all = (1..=rule.cold_executors + self.scene.warm_executors)
-            .filter(|e| cold(*e) || kind != ListKind::Update)
-            .map(|e| Entry { started: (told && cold(e)).then_some(START), ..entry(e) });
-        self.handle(Event::List { kind, entries: all.collect() });
+            .filter(|e| cold(*e) || kind != EndpointListKind::Update)
+            .map(|e| Endpoint { started: (told && cold(e)).then_some(START), ..endpoint(e) });
+        self.handle(Event::EndpointList { kind, endpoints: all.collect() });
     }
 
     fn step(&mut self, next: Next) {
         match next {
-            Next::Told => {
+            Next::Gossip => {
                 self.told = true;
-                self.list(ListKind::Update);
+                self.list(EndpointListKind::Update);
             }
             Next::Restart => {
                 // Another process in its place: nothing of it is known, and what it had out is its clients' loss.
@@ -117,15 +117,15 @@
                 self.dispatcher = Balancer::new(self.scene.settings(), seed).expect("good settings");
                 self.next.retain(|_, n| matches!(n, Next::Arrival));
                 self.open.clear();
-                self.list(ListKind::Restored);
+                self.list(EndpointListKind::Restored);
             }
             Next::Timer(token) => self.handle(Event::Timer { token }),
             Next::Arrival => self.arrive(),
-            Next::Probed(executor) => {
+            Next::ProbeFinished(executor) => {
                 // Cold executors look idle, warm ones well used.
                 let inflight = Some(if executor <= self.scene.rule.cold_executors { 0.0 } else { 8.0 });
                 let report = Some(Report { inflight, ..Report::default() });
-                self.handle(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+                self.handle(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
             }
             Next::Over(request, attempt, outcome) => self.over(request, attempt, outcome),
         }
@@ -150,10 +150,19 @@
             return;
         }
         let done = outcome == Outcome::Ok;
-        let bill = done.then_some(Bill { work_s: o.work, memory_mb: 100.0 });
+        let reported_cost = done.then_some(ReportedCost { thread_seconds: o.work, memory_mb: 100.0 });
         let (executor, latency) = (*executor, self.now - *at);
-        let event = Finished { request, attempt, executor, done, outcome, latency, bill, report: None };
-        self.handle(Event::Finished(event));
+        let event = AttemptFinished {
+            request,
+            attempt,
+            executor,
+            done,
+            outcome,
+            latency,
+            reported_cost,
+            report: None,
+        };
+        self.handle(Event::AttemptFinished(event));
     }
 
     fn handle(&mut self, event: Event) {
@@ -164,12 +173,12 @@
                 Action::Send { request, executor, .. } => self.send(request, executor),
                 Action::Probe { executor } => {
                     self.reach(executor, self.scene.rule.mean_work);
-                    self.plan(MS, Next::Probed(executor));
+                    self.plan(MS, Next::ProbeFinished(executor));
                 }
                 Action::Cancel { request, attempt } => {
                     self.plan(MS, Next::Over(request, attempt, Outcome::Cancelled));
                 }
-                Action::Wake { token, after } => self.plan(after, Next::Timer(token)),
+                Action::SetTimer { token, after } => self.plan(after, Next::Timer(token)),
                 _ => {}
             }
         }
--- a/tests/cold_sum/settings_drawn.rs
+++ b/tests/cold_sum/settings_drawn.rs
@@ -20,7 +20,7 @@
                 cores,
                 quiet,
             )| {
-                let cold = ColdRule { from, ramp: ramp * fall * MS, multiple, fall: fall * MS };
+                let cold = SlowStart { from, ramp: ramp * fall * MS, multiple, fall: fall * MS };
                 let work = [cheap, cheap * times];
                 let mean_work = work[0] + dear * (work[1] - work[0]);
                 Scene {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,15 +10,15 @@
 /// When a rig begins.
 pub const START: Micros = 100 * S;
 
-pub fn class(aim: Micros, worth: f64, threads: u32) -> Class {
+pub fn class(latency_objective: Micros, priority_weight: f64, threads: u32) -> Class {
     Class {
-        aim,
-        aim_stretch: 2.0,
-        deadline: 5 * aim,
-        worth,
-        late_worth: 0.1,
+        latency_objective,
+        latency_objective_stretch: 2.0,
+        deadline: 5 * latency_objective,
+        priority_weight,
+        late_priority_weight: 0.1,
         threads,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         keep_order: false,
         loads: false,
         yields_to_loads: false,
@@ -36,33 +36,33 @@
         tenants: vec![],
         zones: 2,
         zone: 0,
-        over_share_worth: 1.0,
+        over_quota_weight: 1.0,
         cross_zone_price: 0.0,
         probe_price: 0.0,
         handshake_price: 0.0,
         reports: Reports::Inline,
-        list_must_be_asked: false,
+        list_must_be_polled: false,
         probes: true,
         cancel: true,
-        second_copies: true,
+        hedging: true,
         max_attempts: 4,
         max_retry_after: Some(2 * S),
         grants: true,
         priorities: true,
-        most_grant: 0.5,
-        shortage: Shortage::Queue,
+        max_grant_fraction: 0.5,
+        memory_shortage: MemoryShortage::Queue,
         progress: None,
-        tells_cost: true,
-        budget: Some(Budget { free: 3.0, ratio: 0.1, span: 5 * S, slack: 0 }),
-        cold: ColdRule { from: 0.34, ramp: 14 * S, multiple: 2.5, fall: 1_500 * MS },
+        reports_cost: true,
+        budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span: 5 * S, slack: 0 }),
+        cold: SlowStart { from: 0.34, ramp: 14 * S, multiple: 2.5, fall: 1_500 * MS },
         drain_grace: S,
         key_quiet: Some(S),
         step: 5 * MS,
     }
 }
 
-pub fn entry(executor: ExecutorId) -> Entry {
-    Entry { executor, cell: u64::from(executor % 2), rating: 1.0, ..Entry::default() }
+pub fn endpoint(executor: ExecutorId) -> Endpoint {
+    Endpoint { executor, cell: u64::from(executor % 2), rating: 1.0, ..Endpoint::default() }
 }
 
 pub fn arrival(request: RequestId, class: ClassId, estimate: f64) -> Arrival {
@@ -71,7 +71,7 @@
         class,
         tenant: None,
         key: None,
-        grace: 4 * S,
+        time_budget: 4 * S,
         estimate_s: Some(estimate),
         memory_mb: Some(100.0),
         group: 1,
@@ -97,29 +97,29 @@
     }
 
     pub fn seeded(settings: Settings, executors: u32, seed: u64) -> Rig {
-        Rig::knowing(settings, seed, (1..=executors).map(entry).collect())
+        Rig::knowing(settings, seed, (1..=executors).map(endpoint).collect())
     }
 
     /// A dispatcher that knows these executors from its start.
-    pub fn knowing(settings: Settings, seed: u64, entries: Vec<Entry>) -> Rig {
+    pub fn knowing(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Rig {
         let dispatcher = Balancer::new(settings, seed).expect("good settings");
         let now = START;
         let mut rig = Rig { dispatcher, now, timers: vec![], log: vec![], reports: BTreeMap::new(), next: 1 };
-        rig.event(Event::List { kind: ListKind::Restored, entries });
+        rig.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
         rig
     }
 
     /// Hands over an event; the actions go to the log and are returned.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        if let Event::Probed { executor, report: Some(r), .. }
-        | Event::Finished(Finished { executor, report: Some(r), .. }) = &event
+        if let Event::ProbeFinished { executor, report: Some(r), .. }
+        | Event::AttemptFinished(AttemptFinished { executor, report: Some(r), .. }) = &event
         {
             self.reports.insert(*executor, *r);
         }
         self.dispatcher.handle(self.now, event, &mut out);
         for a in &out {
-            if let Action::Wake { token, after } = a {
+            if let Action::SetTimer { token, after } = a {
                 self.timers.push((self.now + after, *token));
             }
             self.log.push((self.now, a.clone()));
@@ -156,7 +156,12 @@
         for executor in Vec::from_iter(actions.iter().filter_map(probed)) {
             let idle = Report { inflight: Some(0.0), ..Report::default() };
             let report = Some(self.reports.get(&executor).copied().unwrap_or(idle));
-            actions.extend(self.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report }));
+            actions.extend(self.event(Event::ProbeFinished {
+                executor,
+                outcome: Outcome::Ok,
+                latency: MS,
+                report,
+            }));
         }
         (request, actions)
     }
@@ -182,14 +187,14 @@
         report: Option<Report>,
     ) -> Vec<Action> {
         let ok = outcome == Outcome::Ok;
-        self.event(Event::Finished(Finished {
+        self.event(Event::AttemptFinished(AttemptFinished {
             request,
             attempt,
             executor,
             done: ok,
             outcome,
             latency: (cost * 1e6) as Micros,
-            bill: ok.then_some(Bill { work_s: cost, memory_mb: 100.0 }),
+            reported_cost: ok.then_some(ReportedCost { thread_seconds: cost, memory_mb: 100.0 }),
             report,
         }))
     }
@@ -215,7 +220,7 @@
 
 pub fn refused(actions: &[Action]) -> Option<Option<Micros>> {
     actions.iter().find_map(|a| match a {
-        Action::Refuse { retry_after, .. } => Some(*retry_after),
+        Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     })
 }
--- a/tests/control/admission.rs
+++ b/tests/control/admission.rs
@@ -79,7 +79,7 @@
     rig.pass(2 * S);
     let full = Some(Report { util: Some(0.5), memory: Some(1.0), ..Report::default() });
     for e in [1, 2] {
-        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report: full });
+        rig.event(Event::ProbeFinished { executor: e, outcome: Outcome::Ok, latency: MS, report: full });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -93,7 +93,7 @@
     rig.pass(2 * S);
     let jammed = Some(Report { util: Some(0.3), disks: Some(1.05), ..Report::default() });
     for e in [1, 2] {
-        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report: jammed });
+        rig.event(Event::ProbeFinished { executor: e, outcome: Outcome::Ok, latency: MS, report: jammed });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -109,7 +109,7 @@
     for executor in 1..=4 {
         let inflight = Some(if executor < 3 { 2.0 } else { 90.0 });
         let report = Some(Report { inflight, ..Report::default() });
-        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -121,7 +121,7 @@
 #[test]
 fn a_tenant_over_its_share_still_gets_a_part_of_it_at_half_pressure() {
     let tenants = vec![Tenant { quota_per_s: 40.0 }];
-    let mut rig = Rig::new(Settings { tenants, over_share_worth: 0.1, ..settings() }, 2);
+    let mut rig = Rig::new(Settings { tenants, over_quota_weight: 0.1, ..settings() }, 2);
     rig.teach(0, 30, 0.2);
     let busy = Some(Report { inflight: Some(16.0), ..Report::default() });
     let mut sends = [0, 0];
@@ -133,7 +133,7 @@
             rig.finish_with(q, 0, e, Outcome::Ok, 0.2, busy);
         }
         for executor in [1, 2] {
-            rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report: busy });
+            rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report: busy });
         }
         rig.pass(20 * MS);
     }
@@ -143,10 +143,10 @@
 
 /// How many of 600 requests of the only class are refused while executors are a little over the load at which pressure
 /// begins.
-fn refusals(worth: f64) -> usize {
+fn refusals(priority_weight: f64) -> usize {
     let mut s = settings();
     s.classes.truncate(1);
-    s.classes[0].worth = worth;
+    s.classes[0].priority_weight = priority_weight;
     let mut rig = Rig::new(s, 4);
     rig.teach(0, 30, 0.2);
     let busy = Report { util: Some(1.0), inflight: Some(16.0), ..Report::default() };
--- a/tests/control/attempts.rs
+++ b/tests/control/attempts.rs
@@ -44,8 +44,8 @@
                 }
             }
             if progress.is_some() && i % 5 == 0 {
-                let note = Note::Progress(0.01 * f64::from(i));
-                rig.event(Event::Noted { request: q, attempt: 0, executor, note });
+                let progress_note = AttemptProgress::Progress(0.01 * f64::from(i));
+                rig.event(Event::AttemptProgressed { request: q, attempt: 0, executor, progress_note });
             }
         }
         let again = all.iter().position(|a| matches!(a, Action::Send { request, .. } if *request == q));
@@ -61,7 +61,7 @@
     rig.teach(1, 30, 2.0);
     let terms = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Terms { memory_mb, priority, .. } => Some((*memory_mb, *priority)),
+            Action::SetTerms { memory_mb, priority, .. } => Some((*memory_mb, *priority)),
             _ => None,
         })
     };
@@ -94,8 +94,13 @@
     let mut all = Vec::new();
     for step in 1..=5u32 {
         all.extend(rig.pass(500 * MS));
-        let note = Note::Progress(0.19 * f64::from(step));
-        all.extend(rig.event(Event::Noted { request: told, attempt: 0, executor, note }));
+        let progress_note = AttemptProgress::Progress(0.19 * f64::from(step));
+        all.extend(rig.event(Event::AttemptProgressed {
+            request: told,
+            attempt: 0,
+            executor,
+            progress_note,
+        }));
     }
     let again = |id| {
         all.iter().any(
--- a/tests/control/draw.rs
+++ b/tests/control/draw.rs
@@ -9,7 +9,7 @@
     let mut rig = Rig::new(settings(), 2);
     for e in [1, 2] {
         let report = Some(Report { util: Some(if e == 1 { 0.95 } else { 0.1 }), ..Report::default() });
-        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor: e, outcome: Outcome::Ok, latency: MS, report });
     }
     let sends = (0..60).filter(|_| {
         let (q, actions) = rig.arrive(0, 0.2);
@@ -38,14 +38,14 @@
     let mut rig = Rig::new(settings(), 2);
     let idle = Some(Report { inflight: Some(0.5), ..Report::default() });
     for e in [1, 2] {
-        rig.event(Event::Probed { executor: e, outcome: Outcome::Ok, latency: MS, report: idle });
+        rig.event(Event::ProbeFinished { executor: e, outcome: Outcome::Ok, latency: MS, report: idle });
     }
     let mut on_one = 0;
     for _ in 0..40 {
         let (_, actions) = rig.arrive(0, 0.2);
         on_one += u32::from(sent_to(&actions) == Some(1));
         // Executor 1 repeats the same old report after each send.
-        rig.event(Event::Probed { executor: 1, outcome: Outcome::Ok, latency: MS, report: idle });
+        rig.event(Event::ProbeFinished { executor: 1, outcome: Outcome::Ok, latency: MS, report: idle });
     }
     assert!(on_one <= 28, "{on_one} of 40 went to the engine with the old report");
 }
@@ -54,8 +54,8 @@
 #[test]
 fn a_listed_weight_scales_what_an_executor_is_sent() {
     let mut rig = Rig::new(settings(), 2);
-    let entries = vec![Entry { weight: Some(0.2), ..entry(1) }];
-    rig.event(Event::List { kind: ListKind::Update, entries });
+    let endpoints = vec![Endpoint { weight: Some(0.2), ..endpoint(1) }];
+    rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
     let mut sent = [0, 0];
     for _ in 0..400 {
         let (q, actions) = rig.arrive(0, 0.1);
@@ -76,7 +76,7 @@
     for group in 0..60 {
         for (executor, memory) in [(1, 0.06), (2, 0.01)] {
             let report = Some(Report { memory: Some(memory), ..Report::default() });
-            rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+            rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
         }
         let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.2) });
         let e = sent_to(&actions).expect("sent");
@@ -142,7 +142,7 @@
     };
     let report = |rig: &mut Rig, executor, inflight| {
         let report = Some(Report { inflight: Some(inflight), ..Report::default() });
-        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     };
     let mut out = 0;
     while out < 12 {
@@ -165,13 +165,13 @@
 fn a_far_executor_is_drawn_when_the_near_one_is_clearly_busier() {
     let far = |near: f64| {
         let mut rig = Rig::new(Settings { cross_zone_price: 0.02, ..settings() }, 2);
-        let entries = vec![Entry { zone: 1, ..entry(2) }];
-        rig.event(Event::List { kind: ListKind::Update, entries });
+        let endpoints = vec![Endpoint { zone: 1, ..endpoint(2) }];
+        rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
         let told = |util| Some(Report { util: Some(util), ..Report::default() });
         let drawn = (0..60).filter(|_| {
             for (executor, util) in [(1, near), (2, 0.3)] {
                 let outcome = Outcome::Ok;
-                rig.event(Event::Probed { executor, outcome, latency: MS, report: told(util) });
+                rig.event(Event::ProbeFinished { executor, outcome, latency: MS, report: told(util) });
             }
             let (q, actions) = rig.arrive(0, 0.2);
             let e = sent_to(&actions).unwrap();
--- a/tests/control/health.rs
+++ b/tests/control/health.rs
@@ -48,12 +48,12 @@
 #[test]
 fn a_drained_executor_gets_nothing_new() {
     let mut rig = Rig::new(settings(), 2);
-    let entries = vec![Entry { readiness: Readiness::Leaving, ..entry(1) }];
-    rig.event(Event::List { kind: ListKind::Update, entries });
+    let endpoints = vec![Endpoint { readiness: Readiness::Leaving, ..endpoint(1) }];
+    rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
     for _ in 0..30 {
         assert_eq!(sent_to(&rig.arrive(0, 0.1).1), Some(2));
     }
-    rig.event(Event::List { kind: ListKind::Replace, entries: vec![] });
+    rig.event(Event::EndpointList { kind: EndpointListKind::Replace, endpoints: vec![] });
     assert!(refused(&rig.arrive(0, 0.1).1).is_some(), "no engine: refused at once");
 }
 
@@ -77,7 +77,10 @@
     rig.teach(0, 30, 0.2);
     rig.pass(2 * S);
     let started = Some(rig.now);
-    rig.event(Event::List { kind: ListKind::Update, entries: vec![Entry { started, ..entry(1) }] });
+    rig.event(Event::EndpointList {
+        kind: EndpointListKind::Update,
+        endpoints: vec![Endpoint { started, ..endpoint(1) }],
+    });
     // Saved up at 1.4 thread-seconds a second for this dispatcher at most: some 10 of these, of 0.2 each, in 1.5 s.
     let mut sent = 0;
     for _ in 0..60 {
@@ -94,8 +97,8 @@
     let sent = |since: Micros| {
         let mut rig = Rig::new(settings(), 0);
         rig.dispatcher = ottercroft::Balancer::new(settings(), 1).expect("good settings");
-        let entries = vec![Entry { started: Some(rig.now - since), ..entry(1) }];
-        rig.event(Event::List { kind: ListKind::Restored, entries });
+        let endpoints = vec![Endpoint { started: Some(rig.now - since), ..endpoint(1) }];
+        rig.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
         rig.pass(2 * S);
         (0..60).filter(|_| sent_to(&rig.arrive(0, 0.2).1).is_some()).count()
     };
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -37,7 +37,7 @@
 /// Executors 1 and 2 of kind 0, 3 and 4 of kind 1, which alone may take the second class.
 fn two_kinds(s: Settings) -> Rig {
     let mut rig = Rig::new(s, 4);
-    let entries = (1..=4).map(|i| Entry { kind: (i as usize - 1) / 2, ..entry(i) }).collect();
-    rig.event(Event::List { kind: ListKind::Replace, entries });
+    let endpoints = (1..=4).map(|i| Endpoint { kind: (i as usize - 1) / 2, ..endpoint(i) }).collect();
+    rig.event(Event::EndpointList { kind: EndpointListKind::Replace, endpoints });
     rig
 }
--- a/tests/control/policy.rs
+++ b/tests/control/policy.rs
@@ -21,9 +21,9 @@
     assert_eq!(old.classes[0].only_kinds, Some(vec![0]), "those before come back");
     let (_, actions) = rig.arrive(0, 0.2);
     assert!(sent_to(&actions).is_some_and(|e| e > 2), "kind 1 alone: {actions:?}");
-    let again = sent_to(&rig.finish(open, 0, first, Outcome::Full, 0.1)).expect("tried again");
+    let again = sent_to(&rig.finish(open, 0, first, Outcome::Rejected, 0.1)).expect("tried again");
     assert!(again <= 2 && again != first, "the other of kind 0: {again}");
-    let last = rig.finish(open, 1, again, Outcome::Full, 0.1);
+    let last = rig.finish(open, 1, again, Outcome::Rejected, 0.1);
     assert!(sent_to(&last).is_none() && refused(&last).is_some(), "two attempts, as then: {last:?}");
 }
 
--- a/tests/control/requests.rs
+++ b/tests/control/requests.rs
@@ -13,7 +13,7 @@
     let (a, first) = rig.arrive_as(keyed());
     let (_, second) = rig.arrive_as(keyed());
     assert!(sent_to(&first).is_some() && second.is_empty());
-    rig.event(Event::HungUp { request: a });
+    rig.event(Event::ClientDisconnected { request: a });
     let executor = sent_to(&first).unwrap();
     assert_eq!(sent_to(&rig.finish(a, 0, executor, Outcome::Cancelled, 0.1)), None);
     assert_eq!(sent_to(&rig.pass(900 * MS)), None, "the key rests");
@@ -26,26 +26,31 @@
 fn a_request_in_line_with_hardly_any_patience_is_answered_at_once() {
     let mut s = settings();
     s.classes[0].keep_order = true;
-    s.classes[0].effect = Effect::Unsafe;
+    s.classes[0].idempotency = Idempotency::NotIdempotent;
     let mut rig = Rig::new(s, 2);
-    let keyed = |grace| Arrival { key: Some(5), grace, ..arrival(0, 0, 0.1) };
+    let keyed = |time_budget| Arrival { key: Some(5), time_budget, ..arrival(0, 0, 0.1) };
     assert!(sent_to(&rig.arrive_as(keyed(4 * S)).1).is_some());
     let (_, actions) = rig.arrive_as(keyed(60 * MS));
     assert!(refused(&actions).is_some(), "{actions:?}");
     // One with patience waits, and has its answer once it could not be served any more.
     let (q, actions) = rig.arrive_as(keyed(2 * S));
     assert_eq!(refused(&actions), None);
-    let ended = |a: &Action| matches!(a, Action::Refuse { request, .. } if *request == q);
+    let ended = |a: &Action| matches!(a, Action::Reject { request, .. } if *request == q);
     assert!(!rig.pass(1_500 * MS).iter().any(ended) && rig.pass(450 * MS).iter().any(ended));
 }
 
 #[test]
 fn odd_but_legal_events_have_no_effect() {
     let mut rig = Rig::new(settings(), 2);
-    rig.event(Event::HungUp { request: 99 });
+    rig.event(Event::ClientDisconnected { request: 99 });
     rig.event(Event::Timer { token: 123 });
-    rig.event(Event::Noted { request: 99, attempt: 0, executor: 1, note: Note::Waits });
-    rig.event(Event::Probed { executor: 77, outcome: Outcome::Ok, latency: 0, report: None });
+    rig.event(Event::AttemptProgressed {
+        request: 99,
+        attempt: 0,
+        executor: 1,
+        progress_note: AttemptProgress::Waits,
+    });
+    rig.event(Event::ProbeFinished { executor: 77, outcome: Outcome::Ok, latency: 0, report: None });
     assert!(rig.finish(99, 3, 77, Outcome::Ok, 0.1).is_empty());
     let (q, actions) = rig.arrive(0, 0.1);
     let e = sent_to(&actions).unwrap();
@@ -62,7 +67,7 @@
     assert!(why(Settings { zone: 9, ..settings() }).contains("zone"));
     assert!(why(Settings { dispatchers: 0, ..settings() }).contains("gateways"));
     let mut s = settings();
-    s.classes[1].worth = f64::NAN;
+    s.classes[1].priority_weight = f64::NAN;
     assert!(why(s).contains("class 1"));
     let mut s = settings();
     s.classes[0].only_kinds = Some(vec![4]);
@@ -75,10 +80,10 @@
 #[test]
 fn what_an_ending_dispatcher_could_not_see_to_its_end_is_refused_at_once() {
     let mut s = settings();
-    (s.classes[1].effect, s.classes[1].keep_order) = (Effect::Unsafe, true);
+    (s.classes[1].idempotency, s.classes[1].keep_order) = (Idempotency::NotIdempotent, true);
     let mut rig = Rig::new(s, 3);
     rig.teach(0, 30, 0.2);
-    let load = |work| Arrival { key: Some(5), grace: 60 * S, ..arrival(0, 1, work) };
+    let load = |work| Arrival { key: Some(5), time_budget: 60 * S, ..arrival(0, 1, work) };
     let (head, first) = rig.arrive_as(load(12.0));
     assert!(sent_to(&first).is_some());
     let (behind, _) = rig.arrive_as(load(12.0));
@@ -86,10 +91,10 @@
     rig.dispatcher.ends_at(end);
     let told = rig.pass(200 * MS);
     assert!(
-        told.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == behind)),
+        told.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == behind)),
         "{told:?}"
     );
-    let most = |a: &Action| matches!(a, Action::Terms { request, priority: 3, .. } if *request == head);
+    let most = |a: &Action| matches!(a, Action::SetTerms { request, priority: 3, .. } if *request == head);
     assert!(told.iter().any(most), "what nobody may run again goes first: {told:?}");
     assert!(refused(&rig.arrive_as(load(12.0)).1).is_some(), "a load too long for what is left");
     assert!(refused(&rig.arrive(0, 9.0).1).is_some(), "and so is anything else");
@@ -101,9 +106,9 @@
 #[test]
 fn a_long_line_that_is_hopeless_all_at_once_ends_one_by_one() {
     let mut s = settings();
-    (s.classes[0].keep_order, s.classes[0].effect) = (true, Effect::Unsafe);
+    (s.classes[0].keep_order, s.classes[0].idempotency) = (true, Idempotency::NotIdempotent);
     let mut rig = Rig::new(s, 2);
-    let keyed = |grace| Arrival { key: Some(7), grace, ..arrival(0, 0, 0.2) };
+    let keyed = |time_budget| Arrival { key: Some(7), time_budget, ..arrival(0, 0, 0.2) };
     let (first, actions) = rig.arrive_as(keyed(4 * S));
     let executor = sent_to(&actions).expect("the first is sent");
     for _ in 0..5_000 {
@@ -119,7 +124,7 @@
 /// A keyed class that must not run twice, in which each request is expected to take a second.
 fn ordered() -> Rig {
     let mut s = settings();
-    (s.classes[0].keep_order, s.classes[0].effect) = (true, Effect::Unsafe);
+    (s.classes[0].keep_order, s.classes[0].idempotency) = (true, Idempotency::NotIdempotent);
     Rig::new(s, 2)
 }
 
@@ -128,7 +133,7 @@
 #[test]
 fn what_was_held_back_joins_no_line_that_takes_longer_than_its_time() {
     let mut rig = ordered();
-    let keyed = |held_back| Arrival { key: Some(5), grace: 4 * S, held_back, ..arrival(0, 0, 1.0) };
+    let keyed = |held_back| Arrival { key: Some(5), time_budget: 4 * S, held_back, ..arrival(0, 0, 1.0) };
     let (head, sent) = rig.arrive_as(keyed(false));
     let executor = sent_to(&sent).expect("the first is sent");
     for _ in 0..3 {
@@ -141,7 +146,7 @@
     // The line moves on, so that there is time again.
     rig.finish(head, 0, executor, Outcome::Ok, 1.0);
     rig.pass(S);
-    let (_, told) = rig.arrive_as(Arrival { grace: 8 * S, ..keyed(true) });
+    let (_, told) = rig.arrive_as(Arrival { time_budget: 8 * S, ..keyed(true) });
     assert_eq!(refused(&told), None);
 }
 
@@ -151,7 +156,7 @@
     const WAITING: usize = 5_000;
     const MOST_EACH_TICK: usize = 1_100;
     let mut rig = ordered();
-    let keyed = |n: usize| Arrival { key: Some(n as u64 % 50), grace: 4 * S, ..arrival(0, 0, 0.1) };
+    let keyed = |n: usize| Arrival { key: Some(n as u64 % 50), time_budget: 4 * S, ..arrival(0, 0, 0.1) };
     let mut refused_so_far = 0;
     for n in 0..WAITING {
         rig.arrive_as(keyed(n));
--- a/tests/fleet/loads.rs
+++ b/tests/fleet/loads.rs
@@ -8,14 +8,14 @@
 #[test]
 fn what_may_not_run_twice_goes_where_something_was_served_before() {
     let mut s = Settings { reports: Reports::OnProbe, probes: false, ..settings() };
-    s.classes[1].effect = Effect::Unsafe;
+    s.classes[1].idempotency = Idempotency::NotIdempotent;
     let mut rig = Rig::new(s, 2);
     // Executor 2 turns all away, so that nothing is known against it and nothing for it.
     let mut first = |class| {
         let (q, actions) = rig.arrive(class, 0.1);
         let executor = sent_to(&actions).expect("sent");
         if executor == 2 {
-            rig.finish(q, 0, 2, Outcome::Moot, 0.001);
+            rig.finish(q, 0, 2, Outcome::NotSent, 0.001);
         }
         rig.finish(q, u32::from(executor == 2), 1, Outcome::Ok, 0.1);
         rig.pass(S);
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -69,8 +69,8 @@
         rig.teach(0, 30, 0.1);
         rig.teach(1, 10, 1.0);
         let started = Some(rig.now);
-        let entries = (1..=18).map(|e| Entry { started, ..entry(e) }).collect();
-        rig.event(Event::List { kind: ListKind::Update, entries });
+        let endpoints = (1..=18).map(|e| Endpoint { started, ..endpoint(e) }).collect();
+        rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
         for i in 0..5 * seconds {
             let (class, cost) = if (i + g as usize) % 5 == 0 { (1, 1.0) } else { (0, 0.1) };
             let (q, actions) = rig.arrive(class, cost);
@@ -157,7 +157,7 @@
 #[test]
 fn what_may_not_run_twice_avoids_an_executor_that_failed_others() {
     let mut s = Settings { reports: Reports::Off, ..priced() };
-    s.classes[1].effect = Effect::Unsafe;
+    s.classes[1].idempotency = Idempotency::NotIdempotent;
     let mut rig = Rig::new(s, 4);
     while !met_the_bad_one(&mut rig, 0) {}
     let met = (0..60).filter(|_| met_the_bad_one(&mut rig, 1)).count();
@@ -197,7 +197,7 @@
         for _ in 0..20 {
             let report = Some(Report { inflight: Some(26.0), ..Report::default() });
             for executor in 1..=2 {
-                rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+                rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
             }
             rig.pass(100 * MS);
         }
@@ -215,11 +215,11 @@
     s.classes[1].keep_order = true;
     let mut rig = Rig::new(s, 4);
     rig.teach(0, 60, 0.2);
-    let load = Arrival { key: Some(5), grace: 60 * S, ..arrival(0, 1, 3.0) };
+    let load = Arrival { key: Some(5), time_budget: 60 * S, ..arrival(0, 1, 3.0) };
     let (first, _) = rig.arrive_as(load.clone());
     let priority = |rig: &Rig| {
         rig.log.iter().rev().find_map(|(_, a)| match a {
-            Action::Terms { request, priority, .. } if *request == first => Some(*priority),
+            Action::SetTerms { request, priority, .. } if *request == first => Some(*priority),
             _ => None,
         })
     };
--- a/tests/large_lists/choice.rs
+++ b/tests/large_lists/choice.rs
@@ -32,7 +32,8 @@
     let mut s = settings();
     s.classes[1].only_kinds = Some(vec![1]);
     let kind = |n: u32| usize::from(n % 1_000 == 0);
-    let mut rig = Rig::knowing(s, 7, (1..=3_200).map(|n| Entry { kind: kind(n), ..entry(n) }).collect());
+    let mut rig =
+        Rig::knowing(s, 7, (1..=3_200).map(|n| Endpoint { kind: kind(n), ..endpoint(n) }).collect());
     let served = served_by(&mut rig, 60, 1);
     assert_eq!(served.len(), 60, "all are served");
     assert!(served.iter().all(|e| kind(*e) == 1));
@@ -62,8 +63,8 @@
 fn a_subset_that_drains_is_replaced_at_once() {
     let mut rig = Rig::seeded(settings(), 3_200, 7);
     let before = BTreeSet::from_iter(served_by(&mut rig, 200, 0));
-    let leaves = before.iter().map(|e| Entry { readiness: Readiness::Leaving, ..entry(*e) });
-    rig.event(Event::List { kind: ListKind::Update, entries: leaves.collect() });
+    let leaves = before.iter().map(|e| Endpoint { readiness: Readiness::Leaving, ..endpoint(*e) });
+    rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: leaves.collect() });
     let after = served_by(&mut rig, 100, 0);
     assert_eq!(after.len(), 100, "all are served");
     assert!(after.iter().all(|e| !before.contains(e)));
@@ -87,7 +88,7 @@
 fn cold_executors_of_a_long_list_get_their_share() {
     let mut cold_served = BTreeSet::new();
     for seed in 0..100 {
-        let cold = |n: u32| Entry { started: (n % 2 == 0).then_some(START), ..entry(n) };
+        let cold = |n: u32| Endpoint { started: (n % 2 == 0).then_some(START), ..endpoint(n) };
         let mut rig = Rig::knowing(settings(), seed, (1..=3_200).map(cold).collect());
         cold_served.extend(served_by(&mut rig, 100, 0).into_iter().filter(|e| e % 2 == 0));
     }
--- a/tests/large_lists/main.rs
+++ b/tests/large_lists/main.rs
@@ -22,6 +22,6 @@
 
 /// A dispatcher with a list of which so many in a hundred have just started.
 fn dispatcher(executors: u32, cold_percent: u32) -> Rig {
-    let entry = |n| Entry { started: (n % 100 < cold_percent).then_some(START), ..entry(n) };
-    Rig::knowing(settings(), 7, (1..=executors).map(entry).collect())
+    let endpoint = |n| Endpoint { started: (n % 100 < cold_percent).then_some(START), ..endpoint(n) };
+    Rig::knowing(settings(), 7, (1..=executors).map(endpoint).collect())
 }
--- a/tests/large_lists/work.rs
+++ b/tests/large_lists/work.rs
@@ -59,9 +59,9 @@
     rig.arrive(0, 0.2);
     let before = rig.dispatcher.examined();
     for n in 0..1_600 {
-        let gone = Entry { readiness: Readiness::Left, ..entry(n + 1) };
-        let new = Entry { started: Some(rig.now), ..entry(10_000 + n) };
-        rig.event(Event::List { kind: ListKind::Update, entries: vec![gone, new] });
+        let gone = Endpoint { readiness: Readiness::Left, ..endpoint(n + 1) };
+        let new = Endpoint { started: Some(rig.now), ..endpoint(10_000 + n) };
+        rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: vec![gone, new] });
     }
     assert_eq!(rig.dispatcher.examined(), before, "the list changes without a decision");
     assert!(looked_at(&mut rig) <= MOST_EACH);
--- a/tests/rules/checks.rs
+++ b/tests/rules/checks.rs
@@ -17,17 +17,17 @@
     pub(super) fn check(&mut self, a: Action) {
         let now = self.now;
         match a {
-            Action::Wake { token, after } => self.timers.push((now + after, token)),
+            Action::SetTimer { token, after } => self.timers.push((now + after, token)),
             Action::Send { request, executor, .. } => self.check_send(request, executor),
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 assert!(
                     retry_after.is_none() || self.s.max_retry_after.is_some(),
                     "advice that nobody hears"
                 );
                 let o = &self.open[&request];
                 let never = o.attempts.iter().all(|a| a.2.is_some_and(Outcome::never_ran));
-                match self.s.classes[o.class].effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => {}
+                match self.s.classes[o.class].idempotency {
+                    Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => {}
                     _ => assert!(never, "refused what may have run"),
                 }
                 self.end(request);
@@ -40,7 +40,7 @@
                     "cancelled what was never sent"
                 );
             }
-            Action::Terms { priority, .. } => assert!(priority <= 3),
+            Action::SetTerms { priority, .. } => assert!(priority <= 3),
             _ => {}
         }
     }
@@ -59,12 +59,14 @@
         assert!(c.only_zones.as_ref().is_none_or(|z| z.contains(&e.zone)), "wrong zone");
         assert!(c.only_kinds.as_ref().is_none_or(|k| k.contains(&e.kind)), "wrong kind");
         assert!(o.attempts.len() < self.s.max_attempts as usize);
-        assert!(self.s.second_copies || o.attempts.iter().all(|a| a.2.is_some()), "two attempts out at once");
+        assert!(self.s.hedging || o.attempts.iter().all(|a| a.2.is_some()), "two attempts out at once");
         let may_have_run = |a: &&(ExecutorId, Micros, Option<Outcome>)| !a.2.is_some_and(Outcome::never_ran);
-        match c.effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(o.attempts.iter().find(may_have_run).is_none(), "unsafe repeated"),
-            Effect::Keyed { window, .. } => {
+        match c.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NotIdempotent => {
+                assert!(o.attempts.iter().find(may_have_run).is_none(), "unsafe repeated")
+            }
+            Idempotency::IdempotencyKey { window, .. } => {
                 for a in o.attempts.iter().filter(may_have_run) {
                     assert_eq!(self.list[&a.0].cell, e.cell, "keyed repeat outside its cell");
                     assert!(now <= a.1 + window, "keyed repeat after its window");
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -1,6 +1,6 @@
 //! Random events, one step of the clock after another.
 
-use super::common::{self, MS, S, entry};
+use super::common::{self, MS, S, endpoint};
 use super::{Open, Stream, WORK};
 use ottercroft::Balancer;
 use ottercroft::api::*;
@@ -30,10 +30,11 @@
             finals: 0,
             telling: true,
         };
-        let entries: Vec<Entry> =
-            (1..=8).map(|i| Entry { zone: i as usize % 2, kind: i as usize / 2 % 2, ..entry(i) }).collect();
-        st.list = entries.iter().map(|e| (e.executor, e.clone())).collect();
-        st.event(Event::List { kind: ListKind::Restored, entries });
+        let endpoints: Vec<Endpoint> = (1..=8)
+            .map(|i| Endpoint { zone: i as usize % 2, kind: i as usize / 2 % 2, ..endpoint(i) })
+            .collect();
+        st.list = endpoints.iter().map(|e| (e.executor, e.clone())).collect();
+        st.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
         st
     }
 
@@ -65,14 +66,14 @@
             self.end(request);
         }
         let done = self.open[&request].done;
-        self.event(Event::Finished(Finished {
+        self.event(Event::AttemptFinished(AttemptFinished {
             request,
             attempt: n as u32,
             executor,
             done,
             outcome,
             latency: now - sent,
-            bill: ok.then_some(Bill { work_s: work, memory_mb: 100.0 }),
+            reported_cost: ok.then_some(ReportedCost { thread_seconds: work, memory_mb: 100.0 }),
             report: Some(if self.telling {
                 Report { inflight: Some((now % 9) as f64), ..Report::default() }
             } else {
@@ -106,11 +107,11 @@
             } else if roll < 20 {
                 let kinds = [
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                 ];
                 self.outcome(id, n, kinds[(roll - 14) as usize]);
             }
@@ -119,14 +120,14 @@
             let class = self.below(self.s.classes.len() as u64) as usize;
             let key = self.s.classes[class].keep_order.then(|| self.below(3));
             let short = self.below(20) == 0;
-            let grace = if short { 25 * MS + self.below(200 * MS) } else { S + self.below(3 * S) };
+            let time_budget = if short { 25 * MS + self.below(200 * MS) } else { S + self.below(3 * S) };
             self.taken.push(self.now);
-            let o = Open { class, key, deadline: self.now + grace, ..Open::default() };
+            let o = Open { class, key, deadline: self.now + time_budget, ..Open::default() };
             self.open.insert(next, o);
             self.event(Event::Arrival(Arrival {
                 class,
                 key,
-                grace,
+                time_budget,
                 estimate_s: Some(WORK[class]),
                 ..common::arrival(next, class, 1.0)
             }));
@@ -159,8 +160,8 @@
         } else {
             self.told.entry(executor).or_insert(self.now);
         }
-        let entries = vec![e.clone()];
-        self.event(Event::List { kind: ListKind::Update, entries });
+        let endpoints = vec![e.clone()];
+        self.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
     }
 
     pub(super) fn run(&mut self, steps: u64) {
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -17,12 +17,12 @@
 fn many_kinds() -> Settings {
     let mut s = settings();
     s.dispatchers = 1;
-    let keyed = Effect::Keyed { group: Group::Cell, window: 2 * S };
+    let keyed = Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: 2 * S };
     s.classes = vec![
         class(S, 1.0, 1),
         Class { only_zones: Some(vec![1]), only_kinds: Some(vec![1]), ..class(3 * S, 6.0, 2) },
-        Class { effect: keyed, ..class(S, 1.0, 1) },
-        Class { effect: Effect::Unsafe, keep_order: true, ..class(S, 2.0, 1) },
+        Class { idempotency: keyed, ..class(S, 1.0, 1) },
+        Class { idempotency: Idempotency::NotIdempotent, keep_order: true, ..class(S, 2.0, 1) },
     ];
     s
 }
@@ -45,7 +45,7 @@
     dispatcher: Balancer,
     timers: Vec<(Micros, u64)>,
     open: BTreeMap<RequestId, Open>,
-    list: BTreeMap<ExecutorId, Entry>,
+    list: BTreeMap<ExecutorId, Endpoint>,
     told: BTreeMap<ExecutorId, Micros>,
     cold: BTreeMap<ExecutorId, Micros>,
     cold_sends: BTreeMap<ExecutorId, VecDeque<(Micros, f64)>>,
@@ -66,17 +66,17 @@
     for seed in 0..12 {
         let mut s = many_kinds();
         match seed % 6 {
-            1 => s.second_copies = false,
+            1 => s.hedging = false,
             2 => s.progress = Some(500 * MS),
             3 => s.cancel = false,
             4 => {
                 // Nothing may be called off or copied, no advice is passed on, loads hold what others read.
-                (s.cancel, s.second_copies, s.max_retry_after) = (false, false, None);
+                (s.cancel, s.hedging, s.max_retry_after) = (false, false, None);
                 (s.classes[3].loads, s.classes[0].yields_to_loads, s.classes[1].yields_to_loads) =
                     (true, true, true);
                 s.key_quiet = Some(300 * MS);
             }
-            5 => (s.second_copies, s.drain_grace, s.progress) = (false, 250 * MS, Some(500 * MS)),
+            5 => (s.hedging, s.drain_grace, s.progress) = (false, 250 * MS, Some(500 * MS)),
             _ => {}
         }
         let mut st = Stream::new(s, seed);
--- a/tests/sliver/admission.rs
+++ b/tests/sliver/admission.rs
@@ -21,8 +21,8 @@
     for seed in 0..300 {
         let mut rig = Rig::seeded(fleet(300), 2, seed);
         rig.teach(0, 30, 0.2);
-        let entries = vec![Entry { started: Some(rig.now), ..entry(1) }];
-        rig.event(Event::List { kind: ListKind::Update, entries });
+        let endpoints = vec![Endpoint { started: Some(rig.now), ..endpoint(1) }];
+        rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
         let start = rig.now;
         for _ in 0..10 {
             rig.pass(400 * MS + seed * MS);
@@ -52,12 +52,12 @@
     rig.teach(0, 30, 0.2);
     for _ in 0..8 {
         let (q, actions) = rig.arrive(1, 2.0);
-        rig.event(Event::HungUp { request: q });
+        rig.event(Event::ClientDisconnected { request: q });
         rig.finish(q, 0, sent_to(&actions).expect("sent"), Outcome::Cancelled, 2.0);
     }
     for executor in [1, 2] {
         let report = Some(Report { inflight: Some(200.0), ..Report::default() });
-        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     rig.pass(300 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
@@ -72,7 +72,7 @@
     rig.teach(1, 30, 2.0);
     for executor in [1, 2] {
         let report = Some(Report { inflight: Some(200.0), ..Report::default() });
-        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     rig.pass(300 * MS);
     assert!(refused(&rig.arrive(1, 0.7).1).is_some());
--- a/tests/sliver/grants.rs
+++ b/tests/sliver/grants.rs
@@ -5,15 +5,20 @@
 /// Found on the bench: a dispatcher that sees few outcomes kept granting too little; 45% of requests spilled.
 #[test]
 fn one_spill_note_raises_the_next_grant() {
-    let mut rig = Rig::new(Settings { tells_cost: false, ..fleet(300) }, 3);
+    let mut rig = Rig::new(Settings { reports_cost: false, ..fleet(300) }, 3);
     let grant = |actions: &[Action]| {
         actions
             .iter()
-            .find_map(|a| if let Action::Terms { memory_mb, .. } = a { Some(*memory_mb) } else { None })
+            .find_map(|a| if let Action::SetTerms { memory_mb, .. } = a { Some(*memory_mb) } else { None })
     };
     let (request, actions) = rig.arrive(1, 2.0);
     let (before, executor) = (grant(&actions).expect("a grant"), sent_to(&actions).expect("sent"));
-    rig.event(Event::Noted { request, attempt: 0, executor, note: Note::Spill(300.0) });
+    rig.event(Event::AttemptProgressed {
+        request,
+        attempt: 0,
+        executor,
+        progress_note: AttemptProgress::Spill(300.0),
+    });
     let after = grant(&rig.arrive(1, 2.0).1).expect("a grant");
     assert!(after > 1.2 * before, "{before} then {after}");
 }
@@ -22,24 +27,24 @@
 /// until most reports spilled and the disks jammed on a quiet day.
 #[test]
 fn grants_do_not_fall_where_nothing_tells_of_spills() {
-    let mut rig = Rig::new(Settings { tells_cost: false, progress: None, ..fleet(2) }, 3);
+    let mut rig = Rig::new(Settings { reports_cost: false, progress: None, ..fleet(2) }, 3);
     let mut grants = vec![];
     for _ in 0..60 {
         let (request, actions) = rig.arrive(1, 0.2);
         grants.extend(
-            actions
-                .iter()
-                .find_map(|a| if let Action::Terms { memory_mb, .. } = a { Some(*memory_mb) } else { None }),
+            actions.iter().find_map(|a| {
+                if let Action::SetTerms { memory_mb, .. } = a { Some(*memory_mb) } else { None }
+            }),
         );
         let executor = sent_to(&actions).expect("sent");
-        rig.event(Event::Finished(Finished {
+        rig.event(Event::AttemptFinished(AttemptFinished {
             request,
             attempt: 0,
             executor,
             done: true,
             outcome: Outcome::Ok,
             latency: 100 * MS,
-            bill: None,
+            reported_cost: None,
             report: None,
         }));
     }
--- a/tests/sliver/homes.rs
+++ b/tests/sliver/homes.rs
@@ -55,7 +55,7 @@
     for (n, &executor) in order[..3].iter().enumerate() {
         let inflight = Some(if n < 2 { 12.0 } else { 1.0 });
         let report = Some(Report { inflight, ..Report::default() });
-        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     let asked = rig.event(Event::Arrival(Arrival { group: 9, ..arrival(900, 0, 0.2) }));
     let probed =
--- a/tests/sliver/mute.rs
+++ b/tests/sliver/mute.rs
@@ -4,7 +4,7 @@
 
 /// Reports that tell of no load, and notes: the pace of own requests stands in.
 fn mute() -> Settings {
-    Settings { progress: Some(500 * MS), tells_cost: false, ..fleet(300) }
+    Settings { progress: Some(500 * MS), reports_cost: false, ..fleet(300) }
 }
 
 const MUTE: Option<Report> =
@@ -17,14 +17,14 @@
     let threads = f64::from(mute().classes[class].threads);
     let latency = (0.2 / threads * times * 1e6) as Micros;
     rig.pass(latency);
-    rig.event(Event::Finished(Finished {
+    rig.event(Event::AttemptFinished(AttemptFinished {
         request,
         attempt: 0,
         executor,
         done: true,
         outcome: Outcome::Ok,
         latency,
-        bill: None,
+        reported_cost: None,
         report: MUTE,
     }));
     Some(executor)
--- a/tests/sliver/probes.rs
+++ b/tests/sliver/probes.rs
@@ -29,11 +29,11 @@
     let dumb = asked.iter().find_map(probed).expect("probes first");
     for executor in asked.iter().filter_map(probed).filter(|e| *e != dumb) {
         let report = Some(Report { inflight: Some(1.0), ..Report::default() });
-        rig.event(Event::Probed { executor, outcome: Outcome::Ok, latency: MS, report });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     }
     let executor = sent_to(&rig.pass(60 * MS)).expect("sent once the wait is over");
     assert_ne!(executor, dumb);
-    let out = rig.event(Event::Probed {
+    let out = rig.event(Event::ProbeFinished {
         executor: dumb,
         outcome: Outcome::Timeout,
         latency: 250 * MS,
@@ -61,7 +61,7 @@
 #[test]
 fn a_short_grace_is_not_spent_on_probes() {
     let mut rig = Rig::new(fleet(300), 40);
-    let request = Arrival { grace: 30 * MS, ..arrival(901, 0, 0.2) };
+    let request = Arrival { time_budget: 30 * MS, ..arrival(901, 0, 0.2) };
     let actions = rig.event(Event::Arrival(request));
     assert!(sent_to(&actions).is_some(), "{actions:?}");
 }
