--- a/crates/fleet/src/control/follower/connection.rs
+++ b/crates/fleet/src/control_plane/follower/connection.rs
@@ -2,7 +2,7 @@
 
 use super::{Follower, FollowerEvent, Lost, Order};
 use crate::Micros;
-use crate::control::messages::{FollowerMessage, VERSION};
+use crate::control_plane::messages::{FollowerMessage, VERSION};
 use rand_core::RngCore;
 
 /// A pause between connections doubles with each that fails, this many times at most.
--- a/crates/fleet/src/control/follower/stream.rs
+++ b/crates/fleet/src/control_plane/follower/stream.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use super::{Follower, FollowerEvent, Lost};
-use crate::control::messages::MemberMessage;
+use crate::control_plane::messages::MemberMessage;
 use crate::policy::{Change, Policies, Revision};
 use crate::{Micros, Peer};
 
--- a/crates/fleet/src/control/member/consent.rs
+++ b/crates/fleet/src/control_plane/member/consent.rs
@@ -5,7 +5,7 @@
 
 use super::sessions::Session;
 use super::{Member, MemberRecord};
-use crate::control::messages::FollowerId;
+use crate::control_plane::messages::FollowerId;
 use crate::policy::{Command, Policies, Waiting};
 use crate::{Holder, Micros};
 use std::collections::BTreeMap;
--- a/crates/fleet/src/control/member/leases.rs
+++ b/crates/fleet/src/control_plane/member/leases.rs
@@ -4,7 +4,7 @@
 use super::sessions::Session;
 use super::{Member, MemberView};
 use crate::Micros;
-use crate::control::messages::FollowerId;
+use crate::control_plane::messages::FollowerId;
 
 /// A lease that was given to a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/fleet/src/control/member/sessions.rs
+++ b/crates/fleet/src/control_plane/member/sessions.rs
@@ -2,7 +2,7 @@
 
 use super::{Member, MemberView, SessionId, Violation};
 use crate::Micros;
-use crate::control::messages::{
+use crate::control_plane::messages::{
     FollowerId, FollowerMessage, MOST_NAME, MemberMessage, Rejection, Resume, VERSION,
 };
 use crate::policy::{FAULT, FAULTS, MOST_TEXT, Policy, Revision};
--- a/crates/fleet/src/control/member/streams.rs
+++ b/crates/fleet/src/control_plane/member/streams.rs
@@ -5,7 +5,7 @@
 
 use super::sessions::Session;
 use super::{Member, MemberView, SessionId};
-use crate::control::messages::MemberMessage;
+use crate::control_plane::messages::MemberMessage;
 
 impl Member {
     /// Sends each follower what it has not been sent yet.
--- a/crates/fleet/src/control/member/violation.rs
+++ b/crates/fleet/src/control_plane/member/violation.rs
@@ -1,6 +1,6 @@
 //! What ends a follower's connection.
 
-use crate::control::messages::Rejection;
+use crate::control_plane::messages::Rejection;
 use crate::policy::Revision;
 use std::fmt;
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,11 +17,11 @@
 //! - [`group`]: the replicated log: how a fleet is founded, joined again after a restart, and written to.
 //! - [`log`]: the log in memory, with snapshots of the state.
 //! - [`wire`]: the frames between peers.
-//! - [`control`]: dispatchers that follow a few members of the log without voting.
+//! - [`control_plane`]: dispatchers that follow a few members of the log without voting.
 //! - [`fleet`]: the whole for one dispatcher: leases, batches, events.
 
 pub mod agreed;
-pub mod control;
+pub mod control_plane;
 pub mod fleet;
 pub mod group;
 pub mod leases;
--- a/crates/fleet/tests/control/faults.rs
+++ b/crates/fleet/tests/control_plane/faults.rs
@@ -123,7 +123,7 @@
 fn links_between_regions_take_their_time() {
     let mut w = World::new(5, 20, 16);
     let round_trip = 150 * MS;
-    w.timing = fleet::control::Timing::from_round_trip(round_trip);
+    w.timing = fleet::control_plane::Timing::from_round_trip(round_trip);
     w.delay = round_trip / 2;
     (1..=5).for_each(|p| w.start_member(p));
     (0..20).for_each(|f| w.start_follower(f));
--- a/crates/fleet/tests/control/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -1,6 +1,6 @@
 //! One follower's process: its decisions, its part in changes, and a clock of its own.
 
-use fleet::control::{Follower, SessionId};
+use fleet::control_plane::{Follower, SessionId};
 use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
 use fleet::{Micros, Peer};
 
--- a/crates/fleet/tests/control/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -1,9 +1,9 @@
 //! Whom a member turns away, and what ends a connection.
 
 use super::world::*;
-use fleet::control::member::{MemberRecord, Violation};
-use fleet::control::messages::{FollowerMessage, MemberMessage, VERSION};
-use fleet::control::{FollowerId, Rejection, Resume};
+use fleet::control_plane::member::{MemberRecord, Violation};
+use fleet::control_plane::messages::{FollowerMessage, MemberMessage, VERSION};
+use fleet::control_plane::{FollowerId, Rejection, Resume};
 
 // A member at its bound says so and names the others; those it turns away find room there.
 #[test]
--- a/crates/fleet/tests/control/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -1,9 +1,9 @@
 //! What followers are sent: changes by revision, snapshots within bounds, and refusals that say why.
 
 use super::world::*;
-use fleet::control::member::MemberRecord;
-use fleet::control::messages::{FRAMING, FollowerMessage, MOST_FOLLOWER_FRAME, MemberMessage, VERSION};
-use fleet::control::{FollowerId, Resume};
+use fleet::control_plane::member::MemberRecord;
+use fleet::control_plane::messages::{FRAMING, FollowerMessage, MOST_FOLLOWER_FRAME, MemberMessage, VERSION};
+use fleet::control_plane::{FollowerId, Resume};
 use fleet::policy::{Change, Gate, Policies, Policy};
 use proptest::prelude::*;
 
--- a/crates/fleet/tests/control/turns.rs
+++ b/crates/fleet/tests/control_plane/turns.rs
@@ -3,8 +3,8 @@
 use super::wires::{Payload, Wire};
 use super::world::{MS, World};
 use fleet::Peer;
-use fleet::control::follower::Order;
-use fleet::control::messages::FRAMING;
+use fleet::control_plane::follower::Order;
+use fleet::control_plane::messages::FRAMING;
 use fleet::policy::Gate;
 use fleet::wire::frame;
 
--- a/crates/fleet/tests/control/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -1,9 +1,9 @@
 //! What is under way between processes.
 
 use super::world::{MS, World};
-use fleet::control::member::MemberRecord;
-use fleet::control::messages::{FRAMING, MOST_FOLLOWER_FRAME, MOST_MEMBER_FRAME};
-use fleet::control::{FollowerMessage, MemberMessage, SessionId};
+use fleet::control_plane::member::MemberRecord;
+use fleet::control_plane::messages::{FRAMING, MOST_FOLLOWER_FRAME, MOST_MEMBER_FRAME};
+use fleet::control_plane::{FollowerMessage, MemberMessage, SessionId};
 use fleet::wire::next;
 use fleet::{Micros, Peer};
 use std::collections::BTreeSet;
--- a/crates/fleet/tests/control/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -4,7 +4,7 @@
 
 use super::follower_node::{FollowerNode, faster};
 use super::wires::{Payload, Wire};
-use fleet::control::{Follower, FollowerConfig, Member, MemberConfig, SessionId, Timing};
+use fleet::control_plane::{Follower, FollowerConfig, Member, MemberConfig, SessionId, Timing};
 use fleet::ledger::Limits;
 use fleet::policy::Part;
 use fleet::{Fleet, FleetConfig, Micros, Peer};
--- a/crates/lab/src/scale/group.rs
+++ b/crates/lab/src/scale/group.rs
@@ -77,7 +77,7 @@
         std::fs::create_dir_all(folder)?;
         let mut launch = Launch::new(program, folder);
         launch.settings = SETTINGS.into();
-        launch.log = Some("warn,ottercroft::net::control=info".into());
+        launch.log = Some("warn,ottercroft::net::control_plane=info".into());
         let nowhere: SocketAddr = "127.0.0.1:0".parse()?;
         let links: Result<Vec<DelayedLink>, _> =
             (0..shape.members).map(|_| DelayedLink::new(shape.delay)).collect();
--- a/crates/lab/src/scale/hollow_follower.rs
+++ b/crates/lab/src/scale/hollow_follower.rs
@@ -1,10 +1,10 @@
 //! One follower without clients: its connection and what it would admit by.
 
 use super::hollow::{Seen, now};
-use fleet::control::follower::FollowerTally;
+use fleet::control_plane::follower::FollowerTally;
 use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
 use ottercroft::api::{Micros, Settings};
-use ottercroft::net::control::ControlLink;
+use ottercroft::net::control_plane::ControlLink;
 use ottercroft::net::poll::{Key, Poll};
 use ottercroft::policies::ready;
 use ottercroft::settings::Names;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -6,7 +6,7 @@
 use crate::api::Settings;
 use crate::membership::check::Catalog;
 use crate::net::Node;
-use crate::net::control::ControlMember;
+use crate::net::control_plane::ControlMember;
 use crate::net::signals::Signals;
 use crate::settings::Names;
 use crate::settings::config::{Config, ConfigError};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! the [`Action`]s that come back. The same events with the same seed give the same actions.
 //!
 //! - [`api`] is the interface: settings, events, actions and ids.
-//! - [`control`] holds every decision.
+//! - [`balancer`] holds every decision.
 //! - [`arrivals`] bounds when a request came and since when its client has waited.
 //! - [`dispatch`] is the facade that a real dispatcher sees: pick, report, tick.
 //! - [`codec`] holds the codecs of its protocols.
@@ -20,10 +20,10 @@
 
 pub mod api;
 pub mod arrivals;
+pub mod balancer;
 pub mod cli;
 pub mod clock;
 pub mod codec;
-pub mod control;
 pub mod dispatch;
 pub mod invariant;
 pub mod membership;
--- a/src/net/control/link.rs
+++ b/src/net/control_plane/link.rs
@@ -5,9 +5,9 @@
 use crate::net::dial;
 use crate::net::poll::{Key, Poll};
 use crate::settings::options::Control;
-use fleet::control::follower::{FollowerEvent, Order};
-use fleet::control::messages::{MOST_MEMBER_FRAME, MemberMessage};
-use fleet::control::{Follower, FollowerConfig};
+use fleet::control_plane::follower::{FollowerEvent, Order};
+use fleet::control_plane::messages::{MOST_MEMBER_FRAME, MemberMessage};
+use fleet::control_plane::{Follower, FollowerConfig};
 use std::io;
 use std::net::SocketAddr;
 
--- a/src/net/control/mod.rs
+++ b/src/net/control_plane/mod.rs
@@ -1,6 +1,6 @@
 //! The control group on sockets: a dispatcher's connection to the member that it follows, and the member's process.
 //!
-//! Nothing of this runs unless our settings have a `control` block. The decisions are the [`fleet::control`] module's.
+//! Nothing of this runs unless our settings have a `control` block. The decisions are the [`fleet::control_plane`] module's.
 //!
 //! - [`link`]: a follower's connection.
 //! - `server`: a member's connections to its followers.
--- a/src/net/control/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -13,7 +13,7 @@
 use crate::net::signals::Signals;
 use crate::settings::config::Config;
 use crate::settings::options::Control;
-use fleet::control::{Member, MemberConfig};
+use fleet::control_plane::{Member, MemberConfig};
 use fleet::ledger::Limits;
 use fleet::{Fleet, FleetConfig, Peer};
 use std::io;
--- a/src/net/control/stream.rs
+++ b/src/net/control_plane/stream.rs
@@ -1,7 +1,7 @@
 //! One connection of the control group: frames in, frames out, never blocking.
 
 use crate::net::poll::{Key, Poll};
-use fleet::control::messages::FRAMING;
+use fleet::control_plane::messages::FRAMING;
 use fleet::wire::{Fault, HEAD};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -2,7 +2,7 @@
 
 use super::bans_file::BansFile;
 use super::buffers::Pool;
-use super::control::ControlLink;
+use super::control_plane::ControlLink;
 use super::descriptors::Descriptors;
 use super::executors::Executors;
 use super::feed::Feed;
--- a/src/settings/options/control.rs
+++ b/src/settings/options/control.rs
@@ -3,8 +3,8 @@
 use super::MS;
 use super::policy::{self, PolicyTerms};
 use crate::settings::hcl::{self, Fault, Table};
-use fleet::control::Timing;
-use fleet::control::messages::MOST_NAME;
+use fleet::control_plane::Timing;
+use fleet::control_plane::messages::MOST_NAME;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/tests/module_size.rs
+++ b/tests/module_size.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-/// The files of `src/control/`, by name, with their text.
+/// The files of `src/balancer/`, by name, with their text.
 fn files() -> Vec<(String, String)> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/control");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/balancer");
     let entries = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap());
     let named = entries.map(|e| (e.file_name().into_string().unwrap(), e.path()));
     named.map(|(name, path)| (name, std::fs::read_to_string(path).unwrap())).collect()
@@ -33,7 +33,7 @@
     let manifest = include_str!("../deploy/balancer.toml");
     let policy = manifest.lines().find(|l| l.starts_with("policy = [")).expect("a line of policy files");
     let mut named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
-    let mut there: Vec<String> = files().iter().map(|(name, _)| format!("src/control/{name}")).collect();
+    let mut there: Vec<String> = files().iter().map(|(name, _)| format!("src/balancer/{name}")).collect();
     named.sort_unstable();
     there.sort_unstable();
     assert_eq!(named, there);
