--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -29,7 +29,7 @@
                 for (n, a) in (0..).zip(&mut open.attempts) {
                     if a.outcome.is_none() && a.priority != priority {
                         a.priority = priority;
-                        self.orders.push(Order::Boost(Ticket { request: request, attempt: n }, priority));
+                        self.orders.push(Order::Boost(Ticket { request, attempt: n }, priority));
                     }
                 }
             }
@@ -62,12 +62,12 @@
                 let in_budget = self.budget_slack.filter(|_| further).map(|slack| now + slack);
                 let begin_by =
                     in_budget.into_iter().chain(open.repeats_known_until()).fold(open.deadline, Micros::min);
-                let ticket = Ticket { request: request, attempt: open.attempts.len() as u32 };
+                let ticket = Ticket { request, attempt: open.attempts.len() as u32 };
                 let (begun, outcome, priority) = (false, None, open.priority);
                 open.attempts.push(Attempt { executor, sent: now, begun, outcome, priority });
                 self.orders.push(Order::Start {
                     ticket,
-                    executor: executor,
+                    executor,
                     terms: Terms {
                         memory_mb: open.memory_mb,
                         priority: open.priority,
@@ -77,7 +77,7 @@
                 });
             }
             Action::Cancel { request, attempt } => {
-                let ticket = Ticket { request: request, attempt };
+                let ticket = Ticket { request, attempt };
                 if let Some(event) = self.finish(now, ticket, Outcome::Cancelled, None) {
                     self.orders.push(Order::Stop(ticket));
                     events.push_back(event);
--- a/tests/any_settings/plan.rs
+++ b/tests/any_settings/plan.rs
@@ -14,7 +14,7 @@
 pub enum Idempotency {
     ReadLike,
     NonIdempotent,
-    IdempotencyKey(Reach),
+    Key(Reach),
 }
 
 /// All spans are microseconds.
@@ -74,9 +74,9 @@
     prop_oneof![
         3 => Just(Idempotency::ReadLike),
         3 => Just(Idempotency::NonIdempotent),
-        1 => Just(Idempotency::IdempotencyKey(Reach::All)),
-        2 => Just(Idempotency::IdempotencyKey(Reach::Zone)),
-        2 => Just(Idempotency::IdempotencyKey(Reach::Cell)),
+        1 => Just(Idempotency::Key(Reach::All)),
+        2 => Just(Idempotency::Key(Reach::Zone)),
+        2 => Just(Idempotency::Key(Reach::Cell)),
     ]
 }
 
--- a/tests/any_settings/referee.rs
+++ b/tests/any_settings/referee.rs
@@ -84,7 +84,7 @@
                 assert!(ran.is_empty(), "what must not run twice is sent again");
                 seen.unsafe_again += u32::from(!o.attempts.is_empty());
             }
-            Idempotency::IdempotencyKey(reach) => {
+            Idempotency::Key(reach) => {
                 for a in &ran {
                     let there = self.places[&a.executor];
                     let same = match reach {
@@ -147,7 +147,7 @@
         let (ran, idempotency) = (!o.never_ran(), self.plan.classes[o.class].idempotency);
         self.seen.unsafe_kept += u32::from(ran && idempotency == Idempotency::NonIdempotent);
         self.seen.keyed_kept +=
-            u32::from(ran && matches!(idempotency, Idempotency::IdempotencyKey(Reach::Zone | Reach::Cell)));
+            u32::from(ran && matches!(idempotency, Idempotency::Key(Reach::Zone | Reach::Cell)));
     }
 
     pub fn serve(&mut self, now: u64, id: u64) {
@@ -164,7 +164,7 @@
         let o = &self.open[&id];
         let free = matches!(
             self.plan.classes[o.class].idempotency,
-            Idempotency::ReadLike | Idempotency::IdempotencyKey(Reach::All)
+            Idempotency::ReadLike | Idempotency::Key(Reach::All)
         );
         assert!(free || o.never_ran(), "refused what may have run");
         self.seen.refused += 1;
--- a/tests/any_settings/text.rs
+++ b/tests/any_settings/text.rs
@@ -45,20 +45,15 @@
             Idempotency::ReadLike => ("read_like", None),
             Idempotency::NonIdempotent => ("non_idempotent", None),
             // The usual group may stay unsaid.
-            Idempotency::IdempotencyKey(Reach::All) => {
-                ("idempotency_key", (self.seed % 2 == 0).then_some("all"))
-            }
-            Idempotency::IdempotencyKey(Reach::Zone) => ("idempotency_key", Some("zone")),
-            Idempotency::IdempotencyKey(Reach::Cell) => ("idempotency_key", Some("cell")),
+            Idempotency::Key(Reach::All) => ("idempotency_key", (self.seed % 2 == 0).then_some("all")),
+            Idempotency::Key(Reach::Zone) => ("idempotency_key", Some("zone")),
+            Idempotency::Key(Reach::Cell) => ("idempotency_key", Some("cell")),
         };
         self.object(vec![
             ("name", text(self.class_name(i))),
             ("effect", text(idempotency)),
             ("group", text(group)),
-            (
-                "dedupWindow",
-                text(matches!(c.idempotency, Idempotency::IdempotencyKey(_)).then(|| secs(c.window))),
-            ),
+            ("dedupWindow", text(matches!(c.idempotency, Idempotency::Key(_)).then(|| secs(c.window)))),
             ("keepOrder", text(c.keep_order.then_some(true))),
             ("promise", seconds(c.promise)),
             ("hardLimit", seconds(c.limit)),
@@ -150,13 +145,13 @@
             let idempotency = match c.idempotency {
                 Idempotency::ReadLike => api::Idempotency::Idempotent,
                 Idempotency::NonIdempotent => api::Idempotency::NotIdempotent,
-                Idempotency::IdempotencyKey(Reach::All) => {
+                Idempotency::Key(Reach::All) => {
                     api::Idempotency::IdempotencyKey { scope: api::KeyScope::All, window }
                 }
-                Idempotency::IdempotencyKey(Reach::Zone) => {
+                Idempotency::Key(Reach::Zone) => {
                     api::Idempotency::IdempotencyKey { scope: api::KeyScope::Zone, window }
                 }
-                Idempotency::IdempotencyKey(Reach::Cell) => {
+                Idempotency::Key(Reach::Cell) => {
                     api::Idempotency::IdempotencyKey { scope: api::KeyScope::Cell, window }
                 }
             };
