--- a/crates/lab/src/lost/executors.rs
+++ b/crates/lab/src/lost/executors.rs
@@ -2,7 +2,7 @@
 //! id, and note when each attempt began.
 
 use crate::fleet::Failure;
-use ottercroft::net::poll::{Key, Poll};
+use ottercroft::net::event_loop::poll::{Key, Poll};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{self, Read, Write};
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Failure;
 use clap::Args;
 use ottercroft::api::{Micros, Settings};
-use ottercroft::net::poll::{Key, Poll};
+use ottercroft::net::event_loop::poll::{Key, Poll};
 use ottercroft::settings::Names;
 use ottercroft::settings::config::Config;
 use ottercroft::settings::options::Options;
--- a/crates/lab/src/scale/hollow_follower.rs
+++ b/crates/lab/src/scale/hollow_follower.rs
@@ -5,7 +5,7 @@
 use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
 use ottercroft::api::{Micros, Settings};
 use ottercroft::net::control_plane::ControlLink;
-use ottercroft::net::poll::{Key, Poll};
+use ottercroft::net::event_loop::poll::{Key, Poll};
 use ottercroft::policies::ready;
 use ottercroft::settings::Names;
 use ottercroft::settings::options::Control;
--- a/crates/lab/src/soak/world/mod.rs
+++ b/crates/lab/src/soak/world/mod.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What dispatchers log: what the operators' log has, and the way of each request.
-const LOG: &str = "info,ottercroft::net::requests=debug,ottercroft::dispatch=debug";
+const LOG: &str = "info,ottercroft::net::clients::request_intake=debug,ottercroft::dispatch=debug";
 /// An executor that hangs takes longer than any deadline.
 const HANGS: Duration = Duration::from_secs(60);
 
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,10 +1,12 @@
 //! What operators ask, and the bans that are handed from one process to the next.
 
-use super::poll::Key;
-use super::{LEAVE_PATIENCE, Node, listen};
+use super::Node;
+use super::limits::LEAVE_PATIENCE;
+use super::sockets::listen;
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
 use crate::dispatch::News;
+use crate::net::event_loop::poll::Key;
 use std::io;
 
 impl Node {
--- a/src/net/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,15 +1,16 @@
 //! Accept control: which clients are let in, and who goes for them.
 
-use super::poll::Key;
-use super::session::Session;
-use super::*;
 use crate::api::Micros;
 use crate::codec::mysql::Error;
-use crate::net::sys;
+use crate::net::Node;
+use crate::net::clients::session::Session;
+use crate::net::event_loop::poll::Key;
+use crate::net::limits::{ACCEPT_PAUSE, ACCEPTS, BACKLOG, CLIENT_BACKOFF, PATIENCE};
+use crate::net::sockets::{dial, system_calls};
 use std::io;
 
 impl Node {
-    pub(super) fn accept(&mut self, now: Micros) {
+    pub(in crate::net) fn accept(&mut self, now: Micros) {
         // A KILL may wait behind any number of others, and what it ends must not begin. As many as can wait, and no more:
         // under a flood new ones would come for ever.
         for _ in 0..BACKLOG.div_ceil(ACCEPTS) {
@@ -24,13 +25,13 @@
     fn accept_some(&mut self, now: Micros) -> bool {
         for _ in 0..ACCEPTS {
             let Some((_, listener)) = &self.listener else { return false };
-            let stream = match sys::accept(listener) {
+            let stream = match system_calls::accept(listener) {
                 Ok(stream) => stream,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.backlog_since = None;
                     return false;
                 }
-                Err(e) if sys::takes_another(&e) => continue,
+                Err(e) if system_calls::takes_another(&e) => continue,
                 Err(e) if dial::out_of_descriptors(&e) && self.shed(now) => continue,
                 Err(e) => {
                     tracing::error!(error = %e, "accept: pausing");
@@ -69,7 +70,7 @@
         true
     }
 
-    pub(super) fn pause_accepting(&mut self, now: Micros) {
+    pub(in crate::net) fn pause_accepting(&mut self, now: Micros) {
         // The listener stays readable: it must not be watched meanwhile, or the loop would spin.
         if let Some((_, listener)) = self.listener.take() {
             self.poll.remove(&listener);
@@ -79,7 +80,7 @@
         }
     }
 
-    pub(super) fn accept_again(&mut self, now: Micros) {
+    pub(in crate::net) fn accept_again(&mut self, now: Micros) {
         let Some(listener) = self.paused.take() else { return };
         match self.poll.add(&listener, false) {
             Ok(key) => {
@@ -95,7 +96,7 @@
     }
 
     /// Takes in all that waits and listens no more: what comes later is another process's.
-    pub(super) fn stop_accepting(&mut self, now: Micros) {
+    pub(in crate::net) fn stop_accepting(&mut self, now: Micros) {
         if let Some(listener) = self.paused.take() {
             self.accept_at = None;
             self.listener = self.poll.add(&listener, false).ok().map(|key| (key, listener));
@@ -115,7 +116,7 @@
 
     /// Out of descriptors: closes the newest client that has nothing open, unwritten or unread, so that the one
     /// that waits can come in; false if none can be spared.
-    pub(super) fn shed(&mut self, now: Micros) -> bool {
+    pub(in crate::net) fn shed(&mut self, now: Micros) -> bool {
         let spare = |(k, s): (&Key, &Session)| s.spare(now, PATIENCE).map(|_| *k);
         let all = self.sessions.by_key.iter().rev();
         let Some(key) = all.filter_map(spare).find(|k| self.sessions.has_nothing_unread(*k)) else {
@@ -132,7 +133,7 @@
     }
 
     /// Where the feed or an attempt found no descriptor, an idle client goes for it.
-    pub(super) fn spare_descriptors(&mut self, now: Micros) {
+    pub(in crate::net) fn spare_descriptors(&mut self, now: Micros) {
         if std::mem::take(&mut self.executors.starved) {
             self.shed(now);
         }
@@ -145,7 +146,7 @@
     }
 
     /// Lets the client go that can be spared best, for another to come in; false if none can.
-    pub(super) fn evict(&mut self, now: Micros) -> bool {
+    pub(in crate::net) fn evict(&mut self, now: Micros) -> bool {
         let rank = |(k, s): (&Key, &Session)| s.spare(now, PATIENCE).filter(|(r, _)| *r > 0).map(|r| (r, *k));
         let mut idle: Vec<_> = self.sessions.by_key.iter().filter_map(rank).collect();
         idle.sort_unstable();
@@ -157,7 +158,7 @@
     }
 
     /// Keeps those that only read their last bytes to their share: the longest of them is closed.
-    pub(super) fn bound_lingering(&mut self, now: Micros) {
+    pub(in crate::net) fn bound_lingering(&mut self, now: Micros) {
         while self.sessions.lingering() > self.descriptors.lingering {
             let since = |(k, s): (&Key, &Session)| s.dismissed_at().map(|t| (t, *k));
             let Some((_, key)) = self.sessions.by_key.iter().filter_map(since).min() else { return };
--- a/src/net/clients.rs
+++ b/src/net/clients/mod.rs
@@ -1,13 +1,17 @@
 //! Clients: what is read from them, and who has to go.
 
-use super::poll::Key;
-use super::*;
+pub(in crate::net) mod accept;
+pub(in crate::net) mod request_intake;
+pub(in crate::net) mod session;
+
 use crate::api::Micros;
 use crate::codec::mysql::Error;
 use crate::dispatch::Report;
+use crate::net::Node;
+use crate::net::event_loop::poll::Key;
 
 impl Node {
-    pub(super) fn read(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn read(&mut self, key: Key, now: Micros) {
         let noticed = self.noticed(now);
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
         // Whatever came is read to its end before any of it counts: behind a request may lie that its client has gone.
@@ -21,7 +25,7 @@
     }
 
     /// A client that sends on while its request is open gets no answer but this one, whatever comes of it.
-    pub(super) fn overrun(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn overrun(&mut self, key: Key, now: Micros) {
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
         tracing::info!(client = s.id, "client closed: sends on without waiting for its answer");
         let open = s.open.take();
@@ -33,7 +37,7 @@
     }
 
     /// What time does to clients: pauses end, and who owes something for too long goes.
-    pub(super) fn look_after_clients(&mut self, now: Micros) {
+    pub(in crate::net) fn look_after_clients(&mut self, now: Micros) {
         let keys: Vec<Key> = self.sessions.by_key.keys().copied().collect();
         for key in keys {
             let Some(s) = self.sessions.by_key.get_mut(&key) else { continue };
@@ -49,7 +53,7 @@
     }
 
     /// KILL QUERY: the client of that request has left; its session goes on.
-    pub(super) fn kill(&mut self, from: Key, id: u32, now: Micros) {
+    pub(in crate::net) fn kill(&mut self, from: Key, id: u32, now: Micros) {
         let target = self.sessions.by_id.get(&id).copied();
         if let Some(s) = self.sessions.by_key.get_mut(&from) {
             match target {
@@ -68,7 +72,7 @@
         }
     }
 
-    pub(super) fn left(&mut self, request: u64, now: Micros) {
+    pub(in crate::net) fn left(&mut self, request: u64, now: Micros) {
         if let Some(open) = self.open.remove(&request) {
             self.log_left(request, &open, now);
         }
@@ -79,7 +83,7 @@
 
     /// Takes nothing more from a client that rests. Its connection ends write side first: what it sends in this very
     /// moment is read and dropped, so that no reset takes anything along.
-    pub(super) fn finish(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn finish(&mut self, key: Key, now: Micros) {
         if let Some(s) = self.sessions.by_key.get_mut(&key) {
             s.finish(now);
         }
@@ -87,7 +91,7 @@
     }
 
     /// Closes a client's connection: one whose client has gone, or that had its time.
-    pub(super) fn hang_up(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn hang_up(&mut self, key: Key, now: Micros) {
         let Some(s) = self.sessions.remove(key) else { return };
         let open = s.open;
         s.close(&self.poll);
@@ -96,7 +100,7 @@
         }
     }
 
-    pub(super) fn flush(&mut self, key: Key) {
+    pub(in crate::net) fn flush(&mut self, key: Key) {
         let now = self.clock.last();
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
         if !s.flush(&self.poll) {
--- a/src/net/requests.rs
+++ b/src/net/clients/request_intake.rs
@@ -1,18 +1,20 @@
 //! Requests: how they come, begin, and are turned away before any decision.
 
-use super::executors::Job;
-use super::poll::Key;
-use super::session::Asked;
-use super::*;
 use crate::api::{EndReason, Micros};
+use crate::arrivals::{Occurrence, Spaced};
 use crate::codec::mysql::Error;
-use crate::dispatch::Answer;
+use crate::dispatch::{Answer, Request};
+use crate::net::Node;
+use crate::net::clients::session::Asked;
+use crate::net::event_loop::poll::Key;
+use crate::net::executors::Job;
+use crate::net::limits::CLIENT_BACKOFF;
 use crate::operator::figures::Disposition;
 use crate::storm::{self, Verdict};
 use crate::takeover::Gate;
 
 /// A request that was read and has not begun.
-pub(super) struct Arrived {
+pub(in crate::net) struct Arrived {
     client: Key,
     request: Request,
     arrival: Arrival,
@@ -20,7 +22,7 @@
 
 /// How a request came.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Arrival {
+pub(in crate::net) struct Arrival {
     /// When its last byte came.
     came: Occurrence,
     /// Whether it is the first request on its connection.
@@ -30,16 +32,16 @@
 }
 
 /// A request that has no answer yet.
-pub(super) struct OpenRequest {
-    pub(super) client: Key,
-    pub(super) job: Job,
+pub(in crate::net) struct OpenRequest {
+    pub(in crate::net) client: Key,
+    pub(in crate::net) job: Job,
     /// How it came; `None` for one that was taken over from a lost peer.
-    pub(super) arrival: Option<Arrival>,
+    pub(in crate::net) arrival: Option<Arrival>,
 }
 
 impl Node {
     /// Takes what the client wants, until a request is open or nothing is left.
-    pub(super) fn advance(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn advance(&mut self, key: Key, now: Micros) {
         while let Some(s) = self.sessions.by_key.get_mut(&key) {
             match s.next(&self.names, now) {
                 None => break,
@@ -67,7 +69,7 @@
 
     /// Requests that were read begin, in order, unless their clients have gone meanwhile. Once this has taken so long
     /// that more clients may have gone, the rest waits for another look at them.
-    pub(super) fn begin_arrived(&mut self) {
+    pub(in crate::net) fn begin_arrived(&mut self) {
         if self.given_up {
             let now = self.clock.now();
             return self.refuse_arrived(now);
@@ -87,7 +89,7 @@
     }
 
     /// Requests that were read and can't begin any more are refused: they never ran.
-    pub(super) fn refuse_arrived(&mut self, now: Micros) {
+    pub(in crate::net) fn refuse_arrived(&mut self, now: Micros) {
         while let Some(Arrived { client, request, .. }) = self.arrived.pop_front() {
             if let Some(job) = self.awaited(client, request.id) {
                 self.turn_away(client, &request, &job, CLIENT_BACKOFF, EndReason::Stopping, now);
@@ -189,7 +191,7 @@
 
     /// Tells of a request whose client has gone how it came and how far it was: whoever leaves close to the end of its time
     /// was answered too late.
-    pub(super) fn log_left(&self, id: u64, open: &OpenRequest, now: Micros) {
+    pub(in crate::net) fn log_left(&self, id: u64, open: &OpenRequest, now: Micros) {
         let Some(progress) = self.dispatch.progress(now, id) else { return };
         let arrival = open.arrival.as_ref();
         tracing::info!(
@@ -237,7 +239,7 @@
 }
 
 /// Who asks, as far as a request tells: repeats bring the same statement under a new id.
-pub(super) fn asker(job: &Job) -> storm::Asker {
+pub(in crate::net) fn asker(job: &Job) -> storm::Asker {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     (&*job.kind, &*job.statement).hash(&mut hasher);
--- a/src/net/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -3,8 +3,8 @@
 use super::Session;
 use crate::codec::mysql::{Error, Server};
 use crate::dispatch::Answer;
-use crate::net::buffers::Block;
-use crate::net::poll::Poll;
+use crate::net::event_loop::poll::Poll;
+use crate::net::sockets::buffers::Block;
 use std::net::Shutdown;
 
 impl Session {
--- a/src/net/session/leaving.rs
+++ b/src/net/clients/session/leaving.rs
@@ -3,7 +3,7 @@
 use super::Session;
 use crate::api::Micros;
 use crate::codec::mysql::Error;
-use crate::net::sys;
+use crate::net::sockets::system_calls;
 
 /// A client has this long from its connect to bring a first request whole.
 const FIRST: Micros = 2_000_000;
@@ -75,7 +75,7 @@
 
     /// Whether something came that was not read, or its end did.
     pub fn unread(&self) -> bool {
-        !matches!(sys::peek(&self.stream), Ok(None))
+        !matches!(system_calls::peek(&self.stream), Ok(None))
     }
 
     /// Whether it could go for another, and how dear it is: first those told to go, then those that said nothing for
--- a/src/net/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -10,14 +10,14 @@
 mod sessions;
 mod statements;
 
-use super::buffers::{Inbox, Outbox, Pool};
-use super::connection::Job;
-use super::poll::{Key, Poll};
-use super::sys;
 use crate::api::Micros;
 use crate::arrivals::Occurrence;
 use crate::codec::mysql::{Command, Error, Server};
 use crate::dispatch::Request;
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::executors::connection::Job;
+use crate::net::sockets::buffers::{Inbox, Outbox, Pool};
+use crate::net::sockets::system_calls;
 use crate::settings::Names;
 pub use sessions::Sessions;
 use statements::{Meant, understand};
@@ -129,7 +129,7 @@
     pub fn read(&mut self, noticed: Occurrence) -> bool {
         if self.closing.is_some() {
             let mut waste = [0; 4096];
-            return match sys::read(&mut self.stream, &mut waste) {
+            return match system_calls::read(&mut self.stream, &mut waste) {
                 Ok(n) => {
                     self.waste += n;
                     n > 0 && self.waste < WASTE
--- a/src/net/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -1,7 +1,7 @@
 //! All clients' connections.
 
 use super::Session;
-use crate::net::poll::Key;
+use crate::net::event_loop::poll::Key;
 use std::collections::BTreeMap;
 
 /// The clients' connections, by key and by the id that greetings tell.
--- a/src/net/session/statements.rs
+++ b/src/net/clients/session/statements.rs
@@ -5,7 +5,7 @@
 use crate::codec::mysql::{self, Command, Error};
 use crate::codec::statement;
 use crate::dispatch::Request;
-use crate::net::connection::Job;
+use crate::net::executors::connection::Job;
 use crate::settings::Names;
 
 /// The largest number that is believed in a field: a budget of eleven days, a petabyte.
@@ -15,13 +15,13 @@
 const LONGEST_TOKEN: usize = 72;
 
 /// What a client's command comes to: an answer that the session has by itself, or something asked.
-pub(super) enum Meant {
+pub(in crate::net) enum Meant {
     Ok,
     Values(Vec<(String, String)>),
     Asked(Asked),
 }
 
-pub(super) fn understand(command: &Command<'_>, names: &Names) -> Result<Meant, Error> {
+pub(in crate::net) fn understand(command: &Command<'_>, names: &Names) -> Result<Meant, Error> {
     match command {
         Command::Login | Command::Ping => Ok(Meant::Ok),
         Command::Quit => Ok(Meant::Asked(Asked::Close)),
@@ -32,7 +32,7 @@
 }
 
 /// A statement: a request if its comment says so, else one of the few that drivers send by themselves.
-pub(super) fn query(sql: &str, names: &Names) -> Result<Meant, Error> {
+pub(in crate::net) fn query(sql: &str, names: &Names) -> Result<Meant, Error> {
     let s = statement::split(sql);
     if s.fields.contains_key("method") || s.fields.contains_key("rid") {
         return request(&s, names);
--- a/src/net/control_plane/calls.rs
+++ b/src/net/control_plane/calls.rs
@@ -3,8 +3,8 @@
 use super::member::ControlMember;
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault};
+use crate::net::event_loop::poll::Key;
 use crate::net::policy_calls::CallContext;
-use crate::net::poll::Key;
 use fleet::policy::PolicyRecord;
 use std::fmt::Write as _;
 
--- a/src/net/control_plane/link.rs
+++ b/src/net/control_plane/link.rs
@@ -2,8 +2,8 @@
 
 use super::stream::{Ended, FrameStream};
 use crate::api::Micros;
-use crate::net::dial;
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::sockets::dial;
 use crate::settings::options::Control;
 use fleet::control_plane::follower::{FollowerEvent, Order};
 use fleet::control_plane::messages::{MOST_MEMBER_FRAME, MemberMessage};
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -3,11 +3,11 @@
 use super::server::{FollowerServer, Heard};
 use crate::api::{Micros, Settings};
 use crate::clock::Clock;
-use crate::net::event_source::EventSource;
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::operator::Operators;
 use crate::net::peers::Peers;
 use crate::net::policy_calls::PolicyCalls;
-use crate::net::poll::{Key, Poll};
 use crate::net::setup::context;
 use crate::net::signals::Signals;
 use crate::policies::ready;
--- a/src/net/control_plane/server.rs
+++ b/src/net/control_plane/server.rs
@@ -2,8 +2,8 @@
 
 use super::stream::{Ended, FrameStream};
 use crate::api::Micros;
-use crate::net::listen;
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::sockets::listen;
 use fleet::control_plane::SessionId;
 use fleet::control_plane::messages::{FollowerMessage, MOST_FOLLOWER_FRAME, MemberMessage};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -3,14 +3,14 @@
 use super::member::{ControlMember, MemberPolicy};
 use super::server::FollowerServer;
 use crate::clock::Clock;
-use crate::net::buffers::Pool;
-use crate::net::descriptors::Descriptors;
+use crate::net::event_loop::poll::Poll;
 use crate::net::operator::Operators;
 use crate::net::peers::Peers;
 use crate::net::policy_calls::PolicyCalls;
-use crate::net::poll::Poll;
 use crate::net::setup::context;
 use crate::net::signals::Signals;
+use crate::net::sockets::buffers::Pool;
+use crate::net::sockets::descriptors::Descriptors;
 use crate::settings::config::Config;
 use crate::settings::options::Control;
 use fleet::control_plane::{Member, MemberConfig};
--- a/src/net/control_plane/stream.rs
+++ b/src/net/control_plane/stream.rs
@@ -1,6 +1,6 @@
 //! One connection of the control group: frames in, frames out, never blocking.
 
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
 use fleet::control_plane::messages::FRAMING;
 use fleet::wire::{Fault, HEAD};
 use serde::Serialize;
--- a/src/net/event_source.rs
+++ b/src/net/event_loop/event_source.rs
@@ -1,7 +1,7 @@
 //! A side of the dispatcher with sockets and timers of its own.
 
-use super::poll::{Key, Poll};
 use crate::api::Micros;
+use crate::net::event_loop::poll::{Key, Poll};
 
 /// What the loop has to know of a side to schedule it; what happens there is the side's own.
 pub trait EventSource {
--- a/src/net/turn.rs
+++ b/src/net/event_loop/mod.rs
@@ -4,8 +4,22 @@
 //! known, then executors, lists and operators, so that what has ended and who drains is known. Then requests begin
 //! that came in this turn, then what is due by the clock. No attempt begins by an old look at the clients (`executors::look`).
 
-use super::*;
+pub mod event_source;
+pub mod poll;
+pub mod timers;
+
+use crate::api::Micros;
+use crate::arrivals::Occurrence;
 use crate::clock;
+use crate::net::Node;
+use crate::net::control_plane::ControlLink;
+use crate::net::limits::{CLIENTS, COUNTERS, SLOW_TURN, STOP_LOOK, SWEEP};
+use crate::net::lists::Lists;
+use crate::net::setup::context;
+use event_source::EventSource;
+use poll::Key;
+use std::io;
+use std::time::Duration;
 
 impl Node {
     /// Serves until SIGTERM, then until all that was taken has its answer.
@@ -71,7 +85,7 @@
     }
 
     /// Answers the requests whose time is over.
-    pub(super) fn answer_due(&mut self) {
+    pub(in crate::net) fn answer_due(&mut self) {
         let now = self.clock.now();
         let orders = self.dispatch.expire_due(now);
         if !orders.is_empty() {
@@ -107,7 +121,7 @@
     }
 
     /// When something came that is noticed now. Whatever this turn did before it noticed does not count for it.
-    pub(super) fn noticed(&self, now: Micros) -> Occurrence {
+    pub(in crate::net) fn noticed(&self, now: Micros) -> Occurrence {
         Occurrence::between(self.found_since, now)
     }
 
--- a/src/net/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -1,6 +1,6 @@
 //! Readiness of sockets, by the polling crate.
 
-use super::sys::{self, Call};
+use crate::net::sockets::system_calls::{self, Call};
 use polling::{Event, Events, PollMode, Poller};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
     /// Asks the system; what it has no memory for now is asked again before the next waits.
     fn change(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
         match self.ask(fd, change, event) {
-            Err(e) if sys::passes(&e) => {
+            Err(e) if system_calls::passes(&e) => {
                 self.pending.borrow_mut().insert(fd, (change, event));
                 Ok(())
             }
@@ -103,7 +103,7 @@
 
     #[allow(unsafe_code)]
     fn ask(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
-        sys::watching(if change == Change::Add { Call::Watch } else { Call::Rewatch })?;
+        system_calls::watching(if change == Change::Add { Call::Watch } else { Call::Rewatch })?;
         // SAFETY: polling asks that a source is deleted from the poller before it is dropped, and a borrowed descriptor
         // has to be open. Every owner in `net` keeps its socket beside its key and calls `remove` at the one place where
         // it closes it, which also takes it out of `pending`.
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -5,8 +5,8 @@
 use crate::api::Micros;
 use crate::dispatch::{Echo, End, ExecutorId, Report, Terms, Ticket};
 use crate::must;
-use crate::net::connection::{Outgoing, Stream};
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::executors::connection::{Outgoing, Stream};
 use rand_core::RngCore;
 
 /// From this attempt on a request that lost all before shares no connection: it may be why they were lost.
--- a/src/net/connection.rs
+++ b/src/net/executors/connection.rs
@@ -1,11 +1,11 @@
 //! One connection to an executor, and what an answer does to an attempt on it.
 
-use super::buffers::{Block, Inbox, Outbox, Pool};
-use super::sys;
 use crate::api::Micros;
 use crate::codec::executor::{self, Note};
 use crate::dispatch::{End, ExecutorId, Terms, Ticket, Word};
 use crate::must;
+use crate::net::sockets::buffers::{Block, Inbox, Outbox, Pool};
+use crate::net::sockets::system_calls;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -102,7 +102,7 @@
     /// Whether its executor has closed it, and nothing is left to be read before that.
     pub(super) fn over(&self) -> bool {
         self.up
-            && match sys::peek(&self.stream) {
+            && match system_calls::peek(&self.stream) {
                 Ok(found) => found == Some(0),
                 Err(_) => true,
             }
--- a/src/net/executors/listing.rs
+++ b/src/net/executors/listing.rs
@@ -4,7 +4,7 @@
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
 use crate::dispatch::{End, ExecutorId, Report, executor_id};
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/src/net/executors/look.rs
+++ b/src/net/executors/look.rs
@@ -6,8 +6,8 @@
 
 use super::Executors;
 use crate::api::Micros;
+use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::limits::LOOK_VALID;
-use crate::net::poll::{Key, Poll};
 use std::collections::BTreeSet;
 
 /// The last look, and what waits for the next one.
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -13,21 +13,22 @@
 //! - `silence`: what falls due when nothing comes.
 
 mod attempts;
+pub(super) mod connection;
 mod listing;
 mod look;
 mod pool;
 mod silence;
 mod traffic;
 
-use super::buffers::Pool;
-use super::connection::Conn;
-pub use super::connection::{Job, Rows};
-use super::poll::Key;
-use super::timers::Timers;
 use crate::api::Micros;
 use crate::clock::Clock;
 use crate::codec::coordinator::State;
 use crate::dispatch::{ExecutorId, Report, Ticket, executor_id};
+use crate::net::event_loop::poll::Key;
+use crate::net::event_loop::timers::Timers;
+use crate::net::executors::connection::Conn;
+pub use crate::net::executors::connection::{Job, Rows};
+use crate::net::sockets::buffers::Pool;
 use crate::settings::Transport;
 use look::Look;
 use rand_core::SeedableRng;
--- a/src/net/executors/pool.rs
+++ b/src/net/executors/pool.rs
@@ -4,11 +4,11 @@
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::dispatch::{Echo, End, ExecutorId, Report};
-use crate::net::buffers::{Inbox, Outbox};
-use crate::net::connection::Conn;
-use crate::net::dial;
-use crate::net::poll::{Key, Poll};
-use crate::net::sys;
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::executors::connection::Conn;
+use crate::net::sockets::buffers::{Inbox, Outbox};
+use crate::net::sockets::dial;
+use crate::net::sockets::system_calls;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -72,7 +72,7 @@
             Ok(dialed) => dialed,
             Err(err) => {
                 tracing::warn!(%address, error = %err, "can't dial");
-                let ours = sys::of_our_side(&err);
+                let ours = system_calls::of_our_side(&err);
                 self.starved |= dial::out_of_descriptors(&err);
                 return shared.ok_or(if ours { Lack::Ours } else { Lack::Theirs });
             }
--- a/src/net/executors/silence.rs
+++ b/src/net/executors/silence.rs
@@ -3,8 +3,8 @@
 use super::{Due, Executors, PART, PROBE_SLACK};
 use crate::api::Micros;
 use crate::dispatch::{Echo, Report};
-use crate::net::event_source::EventSource;
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::Transport;
 
 /// A mute connection whose executor is heard elsewhere has this long to be heard too.
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -2,8 +2,8 @@
 use crate::clock::Clock;
 use crate::codec::coordinator::Target;
 use crate::dispatch::{End, Load, Terms};
-use crate::net::event_source::EventSource;
-use crate::net::poll::Poll;
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::Poll;
 use std::net::TcpListener;
 
 const TRANSPORT: Transport = Transport {
--- a/src/net/executors/traffic.rs
+++ b/src/net/executors/traffic.rs
@@ -4,9 +4,9 @@
 use crate::api::Micros;
 use crate::codec::executor::{self, Answer, Gauges, Terms};
 use crate::dispatch::{self as attempt, Echo, End, Load, Report};
-use crate::net::connection::{Outgoing, Step, advance};
-use crate::net::dial;
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::executors::connection::{Outgoing, Step, advance};
+use crate::net::sockets::dial;
 use std::io;
 
 impl Executors {
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,10 +1,10 @@
 //! The connection to the coordinator.
 
-use super::event_source::EventSource;
-use super::poll::{Key, Poll};
-use super::{dial, sys};
 use crate::api::Micros;
 use crate::codec::coordinator::{self, Line, Update};
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::sockets::{dial, system_calls};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -141,7 +141,7 @@
             tracing::info!(coordinator = %self.address, held = self.held, "feed: following");
         }
         let mut piece = [0; 16 * 1024];
-        match sys::read(&mut w.stream, &mut piece) {
+        match system_calls::read(&mut w.stream, &mut piece) {
             Ok(0) => return Err("closed by the coordinator".into()),
             Ok(n) => w.line.extend_from_slice(&piece[..n]),
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -6,11 +6,11 @@
 mod moves;
 mod requests;
 
-use super::event_source::EventSource;
 use super::peers::Peers;
-use super::poll::{Key, Poll};
 use super::upkeep::Upkeep;
 use crate::api::{Idempotency, Micros, Settings};
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::{Names, options};
 use crate::takeover::{Bounds, Takeover};
 use fleet::ledger::Limits;
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -3,9 +3,9 @@
 use crate::api::Micros;
 use crate::dispatch::{Order, Request};
 use crate::net::Node;
+use crate::net::clients::request_intake::OpenRequest;
+use crate::net::event_loop::poll::Key;
 use crate::net::executors::{Job, Rows};
-use crate::net::poll::Key;
-use crate::net::requests::OpenRequest;
 use crate::takeover::Move;
 use fleet::ledger::Record;
 
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -4,8 +4,8 @@
 use crate::api::Micros;
 use crate::dispatch::{Answer, Request, Ticket};
 use crate::net::Node;
-use crate::net::buffers::{Block, Pool};
 use crate::net::executors::{Job, Rows};
+use crate::net::sockets::buffers::{Block, Pool};
 use crate::takeover::{Gate, Move, Pages, Past, Reply, Try};
 use fleet::ledger::Record;
 
--- a/src/net/lists/mod.rs
+++ b/src/net/lists/mod.rs
@@ -3,12 +3,12 @@
 
 mod words;
 
-use super::poll::{Key, Poll};
 use crate::api::Micros;
 use crate::codec::coordinator::Target;
 use crate::membership::check::Catalog;
 use crate::membership::watcher::{Followed, Handed, Rules, Watcher, Word};
 use crate::membership::{Act, Members, Sources, keep};
+use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::options::{self, Empty, Source, accept_path};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,20 +1,14 @@
 //! The dispatcher on real sockets: one loop, clients on one side, executors and the coordinator on the other.
 
-mod accept;
 mod bans_file;
-mod buffers;
 mod calls;
 mod clients;
-mod connection;
 pub mod control_plane;
-mod descriptors;
-mod dial;
-mod event_source;
+pub mod event_loop;
 mod executors;
 mod feed;
 mod in_flight;
 mod limits;
-mod listen;
 mod lists;
 mod operator;
 mod orders;
@@ -22,53 +16,43 @@
 mod policy;
 mod policy_calls;
 mod policy_status;
-pub mod poll;
-mod requests;
 mod rules;
-mod session;
 mod setup;
 mod shutdown;
 pub mod signals;
-mod sys;
-mod timers;
-mod turn;
+mod sockets;
 mod upkeep;
 
 #[cfg(test)]
 mod tests;
 
 use crate::api::Micros;
-use crate::arrivals::{KeySpacing, Occurrence, Spaced};
+use crate::arrivals::{KeySpacing, Occurrence};
 use crate::clock::{BootTimes, Clock, WallClock};
 use crate::codec::coordinator::Target;
-use crate::dispatch::{Dispatch, Request};
+use crate::dispatch::Dispatch;
 use crate::operator::bans::Bans;
 use crate::operator::figures::Figures;
 use crate::settings::Names;
 use crate::settings::config::{Config, ConfigError};
 use crate::storm::Storm;
 use bans_file::BansFile;
-use buffers::Pool;
+use clients::request_intake::{Arrived, OpenRequest};
+use clients::session::Sessions;
 use control_plane::ControlLink;
-use descriptors::Descriptors;
-use event_source::EventSource;
+use event_loop::poll::{Key, Poll};
 use executors::{Executors, Rows};
 use feed::Feed;
 use in_flight::InFlight;
-use limits::*;
 use lists::Lists;
 use operator::Operators;
-use poll::{Key, Poll};
-use requests::{Arrived, OpenRequest};
 use rules::Rules;
-use session::Sessions;
-use setup::context;
 use shutdown::Shutdown;
 use signals::Signals;
+use sockets::buffers::Pool;
+use sockets::descriptors::Descriptors;
 use std::collections::{BTreeMap, VecDeque};
-use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::time::Duration;
 
 /// A dispatcher that is set up and has not begun to serve.
 pub struct Node {
--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -4,12 +4,12 @@
 //! comes back as text to write. A caller that sends nothing or half a line is closed after [`PATIENCE`]; when
 //! as many as may be are open, the oldest makes room. Nothing here waits on a caller.
 
-use super::buffers::{Outbox, Pool};
-use super::event_source::EventSource;
-use super::poll::{Key, Poll};
-use super::sys;
 use crate::api::Micros;
 use crate::codec::operator::{Call, Decoder, Fault};
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::sockets::buffers::{Outbox, Pool};
+use crate::net::sockets::system_calls;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -44,7 +44,7 @@
 impl Operators {
     /// Listens on `address`, for so many callers at once.
     pub fn bind(address: SocketAddr, most: usize, poll: &Poll, pool: &Pool) -> io::Result<Operators> {
-        let listener = super::listen::bind(address)?;
+        let listener = crate::net::sockets::listen::bind(address)?;
         let key = poll.add(&listener, false)?;
         Ok(Operators { listener, key, pool: pool.clone(), callers: BTreeMap::new(), most, dropped: 0 })
     }
@@ -66,7 +66,7 @@
             return Vec::new();
         }
         let mut bytes = [0; 512];
-        match sys::read(&mut c.stream, &mut bytes) {
+        match system_calls::read(&mut c.stream, &mut bytes) {
             Ok(0) => self.close(key, poll),
             // After its answer, what else it sends is read and dropped, so that closing resets nothing unread.
             Ok(_) if c.answered => {}
@@ -94,9 +94,9 @@
 
     fn accept(&mut self, now: Micros, poll: &Poll) {
         for _ in 0..ACCEPTS {
-            let stream = match sys::accept(&self.listener) {
+            let stream = match system_calls::accept(&self.listener) {
                 Ok(stream) => stream,
-                Err(e) if sys::takes_another(&e) => continue,
+                Err(e) if system_calls::takes_another(&e) => continue,
                 Err(e) => {
                     if e.kind() != io::ErrorKind::WouldBlock {
                         tracing::warn!(error = %e, "operator: can't accept");
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -2,12 +2,12 @@
 
 use super::executors::{Executors, Rows};
 use super::lists::{self, Lists};
-use super::requests::asker;
 use super::{Node, OpenRequest};
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
 use crate::dispatch::{Answer, End, Member, News, Order, Report, Standing, executor_id};
+use crate::net::clients::request_intake::asker;
 use crate::operator::figures::Disposition;
 use std::collections::VecDeque;
 
--- a/src/net/peers/incoming.rs
+++ b/src/net/peers/incoming.rs
@@ -2,7 +2,7 @@
 
 use super::Peers;
 use crate::api::Micros;
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
 use fleet::Peer;
 use fleet::wire::{self, Message};
 use std::io::{self, Read};
--- a/src/net/peers/links.rs
+++ b/src/net/peers/links.rs
@@ -3,8 +3,8 @@
 use super::Peers;
 use super::incoming::PIECE;
 use crate::api::Micros;
-use crate::net::dial;
-use crate::net::poll::{Key, Poll};
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::sockets::dial;
 use fleet::Peer;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -5,10 +5,10 @@
 mod incoming;
 mod links;
 
-use super::event_source::EventSource;
-use super::listen;
-use super::poll::{Key, Poll};
 use crate::api::Micros;
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
+use crate::net::sockets::listen;
 use fleet::Peer;
 use fleet::wire::{self, Message};
 use incoming::Incoming;
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -2,9 +2,9 @@
 
 use super::Node;
 use super::policy_status::status;
-use super::poll::Key;
 use crate::api::{Micros, Settings};
 use crate::codec::operator::policy::Ask;
+use crate::net::event_loop::poll::Key;
 use crate::policies::{Policy, applied, digest};
 use crate::settings::Names;
 use crate::settings::hcl::{Fault, shown};
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -1,26 +1,27 @@
 //! How a dispatcher is set up.
 
+use super::Node;
 use super::bans_file::BansFile;
-use super::buffers::Pool;
 use super::control_plane::ControlLink;
-use super::descriptors::Descriptors;
 use super::executors::Executors;
 use super::feed::Feed;
 use super::in_flight::{Classes, InFlight};
 use super::limits::{CLIENTS, COUNTERS, KEPT_PART, LONGEST_WAIT, SWEEP};
 use super::lists::Lists;
 use super::operator::Operators;
-use super::poll::Poll;
 use super::rules::Rules;
-use super::session::Sessions;
 use super::shutdown::Shutdown;
 use super::signals::Signals;
-use super::{Node, listen};
+use super::sockets::listen;
 use crate::api::Micros;
 use crate::arrivals::KeySpacing;
 use crate::clock::{BootTimes, Clock, WallClock};
 use crate::dispatch::{Dispatch, News};
 use crate::membership::check::Catalog;
+use crate::net::clients::session::Sessions;
+use crate::net::event_loop::poll::Poll;
+use crate::net::sockets::buffers::Pool;
+use crate::net::sockets::descriptors::Descriptors;
 use crate::operator::figures::Figures;
 use crate::settings::config::{Config, ConfigError};
 use crate::settings::options::Options;
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown/mod.rs
@@ -1,11 +1,12 @@
 //! Housekeeping: counters, SIGHUP, and the way to the end after SIGTERM.
 
-use super::poll::Key;
-use super::session::Session;
-use super::{Node, TAKES_ON};
 use crate::api::Micros;
 use crate::arrivals::Occurrence;
 use crate::invariant;
+use crate::net::Node;
+use crate::net::clients::session::Session;
+use crate::net::event_loop::poll::Key;
+use crate::net::limits::TAKES_ON;
 use crate::settings::config::Config;
 
 /// The platform kills no sooner after SIGTERM than the longest deadline and this.
@@ -18,16 +19,16 @@
 
 /// What is left of a dispatcher's time after SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Shutdown {
+pub(in crate::net) struct Shutdown {
     /// When what is open is given up.
-    pub(super) gives_up: Micros,
+    pub(in crate::net) gives_up: Micros,
     /// The end, whoever is still connected.
-    pub(super) ends: Micros,
+    pub(in crate::net) ends: Micros,
 }
 
 impl Shutdown {
     /// For the longest deadline of any class.
-    pub(super) fn of(longest_deadline: Micros) -> Shutdown {
+    pub(in crate::net) fn of(longest_deadline: Micros) -> Shutdown {
         let killed = longest_deadline.min(LONGEST_DEADLINE) + KILLED_AFTER;
         // A request that came while new ones were taken has a moment at least.
         let gives_up = (killed - GIVE_UP_AHEAD).max(TAKES_ON);
@@ -36,11 +37,11 @@
 }
 
 impl Node {
-    pub(super) fn sweep(&mut self, now: Micros) {
+    pub(in crate::net) fn sweep(&mut self, now: Micros) {
         self.executors.sweep(now, &self.poll);
     }
 
-    pub(super) fn count(&self) {
+    pub(in crate::net) fn count(&self) {
         let t = &self.dispatch.tally;
         let w = &self.executors.wire;
         let feed = self.feed.as_ref();
@@ -101,7 +102,7 @@
 
     /// SIGHUP: follows the coordinator that the file names now. All that is open stays, and so does the rest of
     /// the configuration, which takes a restart. A file that can't be used changes nothing.
-    pub(super) fn reread(&mut self, now: Micros) {
+    pub(in crate::net) fn reread(&mut self, now: Micros) {
         let usable = |c: Config| {
             let coordinator = c.coordinator;
             c.settings.settings().map(|(settings, _)| (coordinator, settings)).map_err(|e| e.to_string())
@@ -131,7 +132,7 @@
 
     /// SIGTERM was noticed. The platform's kill counts from when it came, so what is open is given up by its earliest moment;
     /// new requests may come for a while after it, so they are taken until that has passed since its latest.
-    pub(super) fn stop(&mut self, came: Occurrence) {
+    pub(in crate::net) fn stop(&mut self, came: Occurrence) {
         if self.stopping.is_none() {
             let late_ms = (came.latest - came.earliest) / 1_000;
             tracing::info!(open = self.dispatch.waiting(), late_ms, "SIGTERM");
@@ -141,7 +142,7 @@
     }
 
     /// Whether the dispatcher is at its end; on the way there it takes less and less.
-    pub(super) fn over(&mut self, now: Micros) -> bool {
+    pub(in crate::net) fn over(&mut self, now: Micros) -> bool {
         let Some(told) = self.stopping else { return false };
         if now >= told.earliest + self.limits.gives_up {
             self.give_up(now);
--- a/src/net/buffers.rs
+++ b/src/net/sockets/buffers.rs
@@ -1,6 +1,6 @@
 //! Buffers of one size, used again from a pool.
 
-use super::sys;
+use crate::net::sockets::system_calls;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -105,7 +105,7 @@
             b.bytes.copy_within(b.from..b.to, 0);
             (b.from, b.to) = (0, b.to - b.from);
         }
-        let read = sys::read(stream, &mut b.bytes[b.to..]);
+        let read = system_calls::read(stream, &mut b.bytes[b.to..]);
         b.to += *read.as_ref().unwrap_or(&0);
         if b.from == b.to {
             self.block = None;
@@ -158,7 +158,7 @@
     /// Writes what the stream takes; true once all is written.
     pub fn flush(&mut self, stream: &mut impl Write) -> io::Result<bool> {
         while let Some(b) = self.blocks.front_mut() {
-            match sys::write(stream, b.bytes()) {
+            match system_calls::write(stream, b.bytes()) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
                     self.begun = true;
--- a/src/net/descriptors.rs
+++ b/src/net/sockets/descriptors.rs
@@ -10,20 +10,20 @@
 
 /// The most of each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Descriptors {
+pub(in crate::net) struct Descriptors {
     /// Clients that are served. The protocol has them hold a third of the descriptors at most.
-    pub(super) clients: usize,
+    pub(in crate::net) clients: usize,
     /// Clients beyond them that only read their last bytes.
-    pub(super) lingering: usize,
+    pub(in crate::net) lingering: usize,
     /// Connections to executors.
-    pub(super) executors: usize,
+    pub(in crate::net) executors: usize,
     /// Callers at the operators' address.
-    pub(super) callers: usize,
+    pub(in crate::net) callers: usize,
 }
 
 impl Descriptors {
     /// Shares out so many.
-    pub(super) fn of(all: usize) -> Descriptors {
+    pub(in crate::net) fn of(all: usize) -> Descriptors {
         let lingering = (all / 16).clamp(1, 16);
         Descriptors {
             clients: (all / 2).saturating_sub(lingering).max(8),
@@ -34,14 +34,14 @@
     }
 
     /// All that may be open at once.
-    pub(super) fn most(&self) -> NonZeroUsize {
+    pub(in crate::net) fn most(&self) -> NonZeroUsize {
         let own = NonZeroUsize::MIN.saturating_add(OWN - 1);
         own.saturating_add(self.clients + self.lingering + self.executors + self.callers)
     }
 }
 
 /// A dispatcher with fewer can't keep to its shares; the newest idle client is then closed for whoever needs one.
-pub(super) const LEAST: usize = 64;
+pub(in crate::net) const LEAST: usize = 64;
 
 const _: () = assert!(OWN < LEAST);
 
--- a/src/net/dial.rs
+++ b/src/net/sockets/dial.rs
@@ -1,16 +1,16 @@
 //! Connections that go out.
 
-use super::sys;
+use crate::net::sockets::system_calls;
 use socket2::Domain;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
 /// Begins to connect; the socket is writable once it is up or has failed.
 pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
-    let socket = sys::socket(Domain::for_address(to))?;
+    let socket = system_calls::socket(Domain::for_address(to))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
-    sys::connect(&socket, &to.into())?;
+    system_calls::connect(&socket, &to.into())?;
     Ok(socket.into())
 }
 
--- a/src/net/listen.rs
+++ b/src/net/sockets/listen.rs
@@ -1,6 +1,6 @@
 //! Listening sockets.
 
-use super::limits::BACKLOG;
+use crate::net::limits::BACKLOG;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
--- a/src/net/sys.rs
+++ b/src/net/sockets/system_calls.rs
@@ -6,7 +6,7 @@
 
 /// A kind of call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Call {
+pub(in crate::net) enum Call {
     Accept,
     Socket,
     Connect,
@@ -17,13 +17,13 @@
 }
 
 /// Whether a failure is of this process or machine and passes: the same call may do a moment later.
-pub(super) fn passes(e: &io::Error) -> bool {
+pub(in crate::net) fn passes(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::ENOMEM | libc::ENOBUFS | libc::ENOSPC))
 }
 
 /// Whether accept failed for a connection that is over before it was taken, or was interrupted: the next call may do.
 /// Linux hands network errors of the new connection to accept, which are to be taken as a call for another try.
-pub(super) fn takes_another(e: &io::Error) -> bool {
+pub(in crate::net) fn takes_another(e: &io::Error) -> bool {
     let network = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -41,7 +41,7 @@
 }
 
 /// Whether a dial failed on this side, before anything reached the other: no proof of what the other side does.
-pub(super) fn of_our_side(e: &io::Error) -> bool {
+pub(in crate::net) fn of_our_side(e: &io::Error) -> bool {
     let ours =
         [libc::EMFILE, libc::ENFILE, libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENETDOWN, libc::EAGAIN];
     passes(e) || e.raw_os_error().is_some_and(|code| ours.contains(&code))
@@ -53,19 +53,19 @@
 }
 
 /// The next connection of a listener.
-pub(super) fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
+pub(in crate::net) fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     fault(Call::Accept)?;
     listener.accept().map(|(stream, _)| stream)
 }
 
 /// A socket for an outgoing connection.
-pub(super) fn socket(domain: Domain) -> io::Result<Socket> {
+pub(in crate::net) fn socket(domain: Domain) -> io::Result<Socket> {
     fault(Call::Socket)?;
     Socket::new(domain, Type::STREAM, None)
 }
 
 /// Begins to connect. An interrupted call goes on by itself, as one that would block does.
-pub(super) fn connect(socket: &Socket, to: &SockAddr) -> io::Result<()> {
+pub(in crate::net) fn connect(socket: &Socket, to: &SockAddr) -> io::Result<()> {
     let begun = socket.connect(to);
     match fault(Call::Connect).and(begun) {
         Err(e) if matches!(e.raw_os_error(), Some(libc::EINPROGRESS | libc::EINTR)) => Ok(()),
@@ -74,13 +74,13 @@
 }
 
 /// Reads what is there.
-pub(super) fn read(stream: &mut impl Read, bytes: &mut [u8]) -> io::Result<usize> {
+pub(in crate::net) fn read(stream: &mut impl Read, bytes: &mut [u8]) -> io::Result<usize> {
     let most = shortened(bytes.len());
     fault(Call::Read).and_then(|()| stream.read(&mut bytes[..most])).map_err(waits_if_it_passes)
 }
 
 /// Looks at what is there; `None` if nothing is.
-pub(super) fn peek(stream: &TcpStream) -> io::Result<Option<usize>> {
+pub(in crate::net) fn peek(stream: &TcpStream) -> io::Result<Option<usize>> {
     loop {
         match fault(Call::Read).and_then(|()| stream.peek(&mut [0])) {
             Ok(n) => return Ok(Some(n)),
@@ -92,7 +92,7 @@
 }
 
 /// Writes what is taken.
-pub(super) fn write(stream: &mut impl Write, bytes: &[u8]) -> io::Result<usize> {
+pub(in crate::net) fn write(stream: &mut impl Write, bytes: &[u8]) -> io::Result<usize> {
     let most = shortened(bytes.len());
     fault(Call::Write).and_then(|()| stream.write(&bytes[..most])).map_err(waits_if_it_passes)
 }
@@ -108,12 +108,12 @@
 }
 
 /// Has a call to the poller fail where a test wants it.
-pub(super) fn watching(call: Call) -> io::Result<()> {
+pub(in crate::net) fn watching(call: Call) -> io::Result<()> {
     fault(call)
 }
 
 #[cfg(test)]
-pub(super) use tests::{fault, shortened};
+pub(in crate::net) use tests::{fault, shortened};
 
 #[cfg(test)]
-pub(super) mod tests;
+pub(in crate::net) mod tests;
--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -1,8 +1,11 @@
 //! System calls that fail in the ways that Linux documents: each request that was taken gets exactly one whole answer.
 
-use super::sys::Call;
-use super::sys::tests::{Plan, install};
 use super::*;
+use crate::net::sockets::dial;
+use crate::net::sockets::system_calls::Call;
+use crate::net::sockets::system_calls::tests::{Plan, install};
+use std::io;
+use std::net::TcpListener;
 
 /// What a client got: one answer for each of its requests, and nothing besides.
 fn asks(served: &Served, client: u64, without_descriptors: bool) -> Vec<(u64, Got)> {
@@ -106,10 +109,10 @@
 #[test]
 fn a_dial_that_fails_on_our_side_says_nothing_of_the_executor() {
     for error in [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENETUNREACH, libc::EAGAIN, libc::ENOMEM] {
-        assert!(sys::of_our_side(&io::Error::from_raw_os_error(error)), "{error}");
+        assert!(system_calls::of_our_side(&io::Error::from_raw_os_error(error)), "{error}");
     }
     for error in [libc::ECONNREFUSED, libc::EHOSTUNREACH, libc::ETIMEDOUT] {
-        assert!(!sys::of_our_side(&io::Error::from_raw_os_error(error)), "{error}");
+        assert!(!system_calls::of_our_side(&io::Error::from_raw_os_error(error)), "{error}");
     }
 }
 
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -5,6 +5,7 @@
 
 use super::signals::Signals;
 use super::*;
+use crate::net::sockets::system_calls;
 use crate::settings::options::Options;
 use standins::executor::Executor;
 use standins::feed::Feed;
@@ -15,7 +16,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::channel;
 use std::thread::JoinHandle;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Classes by effect.
 const CLASSES: [&str; 3] = ["read", "load", "keyed"];
@@ -49,7 +50,7 @@
             tell.send(node.address).unwrap();
             before();
             node.run().unwrap();
-            sys::tests::failed()
+            system_calls::tests::failed()
         });
         let address = told.recv().unwrap();
         Served { address, stop, wake, thread: Some(thread), _feed: feed, executors }
--- a/src/net/upkeep/calls.rs
+++ b/src/net/upkeep/calls.rs
@@ -4,7 +4,7 @@
 use crate::api::Micros;
 use crate::codec::operator::Call;
 use crate::net::Node;
-use crate::net::poll::Key;
+use crate::net::event_loop::poll::Key;
 use fleet::plan::{self, Command, Plan, Step};
 use std::fmt::Write as _;
 
