--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::api::Settings;
 use crate::membership::check::Catalog;
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use crate::net::control_plane::ControlMember;
 use crate::net::signals::Signals;
 use crate::settings::Names;
@@ -137,8 +137,8 @@
             let mut member = ControlMember::new(config, control, signals?).map_err(|e| e.to_string())?;
             return member.run().map_err(|e| e.to_string());
         }
-        let mut node = Node::new(config, options, signals?, load).map_err(|e| e.to_string())?;
-        node.run().map_err(|e| e.to_string())
+        let mut server = DispatcherServer::new(config, options, signals?, load).map_err(|e| e.to_string())?;
+        server.run().map_err(|e| e.to_string())
     };
     match started() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,6 +1,6 @@
 //! What operators ask, and the bans that are handed from one process to the next.
 
-use super::Node;
+use super::DispatcherServer;
 use super::limits::LEAVE_PATIENCE;
 use super::sockets::listen;
 use crate::api::Micros;
@@ -9,7 +9,7 @@
 use crate::net::event_loop::poll::Key;
 use std::io;
 
-impl Node {
+impl DispatcherServer {
     /// Carries out an operator's call; the answer to write.
     /// Some wait for the fleet's word, and are answered later.
     pub(super) fn call(&mut self, caller: Key, now: Micros, line: Result<Call, Fault>) -> Option<String> {
@@ -44,14 +44,14 @@
                     // A front that asks the client port is told no.
                     self.stop_accepting(now);
                 }
-                self.send_all_away(now);
+                self.close_idle_clients_while_leaving(now);
                 "+OK leaving".into()
             }
             Call::Join => {
                 if self.leaving.take().is_some() {
                     tracing::warn!("JOIN");
                 }
-                match self.accept_anew(now) {
+                match self.listen_again(now) {
                     Ok(()) => "+OK joined".into(),
                     Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.address),
                 }
@@ -81,7 +81,7 @@
     }
 
     /// Listens for clients again, beside any other process on the port.
-    pub(super) fn accept_anew(&mut self, now: Micros) -> io::Result<()> {
+    pub(super) fn listen_again(&mut self, now: Micros) -> io::Result<()> {
         if self.listener.is_some() || self.paused.is_some() || self.stopping.is_some() {
             return Ok(());
         }
@@ -90,7 +90,7 @@
         })?;
         let key = self.poll.add(&listener, false)?;
         self.listener = Some((key, listener));
-        self.accept(now);
+        self.accept_clients(now);
         Ok(())
     }
 
@@ -122,22 +122,22 @@
 
     /// After `LEAVE`: a client that has nothing open and nothing in part is taken nothing more from; it closes
     /// once its last answer is written, so that it connects again elsewhere.
-    pub(super) fn send_away(&mut self, key: Key, now: Micros) {
+    pub(super) fn close_if_idle_while_leaving(&mut self, key: Key, now: Micros) {
         if self.leaving.is_none() {
             return;
         }
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
-        if s.done_with(now, LEAVE_PATIENCE) && !s.unread() {
-            self.finish(key, now);
+        if s.may_close(now, LEAVE_PATIENCE) && !s.has_unread() {
+            self.finish_client(key, now);
         }
     }
 
-    pub(super) fn send_all_away(&mut self, now: Micros) {
+    pub(super) fn close_idle_clients_while_leaving(&mut self, now: Micros) {
         // Looked at ten times a second: nothing to collect unless a drain holds.
         if self.leaving.is_none() {
             return;
         }
         let keys: Vec<Key> = self.sessions.by_key.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.send_away(key, now));
+        keys.into_iter().for_each(|key| self.close_if_idle_while_leaving(key, now));
     }
 }
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -4,8 +4,8 @@
 use crate::arrivals::{Occurrence, Spaced};
 use crate::codec::mysql::Error;
 use crate::dispatch::{Answer, Request};
-use crate::net::Node;
-use crate::net::clients::session::Asked;
+use crate::net::DispatcherServer;
+use crate::net::clients::session::ClientCommand;
 use crate::net::event_loop::poll::Key;
 use crate::net::executors::Job;
 use crate::net::limits::CLIENT_BACKOFF;
@@ -14,7 +14,7 @@
 use crate::takeover::Gate;
 
 /// A request that was read and has not begun.
-pub(in crate::net) struct Arrived {
+pub(in crate::net) struct ArrivedRequest {
     client: Key,
     request: Request,
     arrival: Arrival,
@@ -39,49 +39,49 @@
     pub(in crate::net) arrival: Option<Arrival>,
 }
 
-impl Node {
+impl DispatcherServer {
     /// Takes what the client wants, until a request is open or nothing is left.
-    pub(in crate::net) fn advance(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn process_commands(&mut self, key: Key, now: Micros) {
         while let Some(s) = self.sessions.by_key.get_mut(&key) {
-            match s.next(&self.names, now) {
+            match s.next_command(&self.names, now) {
                 None => break,
-                Some(Asked::Close) => return self.hang_up(key, now),
-                Some(Asked::Kill(id)) => self.kill(key, id, now),
-                Some(Asked::Request(mut request, job)) => {
+                Some(ClientCommand::Close) => return self.close_client(key, now),
+                Some(ClientCommand::Kill(id)) => self.kill_request(key, id, now),
+                Some(ClientCommand::Request(mut request, job)) => {
                     let id = request.id;
-                    if s.overruns() {
-                        return self.overrun(key, now);
+                    if s.sends_while_open() {
+                        return self.reject_second_request(key, now);
                     }
                     if self.open.contains_key(&id) {
-                        s.at_fault(&Error::new(1105, "HY000", "a request with this rid is open"), now);
+                        s.reject_mistake(&Error::new(1105, "HY000", "a request with this rid is open"), now);
                         continue;
                     }
                     s.open = Some(id);
-                    let came = s.came();
-                    let on_new_connection = s.takes_request();
+                    let came = s.received();
+                    let on_new_connection = s.is_first_request();
                     self.cap(&mut request);
-                    self.take_in_request(key, request, job, came, on_new_connection);
+                    self.enqueue_arrived(key, request, job, came, on_new_connection);
                 }
             }
         }
-        self.flush(key);
+        self.flush_client(key);
     }
 
     /// Requests that were read begin, in order, unless their clients have gone meanwhile. Once this has taken so long
     /// that more clients may have gone, the rest waits for another look at them.
-    pub(in crate::net) fn begin_arrived(&mut self) {
+    pub(in crate::net) fn begin_arrived_requests(&mut self) {
         if self.given_up {
             let now = self.clock.now();
-            return self.refuse_arrived(now);
+            return self.reject_arrived_requests(now);
         }
-        while let Some(Arrived { client, mut request, arrival }) = self.arrived.pop_front() {
+        while let Some(ArrivedRequest { client, mut request, arrival }) = self.arrived.pop_front() {
             let now = self.clock.now();
             request.held_back = arrival.held_back(request.budget) > 0;
             request.budget = arrival.left_of(request.budget, now);
-            if let Some(job) = self.awaited(client, request.id) {
-                self.begin(client, request, job, now);
+            if let Some(job) = self.job_if_client_waits(client, request.id) {
+                self.begin_request(client, request, job, now);
             }
-            self.answer_due();
+            self.expire_due_requests();
             if !self.executors.may_begin() {
                 return;
             }
@@ -89,22 +89,22 @@
     }
 
     /// Requests that were read and can't begin any more are refused: they never ran.
-    pub(in crate::net) fn refuse_arrived(&mut self, now: Micros) {
-        while let Some(Arrived { client, request, .. }) = self.arrived.pop_front() {
-            if let Some(job) = self.awaited(client, request.id) {
-                self.turn_away(client, &request, &job, CLIENT_BACKOFF, EndReason::Stopping, now);
+    pub(in crate::net) fn reject_arrived_requests(&mut self, now: Micros) {
+        while let Some(ArrivedRequest { client, request, .. }) = self.arrived.pop_front() {
+            if let Some(job) = self.job_if_client_waits(client, request.id) {
+                self.reject_request(client, &request, &job, CLIENT_BACKOFF, EndReason::Stopping, now);
             }
         }
     }
 
     /// What an attempt of a request needs, if its client still waits for it.
-    fn awaited(&self, client: Key, request: u64) -> Option<Job> {
+    fn job_if_client_waits(&self, client: Key, request: u64) -> Option<Job> {
         let waits = self.sessions.by_key.get(&client).is_some_and(|s| s.open == Some(request));
         self.open.get(&request).filter(|_| waits).map(|o| o.job.clone())
     }
 
     /// Refuses a request before any decision.
-    fn turn_away(
+    fn reject_request(
         &mut self,
         key: Key,
         request: &Request,
@@ -121,16 +121,16 @@
                     s.answer(&Answer::Refused(wait.div_ceil(1_000)));
                 }
             }
-            Err(e) => self.not_taken(key, e, now),
+            Err(e) => self.report_client_error(key, e, now),
         }
-        self.advance(key, now);
+        self.process_commands(key, now);
     }
 
-    fn begin(&mut self, key: Key, request: Request, job: Job, now: Micros) {
+    fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
         let storm = self.storm.as_mut().map(|s| s.ask(now, asker(&job), request.repeated));
         if let Some(Verdict::Refuse(wait)) = storm {
-            return self.turn_away(key, &request, &job, wait, EndReason::Elsewhere, now);
+            return self.reject_request(key, &request, &job, wait, EndReason::Elsewhere, now);
         }
         let taken = match self.gate(now, &request, &job) {
             Gate::Go => self.dispatch.pick(now, &request),
@@ -148,22 +148,22 @@
             Err(e) => {
                 self.open.remove(&id);
                 self.end_in_flight_unasked(now, id);
-                self.not_taken(key, e, now);
-                self.advance(key, now);
+                self.report_client_error(key, e, now);
+                self.process_commands(key, now);
             }
         }
     }
 
     /// A request that can't be one is its client's mistake.
-    fn not_taken(&mut self, key: Key, why: &'static str, now: Micros) {
+    fn report_client_error(&mut self, key: Key, why: &'static str, now: Micros) {
         if let Some(s) = self.sessions.by_key.get_mut(&key) {
             s.open = None;
-            s.at_fault(&Error::new(1105, "HY000", why), now);
+            s.reject_mistake(&Error::new(1105, "HY000", why), now);
         }
     }
 
     /// Notes how a request came; it begins once all that came in this turn has been heeded.
-    fn take_in_request(
+    fn enqueue_arrived(
         &mut self,
         client: Key,
         request: Request,
@@ -186,12 +186,12 @@
             "request read"
         );
         self.open.insert(request.id, OpenRequest { client, job, arrival: Some(arrival) });
-        self.arrived.push_back(Arrived { client, request, arrival });
+        self.arrived.push_back(ArrivedRequest { client, request, arrival });
     }
 
     /// Tells of a request whose client has gone how it came and how far it was: whoever leaves close to the end of its time
     /// was answered too late.
-    pub(in crate::net) fn log_left(&self, id: u64, open: &OpenRequest, now: Micros) {
+    pub(in crate::net) fn log_abandoned(&self, id: u64, open: &OpenRequest, now: Micros) {
         let Some(progress) = self.dispatch.progress(now, id) else { return };
         let arrival = open.arrival.as_ref();
         tracing::info!(
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -8,52 +8,58 @@
 use std::net::Shutdown;
 
 impl Session {
-    pub(super) fn put(&mut self, write: impl FnOnce(&mut Server, &mut Vec<u8>)) {
+    pub(super) fn write_packets(&mut self, write: impl FnOnce(&mut Server, &mut Vec<u8>)) {
         let mut bytes = Vec::new();
         write(&mut self.server, &mut bytes);
         self.outbox.append(&bytes);
     }
 
     /// Answers with OK.
-    pub fn ok(&mut self) {
-        self.put(|s, out| s.ok(out));
+    pub fn answer_ok(&mut self) {
+        self.write_packets(|s, out| s.ok(out));
     }
 
     /// Answers with an error.
-    pub fn error(&mut self, error: &Error) {
-        self.put(|s, out| s.error(error, out));
+    pub fn answer_error(&mut self, error: &Error) {
+        self.write_packets(|s, out| s.error(error, out));
     }
 
     /// Gives the open request its final answer.
     pub fn answer(&mut self, answer: &Answer<Vec<Block>>) {
-        (self.open, self.errors) = (None, 0);
+        (self.open, self.errors_in_a_row) = (None, 0);
         match answer {
             Answer::Refused(ms) => {
-                self.error(&Error::new(1203, "42000", format!("refused, try again later: backoff={ms}")));
+                self.answer_error(&Error::new(
+                    1203,
+                    "42000",
+                    format!("refused, try again later: backoff={ms}"),
+                ));
+            }
+            Answer::Failed => {
+                self.answer_error(&Error::new(1105, "HY000", "failed; whether it ran is not known"))
             }
-            Answer::Failed => self.error(&Error::new(1105, "HY000", "failed; whether it ran is not known")),
             Answer::Served(pages) => {
-                self.put(|s, out| s.columns(&["c1", "c2", "c3"], out));
+                self.write_packets(|s, out| s.columns(&["c1", "c2", "c3"], out));
                 for page in pages {
                     let rows = page.bytes().strip_suffix(b"\n").map(|p| p.split(|b| *b == b'\n'));
-                    self.put(|s, out| {
+                    self.write_packets(|s, out| {
                         rows.into_iter().flatten().for_each(|r| s.row(r.split(|b| *b == b'\t'), out));
                     });
                 }
-                self.put(|s, out| s.end_of_part(out));
+                self.write_packets(|s, out| s.end_of_part(out));
             }
         }
     }
 
     /// Whether all that was answered is written.
-    pub fn flushed(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.outbox.is_empty()
     }
 
     /// Writes what can be written. False once the connection is gone.
     pub fn flush(&mut self, poll: &Poll) -> bool {
         let Ok(done) = self.outbox.flush(&mut self.stream) else { return false };
-        if done && self.closing.is_some() && !std::mem::replace(&mut self.finished, true) {
+        if done && self.closing_since.is_some() && !std::mem::replace(&mut self.write_side_closed, true) {
             // The client still gets the last bytes if it was sending: the rest is read and dropped.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -20,7 +20,7 @@
 use crate::net::sockets::system_calls;
 use crate::settings::Names;
 pub use sessions::Sessions;
-use statements::{Meant, understand};
+use statements::{Interpretation, interpret};
 use std::io;
 use std::net::TcpStream;
 
@@ -33,7 +33,7 @@
 
 /// What a client wants that the session can't answer by itself.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ClientCommand {
     /// A request, and what an attempt of it needs.
     Request(Request, Job),
     /// The request of the connection with this id is to be given up.
@@ -54,26 +54,26 @@
     /// The request that is open.
     pub open: Option<u64>,
     /// When anything last happened on it.
-    pub touched: Micros,
+    pub active_at: Micros,
     /// When it connected.
-    opened: Micros,
+    connected_at: Micros,
     /// Since when bytes may wait in the socket that were not read; `None` while it is watched for them.
     unread_since: Option<Micros>,
     /// When the bytes that were read last came.
-    came: Occurrence,
+    received: Occurrence,
     /// Since when its next message has been here in part.
-    part_since: Option<Micros>,
+    partial_since: Option<Micros>,
     /// Whether it ever brought a request or command whole, beside its login.
-    asked: bool,
+    sent_command: bool,
     /// Whether it ever brought a request.
-    used: bool,
+    sent_request: bool,
     /// Errors of its own in a row, and until when it is not read for them.
-    errors: u32,
+    errors_in_a_row: u32,
     paused_until: Option<Micros>,
     /// Since when nothing more is taken from it; it closes once all is written and read.
-    closing: Option<Micros>,
-    waste: usize,
-    finished: bool,
+    closing_since: Option<Micros>,
+    discarded_bytes: usize,
+    write_side_closed: bool,
     /// Whether it is watched for reading and for writing.
     watched: (bool, bool),
 }
@@ -104,35 +104,35 @@
             inbox,
             outbox,
             open: None,
-            touched: came.latest,
-            opened: came.latest,
+            active_at: came.latest,
+            connected_at: came.latest,
             unread_since: Some(came.earliest),
-            came,
-            part_since: None,
-            asked: false,
-            used: false,
-            errors: 0,
+            received: came,
+            partial_since: None,
+            sent_command: false,
+            sent_request: false,
+            errors_in_a_row: 0,
             paused_until: None,
-            closing: None,
-            waste: 0,
-            finished: false,
+            closing_since: None,
+            discarded_bytes: 0,
+            write_side_closed: false,
             watched: (true, false),
         })
     }
 
     /// When the last byte of what was read came: a request's time counts from there.
-    pub fn came(&self) -> Occurrence {
-        self.came
+    pub fn received(&self) -> Occurrence {
+        self.received
     }
 
     /// Reads once; `noticed` is when what a watched socket has came. False once the client is gone.
     pub fn read(&mut self, noticed: Occurrence) -> bool {
-        if self.closing.is_some() {
+        if self.closing_since.is_some() {
             let mut waste = [0; 4096];
             return match system_calls::read(&mut self.stream, &mut waste) {
                 Ok(n) => {
-                    self.waste += n;
-                    n > 0 && self.waste < WASTE
+                    self.discarded_bytes += n;
+                    n > 0 && self.discarded_bytes < WASTE
                 }
                 Err(e) => matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
             };
@@ -140,8 +140,8 @@
         if self.paused_until.is_some() {
             return true;
         }
-        self.touched = noticed.latest;
-        self.came = self.unread_since.take().map_or(noticed, |since| noticed.since(since));
+        self.active_at = noticed.latest;
+        self.received = self.unread_since.take().map_or(noticed, |since| noticed.since(since));
         if self.inbox.full() {
             return false;
         }
@@ -153,8 +153,8 @@
 
     /// Reads on until nothing more is there. False if the client has gone meanwhile, or half of
     /// it: whatever it asked before that is not begun any more.
-    pub fn read_on(&mut self) -> bool {
-        while self.closing.is_none() && self.paused_until.is_none() && !self.inbox.full() {
+    pub fn read_to_end(&mut self) -> bool {
+        while self.closing_since.is_none() && self.paused_until.is_none() && !self.inbox.full() {
             match self.inbox.fill(&mut self.stream) {
                 Ok(0) => return false,
                 Ok(_) => {}
@@ -166,66 +166,66 @@
     }
 
     /// A request of it is taken; whether that is its first.
-    pub fn takes_request(&mut self) -> bool {
-        !std::mem::replace(&mut self.used, true)
+    pub fn is_first_request(&mut self) -> bool {
+        !std::mem::replace(&mut self.sent_request, true)
     }
 
     /// What a client may not do while its request is open: send another. A farewell is none.
-    pub fn overruns(&self) -> bool {
+    pub fn sends_while_open(&self) -> bool {
         let bytes = self.inbox.bytes();
         bytes.len() > 5 || (bytes.len() == 5 && !matches!(bytes, [1, 0, 0, _, 1]))
     }
 
     /// Whether the client said farewell while its request is open.
-    pub fn leaves(&self) -> bool {
+    pub fn has_quit(&self) -> bool {
         self.open.is_some() && matches!(self.inbox.bytes(), [1, 0, 0, _, 1])
     }
 
     /// The next thing that the client wants; what the session can answer by itself, it answers.
-    pub fn next(&mut self, names: &Names, now: Micros) -> Option<Asked> {
-        while self.open.is_none() && self.closing.is_none() && self.paused_until.is_none() {
+    pub fn next_command(&mut self, names: &Names, now: Micros) -> Option<ClientCommand> {
+        while self.open.is_none() && self.closing_since.is_none() && self.paused_until.is_none() {
             let (n, login, asked) = match self.server.next(self.inbox.bytes()) {
                 Ok(None) => {
                     let part = !self.inbox.bytes().is_empty();
-                    self.part_since = part.then(|| self.part_since.unwrap_or(now));
+                    self.partial_since = part.then(|| self.partial_since.unwrap_or(now));
                     return None;
                 }
-                Ok(Some((n, command))) => (n, command == Command::Login, understand(&command, names)),
+                Ok(Some((n, command))) => (n, command == Command::Login, interpret(&command, names)),
                 Err(e) => {
                     tracing::info!(client = self.id, error = %e, "client closed");
-                    self.dismiss(&e, now);
+                    self.close_with_error(&e, now);
                     return None;
                 }
             };
             self.inbox.consume(n);
-            self.part_since = None;
-            self.asked |= !login;
+            self.partial_since = None;
+            self.sent_command |= !login;
             match asked {
-                Ok(Meant::Ok) => self.put(|s, out| s.ok(out)),
-                Ok(Meant::Values(values)) => {
+                Ok(Interpretation::Ok) => self.write_packets(|s, out| s.ok(out)),
+                Ok(Interpretation::Values(values)) => {
                     let names: Vec<&str> = values.iter().map(|(n, _)| n.as_str()).collect();
-                    self.put(|s, out| {
+                    self.write_packets(|s, out| {
                         s.columns(&names, out);
                         s.row(values.iter().map(|(_, v)| v.as_bytes()), out);
                         s.end_of_part(out);
                     });
                 }
-                Ok(Meant::Asked(asked)) => return Some(asked),
-                Err(e) => self.at_fault(&e, now),
+                Ok(Interpretation::Command(asked)) => return Some(asked),
+                Err(e) => self.reject_mistake(&e, now),
             }
         }
         None
     }
 
     /// Answers a mistake of the client's at once, and reads on only after a pause: some repeat it for ever.
-    pub fn at_fault(&mut self, error: &Error, now: Micros) {
-        self.errors += 1;
-        if self.errors >= ERRORS {
-            return self.dismiss(error, now);
+    pub fn reject_mistake(&mut self, error: &Error, now: Micros) {
+        self.errors_in_a_row += 1;
+        if self.errors_in_a_row >= ERRORS {
+            return self.close_with_error(error, now);
         }
-        self.error(error);
-        self.paused_until = Some(now + (PAUSE << self.errors));
-        self.unread_since = Some(self.came.earliest);
+        self.answer_error(error);
+        self.paused_until = Some(now + (PAUSE << self.errors_in_a_row));
+        self.unread_since = Some(self.received.earliest);
     }
 
     /// Closes it.
--- a/src/net/clients/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -24,7 +24,7 @@
 
     /// Those that were told to go, and only read their last bytes.
     pub fn lingering(&self) -> usize {
-        self.by_key.values().filter(|s| s.dismissed()).count()
+        self.by_key.values().filter(|s| s.is_closing()).count()
     }
 
     /// The others.
@@ -34,7 +34,7 @@
 
     /// Whether nothing came from a client that was not read yet.
     pub fn has_nothing_unread(&self, key: Key) -> bool {
-        self.by_key.get(&key).is_some_and(|s| s.dismissed() || !s.unread())
+        self.by_key.get(&key).is_some_and(|s| s.is_closing() || !s.has_unread())
     }
 
     /// Takes one out.
--- a/src/net/clients/session/statements.rs
+++ b/src/net/clients/session/statements.rs
@@ -1,6 +1,6 @@
 //! What a client's statement means.
 
-use super::Asked;
+use super::ClientCommand;
 use crate::api::Micros;
 use crate::codec::mysql::{self, Command, Error};
 use crate::codec::statement;
@@ -15,24 +15,24 @@
 const LONGEST_TOKEN: usize = 72;
 
 /// What a client's command comes to: an answer that the session has by itself, or something asked.
-pub(in crate::net) enum Meant {
+pub(in crate::net) enum Interpretation {
     Ok,
     Values(Vec<(String, String)>),
-    Asked(Asked),
+    Command(ClientCommand),
 }
 
-pub(in crate::net) fn understand(command: &Command<'_>, names: &Names) -> Result<Meant, Error> {
+pub(in crate::net) fn interpret(command: &Command<'_>, names: &Names) -> Result<Interpretation, Error> {
     match command {
-        Command::Login | Command::Ping => Ok(Meant::Ok),
-        Command::Quit => Ok(Meant::Asked(Asked::Close)),
-        Command::InitDb(name) => mysql::database_known(name).map(|()| Meant::Ok),
+        Command::Login | Command::Ping => Ok(Interpretation::Ok),
+        Command::Quit => Ok(Interpretation::Command(ClientCommand::Close)),
+        Command::InitDb(name) => mysql::database_known(name).map(|()| Interpretation::Ok),
         Command::Other(code) => Err(Error::new(1047, "08S01", format!("command {code} is not known"))),
         Command::Query(sql) => query(sql, names),
     }
 }
 
 /// A statement: a request if its comment says so, else one of the few that drivers send by themselves.
-pub(in crate::net) fn query(sql: &str, names: &Names) -> Result<Meant, Error> {
+pub(in crate::net) fn query(sql: &str, names: &Names) -> Result<Interpretation, Error> {
     let s = statement::split(sql);
     if s.fields.contains_key("method") || s.fields.contains_key("rid") {
         return request(&s, names);
@@ -43,11 +43,11 @@
     match (first.as_str(), &words[..]) {
         ("kill", [_, rest @ .., id]) if rest.iter().all(|w| w.eq_ignore_ascii_case("query")) => {
             let id = id.parse().map_err(|_| Error::new(1094, "HY000", format!("unknown thread id: {id}")))?;
-            Ok(Meant::Asked(Asked::Kill(id)))
+            Ok(Interpretation::Command(ClientCommand::Kill(id)))
         }
-        ("set" | "use" | "commit" | "rollback" | "begin" | "start", _) => Ok(Meant::Ok),
+        ("set" | "use" | "commit" | "rollback" | "begin" | "start", _) => Ok(Interpretation::Ok),
         ("select", [_, ..]) if constants(&text[6..]).is_some() => {
-            Ok(Meant::Values(constants(&text[6..]).unwrap_or_default()))
+            Ok(Interpretation::Values(constants(&text[6..]).unwrap_or_default()))
         }
         _ => Err(Error::new(1064, "42000", "the comment ahead of the statement lacks method and rid")),
     }
@@ -89,7 +89,7 @@
     (!word.is_empty() && word.len() <= LONGEST_TOKEN && word.bytes().all(plain)).then_some(word)
 }
 
-fn request(s: &statement::Statement<'_>, names: &Names) -> Result<Meant, Error> {
+fn request(s: &statement::Statement<'_>, names: &Names) -> Result<Interpretation, Error> {
     let wrong = |field: &str, what: &str| Error::new(1064, "42000", format!("field {field}: {what}"));
     let get = |field: &str| s.fields.get(field).copied();
     let need = |field: &str| get(field).ok_or_else(|| wrong(field, "missing"));
@@ -125,5 +125,5 @@
     let token =
         get("token").map(|t| opaque(t).ok_or_else(|| wrong("token", "not a short word"))).transpose()?;
     let job = Job { kind: method.into(), statement: s.text.into(), token: token.map(Into::into) };
-    Ok(Meant::Asked(Asked::Request(request, job)))
+    Ok(Interpretation::Command(ClientCommand::Request(request, job)))
 }
--- a/src/net/clients/session/tests.rs
+++ b/src/net/clients/session/tests.rs
@@ -10,7 +10,7 @@
 fn tenant(fields: &str) -> Option<usize> {
     let sql = format!("/* method=lookup,rid=9b1f03aa5c7e2d41,budget=1500{fields} */ SELECT a FROM s_1.t");
     match query(&sql, &names()) {
-        Ok(Meant::Asked(Asked::Request(r, ..))) => r.tenant,
+        Ok(Interpretation::Command(ClientCommand::Request(r, ..))) => r.tenant,
         _ => panic!("not a request"),
     }
 }
@@ -45,7 +45,7 @@
     use std::io::Write;
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let (mut s, mut client) = connected(&poll, &pool);
-    s.ok();
+    s.answer_ok();
     s.finish(2);
     assert!(s.flush(&poll));
     let mut answer = [0; 11];
@@ -53,12 +53,12 @@
     assert_eq!(client.read(&mut [0]).unwrap(), 0, "its end comes right behind the answer");
     let crossing = b"\x2e\0\0\0\x03/* method=lookup,rid=9b1f03aa5c7e2d41,budget=1 */";
     client.write_all(crossing).unwrap();
-    while !s.unread() {}
+    while !s.has_unread() {}
     assert!(
-        s.read(Occurrence::at(3)) && s.next(&names(), 3).is_none(),
+        s.read(Occurrence::at(3)) && s.next_command(&names(), 3).is_none(),
         "it is read, and nothing comes of it"
     );
-    assert!(!s.unread() && !s.has_crossed(2) && s.has_crossed(200_000));
+    assert!(!s.has_unread() && !s.end_has_settled(2) && s.end_has_settled(200_000));
     s.close(&poll);
     assert_eq!(client.read(&mut [0]).unwrap(), 0, "no reset");
 }
@@ -70,10 +70,10 @@
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let (mut s, mut client) = connected(&poll, &pool);
     client.write_all(b"\x05\0\0").unwrap();
-    while !s.unread() {}
-    assert!(s.read(Occurrence::at(2)) && s.read_on(), "still there");
+    while !s.has_unread() {}
+    assert!(s.read(Occurrence::at(2)) && s.read_to_end(), "still there");
     client.write_all(b"\0\x03SET").unwrap();
     client.shutdown(std::net::Shutdown::Write).unwrap();
-    while !s.unread() {}
-    assert!(s.read(Occurrence::at(3)) && !s.read_on(), "gone");
+    while !s.has_unread() {}
+    assert!(s.read(Occurrence::at(3)) && !s.read_to_end(), "gone");
 }
--- a/src/net/control_plane/node.rs
+++ b/src/net/control_plane/node.rs
@@ -1,9 +1,9 @@
 //! What a dispatcher does with the member that it follows, in the turns of its loop.
 
 use crate::api::Micros;
-use crate::net::Node;
+use crate::net::DispatcherServer;
 
-impl Node {
+impl DispatcherServer {
     /// The connection to the member is ready: what came is heeded before anything more is admitted.
     pub(in crate::net) fn control_ready(&mut self, now: Micros) {
         if let Some(control) = &mut self.control {
@@ -14,7 +14,7 @@
 
     /// Lets time pass on the lease and the connection. Called before anything else of a turn and after all: a lease
     /// that ran out while this process stood still is over before it is acted on.
-    pub(in crate::net) fn keep_control(&mut self, now: Micros) {
+    pub(in crate::net) fn tick_control(&mut self, now: Micros) {
         let Some(control) = self.control.as_mut().filter(|c| c.next_due() <= now) else { return };
         control.tick(now);
         self.heed_control(now);
@@ -24,7 +24,7 @@
         if self.control.is_none() {
             return;
         }
-        self.keep_policy(now);
+        self.tick_policy(now);
         if let Some(control) = &mut self.control {
             // A snapshot or a lease that was heeded just now is told of at once.
             control.tick(now);
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -11,7 +11,7 @@
 use crate::api::Micros;
 use crate::arrivals::Occurrence;
 use crate::clock;
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use crate::net::control_plane::ControlLink;
 use crate::net::limits::{CLIENTS, COUNTERS, SLOW_TURN, STOP_LOOK, SWEEP};
 use crate::net::lists::Lists;
@@ -21,14 +21,14 @@
 use std::io;
 use std::time::Duration;
 
-impl Node {
+impl DispatcherServer {
     /// Serves until SIGTERM, then until all that was taken has its answer.
     pub fn run(&mut self) -> io::Result<()> {
         // A look takes in all sockets that are ready, however many they are.
         let mut events = polling::Events::with_capacity(self.descriptors.most());
         loop {
             let now = self.clock.now();
-            if self.over(now) {
+            if self.advance_shutdown(now) {
                 break;
             }
             let before = self.clock.now();
@@ -40,10 +40,10 @@
             let worked_before = before.saturating_sub(self.woke);
             self.found_since = woke.saturating_sub(late + worked_before);
             self.woke = woke;
-            self.take_in(&events, before);
-            self.begin_arrived();
+            self.process_events(&events, before);
+            self.begin_arrived_requests();
             self.tick();
-            self.begin_arrived();
+            self.begin_arrived_requests();
             let worked = self.clock.now() - woke;
             if worked > SLOW_TURN || late > SLOW_TURN {
                 tracing::warn!(slept_us = woke - before, wanted_us = wait, worked_us = worked, "slow turn");
@@ -51,41 +51,41 @@
         }
         self.leave_fleet(self.clock.last());
         self.leave_control(self.clock.last());
-        self.count();
+        self.log_counters();
         tracing::info!("stopped");
         Ok(())
     }
 
     /// Heeds all that came. Clients and signals come first: from then on it is known what clients did up to `before`,
     /// the moment before the sockets were looked at.
-    fn take_in(&mut self, events: &polling::Events, before: Micros) {
-        self.keep_in_flight(self.woke);
-        self.keep_control(self.woke);
+    fn process_events(&mut self, events: &polling::Events, before: Micros) {
+        self.tick_in_flight(self.woke);
+        self.tick_control(self.woke);
         let listening = self.listener.as_ref().map(|(key, _)| *key);
         if listening.is_some_and(|key| events.iter().all(|e| e.key != key)) {
             self.backlog_since = None;
         }
-        let (clients, others): (Vec<_>, Vec<_>) = events.iter().partition(|e| self.comes_first(e.key));
+        let (clients, others): (Vec<_>, Vec<_>) = events.iter().partition(|e| self.is_client_side(e.key));
         // Resting connections before new ones: of two requests of a key the one on a new connection is the later one, as the
         // next after such a one comes no sooner than 250 ms (protocol).
         let (new, resting): (Vec<_>, Vec<_>) = clients.into_iter().partition(|e| Some(e.key) == listening);
-        resting.into_iter().chain(new).for_each(|e| self.ready_in_time(e));
+        resting.into_iter().chain(new).for_each(|e| self.process_event(e));
         self.executors.looked(before);
         // At once: on little processor time all that is heeded first would make the look old again.
         self.executors.begin_waiting(&self.poll);
-        others.into_iter().for_each(|e| self.ready_in_time(e));
+        others.into_iter().for_each(|e| self.process_event(e));
         // Whoever fell silent is judged by what is known, not by how long this process took to see it.
         self.heard_until = before;
     }
 
     /// Heeds one socket. Answers that are due wait for this one at most, not for all that is ready in the turn.
-    fn ready_in_time(&mut self, event: polling::Event) {
+    fn process_event(&mut self, event: polling::Event) {
         self.ready(event.key, event.readable, event.writable);
-        self.answer_due();
+        self.expire_due_requests();
     }
 
     /// Answers the requests whose time is over.
-    pub(in crate::net) fn answer_due(&mut self) {
+    pub(in crate::net) fn expire_due_requests(&mut self) {
         let now = self.clock.now();
         let orders = self.dispatch.expire_due(now);
         if !orders.is_empty() {
@@ -94,7 +94,7 @@
     }
 
     /// Whether a key is of the signals, the clients' listener or a client.
-    fn comes_first(&self, key: Key) -> bool {
+    fn is_client_side(&self, key: Key) -> bool {
         let listens = self.listener.as_ref().is_some_and(|(k, _)| *k == key);
         listens || key == self.signals.0 || self.sessions.by_key.contains_key(&key)
     }
@@ -121,21 +121,21 @@
     }
 
     /// When something came that is noticed now. Whatever this turn did before it noticed does not count for it.
-    pub(in crate::net) fn noticed(&self, now: Micros) -> Occurrence {
+    pub(in crate::net) fn occurrence_noticed_at(&self, now: Micros) -> Occurrence {
         Occurrence::between(self.found_since, now)
     }
 
     fn ready(&mut self, key: Key, readable: bool, writable: bool) {
         let now = self.clock.now();
         if self.listener.as_ref().is_some_and(|(k, _)| *k == key) {
-            self.accept(now);
+            self.accept_clients(now);
         } else if key == self.signals.0 {
             let (stop, reread) = self.signals.1.take();
             if reread {
-                self.reread(now);
+                self.reload_configuration(now);
             }
             if stop {
-                self.stop(self.noticed(now));
+                self.begin_shutdown(self.occurrence_noticed_at(now));
             }
         } else if self.operators.as_ref().is_some_and(|o| o.owns(key)) {
             let lines = self.operators.as_mut().map(|o| o.ready(key, now, &self.poll)).unwrap_or_default();
@@ -167,10 +167,10 @@
             self.settle(Vec::new());
         } else if self.sessions.by_key.contains_key(&key) {
             if readable {
-                self.read(key, now);
+                self.read_client(key, now);
             }
             if writable {
-                self.flush(key);
+                self.flush_client(key);
             }
         }
     }
@@ -185,13 +185,13 @@
         if let Some(feed) = &mut self.feed {
             feed.tick(heard_until, &self.poll);
         }
-        self.spare_descriptors(now);
+        self.free_descriptors(now);
         if self.lists.as_ref().is_some_and(Lists::pending) {
             self.with_lists(now, |_, _| ());
         }
         if self.accept_at.is_some_and(|t| t <= now) {
             self.accept_at = None;
-            self.accept_again(now);
+            self.resume_accepting(now);
         }
         if let Some(o) = &mut self.operators {
             o.tick(now, &self.poll);
@@ -199,16 +199,16 @@
         if let Some(h) = &mut self.in_flight {
             h.tick(now, &self.poll);
         }
-        self.keep_in_flight(now);
+        self.tick_in_flight(now);
         self.keep_plan(now);
-        self.keep_control(now);
-        self.keep_policy(now);
+        self.tick_control(now);
+        self.tick_policy(now);
         if self.clients_at <= now {
             self.clients_at = now + CLIENTS;
             self.wall.observe(now, clock::unix());
             self.bans_file.try_again(&self.bans);
-            self.look_after_clients(now);
-            self.send_all_away(now);
+            self.process_client_timers(now);
+            self.close_idle_clients_while_leaving(now);
             self.watch_storm(now);
             self.with_lists(now, |lists, executors| lists.tick(now, &|uid| executors.busy(uid)));
         }
@@ -218,7 +218,7 @@
         }
         if self.counters_at <= now {
             self.counters_at = now + COUNTERS;
-            self.count();
+            self.log_counters();
         }
     }
 }
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Micros;
 use crate::dispatch::{Order, Request};
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use crate::net::clients::request_intake::OpenRequest;
 use crate::net::event_loop::poll::Key;
 use crate::net::executors::{Job, Rows};
@@ -12,16 +12,16 @@
 /// No client's key: keys count from 1.
 const NOBODY: Key = 0;
 
-impl Node {
+impl DispatcherServer {
     /// Lets the record do what is due, before anything else of a turn and after all: a lease that ran out while
     /// this process stood still is over before it is acted on.
-    pub(in crate::net) fn keep_in_flight(&mut self, now: Micros) {
+    pub(in crate::net) fn tick_in_flight(&mut self, now: Micros) {
         let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.next_due() <= now) else {
             return;
         };
         in_flight.takeover.tick(now);
         // What was lost with the time that has passed is known before anything else is done.
-        self.keep_policy(now);
+        self.tick_policy(now);
         self.move_in_flight(now);
     }
 
@@ -33,7 +33,7 @@
                 in_flight.takeover.hears(now, from, message);
             }
             in_flight.takeover.flush(now);
-            self.keep_policy(now);
+            self.tick_policy(now);
             let Some(in_flight) = &mut self.in_flight else { return };
             for (to, message) in std::mem::take(&mut in_flight.takeover.fleet.messages) {
                 in_flight.peers.send(to, &message, now);
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -3,7 +3,7 @@
 use super::InFlight;
 use crate::api::Micros;
 use crate::dispatch::{Answer, Request, Ticket};
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use crate::net::executors::{Job, Rows};
 use crate::net::sockets::buffers::{Block, Pool};
 use crate::takeover::{Gate, Move, Pages, Past, Reply, Try};
@@ -48,7 +48,7 @@
     pages.iter().map(block).collect()
 }
 
-impl Node {
+impl DispatcherServer {
     /// What becomes of a request that is admitted: whether the decisions get it now.
     pub(in crate::net) fn begin_in_flight(&mut self, now: Micros, request: &Request, job: &Job) -> Gate {
         let policy = self.policy_number();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -37,7 +37,7 @@
 use crate::settings::config::{Config, ConfigError};
 use crate::storm::Storm;
 use bans_file::BansFile;
-use clients::request_intake::{Arrived, OpenRequest};
+use clients::request_intake::{ArrivedRequest, OpenRequest};
 use clients::session::Sessions;
 use control_plane::ControlLink;
 use event_loop::poll::{Key, Poll};
@@ -55,7 +55,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 /// A dispatcher that is set up and has not begun to serve.
-pub struct Node {
+pub struct DispatcherServer {
     poll: Poll,
     clock: Clock,
     wall: WallClock,
@@ -80,7 +80,7 @@
     open: BTreeMap<u64, OpenRequest>,
     key_spacing: KeySpacing,
     /// Requests that were read and have not begun, in order.
-    arrived: VecDeque<Arrived>,
+    arrived: VecDeque<ArrivedRequest>,
     listener: Option<(Key, TcpListener)>,
     /// The listener while accepting pauses.
     paused: Option<TcpListener>,
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -2,7 +2,7 @@
 
 use super::executors::{Executors, Rows};
 use super::lists::{self, Lists};
-use super::{Node, OpenRequest};
+use super::{DispatcherServer, OpenRequest};
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
@@ -11,7 +11,7 @@
 use crate::operator::figures::Disposition;
 use std::collections::VecDeque;
 
-impl Node {
+impl DispatcherServer {
     /// Carries orders out, and hands on what comes of them, until nothing is left.
     pub(super) fn settle(&mut self, orders: Vec<Order<Rows>>) {
         let mut orders = VecDeque::from(orders);
@@ -67,10 +67,10 @@
                 }
                 if let Some(s) = self.sessions.by_key.get_mut(&key).filter(|s| s.open == Some(request)) {
                     s.answer(&answer);
-                    s.touched = now;
-                    self.flush(key);
-                    self.advance(key, now);
-                    self.send_away(key, now);
+                    s.active_at = now;
+                    self.flush_client(key);
+                    self.process_commands(key, now);
+                    self.close_if_idle_while_leaving(key, now);
                 }
             }
         }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -1,7 +1,7 @@
 //! What all dispatchers of the fleet admit requests by, where our settings say so: requests pass by here before all
 //! else, and wait here while a change takes hold. It is learned from a fleet of peers or from a control group.
 
-use super::Node;
+use super::DispatcherServer;
 use super::executors::{Job, Rows};
 use super::rules::Held;
 use crate::api::Micros;
@@ -10,7 +10,7 @@
 use crate::takeover::{Gate, Reply};
 use fleet::policy::{Act, Gate as Door, Policies, PolicyRecord};
 
-impl Node {
+impl DispatcherServer {
     /// A request whose client would wait longer than the policy allows is given up when that says.
     pub(super) fn cap(&self, request: &mut Request) {
         let settings = self.rules.as_ref().and_then(|r| r.under(r.part.number()));
@@ -103,7 +103,7 @@
     }
 
     /// Looks at what the fleet holds alike, says what is to be said of it, and lets requests go that waited.
-    pub(super) fn keep_policy(&mut self, now: Micros) {
+    pub(super) fn tick_policy(&mut self, now: Micros) {
         let Some(rules) = &mut self.rules else { return };
         let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
         {
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -1,6 +1,6 @@
 //! What operators ask of the policy that the fleet holds alike.
 
-use super::Node;
+use super::DispatcherServer;
 use super::policy_status::status;
 use crate::api::{Micros, Settings};
 use crate::codec::operator::policy::Ask;
@@ -167,7 +167,7 @@
     if waits { format!("+OK proposed {number}, waiting") } else { format!("+OK proposed {number}") }
 }
 
-impl Node {
+impl DispatcherServer {
     /// Carries out a call on the policy: its answer, or none as long as it waits to be agreed.
     pub(super) fn policy_call(&mut self, caller: Key, now: Micros, ask: &Ask) -> Option<String> {
         if self.control.is_some() && *ask != Ask::Status {
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -1,6 +1,6 @@
 //! How a dispatcher is set up.
 
-use super::Node;
+use super::DispatcherServer;
 use super::bans_file::BansFile;
 use super::control_plane::ControlLink;
 use super::executors::Executors;
@@ -34,7 +34,7 @@
     move |e| io::Error::other(format!("{what}: {e}"))
 }
 
-impl Node {
+impl DispatcherServer {
     /// Sets a dispatcher up: from here on its address takes connections.
     /// `load` reads the configuration again when SIGHUP asks for it.
     pub fn new(
@@ -42,7 +42,7 @@
         options: Options,
         signals: Signals,
         load: fn() -> Result<Config, ConfigError>,
-    ) -> io::Result<Node> {
+    ) -> io::Result<DispatcherServer> {
         let seed = config.seed();
         let operator = config.operator().map_err(context("configuration: operator"))?;
         let transport = config.settings.transport().map_err(context("configuration"))?;
@@ -98,7 +98,7 @@
         let me = in_flight.as_ref().map_or(0, InFlight::me);
         let rules =
             policy_terms.zip(base).map(|((terms, backoff_ms), base)| Rules::new(terms, me, backoff_ms, base));
-        let mut node = Node {
+        let mut server = DispatcherServer {
             poll,
             names,
             dispatch,
@@ -150,21 +150,21 @@
         };
         let mut known = config.known.targets();
         if let Some(lists) = options.lists {
-            let mut lists = Lists::start(lists, catalog, &known, now, &node.poll)?;
+            let mut lists = Lists::start(lists, catalog, &known, now, &server.poll)?;
             known = lists.take(usize::MAX);
             if !lists.follows_feed() {
-                node.feed = None;
+                server.feed = None;
             }
-            node.lists = Some(lists);
+            server.lists = Some(lists);
         }
         tracing::info!(name = config.name, executors = known.len(), "{} listens on {address}", config.name);
-        if let Some(o) = &node.operators {
+        if let Some(o) = &server.operators {
             tracing::info!("operators' address {}", o.address()?);
         }
-        if let Some(h) = &node.in_flight {
+        if let Some(h) = &server.in_flight {
             tracing::info!("peers' address {}", h.peers.address()?);
         }
-        node.members(now, News::Restored, &known);
-        Ok(node)
+        server.members(now, News::Restored, &known);
+        Ok(server)
     }
 }
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -3,7 +3,7 @@
 use crate::api::Micros;
 use crate::arrivals::Occurrence;
 use crate::invariant;
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use crate::net::clients::session::Session;
 use crate::net::event_loop::poll::Key;
 use crate::net::limits::TAKES_ON;
@@ -36,12 +36,12 @@
     }
 }
 
-impl Node {
+impl DispatcherServer {
     pub(in crate::net) fn sweep(&mut self, now: Micros) {
         self.executors.sweep(now, &self.poll);
     }
 
-    pub(in crate::net) fn count(&self) {
+    pub(in crate::net) fn log_counters(&self) {
         let t = &self.dispatch.tally;
         let w = &self.executors.wire;
         let feed = self.feed.as_ref();
@@ -102,7 +102,7 @@
 
     /// SIGHUP: follows the coordinator that the file names now. All that is open stays, and so does the rest of
     /// the configuration, which takes a restart. A file that can't be used changes nothing.
-    pub(in crate::net) fn reread(&mut self, now: Micros) {
+    pub(in crate::net) fn reload_configuration(&mut self, now: Micros) {
         let usable = |c: Config| {
             let coordinator = c.coordinator;
             c.settings.settings().map(|(settings, _)| (coordinator, settings)).map_err(|e| e.to_string())
@@ -132,7 +132,7 @@
 
     /// SIGTERM was noticed. The platform's kill counts from when it came, so what is open is given up by its earliest moment;
     /// new requests may come for a while after it, so they are taken until that has passed since its latest.
-    pub(in crate::net) fn stop(&mut self, came: Occurrence) {
+    pub(in crate::net) fn begin_shutdown(&mut self, came: Occurrence) {
         if self.stopping.is_none() {
             let late_ms = (came.latest - came.earliest) / 1_000;
             tracing::info!(open = self.dispatch.waiting(), late_ms, "SIGTERM");
@@ -142,54 +142,54 @@
     }
 
     /// Whether the dispatcher is at its end; on the way there it takes less and less.
-    pub(in crate::net) fn over(&mut self, now: Micros) -> bool {
+    pub(in crate::net) fn advance_shutdown(&mut self, now: Micros) -> bool {
         let Some(told) = self.stopping else { return false };
         if now >= told.earliest + self.limits.gives_up {
-            self.give_up(now);
+            self.give_up_open_requests(now);
         }
         if now < told.latest + TAKES_ON {
             return false;
         }
         if self.listener.is_some() || self.paused.is_some() {
             // Resting connections first, as in any turn; then the last look at what was written in time.
-            self.read_all(now);
+            self.read_all_clients(now);
             self.stop_accepting(now);
-            self.read_all(now);
-            self.begin_arrived();
+            self.read_all_clients(now);
+            self.begin_arrived_requests();
         }
-        self.let_go(now);
+        self.close_idle_clients(now);
         self.sessions.by_key.is_empty() || now >= told.earliest + self.limits.ends
     }
 
-    fn read_all(&mut self, now: Micros) {
+    fn read_all_clients(&mut self, now: Micros) {
         let all: Vec<Key> = self.sessions.by_key.keys().copied().collect();
-        all.into_iter().for_each(|key| self.read(key, now));
+        all.into_iter().for_each(|key| self.read_client(key, now));
     }
 
     /// Answers all that is open, once; what still comes is refused as it comes.
-    fn give_up(&mut self, now: Micros) {
+    fn give_up_open_requests(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.given_up, true) {
             let orders = self.dispatch.give_up(now);
             self.settle(orders);
-            self.refuse_arrived(now);
+            self.reject_arrived_requests(now);
         }
     }
 
     /// Ends the connections of clients that rest. One that asked in this very moment is read first, and answered.
-    fn let_go(&mut self, now: Micros) {
-        let rests = |s: &Session| s.open.is_none() && s.flushed();
+    fn close_idle_clients(&mut self, now: Micros) {
+        let rests = |s: &Session| s.open.is_none() && s.is_flushed();
         let resting: Vec<Key> =
             self.sessions.by_key.iter().filter(|(_, s)| rests(s)).map(|(k, _)| *k).collect();
         for key in resting {
             let Some(s) = self.sessions.by_key.get(&key) else { continue };
-            match s.dismissed() {
-                true if s.has_crossed(now) && !s.unread() => self.hang_up(key, now),
+            match s.is_closing() {
+                true if s.end_has_settled(now) && !s.has_unread() => self.close_client(key, now),
                 true => {}
-                false if s.unread() && !s.paused() => self.read(key, now),
-                false => self.finish(key, now),
+                false if s.has_unread() && !s.is_paused() => self.read_client(key, now),
+                false => self.finish_client(key, now),
             }
         }
-        self.begin_arrived();
+        self.begin_arrived_requests();
     }
 }
 
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -46,10 +46,10 @@
         let thread = std::thread::spawn(move || {
             let load = || Config::parse("");
             let config = Config::parse(&config).unwrap();
-            let mut node = Node::new(config, Options::default(), signals, load).unwrap();
-            tell.send(node.address).unwrap();
+            let mut server = DispatcherServer::new(config, Options::default(), signals, load).unwrap();
+            tell.send(server.address).unwrap();
             before();
-            node.run().unwrap();
+            server.run().unwrap();
             system_calls::tests::failed()
         });
         let address = told.recv().unwrap();
--- a/src/net/upkeep/calls.rs
+++ b/src/net/upkeep/calls.rs
@@ -3,7 +3,7 @@
 use super::words::{told, word};
 use crate::api::Micros;
 use crate::codec::operator::Call;
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
 use fleet::plan::{self, Command, Plan, Step};
 use std::fmt::Write as _;
@@ -18,7 +18,7 @@
     until: Micros,
 }
 
-impl Node {
+impl DispatcherServer {
     /// Carries out a call on the plan: its answer, or none as long as it waits to be agreed.
     pub(in crate::net) fn plan_call(&mut self, caller: Key, now: Micros, call: Call) -> Option<String> {
         let command = match &call {
--- a/src/net/upkeep/keep.rs
+++ b/src/net/upkeep/keep.rs
@@ -4,14 +4,14 @@
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::dispatch::News;
-use crate::net::Node;
+use crate::net::DispatcherServer;
 use fleet::plan::{self, Command, Machine, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often the plan is looked at.
 const LOOK: Micros = 50_000;
 
-impl Node {
+impl DispatcherServer {
     pub(super) fn plan(&self) -> Option<&Plan> {
         self.in_flight.as_ref()?.takeover.fleet.agreed().map(fleet::Agreed::plan)
     }
