--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -2,7 +2,6 @@
 
 use super::DispatcherServer;
 use super::limits::LEAVE_PATIENCE;
-use super::sockets::listen;
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
 use crate::dispatch::News;
@@ -39,7 +38,11 @@
             Call::Dump => format!("+OK figures\n{}.", self.dump(now)),
             Call::Leave => {
                 if self.leaving.is_none() {
-                    tracing::warn!(clients = self.sessions.by_key.len(), open = self.open.len(), "LEAVE");
+                    tracing::warn!(
+                        clients = self.sessions.by_key.len(),
+                        open = self.requests.open.len(),
+                        "LEAVE"
+                    );
                     self.leaving = Some(now);
                     // A front that asks the client port is told no.
                     self.stop_accepting(now);
@@ -53,7 +56,7 @@
                 }
                 match self.listen_again(now) {
                     Ok(()) => "+OK joined".into(),
-                    Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.address),
+                    Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.listener.address()),
                 }
             }
             Call::Offline(id) => match self.bans.offline(&id, self.targets.contains_key(&id)) {
@@ -82,23 +85,19 @@
 
     /// Listens for clients again, beside any other process on the port.
     pub(super) fn listen_again(&mut self, now: Micros) -> io::Result<()> {
-        if self.listener.is_some() || self.paused.is_some() || self.stopping.is_some() {
+        if !self.listener.is_closed() || self.shutdown.is_requested() {
             return Ok(());
         }
-        let listener = listen::bind_shared(self.address).inspect_err(|e| {
-            tracing::error!(address = %self.address, error = %e, "JOIN: can't listen");
-        })?;
-        let key = self.poll.add(&listener, false)?;
-        self.listener = Some((key, listener));
+        self.listener.reopen(&self.poll)?;
         self.accept_clients(now);
         Ok(())
     }
 
     pub(super) fn readiness(&self) -> Readiness {
-        match (self.stopping, self.leaving) {
-            (Some(_), _) => Readiness::Stopping,
-            (None, Some(_)) => Readiness::Leaving,
-            (None, None) => Readiness::Ready,
+        match (self.shutdown.is_requested(), self.leaving) {
+            (true, _) => Readiness::Stopping,
+            (false, Some(_)) => Readiness::Leaving,
+            (false, None) => Readiness::Ready,
         }
     }
 
@@ -113,7 +112,7 @@
     pub(super) fn dump(&self, now: Micros) -> String {
         let f = &self.figures;
         f.forwards.inc_by(self.executors.wire.forwards.saturating_sub(f.forwards.get()));
-        f.outstanding.set(self.open.len() as i64);
+        f.outstanding.set(self.requests.open.len() as i64);
         let (listed, avoided) = self.dispatch.avoided(now);
         f.discovered.set(listed as i64);
         f.ejected.set(avoided as i64);
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,131 +1,128 @@
-//! Accept control: which clients are let in, and who goes for them.
+//! Which clients are accepted, and which idle ones are closed for them.
 
+use super::CLIENT_BACKOFF;
+use super::session::Session;
 use crate::api::Micros;
 use crate::codec::mysql::Error;
 use crate::net::DispatcherServer;
-use crate::net::clients::session::Session;
 use crate::net::event_loop::poll::Key;
-use crate::net::limits::{ACCEPT_PAUSE, ACCEPTS, BACKLOG, CLIENT_BACKOFF, PATIENCE};
+use crate::net::sockets::listen::BACKLOG;
 use crate::net::sockets::{dial, system_calls};
 use std::io;
+use std::net::TcpStream;
+
+/// Connections accepted in one batch.
+const BATCH: usize = 64;
+/// Batches that empty a full backlog. More would not end under a flood, which fills the backlog as fast as it is emptied.
+const MOST_BATCHES: usize = BACKLOG.div_ceil(BATCH);
+/// A client that has just connected has this long to send something before it may be closed for another one.
+const CONNECT_PATIENCE: Micros = 100_000;
+
+/// Whether the backlog may hold further connections after a batch.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Backlog {
+    MayHoldMore,
+    /// It is empty, or accepting has paused.
+    Done,
+}
 
 impl DispatcherServer {
+    /// Accepts all that wait. A KILL may wait behind any number of other connections, and the request that it ends must
+    /// not begin: so the backlog is emptied before any request begins.
     pub(in crate::net) fn accept_clients(&mut self, now: Micros) {
-        // A KILL may wait behind any number of others, and what it ends must not begin. As many as can wait, and no more:
-        // under a flood new ones would come for ever.
-        for _ in 0..BACKLOG.div_ceil(ACCEPTS) {
-            if !self.accept_batch(now) {
-                return;
+        if self.accept_batches(now) == Backlog::MayHoldMore {
+            self.listener.backlog_since.get_or_insert(self.poll_times.events_since());
+        }
+    }
+
+    fn accept_batches(&mut self, now: Micros) -> Backlog {
+        for _ in 0..MOST_BATCHES {
+            if self.accept_batch(now) == Backlog::Done {
+                return Backlog::Done;
             }
         }
-        self.backlog_since.get_or_insert(self.found_since);
+        Backlog::MayHoldMore
     }
 
-    /// Takes some in; whether there may be more.
-    fn accept_batch(&mut self, now: Micros) -> bool {
-        for _ in 0..ACCEPTS {
-            let Some((_, listener)) = &self.listener else { return false };
-            let stream = match system_calls::accept(listener) {
-                Ok(stream) => stream,
+    fn accept_batch(&mut self, now: Micros) -> Backlog {
+        for _ in 0..BATCH {
+            let Some(socket) = self.listener.socket() else { return Backlog::Done };
+            match system_calls::accept(socket) {
+                Ok(stream) => self.admit_client(stream, now),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.backlog_since = None;
-                    return false;
+                    self.listener.backlog_is_empty();
+                    return Backlog::Done;
                 }
-                Err(e) if system_calls::takes_another(&e) => continue,
-                Err(e) if dial::out_of_descriptors(&e) && self.shed_idle_client(now) => continue,
+                Err(e) if system_calls::takes_another(&e) => {}
+                Err(e) if dial::out_of_descriptors(&e) && self.shed_idle_client(now) => {}
                 Err(e) => {
                     tracing::error!(error = %e, "accept: pausing");
-                    self.pause_accepting(now);
-                    return false;
-                }
-            };
-            let id = self.next_id;
-            self.next_id = self.next_id.wrapping_add(1);
-            let mut scramble = [0; 20];
-            (0u32..).zip(&mut scramble).for_each(|(i, b)| *b = 33 + (id.rotate_left(i) % 90) as u8);
-            let full = self.sessions.served() >= self.descriptors.clients && !self.evict_idle_client(now);
-            // What it wrote may have come as long ago as it can have waited here.
-            let noticed = self.occurrence_noticed_at(now);
-            let came = self.backlog_since.map_or(noticed, |since| noticed.since(since));
-            match Session::new(stream, &self.poll, &self.pool, id, &scramble, came) {
-                Ok(mut s) => {
-                    if full {
-                        self.refused_clients += 1;
-                        let wait = match &mut self.storm {
-                            Some(storm) => storm.connection_refused(CLIENT_BACKOFF),
-                            None => CLIENT_BACKOFF,
-                        };
-                        let text = format!("too many connections: backoff={}", wait.div_ceil(1_000));
-                        s.close_with_error(&Error::new(1040, "08004", text), now);
-                    }
-                    let key = self.sessions.insert(s);
-                    // What the client wrote ahead is read now: its request came before later ones.
-                    self.flush_client(key);
-                    self.read_client(key, now);
-                    self.close_excess_lingering(now);
+                    self.listener.pause(&self.poll, now, self.poll_times.events_since());
+                    return Backlog::Done;
                 }
-                Err(e) => tracing::warn!(client = id, error = %e, "client lost at its start"),
             }
         }
-        true
+        Backlog::MayHoldMore
     }
 
-    pub(in crate::net) fn pause_accepting(&mut self, now: Micros) {
-        // The listener stays readable: it must not be watched meanwhile, or the loop would spin.
-        if let Some((_, listener)) = self.listener.take() {
-            self.poll.remove(&listener);
-            self.paused = Some(listener);
-            self.backlog_since.get_or_insert(self.found_since);
-            self.accept_at = Some(now + ACCEPT_PAUSE);
+    /// Begins a session on a new connection, or refuses it where no client can be closed for it.
+    fn admit_client(&mut self, stream: TcpStream, now: Micros) {
+        let id = self.sessions.take_connection_id();
+        let is_full = self.sessions.served() >= self.descriptors.clients && !self.evict_idle_client(now);
+        // The client's first bytes may have come at any time since the backlog was last empty.
+        let noticed = self.poll_times.occurrence_noticed_at(now);
+        let connected = self.listener.backlog_since.map_or(noticed, |since| noticed.since(since));
+        let mut session = match Session::new(stream, &self.poll, &self.pool, id, &scramble(id), connected) {
+            Ok(session) => session,
+            Err(e) => return tracing::warn!(client = id, error = %e, "client lost at its start"),
+        };
+        if is_full {
+            session.close_with_error(&self.too_many_connections(), now);
         }
+        let key = self.sessions.insert(session);
+        // What the client wrote ahead is read now: its request came before later ones.
+        self.flush_client(key);
+        self.read_client(key, now);
+        self.close_excess_lingering(now);
+    }
+
+    fn too_many_connections(&mut self) -> Error {
+        self.client_counters.refused += 1;
+        let wait = match &mut self.storm {
+            Some(storm) => storm.connection_refused(CLIENT_BACKOFF),
+            None => CLIENT_BACKOFF,
+        };
+        Error::new(1040, "08004", format!("too many connections: backoff={}", wait.div_ceil(1_000)))
     }
 
+    /// Accepts again after a pause.
     pub(in crate::net) fn resume_accepting(&mut self, now: Micros) {
-        let Some(listener) = self.paused.take() else { return };
-        match self.poll.add(&listener, false) {
-            Ok(key) => {
-                self.listener = Some((key, listener));
-                self.accept_clients(now);
-            }
-            Err(e) => {
-                tracing::error!(error = %e, "accept: pausing");
-                self.paused = Some(listener);
-                self.accept_at = Some(now + ACCEPT_PAUSE);
-            }
+        match self.listener.resume(&self.poll, now) {
+            Ok(()) => self.accept_clients(now),
+            Err(e) => tracing::error!(error = %e, "accept: pausing"),
         }
     }
 
-    /// Takes in all that waits and listens no more: what comes later is another process's.
+    /// Accepts all that wait and closes the listener: later connections are another process's. Closing it with
+    /// connections in the backlog would reset them.
     pub(in crate::net) fn stop_accepting(&mut self, now: Micros) {
-        if let Some(listener) = self.paused.take() {
-            self.accept_at = None;
-            self.listener = self.poll.add(&listener, false).ok().map(|key| (key, listener));
-        }
-        // As many as can wait, and no more: under a flood new ones would come for ever.
-        for _ in 0..BACKLOG.div_ceil(ACCEPTS) {
-            if !self.accept_batch(now) {
-                break;
-            }
-        }
-        if let Some((_, listener)) = self.listener.take() {
-            self.poll.remove(&listener);
-        }
-        self.paused = None;
-        self.accept_at = None;
+        self.listener.end_pause(&self.poll);
+        self.accept_batches(now);
+        self.listener.close(&self.poll);
     }
 
     /// Out of descriptors: closes the newest client that has nothing open, unwritten or unread, so that the one
     /// that waits can come in; false if none can be spared.
     pub(in crate::net) fn shed_idle_client(&mut self, now: Micros) -> bool {
-        let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, PATIENCE).map(|_| *k);
+        let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_PATIENCE).map(|_| *k);
         let all = self.sessions.by_key.iter().rev();
         let Some(key) = all.filter_map(spare).find(|k| self.sessions.has_nothing_unread(*k)) else {
             return false;
         };
-        self.shed += 1;
+        self.client_counters.shed += 1;
         tracing::warn!(
             clients = self.sessions.by_key.len(),
-            shed = self.shed,
+            shed = self.client_counters.shed,
             "out of descriptors: newest idle client closed"
         );
         self.close_client(key, now);
@@ -148,13 +145,13 @@
     /// Lets the client go that can be spared best, for another to come in; false if none can.
     pub(in crate::net) fn evict_idle_client(&mut self, now: Micros) -> bool {
         let rank = |(k, s): (&Key, &Session)| {
-            s.eviction_rank(now, PATIENCE).filter(|(r, _)| *r > 0).map(|r| (r, *k))
+            s.eviction_rank(now, CONNECT_PATIENCE).filter(|(r, _)| *r > 0).map(|r| (r, *k))
         };
         let mut idle: Vec<_> = self.sessions.by_key.iter().filter_map(rank).collect();
         idle.sort_unstable();
         let found = idle.into_iter().find(|(_, k)| self.sessions.has_nothing_unread(*k));
         let Some((_, key)) = found else { return false };
-        self.evicted += 1;
+        self.client_counters.evicted += 1;
         self.finish_client(key, now);
         true
     }
@@ -168,3 +165,10 @@
         }
     }
 }
+
+/// Bytes of the login handshake, which are printable and not 0; nothing here checks passwords.
+fn scramble(connection_id: u32) -> [u8; 20] {
+    let mut bytes = [0; 20];
+    (0u32..).zip(&mut bytes).for_each(|(i, byte)| *byte = 33 + (connection_id.rotate_left(i) % 90) as u8);
+    bytes
+}
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -1,6 +1,8 @@
 //! Clients: what is read from them, and who has to go.
 
-pub(in crate::net) mod accept;
+mod accept;
+mod arrival;
+pub(in crate::net) mod listener;
 pub(in crate::net) mod request_intake;
 pub(in crate::net) mod session;
 
@@ -10,9 +12,23 @@
 use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
 
+/// How long a refused client is asked to wait, where no rule says otherwise.
+const CLIENT_BACKOFF: Micros = 200_000;
+
+/// Counters of clients' connections, since the start.
+#[derive(Debug, Clone, Copy, Default)]
+pub(in crate::net) struct ClientCounters {
+    /// Connections refused because there were too many.
+    pub(in crate::net) refused: u64,
+    /// Idle clients closed for new connections.
+    pub(in crate::net) evicted: u64,
+    /// Idle clients closed because descriptors ran out.
+    pub(in crate::net) shed: u64,
+}
+
 impl DispatcherServer {
     pub(in crate::net) fn read_client(&mut self, key: Key, now: Micros) {
-        let noticed = self.occurrence_noticed_at(now);
+        let noticed = self.poll_times.occurrence_noticed_at(now);
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
         // Whatever came is read to its end before any of it counts: behind a request may lie that its client has gone.
         if !s.read(noticed) || !s.read_to_end() || s.has_quit() {
@@ -73,7 +89,7 @@
     }
 
     pub(in crate::net) fn abandon_request(&mut self, request: u64, now: Micros) {
-        if let Some(open) = self.open.remove(&request) {
+        if let Some(open) = self.requests.open.remove(&request) {
             self.log_abandoned(request, &open, now);
         }
         let orders = self.dispatch.report(now, Report::Left(request));
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -1,17 +1,19 @@
 //! Requests: how they come, begin, and are turned away before any decision.
 
+use super::CLIENT_BACKOFF;
+use super::arrival::Arrival;
 use crate::api::{EndReason, Micros};
-use crate::arrivals::{Occurrence, Spaced};
+use crate::arrivals::{KeySpacing, Occurrence};
 use crate::codec::mysql::Error;
 use crate::dispatch::{Answer, Request};
 use crate::net::DispatcherServer;
 use crate::net::clients::session::ClientCommand;
 use crate::net::event_loop::poll::Key;
 use crate::net::executors::Job;
-use crate::net::limits::CLIENT_BACKOFF;
 use crate::operator::figures::Disposition;
 use crate::storm::{self, Verdict};
 use crate::takeover::Gate;
+use std::collections::{BTreeMap, VecDeque};
 
 /// A request that was read and has not begun.
 pub(in crate::net) struct ArrivedRequest {
@@ -20,17 +22,6 @@
     arrival: Arrival,
 }
 
-/// How a request came.
-#[derive(Debug, Clone, Copy)]
-pub(in crate::net) struct Arrival {
-    /// When its last byte came.
-    came: Occurrence,
-    /// Whether it is the first request on its connection.
-    on_new_connection: bool,
-    /// What the one before of its key tells; `None` without a key.
-    spaced: Option<Spaced>,
-}
-
 /// A request that has no answer yet.
 pub(in crate::net) struct OpenRequest {
     pub(in crate::net) client: Key,
@@ -39,6 +30,16 @@
     pub(in crate::net) arrival: Option<Arrival>,
 }
 
+/// All requests that have no answer yet.
+#[derive(Default)]
+pub(in crate::net) struct Requests {
+    /// By id, from the moment when they were read.
+    pub(in crate::net) open: BTreeMap<u64, OpenRequest>,
+    /// Those that were read and have not begun, in the order in which they came.
+    pub(in crate::net) arrived: VecDeque<ArrivedRequest>,
+    key_spacing: KeySpacing,
+}
+
 impl DispatcherServer {
     /// Takes what the client wants, until a request is open or nothing is left.
     pub(in crate::net) fn process_commands(&mut self, key: Key, now: Micros) {
@@ -52,7 +53,7 @@
                     if s.sends_while_open() {
                         return self.reject_second_request(key, now);
                     }
-                    if self.open.contains_key(&id) {
+                    if self.requests.open.contains_key(&id) {
                         s.reject_mistake(&Error::new(1105, "HY000", "a request with this rid is open"), now);
                         continue;
                     }
@@ -70,14 +71,14 @@
     /// Requests that were read begin, in order, unless their clients have gone meanwhile. Once this has taken so long
     /// that more clients may have gone, the rest waits for another look at them.
     pub(in crate::net) fn begin_arrived_requests(&mut self) {
-        if self.given_up {
+        if self.shutdown.gave_up() {
             let now = self.clock.now();
             return self.reject_arrived_requests(now);
         }
-        while let Some(ArrivedRequest { client, mut request, arrival }) = self.arrived.pop_front() {
+        while let Some(ArrivedRequest { client, mut request, arrival }) = self.requests.arrived.pop_front() {
             let now = self.clock.now();
             request.held_back = arrival.held_back(request.budget) > 0;
-            request.budget = arrival.left_of(request.budget, now);
+            request.budget = arrival.remaining_budget(request.budget, now);
             if let Some(job) = self.job_if_client_waits(client, request.id) {
                 self.begin_request(client, request, job, now);
             }
@@ -90,7 +91,7 @@
 
     /// Requests that were read and can't begin any more are refused: they never ran.
     pub(in crate::net) fn reject_arrived_requests(&mut self, now: Micros) {
-        while let Some(ArrivedRequest { client, request, .. }) = self.arrived.pop_front() {
+        while let Some(ArrivedRequest { client, request, .. }) = self.requests.arrived.pop_front() {
             if let Some(job) = self.job_if_client_waits(client, request.id) {
                 self.reject_request(client, &request, &job, CLIENT_BACKOFF, EndReason::Stopping, now);
             }
@@ -100,7 +101,7 @@
     /// What an attempt of a request needs, if its client still waits for it.
     fn job_if_client_waits(&self, client: Key, request: u64) -> Option<Job> {
         let waits = self.sessions.by_key.get(&client).is_some_and(|s| s.open == Some(request));
-        self.open.get(&request).filter(|_| waits).map(|o| o.job.clone())
+        self.requests.open.get(&request).filter(|_| waits).map(|o| o.job.clone())
     }
 
     /// Refuses a request before any decision.
@@ -113,7 +114,7 @@
         reason: EndReason,
         now: Micros,
     ) {
-        self.open.remove(&request.id);
+        self.requests.open.remove(&request.id);
         match self.dispatch.turn_away(request, reason) {
             Ok(()) => {
                 self.figures.ended(&job.kind, Disposition::Declined);
@@ -146,7 +147,7 @@
         match taken {
             Ok(orders) => self.settle(orders),
             Err(e) => {
-                self.open.remove(&id);
+                self.requests.open.remove(&id);
                 self.end_in_flight_unasked(now, id);
                 self.report_client_error(key, e, now);
                 self.process_commands(key, now);
@@ -172,7 +173,7 @@
         on_new_connection: bool,
     ) {
         let key = request.key.filter(|_| self.dispatch.keeps_order(request.class));
-        let spaced = key.map(|key| self.key_spacing.came(key, came, on_new_connection));
+        let spaced = key.map(|key| self.requests.key_spacing.came(key, came, on_new_connection));
         let arrival = Arrival { came, on_new_connection, spaced };
         tracing::debug!(
             request = format_args!("{:016x}", request.id),
@@ -185,8 +186,8 @@
             maybe_held_back_ms = arrival.maybe_held_back_ms(),
             "request read"
         );
-        self.open.insert(request.id, OpenRequest { client, job, arrival: Some(arrival) });
-        self.arrived.push_back(ArrivedRequest { client, request, arrival });
+        self.requests.open.insert(request.id, OpenRequest { client, job, arrival: Some(arrival) });
+        self.requests.arrived.push_back(ArrivedRequest { client, request, arrival });
     }
 
     /// Tells of a request whose client has gone how it came and how far it was: whoever leaves close to the end of its time
@@ -210,34 +211,6 @@
     }
 }
 
-impl Arrival {
-    /// What is left of a budget that its client has waited on since it wanted to send the request.
-    fn left_of(&self, budget: Micros, now: Micros) -> Micros {
-        let here = now.saturating_sub(self.came.earliest);
-        budget.saturating_sub(here).saturating_sub(self.held_back(budget))
-    }
-
-    /// How long its client may have held it back.
-    fn held_back(&self, budget: Micros) -> Micros {
-        self.spaced.map_or(0, |s| s.held_back(self.came, budget))
-    }
-
-    /// How much later it was read than its last byte may have come, in milliseconds.
-    fn late_ms(&self) -> u64 {
-        (self.came.latest - self.came.earliest) / 1_000
-    }
-
-    /// How long after the one before of its key it came, at least.
-    fn after_previous_ms(&self) -> Option<u64> {
-        self.spaced.and_then(|s| s.after_previous).map(|t| t / 1_000)
-    }
-
-    /// The same without regard to its budget, in milliseconds.
-    fn maybe_held_back_ms(&self) -> Option<u64> {
-        self.spaced.map(|s| (self.came.earliest - s.wanted_since) / 1_000)
-    }
-}
-
 /// Who asks, as far as a request tells: repeats bring the same statement under a new id.
 pub(in crate::net) fn asker(job: &Job) -> storm::Asker {
     use std::hash::{DefaultHasher, Hash, Hasher};
--- a/src/net/clients/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -5,15 +5,27 @@
 use std::collections::BTreeMap;
 
 /// The clients' connections, by key and by the id that greetings tell.
-#[derive(Default)]
 pub struct Sessions {
     /// By key at the poller.
     pub by_key: BTreeMap<Key, Session>,
     /// Keys by connection id.
     pub by_id: BTreeMap<u32, Key>,
+    next_connection_id: u32,
 }
 
 impl Sessions {
+    /// None yet. Connection ids count up from `first_connection_id`.
+    pub fn new(first_connection_id: u32) -> Sessions {
+        Sessions { by_key: BTreeMap::new(), by_id: BTreeMap::new(), next_connection_id: first_connection_id }
+    }
+
+    /// The id of the next connection.
+    pub fn take_connection_id(&mut self) -> u32 {
+        let id = self.next_connection_id;
+        self.next_connection_id = id.wrapping_add(1);
+        id
+    }
+
     /// Takes one in.
     pub fn insert(&mut self, s: Session) -> Key {
         let key = s.key;
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -81,11 +81,11 @@
 
     fn ready(&mut self, key: Key, now: Micros) {
         if key == self.signals.0 {
-            let (stop, reread) = self.signals.1.take();
-            if reread {
+            let raised = self.signals.1.take();
+            if raised.reload {
                 tracing::info!("SIGHUP: a member's settings take a restart");
             }
-            if stop && self.stopping.is_none() {
+            if raised.terminate && self.stopping.is_none() {
                 tracing::info!(followers = self.member.followers(), "stopping");
                 self.stopping = Some(now + self.lease);
                 self.member.leave();
--- /dev/null
+++ b/src/net/counters.rs
@@ -0,0 +1,73 @@
+//! The log lines that count what was done since the start.
+
+use crate::invariant;
+use crate::net::DispatcherServer;
+
+impl DispatcherServer {
+    /// Logs the counters of all sides, each since the start.
+    pub(in crate::net) fn log_counters(&self) {
+        let tally = &self.dispatch.tally;
+        let wire = &self.executors.wire;
+        let feed = self.feed.as_ref();
+        tracing::info!(
+            taken = tally.taken,
+            served = tally.served,
+            refused = tally.refused,
+            failed = tally.failed,
+            left = tally.left,
+            open = self.dispatch.waiting(),
+            attempts = tally.attempts,
+            expired = tally.expired,
+            lost = tally.lost,
+            never_sent = tally.never_sent,
+            probes = tally.probes,
+            dials = wire.dials,
+            conns = self.executors.connections(),
+            clients = self.sessions.by_key.len(),
+            clients_refused = self.client_counters.refused,
+            evicted = self.client_counters.evicted,
+            shed = self.client_counters.shed,
+            stray = wire.stray,
+            bad_lines = wire.bad_lines,
+            mute = wire.mute,
+            feed_dials = feed.map_or(0, |f| f.dials),
+            feed_bad_lines = feed.map_or(0, |f| f.bad_lines),
+            free_buffers = self.pool.free(),
+            broken = invariant::broken(),
+            "counters"
+        );
+        tracing::info!(reasons = %tally.ends, "request ends");
+        self.count_in_flight();
+        self.log_storm_counters();
+        self.log_list_counters();
+    }
+
+    fn log_storm_counters(&self) {
+        if let Some(storm) = &self.storm {
+            let tally = storm.tally;
+            tracing::info!(
+                phase = ?storm.phase(),
+                refused = tally.refused,
+                early = tally.early,
+                promised = tally.promised,
+                kept = tally.kept,
+                repeats = tally.repeats,
+                remembered = storm.remembered(),
+                "storm counters"
+            );
+        }
+    }
+
+    fn log_list_counters(&self) {
+        if let Some(tally) = self.lists.as_ref().map(|lists| &lists.tally) {
+            tracing::info!(
+                taken = tally.taken,
+                refused = tally.refused,
+                held = tally.held,
+                unreadable = tally.unreadable,
+                slowest_us = tally.slowest,
+                "list counters"
+            );
+        }
+    }
+}
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -1,53 +1,48 @@
-//! One turn of the loop: in which order what came is heeded.
+//! The event loop: one thread polls all sockets and processes what came in a fixed order.
 //!
-//! All that came is taken in before anything new begins: first signals and the clients' side, so that who has gone is
-//! known, then executors, lists and operators, so that what has ended and who drains is known. Then requests begin
-//! that came in this turn, then what is due by the clock. No attempt begins by an old look at the clients (`executors::look`).
+//! Everything that came is processed before any request begins. Signals and the clients' side go first, so that clients
+//! that have gone are known; then executors, endpoint lists and operators, so that ended attempts and draining executors
+//! are known. Then the requests begin that came in this turn, then what the clock makes due. No attempt begins by an old
+//! look at the clients (`executors::look`).
+//!
+//! - `poll`: readiness of sockets.
+//! - `poll_times`: when the sockets were polled.
+//! - `events`: what happens on one event.
+//! - `schedule`, `timers`: what is due when.
+//! - `event_source`: what the loop has to know of a side with sockets and timers of its own.
 
 pub mod event_source;
+mod events;
 pub mod poll;
+pub(in crate::net) mod poll_times;
+pub(in crate::net) mod schedule;
 pub mod timers;
 
 use crate::api::Micros;
-use crate::arrivals::Occurrence;
 use crate::clock;
 use crate::net::DispatcherServer;
 use crate::net::control_plane::ControlLink;
-use crate::net::limits::{CLIENTS, COUNTERS, SLOW_TURN, STOP_LOOK, SWEEP};
 use crate::net::lists::Lists;
 use crate::net::setup::context;
+use crate::net::shutdown;
 use event_source::EventSource;
-use poll::Key;
 use std::io;
 use std::time::Duration;
 
+/// A turn that works for longer than this, or whose poll oversleeps by more, is logged.
+const SLOW_TURN: Micros = 20_000;
+
 impl DispatcherServer {
-    /// Serves until SIGTERM, then until all that was taken has its answer.
+    /// Serves until SIGTERM, and then until all requests that were taken have their answer.
     pub fn run(&mut self) -> io::Result<()> {
-        // A look takes in all sockets that are ready, however many they are.
+        // One poll shows all sockets that are ready, however many there are.
         let mut events = polling::Events::with_capacity(self.descriptors.most());
         loop {
             let now = self.clock.now();
             if self.advance_shutdown(now) {
                 break;
             }
-            let before = self.clock.now();
-            let wait = self.next_due().saturating_sub(before);
-            self.poll.wait(&mut events, Duration::from_micros(wait)).map_err(context("poller"))?;
-            let woke = self.clock.now();
-            // What came while this process did not look came at any time since it last did.
-            let late = (woke - before).saturating_sub(wait);
-            let worked_before = before.saturating_sub(self.woke);
-            self.found_since = woke.saturating_sub(late + worked_before);
-            self.woke = woke;
-            self.process_events(&events, before);
-            self.begin_arrived_requests();
-            self.tick();
-            self.begin_arrived_requests();
-            let worked = self.clock.now() - woke;
-            if worked > SLOW_TURN || late > SLOW_TURN {
-                tracing::warn!(slept_us = woke - before, wanted_us = wait, worked_us = worked, "slow turn");
-            }
+            self.run_turn(&mut events)?;
         }
         self.leave_fleet(self.clock.last());
         self.leave_control(self.clock.last());
@@ -56,31 +51,50 @@
         Ok(())
     }
 
-    /// Heeds all that came. Clients and signals come first: from then on it is known what clients did up to `before`,
-    /// the moment before the sockets were looked at.
+    /// Polls once and processes what came and what is due.
+    fn run_turn(&mut self, events: &mut polling::Events) -> io::Result<()> {
+        let before = self.clock.now();
+        let wait = self.next_due().saturating_sub(before);
+        self.poll.wait(events, Duration::from_micros(wait)).map_err(context("poller"))?;
+        let polled_at = self.clock.now();
+        let overslept = self.poll_times.polled(before, wait, polled_at);
+        self.process_events(events, before);
+        self.begin_arrived_requests();
+        self.process_timers();
+        self.begin_arrived_requests();
+        let worked = self.clock.now() - polled_at;
+        if worked > SLOW_TURN || overslept > SLOW_TURN {
+            tracing::warn!(slept_us = polled_at - before, wanted_us = wait, worked_us = worked, "slow turn");
+        }
+        Ok(())
+    }
+
+    /// Processes all events of a poll that began at `before`. Signals and clients come first: after them everything is
+    /// known that clients did up to that moment.
     fn process_events(&mut self, events: &polling::Events, before: Micros) {
-        self.tick_in_flight(self.woke);
-        self.tick_control(self.woke);
-        let listening = self.listener.as_ref().map(|(key, _)| *key);
-        if listening.is_some_and(|key| events.iter().all(|e| e.key != key)) {
-            self.backlog_since = None;
+        self.tick_in_flight(self.poll_times.polled_at());
+        self.tick_control(self.poll_times.polled_at());
+        let listener = self.listener.key();
+        if listener.is_some_and(|key| events.iter().all(|event| event.key != key)) {
+            self.listener.backlog_is_empty();
         }
-        let (clients, others): (Vec<_>, Vec<_>) = events.iter().partition(|e| self.is_client_side(e.key));
-        // Resting connections before new ones: of two requests of a key the one on a new connection is the later one, as the
+        let (clients, others): (Vec<_>, Vec<_>) =
+            events.iter().partition(|event| self.is_client_side(event.key));
+        // Known connections before new ones: of two requests of a key the one on a new connection is the later one, as the
         // next after such a one comes no sooner than 250 ms (protocol).
-        let (new, resting): (Vec<_>, Vec<_>) = clients.into_iter().partition(|e| Some(e.key) == listening);
-        resting.into_iter().chain(new).for_each(|e| self.process_event(e));
+        let (new, known): (Vec<_>, Vec<_>) =
+            clients.into_iter().partition(|event| Some(event.key) == listener);
+        known.into_iter().chain(new).for_each(|event| self.process_event(event));
         self.executors.looked(before);
-        // At once: on little processor time all that is heeded first would make the look old again.
+        // At once: with little processor time the other events would take so long that the look were too old again.
         self.executors.begin_waiting(&self.poll);
-        others.into_iter().for_each(|e| self.process_event(e));
-        // Whoever fell silent is judged by what is known, not by how long this process took to see it.
-        self.heard_until = before;
+        others.into_iter().for_each(|event| self.process_event(event));
+        self.poll_times.processed_until = before;
     }
 
-    /// Heeds one socket. Answers that are due wait for this one at most, not for all that is ready in the turn.
+    /// Processes one event. Answers that are due wait for this one at most, not for all events of the turn.
     fn process_event(&mut self, event: polling::Event) {
-        self.ready(event.key, event.readable, event.writable);
+        self.dispatch_event(event);
         self.expire_due_requests();
     }
 
@@ -93,12 +107,6 @@
         }
     }
 
-    /// Whether a key is of the signals, the clients' listener or a client.
-    fn is_client_side(&self, key: Key) -> bool {
-        let listens = self.listener.as_ref().is_some_and(|(k, _)| *k == key);
-        listens || key == self.signals.0 || self.sessions.by_key.contains_key(&key)
-    }
-
     /// The sides that have sockets and timers of their own.
     fn event_sources(&self) -> impl Iterator<Item = &dyn EventSource> {
         let feed = self.feed.as_ref().map(|f| f as &dyn EventSource);
@@ -107,104 +115,57 @@
         std::iter::once(&self.executors as &dyn EventSource).chain(feed).chain(operators).chain(in_flight)
     }
 
+    /// When the next turn has something to do without any event.
     fn next_due(&self) -> Micros {
-        if self.executors.waits_for_look() || !self.arrived.is_empty() {
+        if self.executors.waits_for_look() || !self.requests.arrived.is_empty() {
             return self.clock.last();
         }
-        let lists = self.lists.as_ref().filter(|l| l.pending()).map(|_| self.clock.last());
+        let lists = self.lists.as_ref().filter(|lists| lists.pending()).map(|_| self.clock.last());
         let event_sources = self.event_sources().map(EventSource::next_due);
         let control = self.control.as_ref().map(ControlLink::next_due);
-        let due = [self.dispatch.next_due(), self.accept_at, lists, control].into_iter().chain(event_sources);
-        // While stopping, a look every now and then is near enough to each of its limits.
-        let own = if self.stopping.is_some() { self.clock.last() + STOP_LOOK } else { self.clients_at };
-        due.flatten().fold(own, Micros::min)
+        let due = [self.dispatch.next_due(), self.listener.resume_at(), lists, control];
+        let longest_sleep = if self.shutdown.is_requested() {
+            self.clock.last() + shutdown::POLL_INTERVAL
+        } else {
+            self.schedule.clients.due_at()
+        };
+        due.into_iter().chain(event_sources).flatten().fold(longest_sleep, Micros::min)
     }
 
-    /// When something came that is noticed now. Whatever this turn did before it noticed does not count for it.
-    pub(in crate::net) fn occurrence_noticed_at(&self, now: Micros) -> Occurrence {
-        Occurrence::between(self.found_since, now)
-    }
-
-    fn ready(&mut self, key: Key, readable: bool, writable: bool) {
-        let now = self.clock.now();
-        if self.listener.as_ref().is_some_and(|(k, _)| *k == key) {
-            self.accept_clients(now);
-        } else if key == self.signals.0 {
-            let (stop, reread) = self.signals.1.take();
-            if reread {
-                self.reload_configuration(now);
-            }
-            if stop {
-                self.begin_shutdown(self.occurrence_noticed_at(now));
-            }
-        } else if self.operators.as_ref().is_some_and(|o| o.owns(key)) {
-            let lines = self.operators.as_mut().map(|o| o.ready(key, now, &self.poll)).unwrap_or_default();
-            for (caller, line) in lines {
-                let asked = tracing::enabled!(tracing::Level::DEBUG).then(|| format!("{line:?}"));
-                let answer = self.call(caller, now, line);
-                if let Some(asked) = asked {
-                    let answer = answer.as_ref().and_then(|a| a.lines().next());
-                    tracing::debug!(asked, answer, "operator call");
-                }
-                if let (Some(o), Some(answer)) = (&mut self.operators, answer) {
-                    o.answer(caller, &answer, &self.poll);
-                }
-            }
-        } else if self.feed.as_ref().is_some_and(|f| f.owns(key)) {
-            let updates = self.feed.as_mut().map(|f| f.ready(key, now, &self.poll));
-            updates.into_iter().flatten().for_each(|update| self.update(now, update));
-        } else if self.lists.as_ref().is_some_and(|l| l.owns(key)) {
-            self.with_lists(now, |lists, _| lists.ready(now));
-        } else if self.in_flight.as_ref().is_some_and(|h| h.owns(key)) {
-            if let Some(h) = &mut self.in_flight {
-                h.peers.ready(key, now, &self.poll);
-            }
-            self.move_in_flight(now);
-        } else if self.control.as_ref().is_some_and(|c| c.owns(key)) {
-            self.control_ready(now);
-        } else if self.executors.owns(key) {
-            self.executors.ready(key, readable, writable, now, &self.poll);
-            self.settle(Vec::new());
-        } else if self.sessions.by_key.contains_key(&key) {
-            if readable {
-                self.read_client(key, now);
-            }
-            if writable {
-                self.flush_client(key);
-            }
-        }
-    }
-
-    fn tick(&mut self) {
+    /// Does what the clock makes due.
+    fn process_timers(&mut self) {
         let now = self.clock.now();
         let orders = self.dispatch.tick(now);
         self.settle(orders);
-        let heard_until = self.heard_until;
-        self.executors.tick(heard_until, &self.poll);
+        let processed_until = self.poll_times.processed_until;
+        self.executors.tick(processed_until, &self.poll);
         self.settle(Vec::new());
         if let Some(feed) = &mut self.feed {
-            feed.tick(heard_until, &self.poll);
+            feed.tick(processed_until, &self.poll);
         }
         self.free_descriptors(now);
         if self.lists.as_ref().is_some_and(Lists::pending) {
             self.with_lists(now, |_, _| ());
         }
-        if self.accept_at.is_some_and(|t| t <= now) {
-            self.accept_at = None;
+        if self.listener.resume_at().is_some_and(|at| at <= now) {
             self.resume_accepting(now);
         }
-        if let Some(o) = &mut self.operators {
-            o.tick(now, &self.poll);
+        if let Some(operators) = &mut self.operators {
+            operators.tick(now, &self.poll);
         }
-        if let Some(h) = &mut self.in_flight {
-            h.tick(now, &self.poll);
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.tick(now, &self.poll);
         }
         self.tick_in_flight(now);
         self.keep_plan(now);
         self.tick_control(now);
         self.tick_policy(now);
-        if self.clients_at <= now {
-            self.clients_at = now + CLIENTS;
+        self.run_periodic_work(now);
+    }
+
+    /// Does what the schedule has due.
+    fn run_periodic_work(&mut self, now: Micros) {
+        if self.schedule.clients.take_due(now) {
             self.wall.observe(now, clock::unix());
             self.bans_file.try_again(&self.bans);
             self.process_client_timers(now);
@@ -212,12 +173,10 @@
             self.watch_storm(now);
             self.with_lists(now, |lists, executors| lists.tick(now, &|uid| executors.busy(uid)));
         }
-        if self.sweep_at <= now {
-            self.sweep_at = now + SWEEP;
-            self.sweep(now);
+        if self.schedule.sweep.take_due(now) {
+            self.executors.sweep(now, &self.poll);
         }
-        if self.counters_at <= now {
-            self.counters_at = now + COUNTERS;
+        if self.schedule.counters.take_due(now) {
             self.log_counters();
         }
     }
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -74,7 +74,7 @@
             held_back: false,
         };
         let job = Job { kind, statement: statement.into(), token: None };
-        self.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
+        self.requests.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
         let under = self.rules.as_ref().filter(|r| r.part.number() != record.policy);
         let under = under.and_then(|r| r.under(record.policy));
         match self.dispatch.adopt(now, &request, record.tried.len(), under) {
@@ -85,7 +85,7 @@
                     error = e,
                     "fleet: not taken over"
                 );
-                self.open.remove(&record.rid);
+                self.requests.open.remove(&record.rid);
                 self.end_in_flight_unasked(now, record.rid);
                 Vec::new()
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,9 +1,21 @@
 //! The dispatcher on real sockets: one loop, clients on one side, executors and the coordinator on the other.
+//!
+//! - `setup`: how a [`DispatcherServer`] comes to be.
+//! - `event_loop`: the order in which everything is done.
+//! - `clients`: clients' connections, and what becomes of a request until the decisions have it.
+//! - `executors`: connections to executors, and the attempts on them.
+//! - `feed`, `lists`: where the endpoint list comes from.
+//! - `orders`: what the decisions want, carried out.
+//! - `operator`, `calls`, `bans_file`, `upkeep`: operators' calls and what they change.
+//! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: dispatchers that know each other, and the control group.
+//! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
+//! - `sockets`: what all sides need of sockets.
 
 mod bans_file;
 mod calls;
 mod clients;
 pub mod control_plane;
+mod counters;
 pub mod event_loop;
 mod executors;
 mod feed;
@@ -16,6 +28,7 @@
 mod policy;
 mod policy_calls;
 mod policy_status;
+mod reload;
 mod rules;
 mod setup;
 mod shutdown;
@@ -27,7 +40,6 @@
 mod tests;
 
 use crate::api::Micros;
-use crate::arrivals::{KeySpacing, Occurrence};
 use crate::clock::{BootTimes, Clock, WallClock};
 use crate::codec::coordinator::Target;
 use crate::dispatch::Dispatch;
@@ -37,10 +49,14 @@
 use crate::settings::config::{Config, ConfigError};
 use crate::storm::Storm;
 use bans_file::BansFile;
-use clients::request_intake::{ArrivedRequest, OpenRequest};
+use clients::ClientCounters;
+use clients::listener::ClientListener;
+use clients::request_intake::Requests;
 use clients::session::Sessions;
 use control_plane::ControlLink;
 use event_loop::poll::{Key, Poll};
+use event_loop::poll_times::PollTimes;
+use event_loop::schedule::Schedule;
 use executors::{Executors, Rows};
 use feed::Feed;
 use in_flight::InFlight;
@@ -51,77 +67,53 @@
 use signals::Signals;
 use sockets::buffers::Pool;
 use sockets::descriptors::Descriptors;
-use std::collections::{BTreeMap, VecDeque};
-use std::net::{SocketAddr, TcpListener};
+use std::collections::BTreeMap;
 
-/// A dispatcher that is set up and has not begun to serve.
+/// Reads the configuration, when SIGHUP asks for it again.
+pub type LoadConfig = fn() -> Result<Config, ConfigError>;
+
+/// A dispatcher: its listener takes connections from [`DispatcherServer::new`] on, and [`DispatcherServer::run`] serves.
 pub struct DispatcherServer {
     poll: Poll,
+    poll_times: PollTimes,
+    schedule: Schedule,
     clock: Clock,
     wall: WallClock,
-    /// Starts of executors that the list told, by this process's clock.
+    /// When executors started, as the endpoint list says, by this process's clock.
     boots: BootTimes,
     pool: Pool,
+    descriptors: Descriptors,
     names: Names,
     dispatch: Dispatch<Rows>,
+    listener: ClientListener,
     sessions: Sessions,
+    client_counters: ClientCounters,
+    /// Requests that have no answer yet.
+    requests: Requests,
     executors: Executors,
-    /// The coordinator's, unless lists from files stand instead of it.
+    /// The connection to the coordinator, unless endpoint lists from files stand instead of it.
     feed: Option<Feed>,
     lists: Option<Lists>,
     storm: Option<Storm>,
-    /// Work in hand on the record of a fleet, where our settings name peers.
+    /// Replicated requests of a fleet, where our settings name peers.
     in_flight: Option<InFlight>,
-    /// The member of a control group that is followed, where our settings name one.
+    /// The connection to a member of the control group, where our settings name one.
     control: Option<ControlLink>,
-    /// What all admit requests by, where our settings say that it is agreed on.
+    /// The policy by which all dispatchers admit requests, where our settings say that it is agreed on.
     rules: Option<Rules>,
-    /// Requests that have no answer yet, by id.
-    open: BTreeMap<u64, OpenRequest>,
-    key_spacing: KeySpacing,
-    /// Requests that were read and have not begun, in order.
-    arrived: VecDeque<ArrivedRequest>,
-    listener: Option<(Key, TcpListener)>,
-    /// The listener while accepting pauses.
-    paused: Option<TcpListener>,
     signals: (Key, Signals),
-    /// Reads the configuration again.
-    load: fn() -> Result<Config, ConfigError>,
-    descriptors: Descriptors,
-    limits: Shutdown,
-    next_id: u32,
-    accept_at: Option<Micros>,
-    /// When the sockets were last looked at.
-    woke: Micros,
-    /// What was found there came no sooner than this: it was not there at the look before.
-    found_since: Micros,
-    /// All that executors and the coordinator said up to this moment has been heeded.
-    heard_until: Micros,
-    /// Since when connections may wait unaccepted: the listener was left before it was empty.
-    backlog_since: Option<Micros>,
-    sweep_at: Micros,
-    clients_at: Micros,
-    counters_at: Micros,
-    /// When SIGTERM came, once it was heeded.
-    stopping: Option<Occurrence>,
-    given_up: bool,
-    refused_clients: u64,
-    /// Idle clients closed for others to come in.
-    evicted: u64,
-    /// Idle clients closed because descriptors ran out.
-    shed: u64,
+    load_config: LoadConfig,
+    shutdown: Shutdown,
     /// The operators' address, where the configuration names one.
     operators: Option<Operators>,
     /// Since when `LEAVE` holds, until `JOIN`.
     leaving: Option<Micros>,
     figures: Figures,
     bans: Bans,
-    /// Where bans are handed to the next process.
+    /// The file that hands bans to the next process.
     bans_file: BansFile,
-    /// Where clients connect; the listener is closed while leaving, and bound here again on `JOIN`.
-    address: SocketAddr,
-    /// The last that the list said of each executor on it, by uid.
+    /// The last entry of each executor on the endpoint list, by uid.
     targets: BTreeMap<String, Target>,
-    /// When executors on the list were let back by hand, in milliseconds.
+    /// When executors on the list were let back by `ONLINE`, by uid, in milliseconds.
     onlined: BTreeMap<String, u64>,
 }
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -1,8 +1,9 @@
 //! What the decisions want, carried out; and what they are told of executors.
 
+use super::DispatcherServer;
+use super::clients::request_intake::OpenRequest;
 use super::executors::{Executors, Rows};
 use super::lists::{self, Lists};
-use super::{DispatcherServer, OpenRequest};
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
@@ -31,7 +32,7 @@
         match order {
             Order::Start { ticket, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
-                let Some(job) = self.open.get(&ticket.request).map(|o| o.job.clone()) else {
+                let Some(job) = self.requests.open.get(&ticket.request).map(|o| o.job.clone()) else {
                     return self.executors.reports.push_back(Report::Ended(ticket, End::NeverSent, None));
                 };
                 if !self.may_send(now, ticket, executor) {
@@ -45,7 +46,9 @@
             Order::Past(request, served, never_ran) => self.past(now, request, served, never_ran),
             Order::Probe(executor) => self.executors.probe(executor, now, &self.poll),
             Order::Answer(request, mut answer) => {
-                let Some(OpenRequest { client: key, job, .. }) = self.open.remove(&request) else { return };
+                let Some(OpenRequest { client: key, job, .. }) = self.requests.open.remove(&request) else {
+                    return;
+                };
                 self.end_in_flight(now, request, &answer);
                 self.figures.ended(
                     &job.kind,
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -74,8 +74,8 @@
     fn hold_for_policy(&mut self, rid: u64, request: Option<Request>) {
         let Some(rules) = &mut self.rules else { return };
         // Those whose clients have left go: as many wait as are open, and no more.
-        if rules.held.len() > self.open.len() + 1_024 {
-            rules.held.retain(|h| self.open.contains_key(&h.rid));
+        if rules.held.len() > self.requests.open.len() + 1_024 {
+            rules.held.retain(|h| self.requests.open.contains_key(&h.rid));
         }
         rules.tally[0] += 1;
         rules.held.push_back(Held { rid, request });
@@ -178,7 +178,7 @@
         }
         let held = self.rules.as_mut().map(|r| std::mem::take(&mut r.held));
         for Held { rid, request } in held.unwrap_or_default() {
-            let Some(job) = self.open.get(&rid).map(|o| o.job.clone()) else { continue };
+            let Some(job) = self.requests.open.get(&rid).map(|o| o.job.clone()) else { continue };
             let orders = match (door, request) {
                 (Some(Door::Refuse), _) => {
                     let answer = self.no_policy();
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -1,108 +1,104 @@
-//! How a dispatcher is set up.
+//! How a dispatcher is set up, from its configuration to a listener that takes connections.
 
-use super::DispatcherServer;
 use super::bans_file::BansFile;
+use super::clients::ClientCounters;
+use super::clients::listener::ClientListener;
+use super::clients::request_intake::Requests;
+use super::clients::session::Sessions;
 use super::control_plane::ControlLink;
+use super::event_loop::poll::Poll;
+use super::event_loop::poll_times::PollTimes;
+use super::event_loop::schedule::Schedule;
 use super::executors::Executors;
 use super::feed::Feed;
 use super::in_flight::{Classes, InFlight};
-use super::limits::{CLIENTS, COUNTERS, KEPT_PART, LONGEST_WAIT, SWEEP};
 use super::lists::Lists;
 use super::operator::Operators;
 use super::rules::Rules;
-use super::shutdown::Shutdown;
+use super::shutdown::{Shutdown, ShutdownDeadlines};
 use super::signals::Signals;
-use super::sockets::listen;
-use crate::api::Micros;
-use crate::arrivals::KeySpacing;
+use super::sockets::buffers::Pool;
+use super::sockets::descriptors::Descriptors;
+use super::{DispatcherServer, LoadConfig};
+use crate::api::{Micros, Settings};
 use crate::clock::{BootTimes, Clock, WallClock};
+use crate::codec::coordinator::Target;
 use crate::dispatch::{Dispatch, News};
 use crate::membership::check::Catalog;
-use crate::net::clients::session::Sessions;
-use crate::net::event_loop::poll::Poll;
-use crate::net::sockets::buffers::Pool;
-use crate::net::sockets::descriptors::Descriptors;
 use crate::operator::figures::Figures;
-use crate::settings::config::{Config, ConfigError};
-use crate::settings::options::Options;
+use crate::settings::config::Config;
+use crate::settings::options::{self, Options};
 use crate::storm::{self, Storm};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::io;
+use std::net::SocketAddr;
 
+/// Free buffers are kept up to this part of the memory that the configuration allows.
+const BUFFER_MEMORY_DIVISOR: f64 = 8.0;
+/// The longest wait that clients honour, where neither the settings nor the configuration say it.
+const DEFAULT_LONGEST_WAIT: Micros = 1_000_000;
+
+/// Puts what was attempted before an error's text.
 pub(super) fn context<E: Display>(what: &str) -> impl Fn(E) -> io::Error + '_ {
     move |e| io::Error::other(format!("{what}: {e}"))
 }
 
 impl DispatcherServer {
-    /// Sets a dispatcher up: from here on its address takes connections.
-    /// `load` reads the configuration again when SIGHUP asks for it.
+    /// Sets a dispatcher up: from here on its address takes connections. `load_config` reads the configuration again when
+    /// SIGHUP asks for it.
     pub fn new(
         config: Config,
         options: Options,
         signals: Signals,
-        load: fn() -> Result<Config, ConfigError>,
+        load_config: LoadConfig,
     ) -> io::Result<DispatcherServer> {
         let seed = config.seed();
-        let operator = config.operator().map_err(context("configuration: operator"))?;
+        let operator_address = config.operator().map_err(context("configuration: operator"))?;
         let transport = config.settings.transport().map_err(context("configuration"))?;
         let (settings, names) = config.settings.settings().map_err(context("configuration"))?;
         let catalog = Catalog::of(&settings, &names);
-        let storm = options.storms.map(|o| {
-            let honoured = o.longest_wait.map(|d| d.as_micros() as Micros).or(settings.max_retry_after);
-            let (longest_wait, ramp) = (honoured.unwrap_or(LONGEST_WAIT), settings.cold.ramp);
-            Storm::new(
-                storm::Terms { longest_wait, repeats: o.repeats, remembered: o.remembered, ramp },
-                seed,
-            )
-        });
-        let limits = Shutdown::of(settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0));
-        let classes = options.peers.as_ref().map(|_| Classes::of(&settings, &names));
-        let policy_terms = match (&options.control, &options.peers) {
-            (Some(control), _) => Some((control.policy, control.timing.follower_lease / 1_000)),
-            (None, Some(peers)) => peers.policy.map(|p| (p, peers.lease.as_millis() as u64)),
-            (None, None) => None,
-        };
-        let base = policy_terms.map(|_| settings.clone());
+        let storm = options.storms.as_ref().map(|storms| new_storm(storms, &settings, seed));
+        let shutdown = Shutdown::new(shutdown_deadlines(&settings));
+        let classes = Classes::of(&settings, &names);
+        let agreed = agreed_policy(&options);
+        let base_settings = settings.clone();
         let mut dispatch =
             Dispatch::new(settings, transport.most_held, seed).map_err(context("configuration"))?;
+
+        let mut clock = Clock::default();
         let poll = Poll::new().map_err(context("poller"))?;
-        let listen_at = config.listen;
-        let listener = listen::bind_shared(listen_at).map_err(context(&format!("listen on {listen_at}")))?;
-        let (listener_key, address) = (poll.add(&listener, false)?, listener.local_addr()?);
+        let listener = ClientListener::bind(config.listen, &poll, clock.now())
+            .map_err(context(&format!("listen on {}", config.listen)))?;
         let signal_key = poll.add(&signals.stream, false)?;
-        let pool = Pool::new((config.limits.memory_mb / KEPT_PART * 1024.0 * 1024.0) as usize);
+        let pool = Pool::new((config.limits.memory_mb / BUFFER_MEMORY_DIVISOR * 1024.0 * 1024.0) as usize);
         let descriptors = Descriptors::of(config.limits.sockets);
-        let operators = match operator {
-            Some(at) => Some(
-                Operators::bind(at, descriptors.callers, &poll, &pool)
-                    .map_err(context(&format!("listen on {at}")))?,
-            ),
-            None => None,
-        };
+        let operators = bind_operators(operator_address, &descriptors, &poll, &pool)?;
         let figures = Figures::new();
-        names.classes.keys().for_each(|c| figures.class(c));
+        names.classes.keys().for_each(|class| figures.class(class));
         let bans_file = BansFile::of(&std::env::temp_dir(), &config.name);
         let bans = bans_file.handed_over();
-        let mut clock = Clock::default();
+
         let now = clock.now();
-        let in_flight = match (&options.peers, classes) {
-            (Some(o), Some(classes)) => {
-                dispatch.follow_left();
-                let in_flight = InFlight::start(o, classes, seed, now, &poll);
-                Some(in_flight.map_err(context(&format!("peers: listen on {}", o.listen)))?)
-            }
-            _ => None,
-        };
+        let in_flight = start_in_flight(options.peers.as_ref(), classes, seed, now, &poll)?;
+        if in_flight.is_some() {
+            dispatch.follow_left();
+        }
         let control = options.control.as_ref().map(|c| ControlLink::new(c, &config.name, seed ^ now, now));
         let me = in_flight.as_ref().map_or(0, InFlight::me);
-        let rules =
-            policy_terms.zip(base).map(|((terms, backoff_ms), base)| Rules::new(terms, me, backoff_ms, base));
+        let rules = agreed.map(|(terms, backoff_ms)| Rules::new(terms, me, backoff_ms, base_settings));
+        // Connection ids start anywhere: a KILL meant for another incarnation or dispatcher must not hit.
+        let first_connection_id = (seed ^ (seed >> 32) ^ now) as u32;
         let mut server = DispatcherServer {
             poll,
+            poll_times: PollTimes::new(now),
+            schedule: Schedule::new(now),
             names,
             dispatch,
-            sessions: Sessions::default(),
+            listener,
+            sessions: Sessions::new(first_connection_id),
+            client_counters: ClientCounters::default(),
+            requests: Requests::default(),
             executors: Executors::new(transport, descriptors.executors, seed, &pool, clock.clone()),
             feed: Some(Feed::new(config.coordinator, config.known.index)),
             lists: None,
@@ -110,37 +106,15 @@
             in_flight,
             control,
             rules,
-            open: BTreeMap::new(),
-            key_spacing: KeySpacing::default(),
-            arrived: VecDeque::new(),
-            listener: Some((listener_key, listener)),
-            paused: None,
             signals: (signal_key, signals),
-            load,
+            load_config,
             descriptors,
-            limits,
-            // Connection ids start anywhere: a KILL meant for another life or dispatcher must not hit.
-            next_id: (seed ^ (seed >> 32) ^ now) as u32,
-            accept_at: None,
-            // The listener is there since before this.
-            woke: now,
-            found_since: now,
-            heard_until: now,
-            backlog_since: Some(now),
-            sweep_at: now + SWEEP,
-            clients_at: now + CLIENTS,
-            counters_at: now + COUNTERS,
-            stopping: None,
-            given_up: false,
-            refused_clients: 0,
-            evicted: 0,
-            shed: 0,
+            shutdown,
             operators,
             leaving: None,
             figures,
             bans,
             bans_file,
-            address,
             targets: BTreeMap::new(),
             onlined: BTreeMap::new(),
             pool,
@@ -148,23 +122,89 @@
             wall: WallClock::default(),
             boots: BootTimes::default(),
         };
-        let mut known = config.known.targets();
-        if let Some(lists) = options.lists {
-            let mut lists = Lists::start(lists, catalog, &known, now, &server.poll)?;
-            known = lists.take(usize::MAX);
-            if !lists.follows_feed() {
-                server.feed = None;
-            }
-            server.lists = Some(lists);
+        let known = server.start_lists(options.lists, catalog, config.known.targets(), now)?;
+        server.log_addresses(&config.name, known.len())?;
+        server.members(now, News::Restored, &known);
+        Ok(server)
+    }
+
+    /// Starts the endpoint lists from files, where the settings name some. Returns the endpoints to begin with: those of
+    /// the lists, or else `known` of the coordinator.
+    fn start_lists(
+        &mut self,
+        lists: Option<options::Lists>,
+        catalog: Catalog,
+        known: Vec<Target>,
+        now: Micros,
+    ) -> io::Result<Vec<Target>> {
+        let Some(lists) = lists else { return Ok(known) };
+        let mut lists = Lists::start(lists, catalog, &known, now, &self.poll)?;
+        let known = lists.take(usize::MAX);
+        if !lists.follows_feed() {
+            self.feed = None;
         }
-        tracing::info!(name = config.name, executors = known.len(), "{} listens on {address}", config.name);
-        if let Some(o) = &server.operators {
-            tracing::info!("operators' address {}", o.address()?);
+        self.lists = Some(lists);
+        Ok(known)
+    }
+
+    fn log_addresses(&self, name: &str, executors: usize) -> io::Result<()> {
+        tracing::info!(name, executors, "{name} listens on {}", self.listener.address());
+        if let Some(operators) = &self.operators {
+            tracing::info!("operators' address {}", operators.address()?);
         }
-        if let Some(h) = &server.in_flight {
-            tracing::info!("peers' address {}", h.peers.address()?);
+        if let Some(in_flight) = &self.in_flight {
+            tracing::info!("peers' address {}", in_flight.peers.address()?);
         }
-        server.members(now, News::Restored, &known);
-        Ok(server)
+        Ok(())
+    }
+}
+
+fn new_storm(storms: &options::Storms, settings: &Settings, seed: u64) -> Storm {
+    let honoured = storms.longest_wait.map(|d| d.as_micros() as Micros).or(settings.max_retry_after);
+    let terms = storm::Terms {
+        longest_wait: honoured.unwrap_or(DEFAULT_LONGEST_WAIT),
+        repeats: storms.repeats,
+        remembered: storms.remembered,
+        ramp: settings.cold.ramp,
+    };
+    Storm::new(terms, seed)
+}
+
+fn shutdown_deadlines(settings: &Settings) -> ShutdownDeadlines {
+    ShutdownDeadlines::new(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
+}
+
+/// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in milliseconds:
+/// the time that a lease takes to run out. A control group goes before peers; `None` where nothing is agreed on.
+fn agreed_policy(options: &Options) -> Option<(options::PolicyTerms, u64)> {
+    if let Some(control) = &options.control {
+        return Some((control.policy, control.timing.follower_lease / 1_000));
     }
+    let peers = options.peers.as_ref()?;
+    Some((peers.policy?, peers.lease.as_millis() as u64))
+}
+
+fn bind_operators(
+    address: Option<SocketAddr>,
+    descriptors: &Descriptors,
+    poll: &Poll,
+    pool: &Pool,
+) -> io::Result<Option<Operators>> {
+    let Some(address) = address else { return Ok(None) };
+    Operators::bind(address, descriptors.callers, poll, pool)
+        .map(Some)
+        .map_err(context(&format!("listen on {address}")))
+}
+
+fn start_in_flight(
+    peers: Option<&options::Peers>,
+    classes: Classes,
+    seed: u64,
+    now: Micros,
+    poll: &Poll,
+) -> io::Result<Option<InFlight>> {
+    let Some(peers) = peers else { return Ok(None) };
+    InFlight::start(peers, classes, seed, now, poll)
+        .map(Some)
+        .map_err(context(&format!("peers: listen on {}", peers.listen)))
 }
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -1,164 +1,126 @@
-//! Housekeeping: counters, SIGHUP, and the way to the end after SIGTERM.
+//! The way from SIGTERM to the end of the process.
+//!
+//! | since SIGTERM | what happens to requests |
+//! | --- | --- |
+//! | at once | new ones are still taken, their budget is cut to what is left until the give-up |
+//! | [`ACCEPT_REQUESTS_FOR`] | the backlog is accepted and read once more, the listener is closed |
+//! | from then on | a client connection that is idle is closed |
+//! | [`ShutdownDeadlines::give_up_after`] | whatever is open gets its final answer: refused if it never ran, else failed |
+//! | [`ShutdownDeadlines::end_after`], or once no client is left | the process ends |
 
 use crate::api::Micros;
 use crate::arrivals::Occurrence;
-use crate::invariant;
 use crate::net::DispatcherServer;
 use crate::net::clients::session::Session;
 use crate::net::event_loop::poll::Key;
-use crate::net::limits::TAKES_ON;
-use crate::settings::config::Config;
 
-/// The platform kills no sooner after SIGTERM than the longest deadline and this.
-const KILLED_AFTER: Micros = 700_000;
-/// A longer deadline is taken as this.
+/// The platform kills the process no sooner after SIGTERM than the longest deadline of any class and this.
+const KILL_MARGIN: Micros = 700_000;
+/// The platform takes a longer deadline as this.
 const LONGEST_DEADLINE: Micros = 3_000_000;
-/// What is open is given up so long before the kill, and the end comes so long before it.
-const GIVE_UP_AHEAD: Micros = 600_000;
-const END_AHEAD: Micros = 300_000;
+/// Open requests are given up this long before the kill: their answers have to be written by then.
+const GIVE_UP_BEFORE_KILL: Micros = 600_000;
+/// The process ends this long before the kill.
+const END_BEFORE_KILL: Micros = 300_000;
+/// New requests are taken for this long after SIGTERM: the platform lets connections come for 0.4 s and requests on open
+/// ones for 0.2 s more, and loses nothing that arrives after 0.7 s.
+const ACCEPT_REQUESTS_FOR: Micros = 700_000;
+/// The longest sleep of the event loop during the shutdown, whose time limits have no timers of their own.
+pub(in crate::net) const POLL_INTERVAL: Micros = 20_000;
 
-/// What is left of a dispatcher's time after SIGTERM.
+/// Time limits of the shutdown, as spans since SIGTERM in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::net) struct Shutdown {
-    /// When what is open is given up.
-    pub(in crate::net) gives_up: Micros,
-    /// The end, whoever is still connected.
-    pub(in crate::net) ends: Micros,
+pub(in crate::net) struct ShutdownDeadlines {
+    /// When open requests are given up.
+    pub(in crate::net) give_up_after: Micros,
+    /// When the process ends, whoever is still connected.
+    pub(in crate::net) end_after: Micros,
 }
 
-impl Shutdown {
+impl ShutdownDeadlines {
     /// For the longest deadline of any class.
-    pub(in crate::net) fn of(longest_deadline: Micros) -> Shutdown {
-        let killed = longest_deadline.min(LONGEST_DEADLINE) + KILLED_AFTER;
+    pub(in crate::net) fn new(longest_deadline: Micros) -> ShutdownDeadlines {
+        let kill_after = longest_deadline.min(LONGEST_DEADLINE) + KILL_MARGIN;
         // A request that came while new ones were taken has a moment at least.
-        let gives_up = (killed - GIVE_UP_AHEAD).max(TAKES_ON);
-        Shutdown { gives_up, ends: (killed - END_AHEAD).max(gives_up) }
+        let give_up_after = (kill_after - GIVE_UP_BEFORE_KILL).max(ACCEPT_REQUESTS_FOR);
+        ShutdownDeadlines { give_up_after, end_after: (kill_after - END_BEFORE_KILL).max(give_up_after) }
     }
 }
 
-impl DispatcherServer {
-    pub(in crate::net) fn sweep(&mut self, now: Micros) {
-        self.executors.sweep(now, &self.poll);
+/// How far the shutdown is.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::net) struct Shutdown {
+    deadlines: ShutdownDeadlines,
+    /// When SIGTERM came, once it was noticed. The platform's kill counts from when it came, so that deadlines count from
+    /// the earliest moment, and the time in which requests are still taken from the latest.
+    requested: Option<Occurrence>,
+    /// Whether open requests have been given up; requests that are read from then on are refused.
+    gave_up: bool,
+}
+
+impl Shutdown {
+    /// Before any SIGTERM.
+    pub(in crate::net) fn new(deadlines: ShutdownDeadlines) -> Shutdown {
+        Shutdown { deadlines, requested: None, gave_up: false }
     }
 
-    pub(in crate::net) fn log_counters(&self) {
-        let t = &self.dispatch.tally;
-        let w = &self.executors.wire;
-        let feed = self.feed.as_ref();
-        tracing::info!(
-            taken = t.taken,
-            served = t.served,
-            refused = t.refused,
-            failed = t.failed,
-            left = t.left,
-            open = self.dispatch.waiting(),
-            attempts = t.attempts,
-            expired = t.expired,
-            lost = t.lost,
-            never_sent = t.never_sent,
-            probes = t.probes,
-            dials = w.dials,
-            conns = self.executors.connections(),
-            clients = self.sessions.by_key.len(),
-            clients_refused = self.refused_clients,
-            evicted = self.evicted,
-            shed = self.shed,
-            stray = w.stray,
-            bad_lines = w.bad_lines,
-            mute = w.mute,
-            feed_dials = feed.map_or(0, |f| f.dials),
-            feed_bad_lines = feed.map_or(0, |f| f.bad_lines),
-            free_buffers = self.pool.free(),
-            broken = invariant::broken(),
-            "counters"
-        );
-        tracing::info!(reasons = %t.ends, "request ends");
-        self.count_in_flight();
-        if let Some(s) = &self.storm {
-            let t = s.tally;
-            tracing::info!(
-                phase = ?s.phase(),
-                refused = t.refused,
-                early = t.early,
-                promised = t.promised,
-                kept = t.kept,
-                repeats = t.repeats,
-                remembered = s.remembered(),
-                "storm counters"
-            );
-        }
-        if let Some(l) = self.lists.as_ref().map(|l| &l.tally) {
-            let (taken, refused, held) = (l.taken, l.refused, l.held);
-            tracing::info!(
-                taken,
-                refused,
-                held,
-                unreadable = l.unreadable,
-                slowest_us = l.slowest,
-                "list counters"
-            );
-        }
+    /// Whether SIGTERM was noticed.
+    pub(in crate::net) fn is_requested(&self) -> bool {
+        self.requested.is_some()
     }
 
-    /// SIGHUP: follows the coordinator that the file names now. All that is open stays, and so does the rest of
-    /// the configuration, which takes a restart. A file that can't be used changes nothing.
-    pub(in crate::net) fn reload_configuration(&mut self, now: Micros) {
-        let usable = |c: Config| {
-            let coordinator = c.coordinator;
-            c.settings.settings().map(|(settings, _)| (coordinator, settings)).map_err(|e| e.to_string())
-        };
-        match (self.load)().map_err(|e| e.to_string()).and_then(usable) {
-            Ok((coordinator, settings)) => {
-                self.figures.sighup_applied.inc();
-                tracing::info!(%coordinator, "SIGHUP: configuration read again");
-                // Where the fleet holds one policy, a file at one dispatcher changes nothing of it.
-                if let Some(rules) = self.rules.as_ref().filter(|r| r.base != settings) {
-                    let number = rules.part.number();
-                    tracing::warn!(number, "SIGHUP: the file's settings differ; the fleet's policy holds");
-                }
-                if let Some(feed) = &mut self.feed {
-                    feed.move_to(coordinator, now, &self.poll);
-                }
-                if let Some(lists) = &self.lists {
-                    lists.look();
-                }
-            }
-            Err(e) => {
-                self.figures.sighup_rejected.inc();
-                tracing::error!(error = e.replace('\n', " "), "SIGHUP: the old configuration stays");
-            }
-        }
+    /// Whether open requests have been given up.
+    pub(in crate::net) fn gave_up(&self) -> bool {
+        self.gave_up
+    }
+
+    fn has_to_give_up(&self, now: Micros) -> bool {
+        self.requested.is_some_and(|at| now >= at.earliest + self.deadlines.give_up_after)
     }
 
-    /// SIGTERM was noticed. The platform's kill counts from when it came, so what is open is given up by its earliest moment;
-    /// new requests may come for a while after it, so they are taken until that has passed since its latest.
+    fn accepts_requests(&self, now: Micros) -> bool {
+        self.requested.is_none_or(|at| now < at.latest + ACCEPT_REQUESTS_FOR)
+    }
+
+    fn has_to_end(&self, now: Micros) -> bool {
+        self.requested.is_some_and(|at| now >= at.earliest + self.deadlines.end_after)
+    }
+}
+
+impl DispatcherServer {
+    /// SIGTERM was noticed; a further one changes nothing.
     pub(in crate::net) fn begin_shutdown(&mut self, came: Occurrence) {
-        if self.stopping.is_none() {
-            let late_ms = (came.latest - came.earliest) / 1_000;
-            tracing::info!(open = self.dispatch.waiting(), late_ms, "SIGTERM");
-            self.stopping = Some(came);
-            self.dispatch.ends_at(came.earliest + self.limits.gives_up);
+        if self.shutdown.is_requested() {
+            return;
         }
+        let late_ms = (came.latest - came.earliest) / 1_000;
+        tracing::info!(open = self.dispatch.waiting(), late_ms, "SIGTERM");
+        self.shutdown.requested = Some(came);
+        self.dispatch.ends_at(came.earliest + self.shutdown.deadlines.give_up_after);
     }
 
-    /// Whether the dispatcher is at its end; on the way there it takes less and less.
+    /// Does what the shutdown has due by now. Returns whether the dispatcher is at its end.
     pub(in crate::net) fn advance_shutdown(&mut self, now: Micros) -> bool {
-        let Some(told) = self.stopping else { return false };
-        if now >= told.earliest + self.limits.gives_up {
+        if self.shutdown.has_to_give_up(now) {
             self.give_up_open_requests(now);
         }
-        if now < told.latest + TAKES_ON {
+        if self.shutdown.accepts_requests(now) {
             return false;
         }
-        if self.listener.is_some() || self.paused.is_some() {
-            // Resting connections first, as in any turn; then the last look at what was written in time.
-            self.read_all_clients(now);
-            self.stop_accepting(now);
-            self.read_all_clients(now);
-            self.begin_arrived_requests();
+        if !self.listener.is_closed() {
+            self.take_last_requests(now);
         }
         self.close_idle_clients(now);
-        self.sessions.by_key.is_empty() || now >= told.earliest + self.limits.ends
+        self.sessions.by_key.is_empty() || self.shutdown.has_to_end(now)
+    }
+
+    /// Takes what was written in time and closes the listener. Clients are read before it, as in any turn, and after it, as
+    /// accepting takes time.
+    fn take_last_requests(&mut self, now: Micros) {
+        self.read_all_clients(now);
+        self.stop_accepting(now);
+        self.read_all_clients(now);
+        self.begin_arrived_requests();
     }
 
     fn read_all_clients(&mut self, now: Micros) {
@@ -166,27 +128,31 @@
         all.into_iter().for_each(|key| self.read_client(key, now));
     }
 
-    /// Answers all that is open, once; what still comes is refused as it comes.
+    /// Answers all open requests, once. Whatever is read later is refused as it comes.
     fn give_up_open_requests(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.given_up, true) {
-            let orders = self.dispatch.give_up(now);
-            self.settle(orders);
-            self.reject_arrived_requests(now);
+        if std::mem::replace(&mut self.shutdown.gave_up, true) {
+            return;
         }
+        let orders = self.dispatch.give_up(now);
+        self.settle(orders);
+        self.reject_arrived_requests(now);
     }
 
-    /// Ends the connections of clients that rest. One that asked in this very moment is read first, and answered.
+    /// Ends the connections of idle clients. One that asked in this very moment is read first, and answered.
     fn close_idle_clients(&mut self, now: Micros) {
-        let rests = |s: &Session| s.open.is_none() && s.is_flushed();
-        let resting: Vec<Key> =
-            self.sessions.by_key.iter().filter(|(_, s)| rests(s)).map(|(k, _)| *k).collect();
-        for key in resting {
-            let Some(s) = self.sessions.by_key.get(&key) else { continue };
-            match s.is_closing() {
-                true if s.end_has_settled(now) && !s.has_unread() => self.close_client(key, now),
-                true => {}
-                false if s.has_unread() && !s.is_paused() => self.read_client(key, now),
-                false => self.finish_client(key, now),
+        let is_idle = |session: &Session| session.open.is_none() && session.is_flushed();
+        let idle: Vec<Key> =
+            self.sessions.by_key.iter().filter(|(_, s)| is_idle(s)).map(|(key, _)| *key).collect();
+        for key in idle {
+            let Some(session) = self.sessions.by_key.get(&key) else { continue };
+            if session.is_closing() {
+                if session.end_has_settled(now) && !session.has_unread() {
+                    self.close_client(key, now);
+                }
+            } else if session.has_unread() && !session.is_paused() {
+                self.read_client(key, now);
+            } else {
+                self.finish_client(key, now);
             }
         }
         self.begin_arrived_requests();
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -6,10 +6,10 @@
     // and what is unanswered by then is lost.
     #[test]
     fn all_is_answered_before_the_platform_kills(longest in 0..60_000_000u64) {
-        let s = Shutdown::of(longest);
-        let killed = longest.min(3_000_000) + 700_000;
-        prop_assert!(s.gives_up >= TAKES_ON && s.gives_up <= s.ends);
-        // Nothing is taken past `TAKES_ON`, so that with the shortest deadlines all is over by itself.
-        prop_assert!(s.ends < killed || killed < TAKES_ON + END_AHEAD, "{:?}", s);
+        let deadlines = ShutdownDeadlines::new(longest);
+        let kill_after = longest.min(3_000_000) + 700_000;
+        prop_assert!(deadlines.give_up_after >= ACCEPT_REQUESTS_FOR && deadlines.give_up_after <= deadlines.end_after);
+        // Nothing is taken past `ACCEPT_REQUESTS_FOR`, so that with the shortest deadlines all is over by itself.
+        prop_assert!(deadlines.end_after < kill_after || kill_after < ACCEPT_REQUESTS_FOR + END_BEFORE_KILL, "{:?}", deadlines);
     }
 }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -10,8 +10,17 @@
 /// Caught signals; a byte on the stream wakes the loop.
 pub struct Signals {
     pub(super) stream: UnixStream,
-    stop: Arc<AtomicBool>,
-    reread: Arc<AtomicBool>,
+    terminate: Arc<AtomicBool>,
+    reload: Arc<AtomicBool>,
+}
+
+/// Signals raised since they were last taken; several of a kind count as one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct Raised {
+    /// SIGTERM: shut down.
+    pub(super) terminate: bool,
+    /// SIGHUP: read the configuration again.
+    pub(super) reload: bool,
 }
 
 impl Signals {
@@ -19,8 +28,8 @@
     pub fn new() -> io::Result<Signals> {
         let (stream, write) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
-        let signals = Signals { stream, stop: Arc::default(), reread: Arc::default() };
-        for (signal, raised) in [(SIGTERM, &signals.stop), (SIGHUP, &signals.reread)] {
+        let signals = Signals { stream, terminate: Arc::default(), reload: Arc::default() };
+        for (signal, raised) in [(SIGTERM, &signals.terminate), (SIGHUP, &signals.reload)] {
             // Handlers run in this order: the flag stands before the loop wakes.
             flag::register(signal, raised.clone())?;
             pipe::register(signal, write.try_clone()?)?;
@@ -33,16 +42,16 @@
     pub(super) fn raised_by_hand() -> io::Result<(Signals, Arc<AtomicBool>, UnixStream)> {
         let (stream, write) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
-        let signals = Signals { stream, stop: Arc::default(), reread: Arc::default() };
-        let stop = signals.stop.clone();
-        Ok((signals, stop, write))
+        let signals = Signals { stream, terminate: Arc::default(), reload: Arc::default() };
+        let terminate = signals.terminate.clone();
+        Ok((signals, terminate, write))
     }
 
-    /// Empties the stream; whether to stop, and whether to reread. Many of a kind come to one.
-    pub(super) fn take(&mut self) -> (bool, bool) {
+    /// Empties the stream and takes what was raised.
+    pub(super) fn take(&mut self) -> Raised {
         let mut bytes = [0; 64];
         while matches!(self.stream.read(&mut bytes), Ok(n) if n == bytes.len()) {}
         let raised = |flag: &AtomicBool| flag.swap(false, Ordering::SeqCst);
-        (raised(&self.stop), raised(&self.reread))
+        Raised { terminate: raised(&self.terminate), reload: raised(&self.reload) }
     }
 }
--- a/src/net/sockets/listen.rs
+++ b/src/net/sockets/listen.rs
@@ -1,9 +1,11 @@
 //! Listening sockets.
 
-use crate::net::limits::BACKLOG;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
+/// How many connections may wait to be accepted.
+pub(in crate::net) const BACKLOG: usize = 1024;
+
 /// Listens on the client address, beside a process of the next version during an upgrade (`SO_REUSEPORT`).
 pub fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address, true)
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -11,6 +11,7 @@
 use standins::feed::Feed;
 use standins::scripted::{Client, Got, Launch, Quiet, target};
 use std::io::Write;
+use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -47,7 +48,7 @@
             let load = || Config::parse("");
             let config = Config::parse(&config).unwrap();
             let mut server = DispatcherServer::new(config, Options::default(), signals, load).unwrap();
-            tell.send(server.address).unwrap();
+            tell.send(server.listener.address()).unwrap();
             before();
             server.run().unwrap();
             system_calls::tests::failed()
