--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -73,6 +73,7 @@
     customer: Option<Customer>,
     #[serde(default)]
     order_key: Option<u64>,
+    #[serde(rename = "grace")]
     time_budget: f64,
     #[serde(default)]
     estimate: Option<f64>,
@@ -109,6 +110,7 @@
     ending: u64,
     wait_time: f64,
     #[serde(default)]
+    #[serde(rename = "bill")]
     reported_cost: Option<u64>,
     #[serde(default)]
     stats: Option<StatsIn>,
