--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,9 +1,9 @@
 //! Which clients are accepted, and which idle ones are closed for them.
 
 use super::CLIENT_BACKOFF;
+use super::client_error::ClientError;
 use super::session::Session;
 use crate::api::Micros;
-use crate::codec::mysql::Error;
 use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
 use crate::net::sockets::listen::BACKLOG;
@@ -13,7 +13,8 @@
 
 /// Connections accepted in one batch.
 const BATCH: usize = 64;
-/// Batches that empty a full backlog. More would not end under a flood, which fills the backlog as fast as it is emptied.
+/// Batches that empty a full backlog. More would not end under a flood, which fills the backlog as fast as it is
+/// emptied.
 const MOST_BATCHES: usize = BACKLOG.div_ceil(BATCH);
 /// A client that has just connected has this long to send something before it may be closed for another one.
 const CONNECT_PATIENCE: Micros = 100_000;
@@ -27,8 +28,8 @@
 }
 
 impl DispatcherServer {
-    /// Accepts all that wait. A KILL may wait behind any number of other connections, and the request that it ends must
-    /// not begin: so the backlog is emptied before any request begins.
+    /// Accepts all that wait. A KILL may wait behind any number of other connections, and the request that it ends
+    /// must not begin: so the backlog is emptied before any request begins.
     pub(in crate::net) fn accept_clients(&mut self, now: Micros) {
         if self.accept_batches(now) == Backlog::MayHoldMore {
             self.listener.backlog_since.get_or_insert(self.poll_times.events_since());
@@ -77,7 +78,7 @@
             Err(e) => return tracing::warn!(client = id, error = %e, "client lost at its start"),
         };
         if is_full {
-            session.close_with_error(&self.too_many_connections(), now);
+            session.close_with_error(self.too_many_connections(), now);
         }
         let key = self.sessions.insert(session);
         // What the client wrote ahead is read now: its request came before later ones.
@@ -86,13 +87,13 @@
         self.close_excess_lingering(now);
     }
 
-    fn too_many_connections(&mut self) -> Error {
+    fn too_many_connections(&mut self) -> ClientError {
         self.client_counters.refused += 1;
         let wait = match &mut self.storm {
             Some(storm) => storm.connection_refused(CLIENT_BACKOFF),
             None => CLIENT_BACKOFF,
         };
-        Error::new(1040, "08004", format!("too many connections: backoff={}", wait.div_ceil(1_000)))
+        ClientError::TooManyConnections { backoff_ms: wait.div_ceil(1_000) }
     }
 
     /// Accepts again after a pause.
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -1,10 +1,11 @@
-//! Requests: how they come, begin, and are turned away before any decision.
+//! From a client's statement to the decisions: a request is read, waits for the end of what came in this turn, and
+//! begins.
 
 use super::CLIENT_BACKOFF;
 use super::arrival::Arrival;
+use super::client_error::ClientError;
 use crate::api::{EndReason, Micros};
 use crate::arrivals::{KeySpacing, Occurrence};
-use crate::codec::mysql::Error;
 use crate::dispatch::{Answer, Request};
 use crate::net::DispatcherServer;
 use crate::net::clients::session::ClientCommand;
@@ -14,6 +15,7 @@
 use crate::storm::{self, Verdict};
 use crate::takeover::Gate;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Display;
 
 /// A request that was read and has not begun.
 pub(in crate::net) struct ArrivedRequest {
@@ -41,25 +43,25 @@
 }
 
 impl DispatcherServer {
-    /// Takes what the client wants, until a request is open or nothing is left.
+    /// Processes what a client sent, command by command, until a request is open or nothing whole is left.
     pub(in crate::net) fn process_commands(&mut self, key: Key, now: Micros) {
-        while let Some(s) = self.sessions.by_key.get_mut(&key) {
-            match s.next_command(&self.names, now) {
+        while let Some(session) = self.sessions.by_key.get_mut(&key) {
+            match session.next_command(&self.names, now) {
                 None => break,
                 Some(ClientCommand::Close) => return self.close_client(key, now),
                 Some(ClientCommand::Kill(id)) => self.kill_request(key, id, now),
                 Some(ClientCommand::Request(mut request, job)) => {
                     let id = request.id;
-                    if s.sends_while_open() {
+                    if session.sends_while_open() {
                         return self.reject_second_request(key, now);
                     }
                     if self.requests.open.contains_key(&id) {
-                        s.reject_mistake(&Error::new(1105, "HY000", "a request with this rid is open"), now);
+                        session.reject_mistake(ClientError::DuplicateRequestId, now);
                         continue;
                     }
-                    s.open = Some(id);
-                    let came = s.received();
-                    let on_new_connection = s.is_first_request();
+                    session.open = Some(id);
+                    let came = session.received();
+                    let on_new_connection = session.take_first_request();
                     self.cap(&mut request);
                     self.enqueue_arrived(key, request, job, came, on_new_connection);
                 }
@@ -68,8 +70,8 @@
         self.flush_client(key);
     }
 
-    /// Requests that were read begin, in order, unless their clients have gone meanwhile. Once this has taken so long
-    /// that more clients may have gone, the rest waits for another look at them.
+    /// Begins the requests that were read, in order, unless their clients have gone meanwhile. Once this has taken so
+    /// long that more clients may have gone, the others wait for the next poll.
     pub(in crate::net) fn begin_arrived_requests(&mut self) {
         if self.shutdown.gave_up() {
             let now = self.clock.now();
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Requests that were read and can't begin any more are refused: they never ran.
+    /// Refuses the requests that were read and can't begin any more: they never ran.
     pub(in crate::net) fn reject_arrived_requests(&mut self, now: Micros) {
         while let Some(ArrivedRequest { client, request, .. }) = self.requests.arrived.pop_front() {
             if let Some(job) = self.job_if_client_waits(client, request.id) {
@@ -118,8 +120,8 @@
         match self.dispatch.turn_away(request, reason) {
             Ok(()) => {
                 self.figures.ended(&job.kind, Disposition::Declined);
-                if let Some(s) = self.sessions.by_key.get_mut(&key) {
-                    s.answer(&Answer::Refused(wait.div_ceil(1_000)));
+                if let Some(session) = self.sessions.by_key.get_mut(&key) {
+                    session.answer(&Answer::Refused(wait.div_ceil(1_000)));
                 }
             }
             Err(e) => self.report_client_error(key, e, now),
@@ -127,6 +129,7 @@
         self.process_commands(key, now);
     }
 
+    /// Hands a request to the decisions, unless a retry storm or the fleet answers it or holds it.
     fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
         let storm = self.storm.as_mut().map(|s| s.ask(now, asker(&job), request.repeated));
@@ -155,15 +158,15 @@
         }
     }
 
-    /// A request that can't be one is its client's mistake.
-    fn report_client_error(&mut self, key: Key, why: &'static str, now: Micros) {
-        if let Some(s) = self.sessions.by_key.get_mut(&key) {
-            s.open = None;
-            s.reject_mistake(&Error::new(1105, "HY000", why), now);
+    /// Answers a request that the decisions do not accept as one: a mistake of its client's.
+    fn report_client_error(&mut self, key: Key, why: impl Display, now: Micros) {
+        if let Some(session) = self.sessions.by_key.get_mut(&key) {
+            session.open = None;
+            session.reject_mistake(ClientError::NotAccepted(why.to_string()), now);
         }
     }
 
-    /// Notes how a request came; it begins once all that came in this turn has been heeded.
+    /// Queues a request with how it came. It begins once everything that came in this turn has been processed.
     fn enqueue_arrived(
         &mut self,
         client: Key,
@@ -190,8 +193,8 @@
         self.requests.arrived.push_back(ArrivedRequest { client, request, arrival });
     }
 
-    /// Tells of a request whose client has gone how it came and how far it was: whoever leaves close to the end of its time
-    /// was answered too late.
+    /// Logs how an abandoned request came and how far it was: a client that leaves close to the end of its budget
+    /// would have been answered too late.
     pub(in crate::net) fn log_abandoned(&self, id: u64, open: &OpenRequest, now: Micros) {
         let Some(progress) = self.dispatch.progress(now, id) else { return };
         let arrival = open.arrival.as_ref();
@@ -211,7 +214,7 @@
     }
 }
 
-/// Who asks, as far as a request tells: repeats bring the same statement under a new id.
+/// A fingerprint of a request's client, for retry storms: a repeat brings the same statement under a new id.
 pub(in crate::net) fn asker(job: &Job) -> storm::Asker {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -3,6 +3,7 @@
 use super::Session;
 use crate::codec::mysql::{Error, Server};
 use crate::dispatch::Answer;
+use crate::net::clients::client_error::ClientError;
 use crate::net::event_loop::poll::Poll;
 use crate::net::sockets::buffers::Block;
 use std::net::Shutdown;
@@ -20,24 +21,17 @@
     }
 
     /// Answers with an error.
-    pub fn answer_error(&mut self, error: &Error) {
-        self.write_packets(|s, out| s.error(error, out));
+    pub fn answer_error(&mut self, error: impl Into<Error>) {
+        let error = error.into();
+        self.write_packets(|s, out| s.error(&error, out));
     }
 
     /// Gives the open request its final answer.
     pub fn answer(&mut self, answer: &Answer<Vec<Block>>) {
-        (self.open, self.errors_in_a_row) = (None, 0);
+        (self.open, self.mistakes_in_a_row) = (None, 0);
         match answer {
-            Answer::Refused(ms) => {
-                self.answer_error(&Error::new(
-                    1203,
-                    "42000",
-                    format!("refused, try again later: backoff={ms}"),
-                ));
-            }
-            Answer::Failed => {
-                self.answer_error(&Error::new(1105, "HY000", "failed; whether it ran is not known"))
-            }
+            Answer::Refused(ms) => self.answer_error(ClientError::Refused { backoff_ms: *ms }),
+            Answer::Failed => self.answer_error(ClientError::Failed),
             Answer::Served(pages) => {
                 self.write_packets(|s, out| s.columns(&["c1", "c2", "c3"], out));
                 for page in pages {
--- a/src/net/clients/session/leaving.rs
+++ b/src/net/clients/session/lifecycle.rs
@@ -1,32 +1,34 @@
-//! What time does to a client's connection, and how it ends.
+//! Time limits of a client's connection, and how it ends.
 
 use super::Session;
 use crate::api::Micros;
 use crate::codec::mysql::Error;
+use crate::net::clients::client_error::ClientError;
 use crate::net::sockets::system_calls;
 
-/// A client has this long from its connect to bring a first request whole.
-const FIRST: Micros = 2_000_000;
-/// What came of a message in part has to be whole within this time.
-const PART: Micros = 1_500_000;
-/// A client that was told to go has this long to read the last bytes.
-const LINGER: Micros = 1_000_000;
-/// A request that crosses the end of its connection does so within this time, says the protocol.
-const CROSSING: Micros = 50_000;
-/// A client that takes nothing off its answer for this long is let go.
-const STUCK: Micros = 30_000_000;
+/// From its connect a client has this long to send a first whole command.
+const FIRST_COMMAND_TIMEOUT: Micros = 2_000_000;
+/// A packet that came in part has to be whole within this time.
+const PARTIAL_PACKET_TIMEOUT: Micros = 1_500_000;
+/// A client whose connection closes has this long to read the last bytes.
+const LINGER_TIMEOUT: Micros = 1_000_000;
+/// The protocol's bound on how long after our end a request of the client's may still come, which it sent before.
+const CROSSING_TIME: Micros = 50_000;
+/// A client that reads nothing of its answer for this long is disconnected.
+const WRITE_TIMEOUT: Micros = 30_000_000;
 
 impl Session {
-    /// Takes nothing more from the client; it goes once it has read what was answered.
-    pub fn close_with_error(&mut self, error: &Error, now: Micros) {
-        self.write_packets(|s, out| s.error(error, out));
+    /// Answers with an error and takes nothing more from the client; the connection closes once that is written.
+    pub fn close_with_error(&mut self, error: impl Into<Error>, now: Micros) {
+        self.answer_error(error);
         self.closing_since.get_or_insert(now);
     }
 
-    /// What time does to it: pauses end, and what is owed for too long ends it. False if it has to be closed.
+    /// Ends a pause that is over, and the session of a client that owes something for too long. False if the
+    /// connection has to be closed at once.
     pub fn tick(&mut self, now: Micros) -> bool {
         if let Some(since) = self.closing_since {
-            return now < since + LINGER;
+            return now < since + LINGER_TIMEOUT;
         }
         if self.paused_until.is_some_and(|t| t <= now) {
             self.paused_until = None;
@@ -34,31 +36,31 @@
         if self.open.is_some() {
             return true;
         }
-        let late = !self.sent_command && now > self.connected_at + FIRST;
-        if late || self.partial_since.is_some_and(|t| now > t + PART) {
-            self.close_with_error(&Error::new(1159, "08S01", "no whole request in time"), now);
+        let late = !self.sent_command && now > self.connected_at + FIRST_COMMAND_TIMEOUT;
+        if late || self.partial_since.is_some_and(|t| now > t + PARTIAL_PACKET_TIMEOUT) {
+            self.close_with_error(ClientError::Timeout, now);
         }
-        self.is_flushed() || now < self.active_at + STUCK
+        self.is_flushed() || now < self.active_at + WRITE_TIMEOUT
     }
 
-    /// After `LEAVE`: whether it can be let go now. Nothing is open or here in part, and it asked something
+    /// Whether it may be closed after `LEAVE`: no request is open or here in part, and the client sent a command
     /// already, or had `patience` to.
     pub fn may_close(&self, now: Micros, patience: Micros) -> bool {
         let rests = self.open.is_none() && self.closing_since.is_none() && self.inbox.bytes().is_empty();
         rests && (self.sent_command || now > self.connected_at + patience)
     }
 
-    /// Takes nothing more from the client, without a word: it closes once what was answered is written.
+    /// Takes nothing more from the client; the connection closes once what was answered is written.
     pub fn finish(&mut self, now: Micros) {
         self.closing_since.get_or_insert(now);
     }
 
-    /// Whether its end has been written for so long that whatever crossed it is here.
+    /// Whether its end was written so long ago that whatever crossed it has arrived.
     pub fn end_has_settled(&self, now: Micros) -> bool {
-        self.write_side_closed && self.closing_since.is_some_and(|t| now > t + 2 * CROSSING)
+        self.write_side_closed && self.closing_since.is_some_and(|t| now > t + 2 * CROSSING_TIME)
     }
 
-    /// Whether it was told to go.
+    /// Whether nothing more is taken from it.
     pub fn is_closing(&self) -> bool {
         self.closing_since.is_some()
     }
@@ -73,14 +75,15 @@
         self.closing_since
     }
 
-    /// Whether something came that was not read, or its end did.
+    /// Whether the socket holds bytes that were not read, or the client's end.
     pub fn has_unread(&self) -> bool {
         !matches!(system_calls::peek(&self.stream), Ok(None))
     }
 
-    /// Whether it could go for another, and how dear it is: first those told to go, then those that said nothing for
-    /// `patience`, then those longest idle. Never one with anything open, unwritten or here in part; whether anything
-    /// is [unread](Session::unread) is to be asked besides.
+    /// How soon it is closed to make room, the lowest first; `None` if it may not be. First come those that are
+    /// closing, then those that sent no command within `patience`, then the others, of each the longest idle. Never
+    /// one with anything open, unwritten or here in part; whether the socket [holds more](Session::has_unread) has to
+    /// be asked besides.
     pub fn eviction_rank(&self, now: Micros, patience: Micros) -> Option<(u8, Micros)> {
         let rests = self.open.is_none() && self.is_flushed();
         if let Some(since) = self.closing_since.filter(|t| rests && now > *t + patience) {
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -1,12 +1,14 @@
 //! A client's connection.
 //!
 //! - `statements`: what a client's statement means.
+//! - `request`: a request, as a statement's comment describes it.
 //! - `answers`: what is written to it.
-//! - `leaving`: what time does to it, and how it ends.
+//! - `lifecycle`: its time limits, and how it ends.
 //! - `sessions`: all of them.
 
 mod answers;
-mod leaving;
+mod lifecycle;
+mod request;
 mod sessions;
 mod statements;
 
@@ -24,12 +26,14 @@
 use std::io;
 use std::net::TcpStream;
 
-/// A client that was told to go may send on so much while it reads the last bytes.
-const WASTE: usize = 256 * 1024;
-/// After an error of its own a client is not read for this long, twice as long after each further one; after
-/// so many in a row it has to go.
-const PAUSE: Micros = 10_000;
-const ERRORS: u32 = 8;
+/// Bytes that a client may send after its connection was closed for it, while it reads the last answer.
+const MOST_DISCARDED: usize = 256 * 1024;
+/// After a mistake a client is not read for this long, in microseconds, and twice as long after each further one.
+const MISTAKE_PAUSE: Micros = 10_000;
+/// After so many mistakes in a row its connection closes.
+const MOST_MISTAKES: u32 = 8;
+/// A statement that is here in part: the packet header and the command byte.
+const PACKET_HEAD: usize = 5;
 
 /// What a client wants that the session can't answer by itself.
 #[derive(Debug)]
@@ -53,7 +57,7 @@
     outbox: Outbox,
     /// The request that is open.
     pub open: Option<u64>,
-    /// When anything last happened on it.
+    /// When anything was last read from it or answered on it.
     pub active_at: Micros,
     /// When it connected.
     connected_at: Micros,
@@ -61,25 +65,28 @@
     unread_since: Option<Micros>,
     /// When the bytes that were read last came.
     received: Occurrence,
-    /// Since when its next message has been here in part.
+    /// Since when a part of its next packet has been here.
     partial_since: Option<Micros>,
-    /// Whether it ever brought a request or command whole, beside its login.
+    /// Whether it ever sent a whole command beside its login.
     sent_command: bool,
-    /// Whether it ever brought a request.
+    /// Whether it ever sent a request.
     sent_request: bool,
-    /// Errors of its own in a row, and until when it is not read for them.
-    errors_in_a_row: u32,
+    /// Mistakes of the client's in a row.
+    mistakes_in_a_row: u32,
+    /// Until when it is not read, after a mistake.
     paused_until: Option<Micros>,
-    /// Since when nothing more is taken from it; it closes once all is written and read.
+    /// Since when nothing more is taken from it. It closes once all is written, and what crossed its end is read.
     closing_since: Option<Micros>,
+    /// Bytes read and dropped since then.
     discarded_bytes: usize,
+    /// Whether all was written since then, and our side was shut down.
     write_side_closed: bool,
     /// Whether it is watched for reading and for writing.
     watched: (bool, bool),
 }
 
 impl Session {
-    /// Takes a connection in, and greets; it came at some time until now.
+    /// Begins a session on a new connection, and queues the greeting.
     pub fn new(
         stream: TcpStream,
         poll: &Poll,
@@ -111,7 +118,7 @@
             partial_since: None,
             sent_command: false,
             sent_request: false,
-            errors_in_a_row: 0,
+            mistakes_in_a_row: 0,
             paused_until: None,
             closing_since: None,
             discarded_bytes: 0,
@@ -132,7 +139,7 @@
             return match system_calls::read(&mut self.stream, &mut waste) {
                 Ok(n) => {
                     self.discarded_bytes += n;
-                    n > 0 && self.discarded_bytes < WASTE
+                    n > 0 && self.discarded_bytes < MOST_DISCARDED
                 }
                 Err(e) => matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
             };
@@ -151,8 +158,8 @@
         }
     }
 
-    /// Reads on until nothing more is there. False if the client has gone meanwhile, or half of
-    /// it: whatever it asked before that is not begun any more.
+    /// Reads until nothing more is there. False if the client has closed its connection or its write side: a request
+    /// that it sent before that is not begun.
     pub fn read_to_end(&mut self) -> bool {
         while self.closing_since.is_none() && self.paused_until.is_none() && !self.inbox.full() {
             match self.inbox.fill(&mut self.stream) {
@@ -165,18 +172,18 @@
         true
     }
 
-    /// A request of it is taken; whether that is its first.
-    pub fn is_first_request(&mut self) -> bool {
+    /// Notes that a request was taken. Returns whether it is the first of this connection.
+    pub fn take_first_request(&mut self) -> bool {
         !std::mem::replace(&mut self.sent_request, true)
     }
 
-    /// What a client may not do while its request is open: send another. A farewell is none.
+    /// Whether the client sent more than a quit command, which it may not do while its request is open.
     pub fn sends_while_open(&self) -> bool {
         let bytes = self.inbox.bytes();
-        bytes.len() > 5 || (bytes.len() == 5 && !matches!(bytes, [1, 0, 0, _, 1]))
+        bytes.len() > PACKET_HEAD || (bytes.len() == PACKET_HEAD && !matches!(bytes, [1, 0, 0, _, 1]))
     }
 
-    /// Whether the client said farewell while its request is open.
+    /// Whether the client sent the quit command while its request is open.
     pub fn has_quit(&self) -> bool {
         self.open.is_some() && matches!(self.inbox.bytes(), [1, 0, 0, _, 1])
     }
@@ -193,7 +200,7 @@
                 Ok(Some((n, command))) => (n, command == Command::Login, interpret(&command, names)),
                 Err(e) => {
                     tracing::info!(client = self.id, error = %e, "client closed");
-                    self.close_with_error(&e, now);
+                    self.close_with_error(e, now);
                     return None;
                 }
             };
@@ -211,20 +218,20 @@
                     });
                 }
                 Ok(Interpretation::Command(asked)) => return Some(asked),
-                Err(e) => self.reject_mistake(&e, now),
+                Err(e) => self.reject_mistake(e, now),
             }
         }
         None
     }
 
-    /// Answers a mistake of the client's at once, and reads on only after a pause: some repeat it for ever.
-    pub fn reject_mistake(&mut self, error: &Error, now: Micros) {
-        self.errors_in_a_row += 1;
-        if self.errors_in_a_row >= ERRORS {
+    /// Answers a mistake of the client's at once, and reads on only after a pause: some clients repeat it for ever.
+    pub fn reject_mistake(&mut self, error: impl Into<Error>, now: Micros) {
+        self.mistakes_in_a_row += 1;
+        if self.mistakes_in_a_row >= MOST_MISTAKES {
             return self.close_with_error(error, now);
         }
         self.answer_error(error);
-        self.paused_until = Some(now + (PAUSE << self.errors_in_a_row));
+        self.paused_until = Some(now + (MISTAKE_PAUSE << self.mistakes_in_a_row));
         self.unread_since = Some(self.received.earliest);
     }
 
--- a/src/net/clients/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -26,7 +26,7 @@
         id
     }
 
-    /// Takes one in.
+    /// Adds one, and returns its key.
     pub fn insert(&mut self, s: Session) -> Key {
         let key = s.key;
         self.by_id.insert(s.id, key);
@@ -34,22 +34,22 @@
         key
     }
 
-    /// Those that were told to go, and only read their last bytes.
+    /// How many are closing, and only read their last bytes.
     pub fn lingering(&self) -> usize {
         self.by_key.values().filter(|s| s.is_closing()).count()
     }
 
-    /// The others.
+    /// How many are served.
     pub fn served(&self) -> usize {
         self.by_key.len() - self.lingering()
     }
 
-    /// Whether nothing came from a client that was not read yet.
+    /// Whether everything was read that a client sent.
     pub fn has_nothing_unread(&self, key: Key) -> bool {
         self.by_key.get(&key).is_some_and(|s| s.is_closing() || !s.has_unread())
     }
 
-    /// Takes one out.
+    /// Removes one.
     pub fn remove(&mut self, key: Key) -> Option<Session> {
         let s = self.by_key.remove(&key)?;
         self.by_id.remove(&s.id);
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -1,9 +1,9 @@
 //! The event loop: one thread polls all sockets and processes what came in a fixed order.
 //!
-//! Everything that came is processed before any request begins. Signals and the clients' side go first, so that clients
-//! that have gone are known; then executors, endpoint lists and operators, so that ended attempts and draining executors
-//! are known. Then the requests begin that came in this turn, then what the clock makes due. No attempt begins by an old
-//! look at the clients (`executors::look`).
+//! Everything that came is processed before any request begins. Signals and the clients' side go first, so that
+//! clients that have gone are known; then executors, endpoint lists and operators, so that ended attempts and
+//! draining executors are known. Then the requests begin that came in this turn, then what the clock makes due. No
+//! attempt begins by an old look at the clients (`executors::look`).
 //!
 //! - `poll`: readiness of sockets.
 //! - `poll_times`: when the sockets were polled.
@@ -80,8 +80,8 @@
         }
         let (clients, others): (Vec<_>, Vec<_>) =
             events.iter().partition(|event| self.is_client_side(event.key));
-        // Known connections before new ones: of two requests of a key the one on a new connection is the later one, as the
-        // next after such a one comes no sooner than 250 ms (protocol).
+        // Known connections before new ones: of two requests of a key the one on a new connection is the later one,
+        // as the next after such a one comes no sooner than 250 ms (protocol).
         let (new, known): (Vec<_>, Vec<_>) =
             clients.into_iter().partition(|event| Some(event.key) == listener);
         known.into_iter().chain(new).for_each(|event| self.process_event(event));
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -104,9 +104,9 @@
     #[allow(unsafe_code)]
     fn ask(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
         system_calls::watching(if change == Change::Add { Call::Watch } else { Call::Rewatch })?;
-        // SAFETY: polling asks that a source is deleted from the poller before it is dropped, and a borrowed descriptor
-        // has to be open. Every owner in `net` keeps its socket beside its key and calls `remove` at the one place where
-        // it closes it, which also takes it out of `pending`.
+        // SAFETY: polling asks that a source is deleted from the poller before it is dropped, and a borrowed
+        // descriptor has to be open. Every owner in `net` keeps its socket beside its key and calls `remove` at the
+        // one place where it closes it, which also takes it out of `pending`.
         unsafe {
             match change {
                 Change::Add => self.poller.add_with_mode(fd, event, PollMode::Level),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -72,7 +72,8 @@
 /// Reads the configuration, when SIGHUP asks for it again.
 pub type LoadConfig = fn() -> Result<Config, ConfigError>;
 
-/// A dispatcher: its listener takes connections from [`DispatcherServer::new`] on, and [`DispatcherServer::run`] serves.
+/// A dispatcher: its listener takes connections from [`DispatcherServer::new`] on, and [`DispatcherServer::run`]
+/// serves.
 pub struct DispatcherServer {
     poll: Poll,
     poll_times: PollTimes,
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -45,8 +45,8 @@
 }
 
 impl DispatcherServer {
-    /// Sets a dispatcher up: from here on its address takes connections. `load_config` reads the configuration again when
-    /// SIGHUP asks for it.
+    /// Sets a dispatcher up: from here on its address takes connections. `load_config` reads the configuration again
+    /// when SIGHUP asks for it.
     pub fn new(
         config: Config,
         options: Options,
@@ -128,8 +128,8 @@
         Ok(server)
     }
 
-    /// Starts the endpoint lists from files, where the settings name some. Returns the endpoints to begin with: those of
-    /// the lists, or else `known` of the coordinator.
+    /// Starts the endpoint lists from files, where the settings name some. Returns the endpoints to begin with: those
+    /// of the lists, or else `known` of the coordinator.
     fn start_lists(
         &mut self,
         lists: Option<options::Lists>,
@@ -174,8 +174,9 @@
     ShutdownDeadlines::new(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
 }
 
-/// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in milliseconds:
-/// the time that a lease takes to run out. A control group goes before peers; `None` where nothing is agreed on.
+/// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in
+/// milliseconds: the time that a lease takes to run out. A control group goes before peers; `None` where nothing is
+/// agreed on.
 fn agreed_policy(options: &Options) -> Option<(options::PolicyTerms, u64)> {
     if let Some(control) = &options.control {
         return Some((control.policy, control.timing.follower_lease / 1_000));
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -22,8 +22,8 @@
 const GIVE_UP_BEFORE_KILL: Micros = 600_000;
 /// The process ends this long before the kill.
 const END_BEFORE_KILL: Micros = 300_000;
-/// New requests are taken for this long after SIGTERM: the platform lets connections come for 0.4 s and requests on open
-/// ones for 0.2 s more, and loses nothing that arrives after 0.7 s.
+/// New requests are taken for this long after SIGTERM: the platform lets connections come for 0.4 s and requests on
+/// open ones for 0.2 s more, and loses nothing that arrives after 0.7 s.
 const ACCEPT_REQUESTS_FOR: Micros = 700_000;
 /// The longest sleep of the event loop during the shutdown, whose time limits have no timers of their own.
 pub(in crate::net) const POLL_INTERVAL: Micros = 20_000;
@@ -51,8 +51,8 @@
 #[derive(Debug, Clone, Copy)]
 pub(in crate::net) struct Shutdown {
     deadlines: ShutdownDeadlines,
-    /// When SIGTERM came, once it was noticed. The platform's kill counts from when it came, so that deadlines count from
-    /// the earliest moment, and the time in which requests are still taken from the latest.
+    /// When SIGTERM came, once it was noticed. The platform's kill counts from when it came, so that deadlines count
+    /// from the earliest moment, and the time in which requests are still taken from the latest.
     requested: Option<Occurrence>,
     /// Whether open requests have been given up; requests that are read from then on are refused.
     gave_up: bool,
@@ -114,8 +114,8 @@
         self.sessions.by_key.is_empty() || self.shutdown.has_to_end(now)
     }
 
-    /// Takes what was written in time and closes the listener. Clients are read before it, as in any turn, and after it, as
-    /// accepting takes time.
+    /// Takes what was written in time and closes the listener. Clients are read before it, as in any turn, and after
+    /// it, as accepting takes time.
     fn take_last_requests(&mut self, now: Micros) {
         self.read_all_clients(now);
         self.stop_accepting(now);
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -10,6 +10,7 @@
         let kill_after = longest.min(3_000_000) + 700_000;
         prop_assert!(deadlines.give_up_after >= ACCEPT_REQUESTS_FOR && deadlines.give_up_after <= deadlines.end_after);
         // Nothing is taken past `ACCEPT_REQUESTS_FOR`, so that with the shortest deadlines all is over by itself.
-        prop_assert!(deadlines.end_after < kill_after || kill_after < ACCEPT_REQUESTS_FOR + END_BEFORE_KILL, "{:?}", deadlines);
+        let ends_by_itself = kill_after < ACCEPT_REQUESTS_FOR + END_BEFORE_KILL;
+        prop_assert!(deadlines.end_after < kill_after || ends_by_itself, "{:?}", deadlines);
     }
 }
--- a/src/net/sockets/system_calls.rs
+++ b/src/net/sockets/system_calls.rs
@@ -1,4 +1,5 @@
-//! The system calls of the loop, in one place: which of their failures pass by themselves, and where tests have them fail.
+//! The system calls of the loop, in one place: which of their failures pass by themselves, and where tests have them
+//! fail.
 
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::io::{self, Read, Write};
