--- /dev/null
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -0,0 +1,170 @@
+//! What an earlier release wrote of the agreed state and of its messages is read by this one and written alike.
+//!
+//! Peers of a fleet are upgraded one by one: a new program joins by a snapshot that the old one encoded, applies
+//! commands from its log and reads its frames. The fixtures are bytes in hex, as the earlier release wrote them.
+
+use fleet::agreed::{Agreed, Command, Effect};
+use fleet::control_plane::messages::{
+    FRAMING, FollowerId, FollowerMessage, MemberMessage, Rejection, Resume, VERSION, from_follower,
+    from_member,
+};
+use fleet::ledger::{self, End, Limits, Record};
+use fleet::wire::{self, Founding, Message};
+use fleet::{Holder, incarnation, lend, plan, policy, schema};
+use serde::Serialize;
+
+const LIMITS: Limits = Limits { records: 100, remember: 1_000_000 };
+
+/// The bytes of a fixture.
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = hex.trim().as_bytes();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
+    digits.chunks(2).map(byte).collect()
+}
+
+fn holder(peer: u8, term: u32) -> Holder {
+    Holder { incarnation: incarnation(peer, 5), term }
+}
+
+fn record(rid: u64, repeats: bool) -> Record {
+    Record {
+        rid,
+        class: 1,
+        tenant: Some(2),
+        key: Some(7),
+        group: 11,
+        work_s: Some(0.5),
+        memory_mb: Some(64.0),
+        repeats,
+        statement: repeats.then(|| "SELECT 1".into()),
+        deadline: 9_000_000,
+        tried: vec![],
+        policy: 3,
+    }
+}
+
+/// A batch with commands of every machine.
+fn commands() -> Vec<Command> {
+    let served = End::Served(Some(vec![b"1\t2\n".to_vec()]));
+    let proposal = policy::Command::Propose {
+        text: "class {}".into(),
+        digest: [7; 32],
+        by: 1,
+        at: 300,
+        limits: [1_000, 2_000],
+        least: 4,
+    };
+    let terms = lend::Terms { total: 8, term: 1_000, longest: 5_000 };
+    vec![
+        Command::Register(incarnation(1, 5), 100),
+        Command::Register(incarnation(2, 5), 110),
+        Command::Renew(holder(1, 1), 200),
+        Command::Work(ledger::Command::Open(holder(1, 1), 21, record(31, true))),
+        Command::Work(ledger::Command::Open(holder(2, 1), 22, record(32, false))),
+        Command::Work(ledger::Command::Tried(holder(1, 1), 21, 51)),
+        Command::Work(ledger::Command::Close(holder(2, 1), 22, served)),
+        Command::Plan(plan::Command::Ask(vec!["s-1".into(), "s-2".into()])),
+        Command::Policy(proposal),
+        Command::Schema(schema::Command::Found(7, 500)),
+        Command::Schema(schema::Command::Tell("s-1".into(), 7, 50)),
+        Command::Slots(lend::Command::Set(terms)),
+        Command::Slots(lend::Command::Hold { holder: holder(1, 1), number: 1, back: 0, want: 2, most: 3 }),
+    ]
+}
+
+/// The state that the batch comes to.
+fn agreed() -> Agreed {
+    let mut agreed = Agreed::new(LIMITS, 3);
+    let mut effects: Vec<Effect> = Vec::new();
+    assert!(agreed.apply(incarnation(1, 5), 1, commands(), &mut effects));
+    agreed
+}
+
+#[test]
+fn a_snapshot_of_an_earlier_release_is_read_and_written_alike() {
+    let stored = bytes(include_str!("record-snapshot.hex"));
+    assert_eq!(Agreed::decode(&stored).unwrap(), agreed());
+    assert_eq!(agreed().encode(), stored);
+}
+
+#[test]
+fn commands_of_an_earlier_release_are_read_and_written_alike() {
+    let stored = bytes(include_str!("record-commands.hex"));
+    assert_eq!(postcard::from_bytes::<Vec<Command>>(&stored).unwrap(), commands());
+    assert_eq!(postcard::to_stdvec(&commands()).unwrap(), stored);
+}
+
+#[test]
+fn frames_of_a_peer_of_an_earlier_release_are_read_and_written_alike() {
+    let voters = vec![incarnation(1, 5), incarnation(2, 0)];
+    let founding = Founding { id: 9, voters, limits: LIMITS, at: 77, policy: 3 };
+    let messages = [
+        Message::Hello { from: 2, incarnation: 77, fleet: Some(founding), formed: true, policy: 4 },
+        Message::Log(9, vec![1, 2, 3]),
+        Message::Fetch(21),
+        Message::Result(21, Some(vec![b"x".to_vec()])),
+    ];
+    let stored = bytes(include_str!("peer-frames.hex"));
+    assert_eq!(messages.iter().flat_map(wire::frame).collect::<Vec<u8>>(), stored);
+    let mut rest = &stored[..];
+    for message in messages {
+        let (length, read) = wire::next(rest, 1 << 20).unwrap().unwrap();
+        assert_eq!(read, message);
+        rest = &rest[length..];
+    }
+    assert!(rest.is_empty());
+}
+
+fn frames(messages: &[impl Serialize]) -> Vec<u8> {
+    messages.iter().flat_map(|message| FRAMING.frame(message)).collect()
+}
+
+#[test]
+fn frames_of_a_follower_of_an_earlier_release_are_read_and_written_alike() {
+    let resume = Resume { fleet: 9, revision: 4 };
+    let messages = [
+        FollowerMessage::Subscribe {
+            version: VERSION,
+            group: "control".into(),
+            follower: FollowerId(8),
+            name: "d1".into(),
+            resume: Some(resume),
+            policy: 4,
+        },
+        FollowerMessage::Renew { at: Some(resume), asked: 55 },
+        FollowerMessage::Vote(5, vec!["no".into()]),
+        FollowerMessage::Stopped(5),
+        FollowerMessage::Cannot(5, "why".into()),
+        FollowerMessage::Restore { number: 5, text: "class {}".into(), digest: [7; 32] },
+        FollowerMessage::Leave,
+    ];
+    let stored = bytes(include_str!("follower-frames.hex"));
+    assert_eq!(frames(&messages), stored);
+    let mut rest = &stored[..];
+    for message in messages {
+        let (length, read) = from_follower(rest).unwrap().unwrap();
+        assert_eq!(read, message);
+        rest = &rest[length..];
+    }
+    assert!(rest.is_empty());
+}
+
+#[test]
+fn frames_of_a_member_of_an_earlier_release_are_read_and_written_alike() {
+    let messages = [
+        MemberMessage::Welcome { group: "control".into(), member: 2 },
+        MemberMessage::Rejected(Rejection::Full(vec!["m2".into()])),
+        MemberMessage::Snapshot { fleet: 9, policies: Box::new(agreed().policy().clone()) },
+        MemberMessage::Keepalive { asked: 55, lease: Some(1_000), revision: 4 },
+        MemberMessage::GoAway,
+    ];
+    let stored = bytes(include_str!("member-frames.hex"));
+    assert_eq!(frames(&messages), stored);
+    let mut rest = &stored[..];
+    for message in messages {
+        let (length, read) = from_member(rest).unwrap().unwrap();
+        assert_eq!(read, message);
+        rest = &rest[length..];
+    }
+    assert!(rest.is_empty());
+}
