--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -44,7 +44,12 @@
         progress: Some(1_000_000),
         reports_cost: false,
         budget: None,
-        cold: SlowStart { from: 0.3, ramp: 15_000_000, multiple: 3.0, fall: 2_000_000 },
+        slow_start: SlowStart {
+            initial_fraction: 0.3,
+            ramp: 15_000_000,
+            overload_factor: 3.0,
+            overload_window: 2_000_000,
+        },
         drain_grace: 2_000_000,
         key_quiet: None,
         step: 5_000,
--- a/examples/one_dispatcher.rs
+++ b/examples/one_dispatcher.rs
@@ -43,7 +43,12 @@
         progress: None,
         reports_cost: false,
         budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span: 5_000_000, slack: 0 }),
-        cold: SlowStart { from: 0.3, ramp: 14_000_000, multiple: 2.5, fall: 2_000_000 },
+        slow_start: SlowStart {
+            initial_fraction: 0.3,
+            ramp: 14_000_000,
+            overload_factor: 2.5,
+            overload_window: 2_000_000,
+        },
         drain_grace: 1_000_000,
         key_quiet: None,
         step: 5_000,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -124,13 +124,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
     /// An executor starts at this share of its capacity or more.
-    pub from: f64,
+    pub initial_fraction: f64,
     /// It is warm this long after its start.
     pub ramp: Micros,
     /// Sent more than this multiple of its present capacity...
-    pub multiple: f64,
+    pub overload_factor: f64,
     /// ...for this long, it falls over.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 /// All that a dispatcher is told at its start.
@@ -185,7 +185,7 @@
     /// The attempt budget, where one is stated.
     pub budget: Option<RetryBudget>,
     /// The cold-executor rule.
-    pub cold: SlowStart,
+    pub slow_start: SlowStart,
     /// Nothing new may go to an executor this long after word that it drains or is gone.
     pub drain_grace: Micros,
     /// How long a key rests after an attempt that may still run.
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -37,8 +37,11 @@
         need(c.only_zones.iter().flatten().all(|z| *z < s.zones), "unknown zone")?;
         need(c.only_kinds.iter().flatten().all(|k| *k < s.kinds.len()), "unknown kind")?;
     }
-    let c = &s.cold;
-    need(sane(c.from) && sane(c.multiple), "cold-engine rule: negative or non-finite number")?;
+    let c = &s.slow_start;
+    need(
+        sane(c.initial_fraction) && sane(c.overload_factor),
+        "cold-engine rule: negative or non-finite number",
+    )?;
     need(s.budget.is_none_or(|b| sane(b.free) && sane(b.ratio)), "attempt budget: bad number")?;
     need(
         [s.over_quota_weight, s.cross_zone_price, s.probe_price, s.handshake_price].into_iter().all(sane),
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -42,7 +42,8 @@
     /// The attempts that are looked at in a tick: all that are out, or a bounded number, beginning where
     /// the tick before ended.
     fn attempts_to_check(&mut self) -> Vec<(RequestId, u32)> {
-        let active = self.roster.active.iter().flat_map(|i| self.executors[*i].out.iter());
+        let active =
+            self.executor_index.active.iter().flat_map(|i| self.executors[*i].attempts_in_flight.iter());
         let mut all: Vec<(RequestId, u32)> = active.copied().collect();
         if all.len() > CHECKED {
             let begin = self.attempts_checked % all.len();
@@ -93,7 +94,7 @@
         let now = self.now;
         let Some(q) = self.requests.get_mut(&id) else { return };
         let Some(a) = Attempt::word(&mut q.attempts, n, now) else { return };
-        self.executors[a.executor].hear(now, GAP_WEIGHT);
+        self.executors[a.executor].record_message(now, GAP_WEIGHT);
         match progress_note {
             AttemptProgress::Progress(p) if p.is_finite() => {
                 let (i, seconds) = a.progressed(now, p.clamp(0.001, 1.0));
--- a/src/balancer/cost.rs
+++ b/src/balancer/cost.rs
@@ -45,7 +45,7 @@
             m.memory_bias += if short || !a.spilled { GRANT_STEP.max(first) * way } else { 0.0 };
         }
         let (i, times, pace) = (a.executor, spent / q.cost.max(1e-6), m.pace.value.max(1e-6));
-        self.executors[i].slow.add((times / pace).clamp(0.1, 10.0), SPEED_WEIGHT);
+        self.executors[i].relative_latency.add((times / pace).clamp(0.1, 10.0), SPEED_WEIGHT);
         self.cache.get_or_insert_mut((q.class, q.group), Mean::default).add(cost, CACHE_WEIGHT);
         self.paced(i, times);
     }
--- a/src/balancer/draw.rs
+++ b/src/balancer/draw.rs
@@ -9,56 +9,64 @@
 
     /// Executors of a table group, the same at all dispatchers by rendezvous hashing: homes, or its loads'
     /// homes.
-    pub(super) fn homes(&self, class: ClassId, group: u64) -> Vec<ExecutorId> {
+    pub(super) fn preferred_executors(&self, class: ClassId, group: u64) -> Vec<ExecutorId> {
         let yields = self.s.classes[class].yields_to_loads;
         let of = self.s.classes.iter().position(|c| yields && c.loads).unwrap_or(class);
         let score = |e: &Executor| {
             let unit = hashed(group, e.endpoint.executor);
-            (-unit.ln() / e.cores * self.distance(e) / self.spared(of, e), e.endpoint.executor)
+            (
+                -unit.ln() / e.cores * self.distance(e) / self.reserved_capacity_factor(of, e),
+                e.endpoint.executor,
+            )
         };
-        let near = self.neighbours(of, group);
-        self.look_at(near.len());
+        let near = self.affinity_candidates(of, group);
+        self.count_examined(near.len());
         let mut all: Vec<_> = near.into_iter().map(|i| score(&self.executors[i])).collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let homes = if self.s.classes[of].loads { LOAD_HOMES } else { HOMES };
+        let homes = if self.s.classes[of].loads { PREFERRED_EXECUTORS_OF_LOADS } else { PREFERRED_EXECUTORS };
         all.into_iter().take(homes).map(|(_, e)| e).collect()
     }
 
     /// A class that may go anywhere leaves the executors of a bound class to it.
-    fn spared(&self, class: ClassId, e: &Executor) -> f64 {
+    fn reserved_capacity_factor(&self, class: ClassId, e: &Executor) -> f64 {
         let bound = |c: &Class| c.only_kinds.is_some() || c.only_zones.is_some();
         let mut all = self.s.classes.iter().enumerate();
         let others = !bound(&self.s.classes[class]) && all.any(|(i, c)| bound(c) && e.pool >> i & 1 == 1);
-        if others { SPARED } else { 1.0 }
+        if others { RESERVED_CAPACITY_WEIGHT } else { 1.0 }
     }
 
     fn weight(&self, q: &Request, e: &Executor) -> f64 {
-        let capacity = e.cores * self.warmth(e) * e.endpoint.weight.unwrap_or(1.0);
+        let capacity = e.cores * self.capacity_fraction(e) * e.endpoint.weight.unwrap_or(1.0);
         let load = self.load(e) * e.cores / capacity.max(1e-9);
         let c = &self.s.classes[q.class];
-        let home = match q.homes.contains(&e.endpoint.executor) {
+        let home = match q.preferred_executors.contains(&e.endpoint.executor) {
             false => 1.0,
-            true if c.yields_to_loads => 1.0 / LOAD_BONUS, // its group may be held there
-            true if c.loads => LOAD_BONUS,
-            true => (HOME_BONUS * self.choices() as f64).max(1.0),
+            true if c.yields_to_loads => 1.0 / LOAD_AFFINITY_WEIGHT, // its group may be held there
+            true if c.loads => LOAD_AFFINITY_WEIGHT,
+            true => (AFFINITY_WEIGHT * self.choices() as f64).max(1.0),
         };
-        let new =
-            if e.met || self.warmth(e) < 1.0 { 1.0 } else { 1.0 + HANDSHAKE_WEIGHT * self.s.handshake_price };
-        let slow = e.slow.or(1.0).max(0.5) * self.distance(e) * new;
+        let new = if e.connected || self.capacity_fraction(e) < 1.0 {
+            1.0
+        } else {
+            1.0 + HANDSHAKE_WEIGHT * self.s.handshake_price
+        };
+        let slow = e.relative_latency.or(1.0).max(0.5) * self.distance(e) * new;
         let once = usize::from(c.idempotency == Idempotency::NotIdempotent);
-        let untried = once == 1 && e.slow.n == 0 && self.s.reports == Reports::OnProbe;
-        let sure = (1.0 - e.errors).powi(ERROR_POWERS[once]) * if untried { UNTRIED } else { 1.0 };
-        let w =
-            capacity * home * self.spared(q.class, e) / (LOAD_FLOOR + load).powi(DRAW_POWER) / slow * sure;
-        if self.healthy(e) { w } else { w * UNHEALTHY }
+        let untried = once == 1 && e.relative_latency.n == 0 && self.s.reports == Reports::OnProbe;
+        let sure = (1.0 - e.error_rate).powi(ERROR_POWERS[once]) * if untried { UNTRIED_WEIGHT } else { 1.0 };
+        let w = capacity * home * self.reserved_capacity_factor(q.class, e)
+            / (LOAD_FLOOR + load).powi(DRAW_POWER)
+            / slow
+            * sure;
+        if self.healthy(e) { w } else { w * UNHEALTHY_WEIGHT }
     }
 
     /// Executors that no rule forbids and health allows, those not yet tried first.
     fn fit(&mut self, id: RequestId) -> Vec<usize> {
         let mut fit = Vec::new();
-        for times in WIDENED {
+        for times in SAMPLE_FACTORS {
             let candidates = self.candidates(id, times);
-            self.look_at(candidates.len());
+            self.count_examined(candidates.len());
             let q = &self.requests[&id];
             let allowed: Vec<usize> = candidates.into_iter().filter(|&i| self.permitted(q, i)).collect();
             let cores = |v: &[usize]| v.iter().map(|&i| self.executors[i].cores).sum::<f64>();
@@ -70,7 +78,7 @@
                 break;
             }
             fit = allowed;
-            if self.roster.listed() <= SAMPLE {
+            if self.executor_index.listed() <= SAMPLE_SIZE {
                 break;
             }
         }
@@ -84,7 +92,7 @@
 
     fn weights(&self, id: RequestId, among: &[usize]) -> Vec<f64> {
         let q = &self.requests[&id];
-        self.look_at(among.len());
+        self.count_examined(among.len());
         among.iter().map(|&i| self.weight(q, &self.executors[i])).collect()
     }
 
@@ -93,50 +101,55 @@
         // A probe is worth its price only where reports tell of load.
         let tells = self.s.reports != Reports::Off && self.tells_load != Some(false);
         let asks = tells && self.s.probes && self.executors.len() > 1;
-        // Cold executors go by lots, which no probe changes.
+        // Cold executors go by admission_tokens, which no probe changes.
         let fit = self.fit(id).into_iter();
-        let (cold, fit) = fit.partition::<Vec<_>, _>(|&i| self.cold_rate(&self.executors[i]).is_some());
-        let lately = |i: &usize| !asks || self.now < self.executors[*i].report_at + KNOWN_FOR;
+        let (cold, fit) = fit.partition::<Vec<_>, _>(|&i| self.warming_rate(&self.executors[i]).is_some());
+        let lately = |i: &usize| !asks || self.now < self.executors[*i].report_received_at + REPORT_FRESHNESS;
         let (mut known, unknown) = fit.into_iter().partition::<Vec<_>, _>(lately);
         let q = &self.requests[&id];
         let asked = |e: &Executor| e.probe_sent.is_some_and(|t| self.now < t + SECOND);
         let seeks = !self.s.classes[q.class].yields_to_loads;
-        let home = |e: &Executor| q.homes.contains(&e.endpoint.executor);
+        let home = |e: &Executor| q.preferred_executors.contains(&e.endpoint.executor);
         let wants = |i: &usize| seeks && home(&self.executors[*i]) || asked(&self.executors[*i]);
         let (mut wanted, mut unknown) = unknown.into_iter().partition::<Vec<_>, _>(wants);
         // Homes without room are no choice: else a few hot groups would never leave theirs.
         let full = |e: &Executor| home(e) && self.load(e) > ROOM;
         let choice = known.iter().filter(|&&i| !full(&self.executors[i])).count();
-        if ask && wanted.len() + choice < CANDIDATES {
+        if ask && wanted.len() + choice < CANDIDATES_WANTED {
             let mut weights = self.weights(id, &unknown);
-            while wanted.len() + choice < CANDIDATES {
+            while wanted.len() + choice < CANDIDATES_WANTED {
                 let Some(n) = weighted(&weights, self.chance()) else { break };
                 weights.remove(n);
                 wanted.push(unknown.remove(n));
             }
         }
         let dear = self.requests[&id].cost > self.overall.value;
-        let kept = if dear { 0.0 } else { (PURSE / 2.0 - PROBE_SPEND / self.s.probe_price).max(0.0) };
+        let kept = if dear {
+            0.0
+        } else {
+            (PROBE_BUDGET_CAPACITY / 2.0 - PROBE_BUDGET_POINTS / self.s.probe_price).max(0.0)
+        };
         let mut waits = false;
         for &i in wanted.iter().filter(|_| ask) {
             let e = &mut self.executors[i];
             if e.probe_sent.is_none_or(|t| self.now >= t + SECOND) {
-                if self.purse < kept + 1.0 {
+                if self.probe_budget < kept + 1.0 {
                     continue;
                 }
-                (self.purse, e.probe_sent, e.met) = (self.purse - 1.0, Some(self.now), true);
-                self.roster.active.insert(i);
+                (self.probe_budget, e.probe_sent, e.connected) =
+                    (self.probe_budget - 1.0, Some(self.now), true);
+                self.executor_index.active.insert(i);
                 self.actions.push(Action::Probe { executor: e.endpoint.executor });
             }
             waits = true;
         }
         if waits {
-            let until = self.now + ASK_WAIT;
-            self.request(id).asked_until.get_or_insert(until);
+            let until = self.now + PROBE_WAIT;
+            self.request(id).probe_wait_until.get_or_insert(until);
             return None;
         }
         // With little known all are drawn from, unknown ones as loaded as their pool, last those probed.
-        if choice < CANDIDATES {
+        if choice < CANDIDATES_WANTED {
             let silent = |i: &usize| self.executors[*i].probe_sent.is_some();
             let (asked, rest): (Vec<usize>, Vec<usize>) = unknown.into_iter().chain(wanted).partition(silent);
             known.extend(rest);
@@ -145,7 +158,7 @@
         known.extend(cold);
         let mut weights = self.weights(id, &known);
         while let Some(n) = weighted(&weights, self.chance()) {
-            if self.wins(id, known[n]) {
+            if self.admit_to_warming(id, known[n]) {
                 return Some(known[n]);
             }
             known.remove(n);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -39,7 +39,7 @@
         self.rules = rules;
         let old = std::mem::replace(&mut self.s, settings);
         (0..self.executors.len()).for_each(|i| self.executors[i].pool = self.pool_of(&self.executors[i]));
-        self.place_all();
+        self.rebuild_index();
         Ok(old)
     }
 
@@ -48,8 +48,8 @@
         if self.started && now > self.now + STALL {
             // This dispatcher stood still: what was not heard meanwhile says nothing of the executors.
             self.stalled = now;
-            for &i in &self.roster.active {
-                self.executors[i].heard = now;
+            for &i in &self.executor_index.active {
+                self.executors[i].last_message_at = now;
             }
         }
         self.now = now.max(self.now);
@@ -81,7 +81,7 @@
         self.models.iter_mut().for_each(|m| m.count(dt, RATE_SPAN_S));
         self.tenants.iter_mut().for_each(|t| *t *= 1.0 - dt / TENANT_SPAN_S);
         self.budget_allows(); // forgets what has left the window
-        self.warm_up();
+        self.finish_slow_starts();
         self.measure();
         self.set_rates();
         if self.now > self.stalled {
@@ -89,8 +89,8 @@
             self.check_attempts();
         }
         self.check_lines();
-        for &i in &self.roster.active {
-            self.executors[i].threads_before = self.executors[i].threads;
+        for &i in &self.executor_index.active {
+            self.executors[i].in_flight_threads_at_tick = self.executors[i].in_flight_threads;
         }
     }
 }
--- a/src/balancer/pressure.rs
+++ b/src/balancer/pressure.rs
@@ -11,7 +11,7 @@
         let by_memory =
             || r.memory.filter(|_| self.thread_mb.value > 0.0).map(|m| m / self.memory_use(e, 1.0));
         let told = util.map_or(inflight, |u| Some(u.max(inflight.unwrap_or(0.0)))).or_else(by_memory);
-        told.or(e.pace.map(|p| p.exp() * e.cores))
+        told.or(e.latency_ratio.map(|p| p.exp() * e.cores))
     }
 
     /// Where reports tell nothing, own requests' pace stands in. Logarithms, as estimates scatter by factors.
@@ -20,18 +20,19 @@
             return;
         }
         let (now, e, x) = (self.now, &mut self.executors[i], times.clamp(1.0 / PACE_MOST, PACE_MOST).ln());
-        e.pace = Some(e.pace.map_or(x, |p| p + (x - p) * PACE_WEIGHT));
-        e.report_at = now;
+        e.latency_ratio = Some(e.latency_ratio.map_or(x, |p| p + (x - p) * PACE_WEIGHT));
+        e.report_received_at = now;
     }
 
     /// Load of an executor, threads a core: the report plus own threads sent since, else own threads.
     pub(super) fn load(&self, e: &Executor) -> f64 {
         let threads = self.mean_threads();
-        let Some(reported) = self.held(e) else { return self.crowd(e).max(e.threads / e.cores) };
+        let Some(reported) = self.held(e) else { return self.crowd(e).max(e.in_flight_threads / e.cores) };
         let queued = e.report.queue.unwrap_or(0.0) * threads;
-        let since = e.threads - e.threads_then;
+        let since = e.in_flight_threads - e.in_flight_threads_at_report;
         let sure = self.confidence(e, REPORT_AGE_S);
-        let held = (reported + queued + since).max(e.threads) * sure + self.crowd(e) * e.cores * (1.0 - sure);
+        let held = (reported + queued + since).max(e.in_flight_threads) * sure
+            + self.crowd(e) * e.cores * (1.0 - sure);
         let scarce = e.report.memory.unwrap_or(self.memory_use(e, held)).max(e.report.disks.unwrap_or(0.0));
         held / e.cores + SCARCE_WEIGHT * (scarce.min(1.5) - SCARCE_FROM).max(0.0)
     }
@@ -39,7 +40,7 @@
     /// Threads a core that executors of its pool hold, as far as they were heard; a cold one by what it can
     /// do.
     fn crowd(&self, e: &Executor) -> f64 {
-        self.pools.get(&e.pool).map_or(self.occupancy, |p| p.part(p.held)) * self.warmth(e)
+        self.pools.get(&e.pool).map_or(self.occupancy, |p| p.part(p.held)) * self.capacity_fraction(e)
     }
 
     /// Threads of a request in flight, as own ones had lately; before that, as if classes held equal threads.
@@ -56,16 +57,19 @@
         self.tally(LEARN);
         let mut pools = std::collections::BTreeMap::<u64, Pool>::new();
         // A dispatcher hears of few executors at a time: what is known of those stands for all, by age.
-        let listed = self.roster.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
+        let listed = self.executor_index.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
         let ejected: f64 = listed.clone().filter(|e| e.ejected_until.is_some()).map(|e| e.cores).sum();
-        fleet += self.roster.cores(&self.s.kinds, |_| true) - ejected;
-        self.look_at(self.roster.active.len());
+        fleet += self.executor_index.cores(&self.s.kinds, |_| true) - ejected;
+        self.count_examined(self.executor_index.active.len());
         for e in listed.filter(|e| e.ejected_until.is_none()) {
-            own += e.threads;
+            own += e.in_flight_threads;
             let Some(r) = self.held(e) else { continue };
-            let (now, sure) = (e.threads + (r - e.threads_then).max(0.0), self.confidence(e, PRESSURE_AGE_S));
+            let (now, sure) = (
+                e.in_flight_threads + (r - e.in_flight_threads_at_report).max(0.0),
+                self.confidence(e, PRESSURE_AGE_S),
+            );
             let memory = e.report.memory.unwrap_or(self.memory_use(e, now));
-            let held = if mute { e.pace.unwrap_or(0.0) * e.cores } else { now };
+            let held = if mute { e.latency_ratio.unwrap_or(0.0) * e.cores } else { now };
             pools.entry(e.pool).or_default().add(e, sure, held, memory);
             all += e.cores * sure;
             told |= e.report.inflight.is_some();
@@ -74,7 +78,7 @@
         // Little heard of late stands for one thread a core, no more.
         let of_pace = |p: &mut Pool| p.held = (p.held / (p.cores + PACE_PRIOR * fleet)).exp() * p.cores;
         pools.values_mut().filter(|_| mute).for_each(of_pace);
-        let listed_now = self.roster.listed().max(1) as f64;
+        let listed_now = self.executor_index.listed().max(1) as f64;
         let unheard = UNHEARD * fleet / listed_now * (1.0 - all / fleet.max(1.0));
         pools.values_mut().filter(|_| !mute).for_each(|p| p.cores += unheard);
         self.occupancy = pools.values().map(|p| p.held).sum::<f64>() / all.max(1.0);
@@ -113,7 +117,7 @@
 
     /// Executors open to the same classes are a pool: a class has room where one of its pools has.
     pub(super) fn pool_of(&self, e: &Executor) -> u64 {
-        (0..self.s.classes.len()).filter(|&c| self.placed(c, e)).map(|c| 1 << c).sum()
+        (0..self.s.classes.len()).filter(|&c| self.placement_allows(c, e)).map(|c| 1 << c).sum()
     }
 
     pub(super) fn count_late(&mut self, class: ClassId) {
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -5,7 +5,8 @@
 impl Balancer {
     pub(super) fn arrival(&mut self, a: Arrival) {
         self.taken.push_back(self.now);
-        self.purse = (self.purse + PROBE_SPEND / self.s.probe_price).min(PURSE);
+        self.probe_budget =
+            (self.probe_budget + PROBE_BUDGET_POINTS / self.s.probe_price).min(PROBE_BUDGET_CAPACITY);
         let cost = self.predict(&a);
         self.overall.add(cost, LEARN);
         let m = &mut self.models[a.class];
@@ -13,10 +14,11 @@
         a.estimate_s.into_iter().for_each(|e| m.estimate.add(e, LEARN));
         a.tenant.into_iter().for_each(|t| self.tenants[t] += 1.0); // a running count, see tick
         let admitted = self.admit(&a, cost);
-        let (homes, c) = (self.homes(a.class, a.group), &self.s.classes[a.class]);
+        let (preferred_executors, c) = (self.preferred_executors(a.class, a.group), &self.s.classes[a.class]);
         let latency_objective =
             c.latency_objective + (c.latency_objective_stretch * cost / f64::from(c.threads) * 1e6) as Micros;
-        let q = Request::new(&a, self.now, cost, latency_objective, homes, c, self.s.max_attempts);
+        let q =
+            Request::new(&a, self.now, cost, latency_objective, preferred_executors, c, self.s.max_attempts);
         self.requests.insert(a.request, q);
         if let Err(wait) = admitted {
             return self.end(a.request, wait, EndReason::OverLimit);
@@ -27,35 +29,35 @@
         }
     }
 
-    /// First attempt, once it is the request's turn; it waits for probes at most `ASK_WAIT`.
+    /// First attempt, once it is the request's turn; it waits for probes at most `PROBE_WAIT`.
     pub(super) fn start(&mut self, id: RequestId) {
         if let Some(reason) = self.hopeless(id) {
             return self.end(id, SECOND, reason);
         }
-        let (asked_until, deadline) = (self.requests[&id].asked_until, self.requests[&id].deadline);
-        let ask = asked_until.map_or(self.now + 2 * ASK_WAIT < deadline, |t| self.now < t);
+        let (probe_wait_until, deadline) = (self.requests[&id].probe_wait_until, self.requests[&id].deadline);
+        let ask = probe_wait_until.map_or(self.now + 2 * PROBE_WAIT < deadline, |t| self.now < t);
         if !self.has_turn(id) || self.send(id, ask) {
             return;
         }
-        if !ask || self.now >= self.requests[&id].asked_until.unwrap_or(0) {
+        if !ask || self.now >= self.requests[&id].probe_wait_until.unwrap_or(0) {
             self.end(id, SECOND, EndReason::NoExecutor);
-        } else if asked_until.is_none() {
-            self.asking.push(id);
-            self.actions.push(Action::SetTimer { token: 1, after: ASK_WAIT });
+        } else if probe_wait_until.is_none() {
+            self.awaiting_probes.push(id);
+            self.actions.push(Action::SetTimer { token: 1, after: PROBE_WAIT });
         }
     }
 
     /// Requests that wait for probes go on once there are candidates or the wait is over.
     pub(super) fn go_on(&mut self) {
         let waits = |q: &Request| !q.done && q.attempts.is_empty();
-        let mut asking = std::mem::take(&mut self.asking);
-        asking.retain(|id| {
+        let mut awaiting_probes = std::mem::take(&mut self.awaiting_probes);
+        awaiting_probes.retain(|id| {
             if self.requests.get(id).is_some_and(waits) {
                 self.start(*id);
             }
             self.requests.get(id).is_some_and(waits)
         });
-        self.asking.append(&mut asking);
+        self.awaiting_probes.append(&mut awaiting_probes);
     }
 
     /// The one place that ends a request: refused where that is harmless, else failed.
--- a/src/balancer/rules.rs
+++ b/src/balancer/rules.rs
@@ -63,7 +63,7 @@
         let least = (0..self.s.classes.len()).map(density).fold(f64::MAX, f64::min).max(1e-9);
         for r in &mut rules {
             let fits = |pool: u64| r.class.is_none_or(|c| pool >> c & 1 == 1);
-            let cores = self.roster.cores(&self.s.kinds, fits);
+            let cores = self.executor_index.cores(&self.s.kinds, fits);
             // A class that earns more for each thread-second closes later.
             let later = r.class.map_or(1.0, |c| (density(c) / least).sqrt().clamp(1.0, 2.0));
             let pressure = r.class.map_or(self.pressure, |c| self.models[c].pressure);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -21,16 +21,16 @@
 
     /// How many executors this dispatcher's subset has, of so many.
     fn subset_size(&self, executors: usize) -> usize {
-        let covered = COVERED * executors / (self.s.dispatchers as usize).max(1);
-        covered.max(SAMPLE)
+        let covered = SUBSET_OVERLAP * executors / (self.s.dispatchers as usize).max(1);
+        covered.max(SAMPLE_SIZE)
     }
 
     /// The executors that a draw for a request chooses among, in the table's order; `times` as many where the
     /// first ones do not do.
     pub(super) fn candidates(&mut self, id: RequestId, times: usize) -> Vec<usize> {
-        let all = self.roster.count(Part::All, self.open_to(&self.requests[&id]));
-        let mut chosen = if all <= SAMPLE {
-            self.roster.all(self.open_to(&self.requests[&id]))
+        let all = self.executor_index.count(Part::All, self.open_to(&self.requests[&id]));
+        let mut chosen = if all <= SAMPLE_SIZE {
+            self.executor_index.all(self.open_to(&self.requests[&id]))
         } else {
             let chances = [self.chance(), self.chance()];
             self.sample(&self.requests[&id], times, chances)
@@ -44,30 +44,30 @@
     /// some of the cold ones.
     fn sample(&self, q: &Request, times: usize, [warm_chance, cold_chance]: [f64; 2]) -> Vec<usize> {
         let open = self.open_to(q);
-        let known = q.homes.iter().filter_map(|e| self.index.get(e).copied());
+        let known = q.preferred_executors.iter().filter_map(|e| self.index.get(e).copied());
         let mut chosen: Vec<usize> = known.chain(q.attempts.iter().map(|a| a.executor)).collect();
-        let size = times * self.subset_size(self.roster.count(Part::Warm, &open));
-        let mut subset = self.roster.window(Part::Warm, &open, self.point, size);
+        let size = times * self.subset_size(self.executor_index.count(Part::Warm, &open));
+        let mut subset = self.executor_index.window(Part::Warm, &open, self.ring_position, size);
         let begin = (warm_chance * subset.len() as f64) as usize;
         subset.rotate_left(begin);
-        subset.truncate(times * SAMPLE);
+        subset.truncate(times * SAMPLE_SIZE);
         chosen.extend(subset);
         let from = (cold_chance * u64::MAX as f64) as u64;
-        chosen.extend(self.roster.window(Part::Cold, &open, from, SAMPLE));
+        chosen.extend(self.executor_index.window(Part::Cold, &open, from, SAMPLE_SIZE));
         chosen
     }
 
     /// The executors among which a table group has its homes: the same at all dispatchers.
-    pub(super) fn neighbours(&self, class: ClassId, group: u64) -> Vec<usize> {
+    pub(super) fn affinity_candidates(&self, class: ClassId, group: u64) -> Vec<usize> {
         let open = |pool: u64| pool >> class & 1 == 1;
-        if self.roster.count(Part::All, open) <= SAMPLE {
-            return self.roster.all(open);
+        if self.executor_index.count(Part::All, open) <= SAMPLE_SIZE {
+            return self.executor_index.all(open);
         }
-        self.roster.window(Part::All, open, mixed(group), SAMPLE)
+        self.executor_index.window(Part::All, open, mixed(group), SAMPLE_SIZE)
     }
 
     /// Executors as many as a draw looks at: what is weighed against all the others.
     pub(super) fn choices(&self) -> usize {
-        self.executors.len().min(SAMPLE)
+        self.executors.len().min(SAMPLE_SIZE)
     }
 }
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -22,7 +22,8 @@
     ] {
         d.members(at, News::Changes, &[member(5, standing, weight), member(6, Standing::Up, weight)]);
     }
-    let cold: Vec<_> = d.dispatcher.executors.iter().map(|e| (e.endpoint.executor, e.cold_since)).collect();
+    let cold: Vec<_> =
+        d.dispatcher.executors.iter().map(|e| (e.endpoint.executor, e.warming_since)).collect();
     assert_eq!(cold, [(5, None), (6, Some(2_000))]);
 }
 
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -58,7 +58,7 @@
             repeats: settings.classes.iter().map(|c| c.idempotency == Idempotency::Idempotent).collect(),
             attempts: settings.max_attempts as usize,
             cores: settings.kinds.iter().map(|k| k.cores).collect(),
-            ramp: settings.cold.ramp,
+            ramp: settings.slow_start.ramp,
         }
     }
 }
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -49,7 +49,7 @@
         let catalog = Catalog::of(&settings, &names);
         let storm = options.storms.map(|o| {
             let honoured = o.longest_wait.map(|d| d.as_micros() as Micros).or(settings.max_retry_after);
-            let (longest_wait, ramp) = (honoured.unwrap_or(LONGEST_WAIT), settings.cold.ramp);
+            let (longest_wait, ramp) = (honoured.unwrap_or(LONGEST_WAIT), settings.slow_start.ramp);
             Storm::new(
                 storm::Terms { longest_wait, repeats: o.repeats, remembered: o.remembered, ramp },
                 seed,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -229,11 +229,11 @@
             progress: (progress > 0).then_some(progress),
             reports_cost: d.tells_cost.unwrap_or(false),
             budget,
-            cold: SlowStart {
-                from: r.cold_from,
+            slow_start: SlowStart {
+                initial_fraction: r.cold_from,
                 ramp: micros(M, "env.rules.rampTime", r.ramp_time)?,
-                multiple: r.fall_multiple,
-                fall: micros(M, "env.rules.fall", r.fall)?,
+                overload_factor: r.fall_multiple,
+                overload_window: micros(M, "env.rules.fall", r.fall)?,
             },
             drain_grace: micros(M, "env.rules.stopSendingWithin", r.stop_sending_within)?,
             key_quiet: r.key_quiet.map(|q| micros(M, "env.rules.keyQuiet", q)).transpose()?,
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -9,59 +9,66 @@
     pub(crate) present: bool,
     /// Which classes it is open to, a bit each.
     pub(crate) pool: u64,
-    /// Where it stands in the roster.
+    /// Where it stands in the executor_index.
     pub(crate) place: Option<Place>,
     pub(crate) cores: f64,
     pub(crate) report: Report,
-    pub(crate) report_at: Micros,
-    pub(crate) threads: f64,
-    pub(crate) granted: f64,
+    pub(crate) report_received_at: Micros,
+    pub(crate) in_flight_threads: f64,
+    pub(crate) granted_mb: f64,
     /// Own threads when the report was made, and at the last tick.
-    pub(crate) threads_then: f64,
-    pub(crate) threads_before: f64,
-    pub(crate) out: BTreeSet<(RequestId, u32)>,
-    pub(crate) slow: Mean,
+    pub(crate) in_flight_threads_at_report: f64,
+    pub(crate) in_flight_threads_at_tick: f64,
+    pub(crate) attempts_in_flight: BTreeSet<(RequestId, u32)>,
+    pub(crate) relative_latency: Mean,
     /// Lately, time taken over expected, where nothing else tells of load.
-    pub(crate) pace: Option<f64>,
-    pub(crate) heard: Micros,
-    pub(crate) gap: Mean,
-    pub(crate) errors: f64,
+    pub(crate) latency_ratio: Option<f64>,
+    pub(crate) last_message_at: Micros,
+    pub(crate) message_interval: Mean,
+    pub(crate) error_rate: f64,
     pub(crate) ejected_until: Option<Micros>,
-    pub(crate) silent: bool,
+    pub(crate) unresponsive: bool,
     pub(crate) ejections: u32,
-    pub(crate) full_until: Micros,
-    pub(crate) cold_since: Option<Micros>,
-    /// While cold: own work that it may still get, and what may be staked in lots for it.
-    pub(crate) cold: TokenBucket,
-    pub(crate) lots: TokenBucket,
+    pub(crate) rejecting_until: Micros,
+    pub(crate) warming_since: Option<Micros>,
+    /// While cold: own work that it may still get, and what may be staked in admission_tokens for it.
+    pub(crate) own_budget: TokenBucket,
+    pub(crate) admission_tokens: TokenBucket,
     pub(crate) probe_sent: Option<Micros>,
     /// Something was sent to this process: a connection is there.
-    pub(crate) met: bool,
+    pub(crate) connected: bool,
 }
 
 impl Executor {
-    /// Notes that something was heard, and the gap before it.
-    pub(crate) fn hear(&mut self, now: Micros, weight: f64) {
-        self.gap.add((now - self.heard) as f64 / 1e6, weight);
-        self.heard = now;
+    /// Notes that something was last_message_at, and the gap before it.
+    pub(crate) fn record_message(&mut self, now: Micros, weight: f64) {
+        self.message_interval.add((now - self.last_message_at) as f64 / 1e6, weight);
+        self.last_message_at = now;
     }
 
-    pub(crate) fn new(endpoint: Endpoint, cores: f64, now: Micros, cold: Option<Micros>) -> Executor {
-        let mut e = Executor { endpoint, present: true, cores, heard: now, ..Executor::default() };
-        e.restarted(now, cold);
+    pub(crate) fn new(
+        endpoint: Endpoint,
+        cores: f64,
+        now: Micros,
+        warming_since: Option<Micros>,
+    ) -> Executor {
+        let mut e = Executor { endpoint, present: true, cores, last_message_at: now, ..Executor::default() };
+        e.restarted(now, warming_since);
         e
     }
 
     /// Forgets what held of the process before.
-    pub(crate) fn restarted(&mut self, now: Micros, cold_since: Option<Micros>) {
-        (self.cold_since, self.errors, self.ejected_until, self.silent) = (cold_since, 0.0, None, false);
-        (self.ejections, self.report, self.pace, self.met) = (0, Report::default(), None, false);
-        self.cold = TokenBucket { at: now, ..TokenBucket::default() };
-        self.lots = self.cold.clone();
+    pub(crate) fn restarted(&mut self, now: Micros, warming_since: Option<Micros>) {
+        (self.warming_since, self.error_rate, self.ejected_until, self.unresponsive) =
+            (warming_since, 0.0, None, false);
+        (self.ejections, self.report, self.latency_ratio, self.connected) =
+            (0, Report::default(), None, false);
+        self.own_budget = TokenBucket { at: now, ..TokenBucket::default() };
+        self.admission_tokens = self.own_budget.clone();
     }
 
     /// Of one of the only zones and kinds allowed, if bound.
-    pub(crate) fn within(&self, zones: &Option<Vec<ZoneId>>, kinds: &Option<Vec<KindId>>) -> bool {
+    pub(crate) fn is_within(&self, zones: &Option<Vec<ZoneId>>, kinds: &Option<Vec<KindId>>) -> bool {
         zones.as_ref().is_none_or(|z| z.contains(&self.endpoint.zone))
             && kinds.as_ref().is_none_or(|k| k.contains(&self.endpoint.kind))
     }
@@ -72,26 +79,26 @@
     }
 
     /// Counts an attempt in.
-    pub(crate) fn take(&mut self, attempt: (RequestId, u32), threads: f64, grant: f64) {
-        self.out.insert(attempt);
-        self.met = true;
-        self.threads += threads;
-        self.granted += grant;
+    pub(crate) fn start_attempt(&mut self, attempt: (RequestId, u32), threads: f64, grant: f64) {
+        self.attempts_in_flight.insert(attempt);
+        self.connected = true;
+        self.in_flight_threads += threads;
+        self.granted_mb += grant;
     }
 
     /// Counts an attempt out.
-    pub(crate) fn release(&mut self, attempt: (RequestId, u32), threads: f64, grant: f64) {
-        self.out.remove(&attempt);
-        self.threads -= threads;
-        self.granted -= grant;
+    pub(crate) fn finish_attempt(&mut self, attempt: (RequestId, u32), threads: f64, grant: f64) {
+        self.attempts_in_flight.remove(&attempt);
+        self.in_flight_threads -= threads;
+        self.granted_mb -= grant;
     }
 
     /// Keeps a report. The same values mean the same old one; a new one tells of a moment ago, not of now.
     pub(crate) fn reported(&mut self, report: Report, now: Micros) {
         if report != self.report {
-            self.threads_then = self.threads_before;
+            self.in_flight_threads_at_report = self.in_flight_threads_at_tick;
             self.report = report;
         }
-        self.report_at = now;
+        self.report_received_at = now;
     }
 }
--- a/src/state/roster.rs
+++ b/src/state/executor_index.rs
@@ -10,7 +10,7 @@
     pool: u64,
     kind: KindId,
     /// When it started, while it is cold.
-    cold_since: Option<Micros>,
+    warming_since: Option<Micros>,
 }
 
 /// The cold executors of one kind: how many, and their starts added up.
@@ -22,7 +22,7 @@
 
 /// The indexes.
 #[derive(Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct ExecutorIndex {
     pools: BTreeMap<u64, PoolRings>,
     /// Cold executors by their start, and what they come to.
     starts: BTreeSet<(Micros, usize)>,
@@ -33,24 +33,24 @@
     pub(crate) active: BTreeSet<usize>,
 }
 
-impl Roster {
+impl ExecutorIndex {
     /// An executor stands elsewhere now, or nowhere.
     pub(crate) fn moves(&mut self, i: usize, executor: ExecutorId, from: Option<Place>, to: Option<Place>) {
         if let Some(place) = from {
             self.leaves(i, executor, place);
         }
         if let Some(place) = to {
-            self.adds(i, place).insert((point(executor), i));
+            self.adds(i, place).insert((ring_position(executor), i));
         }
         self.pools.retain(|_, p| p.warm.len() + p.cold.len() > 0);
     }
 
     fn leaves(&mut self, i: usize, executor: ExecutorId, from: Place) {
         let Some(pool) = self.pools.get_mut(&from.pool) else { return };
-        pool.ring(from.cold_since.is_some()).remove((point(executor), i));
+        pool.ring(from.warming_since.is_some()).remove((ring_position(executor), i));
         *pool.kinds.entry(from.kind).or_default() -= 1;
         self.listed -= 1;
-        if let Some(since) = from.cold_since {
+        if let Some(since) = from.warming_since {
             self.starts.remove(&(since, i));
             let cold = self.cold.entry(from.kind).or_default();
             (cold.executors, cold.starts) = (cold.executors - 1, cold.starts - u128::from(since));
@@ -60,14 +60,14 @@
     /// Counts an executor in; the ring that it belongs on.
     fn adds(&mut self, i: usize, to: Place) -> &mut Ring {
         self.listed += 1;
-        if let Some(since) = to.cold_since {
+        if let Some(since) = to.warming_since {
             self.starts.insert((since, i));
             let cold = self.cold.entry(to.kind).or_default();
             (cold.executors, cold.starts) = (cold.executors + 1, cold.starts + u128::from(since));
         }
         let pool = self.pools.entry(to.pool).or_default();
         *pool.kinds.entry(to.kind).or_default() += 1;
-        pool.ring(to.cold_since.is_some())
+        pool.ring(to.warming_since.is_some())
     }
 
     fn sort(&mut self) {
@@ -86,7 +86,7 @@
     }
 
     /// Cores of all cold executors, and these cores times the seconds since each one's start.
-    pub(crate) fn cold_cores(&self, kinds: &[Kind], now: Micros) -> (f64, f64) {
+    pub(crate) fn warming_cores(&self, kinds: &[Kind], now: Micros) -> (f64, f64) {
         self.cold.iter().fold((0.0, 0.0), |(all, aged), (kind, cold)| {
             let age = (u128::from(now) * u128::from(cold.executors)).saturating_sub(cold.starts);
             let cores = kinds[*kind].cores;
@@ -134,43 +134,45 @@
 
 impl Balancer {
     fn place_of(&self, e: &Executor) -> Option<Place> {
-        let cold = e.cold_since.filter(|t| self.s.cold.fall > 0 && self.now < t + self.s.cold.ramp);
+        let cold = e
+            .warming_since
+            .filter(|t| self.s.slow_start.overload_window > 0 && self.now < t + self.s.slow_start.ramp);
         // A start that lies ahead is one that is just now.
-        let cold_since = cold.map(|t| t.min(self.now));
-        e.listed().then_some(Place { pool: e.pool, kind: e.endpoint.kind, cold_since })
+        let warming_since = cold.map(|t| t.min(self.now));
+        e.listed().then_some(Place { pool: e.pool, kind: e.endpoint.kind, warming_since })
     }
 
     /// Puts an executor where it belongs now: called wherever its entry, its presence or its start changes.
-    pub(crate) fn place(&mut self, i: usize) {
+    pub(crate) fn update_index(&mut self, i: usize) {
         let to = self.place_of(&self.executors[i]);
         let from = std::mem::replace(&mut self.executors[i].place, to);
         if from != to {
-            self.roster.moves(i, self.executors[i].endpoint.executor, from, to);
+            self.executor_index.moves(i, self.executors[i].endpoint.executor, from, to);
         }
     }
 
     /// Puts all executors where they belong, from nothing.
-    pub(crate) fn place_all(&mut self) {
-        let active = std::mem::take(&mut self.roster).active;
-        self.roster.active = active;
+    pub(crate) fn rebuild_index(&mut self) {
+        let active = std::mem::take(&mut self.executor_index).active;
+        self.executor_index.active = active;
         for i in 0..self.executors.len() {
             let to = self.place_of(&self.executors[i]);
             self.executors[i].place = to;
             if let Some(place) = to {
-                let point = point(self.executors[i].endpoint.executor);
-                self.roster.adds(i, place).places.push((point, i));
+                let point = ring_position(self.executors[i].endpoint.executor);
+                self.executor_index.adds(i, place).places.push((point, i));
             }
         }
-        self.roster.sort();
+        self.executor_index.sort();
     }
 
     /// Something was sent to an executor or heard of it.
-    pub(crate) fn touch(&mut self, i: usize) {
-        self.roster.active.insert(i);
+    pub(crate) fn mark_active(&mut self, i: usize) {
+        self.executor_index.active.insert(i);
     }
 
     /// Counts executors that a decision looked at.
-    pub(crate) fn look_at(&self, executors: usize) {
+    pub(crate) fn count_examined(&self, executors: usize) {
         self.examined.set(self.examined.get() + executors as u64);
     }
 
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -13,7 +13,9 @@
     pub(crate) fn avoided(&self, now: Micros) -> (usize, usize) {
         let listed = self.executors.iter().filter(|e| e.present && e.endpoint.readiness != Readiness::Left);
         let avoided = |e: &&Executor| {
-            e.endpoint.readiness != Readiness::Active || e.silent || e.ejected_until.is_some_and(|t| t > now)
+            e.endpoint.readiness != Readiness::Active
+                || e.unresponsive
+                || e.ejected_until.is_some_and(|t| t > now)
         };
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -23,19 +25,23 @@
     pub(crate) fn fleet(&self, now: Micros) -> [f64; 3] {
         let mut sums = [0.0; 3];
         for e in self.executors.iter().filter(|e| e.listed()) {
-            let healthy = !e.silent && e.ejected_until.is_none_or(|t| t <= now);
+            let healthy = !e.unresponsive && e.ejected_until.is_none_or(|t| t <= now);
             let usable = if healthy { e.cores } else { 0.0 };
-            let parts = [e.cores, usable, usable * self.warmth(e)];
+            let parts = [e.cores, usable, usable * self.capacity_fraction(e)];
             sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part);
         }
         sums
     }
 
     /// Share of its capacity that an executor has: a cold one grows from `from` over the ramp.
-    pub(crate) fn warmth(&self, e: &Executor) -> f64 {
-        let Some(since) = e.cold_since else { return 1.0 };
-        let done = self.now.saturating_sub(since) as f64 / self.s.cold.ramp.max(1) as f64;
-        if done >= 1.0 { 1.0 } else { self.s.cold.from + (1.0 - self.s.cold.from) * done }
+    pub(crate) fn capacity_fraction(&self, e: &Executor) -> f64 {
+        let Some(since) = e.warming_since else { return 1.0 };
+        let done = self.now.saturating_sub(since) as f64 / self.s.slow_start.ramp.max(1) as f64;
+        if done >= 1.0 {
+            1.0
+        } else {
+            self.s.slow_start.initial_fraction + (1.0 - self.s.slow_start.initial_fraction) * done
+        }
     }
 
     /// Seconds that a request should take, at the pace of the day.
@@ -46,7 +52,7 @@
 
     /// How much a report still tells, 1 when new.
     pub(crate) fn confidence(&self, e: &Executor, span_s: f64) -> f64 {
-        (-(self.seconds_since(e.report_at) / span_s)).exp()
+        (-(self.seconds_since(e.report_received_at) / span_s)).exp()
     }
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
@@ -57,8 +63,8 @@
     /// Running means of own threads, requests and memory in flight.
     pub(crate) fn tally(&mut self, weight: f64) {
         let requests = self.requests.len() as f64;
-        let active = self.roster.active.iter().map(|i| &self.executors[*i]);
-        let (mb, out) = active.fold((0.0, 0.0), |(m, t), e| (m + e.granted, t + e.threads));
+        let active = self.executor_index.active.iter().map(|i| &self.executors[*i]);
+        let (mb, out) = active.fold((0.0, 0.0), |(m, t), e| (m + e.granted_mb, t + e.in_flight_threads));
         if out > 0.0 {
             self.thread_mb.add(mb / out, weight);
             self.held_threads += (out - self.held_threads) * weight;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -3,20 +3,20 @@
 
 mod chance;
 mod executor;
+mod executor_index;
 mod figures;
 mod learned;
 mod request;
 mod ring;
-mod roster;
 mod rule;
 mod table;
 
 pub(crate) use chance::*;
 pub(crate) use executor::*;
+pub(crate) use executor_index::*;
 pub(crate) use learned::*;
 pub(crate) use request::*;
 pub(crate) use ring::*;
-pub(crate) use roster::*;
 pub(crate) use rule::*;
 
 use crate::api::*;
@@ -39,15 +39,15 @@
     pub(crate) overall: Mean,
     pub(crate) tenants: Vec<f64>,
     /// Probes that own requests have paid for.
-    pub(crate) purse: f64,
-    /// What may be staked in lots at all cold executors together.
-    pub(crate) stakes: TokenBucket,
+    pub(crate) probe_budget: f64,
+    /// What may be staked in admission_tokens at all cold executors together.
+    pub(crate) slow_start_tokens: TokenBucket,
     /// When executors that are gone were looked for last.
-    pub(crate) swept: Micros,
+    pub(crate) last_sweep: Micros,
     pub(crate) executors: Vec<Executor>,
-    pub(crate) roster: Roster,
+    pub(crate) executor_index: ExecutorIndex,
     /// Where its subset of the executors begins.
-    pub(crate) point: u64,
+    pub(crate) ring_position: u64,
     /// Executors that decisions have looked at.
     pub(crate) examined: Cell<u64>,
     pub(crate) index: BTreeMap<ExecutorId, usize>,
@@ -74,7 +74,7 @@
     /// Whether reports tell of load, once one came.
     pub(crate) tells_load: Option<bool>,
     /// Requests that wait for probes.
-    pub(crate) asking: Vec<RequestId>,
+    pub(crate) awaiting_probes: Vec<RequestId>,
     /// A key's line is moving on.
     pub(crate) moves_on: bool,
     pub(crate) loaded: bool,
@@ -102,13 +102,13 @@
             models,
             overall: Mean::default(),
             tenants: vec![0.0; s.tenants.len()],
-            purse: 0.0,
-            stakes: TokenBucket::default(),
+            probe_budget: 0.0,
+            slow_start_tokens: TokenBucket::default(),
             executors: Vec::new(),
-            roster: Roster::default(),
-            point: mixed(seed),
+            executor_index: ExecutorIndex::default(),
+            ring_position: mixed(seed),
             examined: Cell::new(0),
-            swept: Micros::MAX,
+            last_sweep: Micros::MAX,
             index: BTreeMap::new(),
             requests: BTreeMap::new(),
             keys: BTreeMap::new(),
@@ -127,7 +127,7 @@
             pools: BTreeMap::new(),
             tells_load: None,
             moves_on: false,
-            asking: Vec::new(),
+            awaiting_probes: Vec::new(),
             loaded: false,
             ends: Micros::MAX,
             ends_changed: false,
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -8,7 +8,7 @@
     pub(crate) key: Option<u64>,
     pub(crate) group: u64,
     /// Executors that read its table group by preference.
-    pub(crate) homes: Vec<ExecutorId>,
+    pub(crate) preferred_executors: Vec<ExecutorId>,
     pub(crate) arrived: Micros,
     pub(crate) deadline: Micros,
     pub(crate) latency_objective: Micros,
@@ -19,7 +19,7 @@
     pub(crate) priority: u8,
     pub(crate) attempts: Vec<Attempt>,
     /// Until when it waits for probes.
-    pub(crate) asked_until: Option<Micros>,
+    pub(crate) probe_wait_until: Option<Micros>,
     /// What it was expected to take when it joined its key's line.
     pub(crate) run: Micros,
     pub(crate) done: bool,
@@ -38,7 +38,7 @@
         now: Micros,
         cost: f64,
         latency_objective: Micros,
-        homes: Vec<ExecutorId>,
+        preferred_executors: Vec<ExecutorId>,
         class: &Class,
         most_attempts: u32,
     ) -> Request {
@@ -46,7 +46,7 @@
             class: a.class,
             key: a.key.filter(|_| class.keep_order),
             group: a.group,
-            homes,
+            preferred_executors,
             arrived: now,
             deadline: now + a.time_budget,
             latency_objective: now + latency_objective,
--- a/src/state/ring.rs
+++ b/src/state/ring.rs
@@ -55,7 +55,7 @@
 }
 
 /// An executor's point on the rings, the same at all dispatchers.
-pub(crate) fn point(executor: ExecutorId) -> u64 {
+pub(crate) fn ring_position(executor: ExecutorId) -> u64 {
     mixed(u64::from(executor))
 }
 
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -3,30 +3,34 @@
 use super::*;
 use std::collections::BTreeSet;
 
-/// A table of up to so many executors is swept with every event that brings a new one, a larger one once this part of it
+/// A table of up to so many executors is last_sweep with every event that brings a new one, a larger one once this part of it
 /// is not listed.
-const SWEPT_ALWAYS: usize = 128;
-const SWEPT_PART: usize = 8;
+const SWEEP_ALWAYS_UP_TO: usize = 128;
+const SWEEP_UNLISTED_FRACTION: usize = 8;
 
 impl Balancer {
     /// Marks all executors absent that a whole list does not name.
-    pub(crate) fn only_present(&mut self, endpoints: &[Endpoint]) {
+    pub(crate) fn mark_absent_except(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<ExecutorId> = endpoints.iter().map(|n| n.executor).collect();
         self.executors.iter_mut().for_each(|e| e.present = named.contains(&e.endpoint.executor));
     }
 
     /// Takes executors out of the table that are gone and that no open request was sent to: on a long day they would
     /// outnumber the rest, and whatever counts executors would count them.
-    fn drop_gone(&mut self) {
+    fn remove_departed(&mut self) {
         // The sweep walks the whole table: a large one is left until there is enough to sweep.
-        let unlisted = self.executors.len() - self.roster.listed().min(self.executors.len());
-        if self.executors.len() > SWEPT_ALWAYS && unlisted * SWEPT_PART < self.executors.len() {
+        let unlisted = self.executors.len() - self.executor_index.listed().min(self.executors.len());
+        if self.executors.len() > SWEEP_ALWAYS_UP_TO
+            && unlisted * SWEEP_UNLISTED_FRACTION < self.executors.len()
+        {
             return;
         }
         let sent: BTreeSet<usize> =
             self.requests.values().flat_map(|q| q.attempts.iter().map(|a| a.executor)).collect();
         let gone = |i: usize, e: &Executor| {
-            (!e.present || e.endpoint.readiness == Readiness::Left) && e.out.is_empty() && !sent.contains(&i)
+            (!e.present || e.endpoint.readiness == Readiness::Left)
+                && e.attempts_in_flight.is_empty()
+                && !sent.contains(&i)
         };
         let kept: Vec<bool> = self.executors.iter().enumerate().map(|(i, e)| !gone(i, e)).collect();
         if kept.iter().all(|k| *k) {
@@ -45,17 +49,17 @@
             a.executor = places[a.executor] - 1;
         }
         self.index = self.executors.iter().enumerate().map(|(i, e)| (e.endpoint.executor, i)).collect();
-        let active = std::mem::take(&mut self.roster.active);
-        self.roster.active = active.into_iter().filter(|i| kept[*i]).map(|i| places[i] - 1).collect();
-        self.place_all();
+        let active = std::mem::take(&mut self.executor_index.active);
+        self.executor_index.active = active.into_iter().filter(|i| kept[*i]).map(|i| places[i] - 1).collect();
+        self.rebuild_index();
     }
 
     /// Enters an executor in the table, or what changed of it; `restarted` is when it started, if it did.
     pub(crate) fn enter(&mut self, endpoint: Endpoint, restarted: Option<Micros>) -> usize {
         let Some(&i) = self.index.get(&endpoint.executor) else {
             // A list is one event: what is gone is looked for once in it, not for each of its executors.
-            if std::mem::replace(&mut self.swept, self.now) != self.now {
-                self.drop_gone();
+            if std::mem::replace(&mut self.last_sweep, self.now) != self.now {
+                self.remove_departed();
             }
             self.index.insert(endpoint.executor, self.executors.len());
             let cores = self.s.kinds[endpoint.kind].cores;
@@ -74,7 +78,7 @@
         if let Some((&i, r)) = self.index.get(&executor).zip(report) {
             self.tells_load = Some(r.util.or(r.inflight).or(r.memory).or(r.disks).is_some());
             self.executors[i].reported(r.sane(), self.now);
-            self.touch(i);
+            self.mark_active(i);
         }
     }
 
@@ -92,8 +96,8 @@
             grant,
             ..Attempt::default()
         });
-        self.touch(i);
-        self.executors[i].take((id, n), f64::from(self.s.classes[class].threads), grant);
+        self.mark_active(i);
+        self.executors[i].start_attempt((id, n), f64::from(self.s.classes[class].threads), grant);
     }
 
     /// Writes the outcome of an attempt down and tells its executor; nothing if it is unknown or had one.
@@ -104,7 +108,7 @@
         a.outcome = Some(outcome);
         let (i, grant) = (a.executor, a.grant);
         self.models[q.class].settled += 1;
-        self.executors[i].release((id, n), threads, grant);
+        self.executors[i].finish_attempt((id, n), threads, grant);
         Some(i)
     }
 }
--- a/tests/cold_sum/count.rs
+++ b/tests/cold_sum/count.rs
@@ -18,7 +18,7 @@
 /// What the budget of an executor follows from.
 #[derive(Debug, Clone, Copy)]
 pub struct Rule {
-    pub cold: SlowStart,
+    pub slow_start: SlowStart,
     pub cores: f64,
     pub mean_work: f64,
     pub cold_executors: u32,
@@ -27,9 +27,12 @@
 impl Rule {
     /// N of the window that begins then, in requests of mean work.
     pub fn budget(&self, at: Micros) -> f64 {
-        let ramped = (at as f64 / self.cold.ramp as f64).min(1.0);
-        let capacity = self.cores * (self.cold.from + (1.0 - self.cold.from) * ramped);
-        self.cold.multiple * capacity * self.cold.fall as f64 / 1e6 / self.mean_work
+        let ramped = (at as f64 / self.slow_start.ramp as f64).min(1.0);
+        let capacity = self.cores
+            * (self.slow_start.initial_fraction + (1.0 - self.slow_start.initial_fraction) * ramped);
+        self.slow_start.overload_factor * capacity * self.slow_start.overload_window as f64
+            / 1e6
+            / self.mean_work
     }
 
     /// The most that may come in that window: chance counts for 2 x root of N + 2, also where N is under 30 and the term
@@ -64,12 +67,12 @@
 impl Sum {
     /// Counts a play of so long in: windows end within it.
     pub fn add(&mut self, rule: &Rule, played: Micros, sent: &[Sent]) {
-        let last = played - rule.cold.fall;
+        let last = played - rule.slow_start.overload_window;
         for executor in 1..=rule.cold_executors {
             let mut here: Vec<Sent> = sent.iter().filter(|s| s.executor == executor).copied().collect();
             here.sort_by_key(|s| s.at);
             let begin = |from: Micros| here.partition_point(|s| s.at < from);
-            let within = |from: Micros| &here[begin(from)..begin(from + rule.cold.fall)];
+            let within = |from: Micros| &here[begin(from)..begin(from + rule.slow_start.overload_window)];
             let work = |some: &[Sent], told: bool| {
                 some.iter().filter(|s| s.told || !told).map(|s| s.work).sum::<f64>() / rule.mean_work
             };
--- a/tests/cold_sum/module.rs
+++ b/tests/cold_sum/module.rs
@@ -86,7 +86,7 @@
     }
 
     fn plan_arrival(&mut self) {
-        let woken = START + self.scene.quiet * self.scene.rule.cold.fall;
+        let woken = START + self.scene.quiet * self.scene.rule.slow_start.overload_window;
         let times = if self.scene.quiet > 0 && self.now >= woken { 4.0 } else { 1.0 };
         let mut after = (-(1.0 - self.chance()).ln() / (self.rate * times) * 1e6) as Micros;
         if (START..woken).contains(&(self.now + after)) {
--- a/tests/cold_sum/scene.rs
+++ b/tests/cold_sum/scene.rs
@@ -33,17 +33,17 @@
     /// ten attempts fails.
     pub fn busy(dispatchers: u32) -> Scene {
         let (dear, work) = (0.2, [0.1, 1.0]);
-        let cold = settings().cold;
+        let slow_start = settings().slow_start;
         Scene {
             dispatchers,
             warm_executors: 4,
             rule: Rule {
-                cold,
+                slow_start,
                 cores: 8.0,
                 mean_work: work[0] + dear * (work[1] - work[0]),
                 cold_executors: 2,
             },
-            played: cold.ramp,
+            played: slow_start.ramp,
             rate: 10.0 + 300.0 / f64::from(dispatchers),
             dear,
             work,
@@ -66,13 +66,13 @@
     /// executor comes together.
     pub fn woken(dispatchers: u32) -> Scene {
         let s = Scene::busy(dispatchers);
-        Scene { quiet: 5, played: 7 * s.rule.cold.fall, ..s }
+        Scene { quiet: 5, played: 7 * s.rule.slow_start.overload_window, ..s }
     }
 
     pub fn settings(&self) -> Settings {
         let mut s = settings();
-        (s.dispatchers, s.cold, s.reports, s.probe_price) =
-            (self.dispatchers, self.rule.cold, Reports::OnProbe, 0.01);
+        (s.dispatchers, s.slow_start, s.reports, s.probe_price) =
+            (self.dispatchers, self.rule.slow_start, Reports::OnProbe, 0.01);
         s.kinds[0].cores = self.rule.cores;
         s
     }
--- a/tests/cold_sum/settings_drawn.rs
+++ b/tests/cold_sum/settings_drawn.rs
@@ -14,19 +14,24 @@
     (cold, mix, fleet, prop::sample::select(vec![4.0, 8.0, 16.0]), prop::sample::select(vec![0, 3, 5]))
         .prop_map(
             |(
-                (from, ramp, multiple, fall),
+                (initial_fraction, ramp, overload_factor, window_ms),
                 (dear, cheap, times),
                 (dispatchers, cold_executors, warm, rate),
                 cores,
                 quiet,
             )| {
-                let cold = SlowStart { from, ramp: ramp * fall * MS, multiple, fall: fall * MS };
+                let slow_start = SlowStart {
+                    initial_fraction,
+                    ramp: ramp * window_ms * MS,
+                    overload_factor,
+                    overload_window: window_ms * MS,
+                };
                 let work = [cheap, cheap * times];
                 let mean_work = work[0] + dear * (work[1] - work[0]);
                 Scene {
-                    rule: Rule { cold, cores, mean_work, cold_executors },
+                    rule: Rule { slow_start, cores, mean_work, cold_executors },
                     quiet,
-                    played: (quiet + 3) * cold.fall,
+                    played: (quiet + 3) * slow_start.overload_window,
                     warm_executors: warm,
                     rate,
                     dear,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,7 +54,12 @@
         progress: None,
         reports_cost: true,
         budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span: 5 * S, slack: 0 }),
-        cold: SlowStart { from: 0.34, ramp: 14 * S, multiple: 2.5, fall: 1_500 * MS },
+        slow_start: SlowStart {
+            initial_fraction: 0.34,
+            ramp: 14 * S,
+            overload_factor: 2.5,
+            overload_window: 1_500 * MS,
+        },
         drain_grace: S,
         key_quiet: Some(S),
         step: 5 * MS,
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -90,24 +90,31 @@
 /// forty. And none of them may be pushed over by all together.
 #[test]
 fn a_hundred_dispatchers_use_cold_executors_and_push_none_over() {
-    let cold = settings().cold;
-    let (window, cores) = (cold.fall as f64 / 1e6, 8.0);
+    let cold = settings().slow_start;
+    let (window, cores) = (cold.overload_window as f64 / 1e6, 8.0);
     let sent = replaced(100, 6);
     let mean = sent.iter().flatten().sum::<f64>() / (18.0 * 6.0);
     // A part of what they can do from the first second on, in thread-seconds a second.
-    assert!(mean > 0.3 * cold.from * cores, "{mean:.2} a second of {:.2}", cold.from * cores);
+    assert!(
+        mean > 0.3 * cold.initial_fraction * cores,
+        "{mean:.2} a second of {:.2}",
+        cold.initial_fraction * cores
+    );
     // Two whole seconds are longer than the window.
     let most = sent.iter().flat_map(|e| e.windows(2).map(|w| w[0] + w[1])).fold(0.0, f64::max);
-    let budget = cold.multiple * cold.from * cores * window;
+    let budget = cold.overload_factor * cold.initial_fraction * cores * window;
     assert!(most < budget, "{most:.2} within the window, {budget:.2} push it over");
 }
 
 /// The same for three dispatchers: one mechanism, whatever the size.
 #[test]
 fn three_dispatchers_push_no_cold_executor_over_either() {
-    let cold = settings().cold;
+    let cold = settings().slow_start;
     let most = replaced(3, 6).iter().flat_map(|e| e.windows(2).map(|w| w[0] + w[1])).fold(0.0, f64::max);
-    assert!(most < cold.multiple * cold.from * 8.0 * cold.fall as f64 / 1e6, "{most:.2}");
+    assert!(
+        most < cold.overload_factor * cold.initial_fraction * 8.0 * cold.overload_window as f64 / 1e6,
+        "{most:.2}"
+    );
 }
 
 /// Serves a request wherever executor 1, which fails all that it gets, does not have it. Whether it was sent there.
--- a/tests/rules/checks.rs
+++ b/tests/rules/checks.rs
@@ -90,14 +90,19 @@
             let taken = self.taken.iter().filter(|t| **t + b.span > now).count() as f64;
             assert!(sent <= b.free + b.ratio * taken + 1e-9, "attempt budget broken");
         }
-        let r = self.s.cold;
+        let r = self.s.slow_start;
         if let Some(t) = self.cold.get(&executor).filter(|t| now < **t + r.ramp) {
             let _ = t;
             self.cold_count += 1;
             let sends = self.cold_sends.entry(executor).or_default();
             sends.push_back((now, WORK[o.class]));
-            let work: f64 = sends.iter().filter(|(t, _)| t + r.fall > now).map(|(_, w)| w).sum();
-            let budget = r.multiple * r.from * self.s.kinds[e.kind].cores * 0.85 * r.fall as f64 / 1e6;
+            let work: f64 = sends.iter().filter(|(t, _)| t + r.overload_window > now).map(|(_, w)| w).sum();
+            let budget = r.overload_factor
+                * r.initial_fraction
+                * self.s.kinds[e.kind].cores
+                * 0.85
+                * r.overload_window as f64
+                / 1e6;
             assert!(
                 work <= budget / f64::from(self.s.dispatchers),
                 "cold engine overfed: {work} of {budget}"
--- a/tests/sliver/admission.rs
+++ b/tests/sliver/admission.rs
@@ -34,10 +34,10 @@
             rig.finish(q, 0, executor, Outcome::Ok, 0.2);
         }
     }
-    let c = fleet(300).cold;
-    let budget = c.multiple * c.from * 8.0 * c.fall as f64 / 1e6;
+    let c = fleet(300).slow_start;
+    let budget = c.overload_factor * c.initial_fraction * 8.0 * c.overload_window as f64 / 1e6;
     let window = |from: Micros| {
-        sent.iter().filter(|(t, _)| *t >= from && *t < from + c.fall).map(|(_, w)| w).sum::<f64>()
+        sent.iter().filter(|(t, _)| *t >= from && *t < from + c.overload_window).map(|(_, w)| w).sum::<f64>()
     };
     let most = (0..40).map(|i| window(i * 100 * MS)).fold(0.0, f64::max);
     assert!(most <= budget, "{most} of {budget}");
