--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -151,7 +151,9 @@
         if over || most || copy || !self.has_turn(id) || (further && !self.budget_allows()) {
             return false;
         }
-        let Some((i, q)) = self.draw(id, ask).map(|i| (i, &self.requests[&id])) else { return false };
+        let Some((i, q)) = self.draw_executor(id, ask).map(|i| (i, &self.requests[&id])) else {
+            return false;
+        };
         let (grant, priority) = (self.grant(q, &self.executors[i]), self.priority(q));
         let terms = Action::SetTerms { request: id, memory_mb: grant, priority };
         self.actions.extend((self.s.grants || self.s.priorities).then_some(terms));
--- a/src/balancer/constants.rs
+++ b/src/balancer/constants.rs
@@ -65,41 +65,17 @@
 pub(super) const PACE_PRIOR: f64 = 0.02;
 /// Idle executors that stand against reports where the rest of the fleet is unheard of: a few prove no crowd.
 pub(super) const UNHEARD: f64 = 2.0;
-/// Load at which an executor's weight is halved in the draw, threads a core; keeps idle ones from herding.
-pub(super) const LOAD_FLOOR: f64 = 0.25;
 /// Memory or disks in use from which an executor counts as more loaded, and how much more.
 pub(super) const SCARCE_FROM: f64 = 0.75;
 pub(super) const SCARCE_WEIGHT: f64 = 2.0;
-/// Sharpness of the draw: weight falls with this power of load.
-pub(super) const DRAW_POWER: i32 = 3;
-/// Executors that read a table group by preference: one can be busy. Their weight, for each executor there
-/// is.
-pub(super) const PREFERRED_EXECUTORS: usize = 2;
-pub(super) const AFFINITY_WEIGHT: f64 = 0.25;
-/// Loads keep to homes of their own, so that readers can keep away; three, as they wait for each other there.
-pub(super) const PREFERRED_EXECUTORS_OF_LOADS: usize = 3;
-pub(super) const LOAD_AFFINITY_WEIGHT: f64 = 12.0;
-/// Weight, for a class free to go elsewhere, of executors that a bound class needs.
-pub(super) const RESERVED_CAPACITY_WEIGHT: f64 = 0.25;
-/// How strongly the price of crossing zones weighs in the draw.
-pub(super) const CROSS_WEIGHT: f64 = 200.0;
-/// The same for the price of a connection to an executor that nothing was sent to yet.
-pub(super) const HANDSHAKE_WEIGHT: f64 = 4000.0;
 /// Share of failed outcomes at which an executor is ejected: two resets, or six errors (maybe the
 /// statement's).
 pub(super) const EJECT_ERRORS: f64 = 0.25;
 pub(super) const ERROR_WEIGHTS: [f64; 2] = [0.05, 0.15];
 /// Further weight of an error on a request that another executor then served: the second such one ejects.
 pub(super) const BLAME: f64 = 0.24;
-/// How an executor's share of errors weighs in the draw: for what may be tried again, and for what may not.
-pub(super) const ERROR_POWERS: [i32; 2] = [2, 8];
-/// Weight, for the latter, of one that served nothing here: one that fails at once looks idle to a probe.
-pub(super) const UNTRIED_WEIGHT: f64 = 0.1;
 /// First ejection, and the most that doubling makes of it.
 pub(super) const EJECT: [Micros; 2] = [SECOND, 8 * SECOND];
-/// Ejections are ignored while less than this share of the cores would be left; weight of ejected ones then.
-pub(super) const LEAST_USABLE: f64 = 0.4;
-pub(super) const UNHEALTHY_WEIGHT: f64 = 0.05;
 /// Silence: this multiple of the time to the next word, no sooner than this, nor before so many usual gaps.
 pub(super) const SILENT_FACTOR: f64 = 3.0;
 pub(super) const SILENT_LEAST: Micros = 700_000;
@@ -111,31 +87,10 @@
     RetryBudget { free: 3.0, ratio: 0.25, span: 10 * SECOND, slack: 0 };
 /// An attempt has a bad plan once it looks this many times longer than expected.
 pub(super) const RUNAWAY: f64 = 4.0;
-/// Executors that a decision looks at, whatever the length of the list; usual fleets have fewer. In a large
-/// fleet so many dispatchers have each executor in their subsets: loads differ by a quarter at most times.
-pub(super) const SAMPLE_SIZE: usize = 128;
-pub(super) const SUBSET_OVERLAP: usize = 16;
-/// Where too few of a sample are usable, one so many times as large is looked at, and then used as it is.
-pub(super) const SAMPLE_FACTORS: [usize; 2] = [1, 4];
-/// Executors heard of within this time are drawn; with fewer of them others are probed, some round trips
-/// long.
-pub(super) const REPORT_FRESHNESS: Micros = 800_000;
-pub(super) const CANDIDATES_WANTED: usize = 3;
-pub(super) const PROBE_WAIT: Micros = 40_000;
-/// Points of service that probes may cost: each request pays in what that buys at the stated price, a probe
-/// takes one out. Dear requests may empty the probe_budget, others leave half of it, less what the next one brings.
-pub(super) const PROBE_BUDGET_POINTS: f64 = 0.01;
-pub(super) const PROBE_BUDGET_CAPACITY: f64 = 6.0;
 /// Quantile of memory needs that a grant covers, its step (ln), and the weight of what one spill tells.
 pub(super) const GRANT_QUANTILE: f64 = 0.8;
 pub(super) const GRANT_STEP: f64 = 0.05;
 pub(super) const SPILL_WEIGHT: f64 = 0.3;
-/// Share of the cold-executor budget used in expectation; windows of it saved up at most for one request; the
-/// largest request, as a part of it, and the least part of its class's mean that one counts as.
-pub(super) const SLOW_START_UTILIZATION: f64 = 0.4;
-pub(super) const SLOW_START_SAVED_WINDOWS: f64 = 4.0;
-pub(super) const SLOW_START_LARGEST_FRACTION: f64 = 0.3;
-pub(super) const SLOW_START_LEAST_MEAN_FRACTION: f64 = 0.5;
 /// Requests past their aim are given up at once above this pressure.
 pub(super) const GIVE_UP_PRESSURE: f64 = 0.5;
 /// One in line for its key is given up once less than this, or than it takes, is left: two ticks and a half.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -6,14 +6,15 @@
 mod attempts;
 mod constants;
 mod cost;
-mod draw;
 mod guards;
 mod health;
 mod lines;
+mod placement;
 mod pressure;
 mod requests;
 mod rules;
-mod subset;
+pub(crate) mod selection;
+pub(crate) mod slow_start;
 
 use crate::api::*;
 use crate::state::*;
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,12 +1,12 @@
 //! A request's way: arrival, the wait for probes, its end.
 
+use super::selection::PROBE_WAIT;
 use super::*;
 
 impl Balancer {
     pub(super) fn arrival(&mut self, a: Arrival) {
         self.taken.push_back(self.now);
-        self.probe_budget =
-            (self.probe_budget + PROBE_BUDGET_POINTS / self.s.probe_price).min(PROBE_BUDGET_CAPACITY);
+        self.probe_budget.add_request(self.s.probe_price);
         let cost = self.predict(&a);
         self.overall.add(cost, LEARN);
         let m = &mut self.models[a.class];
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -31,9 +31,8 @@
     pub(crate) ejections: u32,
     pub(crate) rejecting_until: Micros,
     pub(crate) warming_since: Option<Micros>,
-    /// While cold: own work that it may still get, and what may be staked in admission_tokens for it.
-    pub(crate) own_budget: TokenBucket,
-    pub(crate) admission_tokens: TokenBucket,
+    /// Work that it may be sent while it is in slow start.
+    pub(crate) warming_buckets: WarmingBuckets,
     pub(crate) probe_sent: Option<Micros>,
     /// Something was sent to this process: a connection is there.
     pub(crate) connected: bool,
@@ -63,8 +62,7 @@
             (warming_since, 0.0, None, false);
         (self.ejections, self.report, self.latency_ratio, self.connected) =
             (0, Report::default(), None, false);
-        self.own_budget = TokenBucket { at: now, ..TokenBucket::default() };
-        self.admission_tokens = self.own_budget.clone();
+        self.warming_buckets = WarmingBuckets::new(now);
     }
 
     /// Of one of the only zones and kinds allowed, if bound.
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -33,17 +33,6 @@
         sums
     }
 
-    /// Share of its capacity that an executor has: a cold one grows from `from` over the ramp.
-    pub(crate) fn capacity_fraction(&self, e: &Executor) -> f64 {
-        let Some(since) = e.warming_since else { return 1.0 };
-        let done = self.now.saturating_sub(since) as f64 / self.s.slow_start.ramp.max(1) as f64;
-        if done >= 1.0 {
-            1.0
-        } else {
-            self.s.slow_start.initial_fraction + (1.0 - self.s.slow_start.initial_fraction) * done
-        }
-    }
-
     /// Seconds that a request should take, at the pace of the day.
     pub(crate) fn expected(&self, q: &Request) -> f64 {
         let pace = self.models[q.class].pace.or(1.0);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -20,6 +20,8 @@
 pub(crate) use rule::*;
 
 use crate::api::*;
+use crate::balancer::selection::ProbeBudget;
+use crate::balancer::slow_start::{SlowStartAdmission, WarmingBuckets};
 use lru::LruCache;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -38,10 +40,8 @@
     pub(crate) models: Vec<ClassModel>,
     pub(crate) overall: Mean,
     pub(crate) tenants: Vec<f64>,
-    /// Probes that own requests have paid for.
-    pub(crate) probe_budget: f64,
-    /// What may be staked in admission_tokens at all cold executors together.
-    pub(crate) slow_start_tokens: TokenBucket,
+    pub(crate) probe_budget: ProbeBudget,
+    pub(crate) slow_start: SlowStartAdmission,
     /// When executors that are gone were looked for last.
     pub(crate) last_sweep: Micros,
     pub(crate) executors: Vec<Executor>,
@@ -102,8 +102,8 @@
             models,
             overall: Mean::default(),
             tenants: vec![0.0; s.tenants.len()],
-            probe_budget: 0.0,
-            slow_start_tokens: TokenBucket::default(),
+            probe_budget: ProbeBudget::default(),
+            slow_start: SlowStartAdmission::default(),
             executors: Vec::new(),
             executor_index: ExecutorIndex::default(),
             ring_position: mixed(seed),
