--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -165,7 +165,7 @@
         longest_wait: honoured.unwrap_or(DEFAULT_LONGEST_WAIT),
         repeats: storms.repeats,
         remembered: storms.remembered,
-        ramp: settings.cold.ramp,
+        ramp: settings.slow_start.ramp,
     };
     Storm::new(terms, seed)
 }
