--- a/src/arrivals/key_spacing/tests.rs
+++ b/src/arrivals/key_spacing/tests.rs
@@ -8,12 +8,12 @@
     Occurrence::at(START + ms * MS)
 }
 
-/// When each request of the key may have been wanted, in milliseconds from the start; each tells when it came, and whether that
-/// was on a new connection.
+/// When each request of the key may have been wanted, in milliseconds from the start; each tells when it came, and
+/// whether that was on a new connection.
 fn wanted(requests: &[(Micros, bool)]) -> Vec<Micros> {
     let mut spacing = KeySpacing::default();
-    let spaced = requests.iter().map(|(ms, new)| spacing.came(KEY, at(*ms), *new));
-    spaced.map(|s| (s.wanted_since - START) / MS).collect()
+    let spaced = requests.iter().map(|(ms, new)| spacing.record(KEY, at(*ms), *new));
+    spaced.map(|s| (s.wanted_at - START) / MS).collect()
 }
 
 #[test]
@@ -36,19 +36,19 @@
 #[test]
 fn other_keys_hold_nothing_back() {
     let mut spacing = KeySpacing::default();
-    spacing.came(KEY, at(0), true);
-    let other = spacing.came(KEY + 1, at(100), true);
-    assert_eq!(other, Spaced { after_previous: None, wanted_since: START + 100 * MS });
+    spacing.record(KEY, at(0), true);
+    let other = spacing.record(KEY + 1, at(100), true);
+    assert_eq!(other, RequestSpacing { since_previous: None, wanted_at: START + 100 * MS });
 }
 
 // What was read late may have come sooner after the one before, and may have been held back.
 #[test]
 fn a_late_look_counts_at_its_worst() {
     let mut spacing = KeySpacing::default();
-    spacing.came(KEY, at(0), false);
+    spacing.record(KEY, at(0), false);
     let late = Occurrence::between(START + 90 * MS, START + 900 * MS);
-    let spaced = spacing.came(KEY, late, false);
-    assert_eq!(spaced, Spaced { after_previous: Some(90 * MS), wanted_since: START });
+    let spaced = spacing.record(KEY, late, false);
+    assert_eq!(spaced, RequestSpacing { since_previous: Some(90 * MS), wanted_at: START });
 }
 
 // However long the run is, a quarter of the budget is left.
@@ -57,7 +57,7 @@
     let mut spacing = KeySpacing::default();
     let held_back = (0..100).map(|n| {
         let came = at(n * 250);
-        spacing.came(KEY, came, true).held_back(came, 4_000 * MS) / MS
+        spacing.record(KEY, came, true).held_back(came, 4_000 * MS) / MS
     });
     let expected = (0..100).map(|n| (n * 250).min(3_000));
     assert!(held_back.eq(expected));
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,13 +1,13 @@
-//! Time. Deadlines, waits and graces are spans of the monotonic clock; the wall clock, which may be stepped by hours, is
-//! asked only where a time comes from outside.
+//! Time. Deadlines and waits are measured by the monotonic clock. The wall clock, which may be stepped by hours, is
+//! read only where a time comes from outside.
 //!
-//! [`now`] counts microseconds from the Unix time at which this process first asked, so that its numbers can be read as
-//! times of the wall clock as long as nobody steps that.
+//! [`now`] counts microseconds from the Unix time at which this process first asked, so that its numbers can be read
+//! as times of the wall clock as long as nobody steps that.
 
-mod boots;
+mod start_times;
 mod wall;
 
-pub use boots::BootTimes;
+pub use start_times::ExecutorStartTimes;
 pub use wall::WallClock;
 
 use crate::api::Micros;
@@ -16,7 +16,7 @@
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// When this process first asked for the time, on both clocks.
+/// The moment at which this process first asked for the time, on both clocks.
 struct Origin {
     instant: Instant,
     unix: Micros,
@@ -24,7 +24,7 @@
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-/// The time, on a clock that only goes forward, at the pace of real time.
+/// The time in microseconds, on a clock that never goes back and runs at the pace of real time.
 pub fn now() -> Micros {
     let origin = ORIGIN.get_or_init(|| Origin { instant: Instant::now(), unix: system_unix() });
     origin.unix + origin.instant.elapsed().as_micros() as Micros
@@ -49,7 +49,7 @@
     tests::stepped(unix)
 }
 
-/// The monotonic clock, with the time when it was last asked; tests have one that stands still until it is set.
+/// The monotonic clock, with the last time that it gave; tests have one that stands still until it is set.
 #[derive(Clone, Default)]
 pub struct Clock {
     last: Micros,
@@ -57,19 +57,19 @@
 }
 
 impl Clock {
-    /// A clock that shows what the cell holds.
+    /// A clock that gives the time in the cell, in microseconds.
     pub fn manual(time: Rc<Cell<Micros>>) -> Clock {
         Clock { last: 0, manual: Some(time) }
     }
 
-    /// The time.
+    /// The time in microseconds; never less than the time before.
     pub fn now(&mut self) -> Micros {
         let time = self.manual.as_ref().map_or_else(now, |time| time.get());
         self.last = self.last.max(time);
         self.last
     }
 
-    /// The time when it was last asked.
+    /// The last time that [`Clock::now`] gave.
     pub fn last(&self) -> Micros {
         self.last
     }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -58,9 +58,9 @@
         let after = now + 1_000;
         wall.observe(after, after.saturating_add_signed(step));
         // Told by a machine that read its clock before the step, and by one that read it after.
-        assert_eq!(wall.monotonic(after, started), started, "before a step of {step}");
+        assert_eq!(wall.to_monotonic(after, started), started, "before a step of {step}");
         let told = started.saturating_add_signed(step);
-        assert_eq!(wall.monotonic(after, told), started, "after a step of {step}");
+        assert_eq!(wall.to_monotonic(after, told), started, "after a step of {step}");
     }
 }
 
@@ -68,18 +68,18 @@
 fn a_start_in_the_future_counts_as_one_just_now() {
     let mut wall = WallClock::default();
     wall.observe(1_000, 5_000);
-    assert_eq!(wall.monotonic(2_000, 6_000 + 3_600_000_000), 2_000);
+    assert_eq!(wall.to_monotonic(2_000, 6_000 + 3_600_000_000), 2_000);
 }
 
 #[test]
 fn a_start_told_again_after_a_step_is_no_new_start() {
-    let (mut boots, mut wall) = (BootTimes::default(), WallClock::default());
+    let (mut starts, mut wall) = (ExecutorStartTimes::default(), WallClock::default());
     let now = 10_000_000_000;
     wall.observe(now, now);
-    let started = boots.started("e1", 9_999_000, now, &wall);
+    let started = starts.started_at("e1", 9_999_000, now, &wall);
     assert_eq!(started, Some(9_999_000_000));
     wall.observe(now + 1, now - HOUR as Micros);
-    assert_eq!(boots.started("e1", 9_999_000, now + 2, &wall), started);
-    assert_eq!(boots.started("e1", 0, now, &wall), None);
-    assert!(boots.is_empty());
+    assert_eq!(starts.started_at("e1", 9_999_000, now + 2, &wall), started);
+    assert_eq!(starts.started_at("e1", 0, now, &wall), None);
+    assert!(starts.is_empty());
 }
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -54,7 +54,7 @@
                     self.listener.backlog_is_empty();
                     return Backlog::Done;
                 }
-                Err(e) if system_calls::takes_another(&e) => {}
+                Err(e) if system_calls::may_accept_again(&e) => {}
                 Err(e) if dial::out_of_descriptors(&e) && self.shed_idle_client(now) => {}
                 Err(e) => {
                     tracing::error!(error = %e, "accept: pausing");
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -60,10 +60,10 @@
                         continue;
                     }
                     session.open = Some(id);
-                    let came = session.received();
+                    let arrived = session.received();
                     let on_new_connection = session.take_first_request();
                     self.cap(&mut request);
-                    self.enqueue_arrived(key, request, job, came, on_new_connection);
+                    self.enqueue_arrived(key, request, job, arrived, on_new_connection);
                 }
             }
         }
@@ -172,12 +172,12 @@
         client: Key,
         request: Request,
         job: Job,
-        came: Occurrence,
+        arrived: Occurrence,
         on_new_connection: bool,
     ) {
         let key = request.key.filter(|_| self.dispatch.keeps_order(request.class));
-        let spaced = key.map(|key| self.requests.key_spacing.came(key, came, on_new_connection));
-        let arrival = Arrival { came, on_new_connection, spaced };
+        let spacing = key.map(|key| self.requests.key_spacing.record(key, arrived, on_new_connection));
+        let arrival = Arrival { arrived, on_new_connection, spacing };
         tracing::debug!(
             request = format_args!("{:016x}", request.id),
             class = &*job.kind,
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -10,7 +10,7 @@
 use crate::net::setup::context;
 use crate::net::signals::Signals;
 use crate::net::sockets::buffers::Pool;
-use crate::net::sockets::descriptors::Descriptors;
+use crate::net::sockets::descriptors::DescriptorShares;
 use crate::settings::config::Config;
 use crate::settings::options::Control;
 use fleet::control_plane::{Member, MemberConfig};
@@ -63,7 +63,7 @@
         let connections = settings.most_followers + settings.most_followers / 8 + 8;
         let server = FollowerServer::bind(at_followers, connections, &poll)
             .map_err(context(&format!("control: listen on {at_followers}")))?;
-        let callers = CALLERS.max(Descriptors::of(config.limits.sockets).callers);
+        let callers = CALLERS.max(DescriptorShares::new(config.limits.sockets).callers);
         let bind = |at| Operators::bind(at, callers, &poll, &Pool::new(0));
         let operators =
             operator.map(|at| bind(at).map_err(context(&format!("listen on {at}")))).transpose()?;
--- a/src/net/event_loop/event_source.rs
+++ b/src/net/event_loop/event_source.rs
@@ -3,7 +3,7 @@
 use crate::api::Micros;
 use crate::net::event_loop::poll::{Key, Poll};
 
-/// What the loop has to know of a side to schedule it; what happens there is the side's own.
+/// What the event loop has to know of a side to poll and schedule it.
 pub trait EventSource {
     /// Whether a key is one of its sockets.
     fn owns(&self, key: Key) -> bool;
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -36,7 +36,7 @@
     /// Serves until SIGTERM, and then until all requests that were taken have their answer.
     pub fn run(&mut self) -> io::Result<()> {
         // One poll shows all sockets that are ready, however many there are.
-        let mut events = polling::Events::with_capacity(self.descriptors.most());
+        let mut events = polling::Events::with_capacity(self.descriptors.most_open());
         loop {
             let now = self.clock.now();
             if self.advance_shutdown(now) {
@@ -166,7 +166,7 @@
     /// Does what the schedule has due.
     fn run_periodic_work(&mut self, now: Micros) {
         if self.schedule.clients.take_due(now) {
-            self.wall.observe(now, clock::unix());
+            self.wall_clock.observe(now, clock::unix());
             self.bans_file.try_again(&self.bans);
             self.process_client_timers(now);
             self.close_idle_clients_while_leaving(now);
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -8,29 +8,29 @@
 use std::os::fd::{AsFd, AsRawFd, BorrowedFd, RawFd};
 use std::time::Duration;
 
-/// A socket under watch; keys are never used twice, so a late event can't reach another socket.
+/// Names a socket that is polled. Keys are never used twice, so that a late event can't reach another socket.
 pub type Key = usize;
 
-/// What the system had no memory for is tried again this often, at the latest.
-const RETRY: Duration = Duration::from_millis(10);
+/// The longest span after which a change is tried again for which the system had no memory.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is asked of the system for a socket.
+/// What the system is asked to do with a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Change {
     Add,
     Modify,
 }
 
-/// The sockets under watch.
+/// The sockets that are polled.
 pub struct Poll {
     poller: Poller,
     next: Cell<Key>,
-    /// What the system had no memory for yet.
+    /// Changes for which the system had no memory yet.
     pending: RefCell<BTreeMap<RawFd, (Change, Event)>>,
 }
 
 impl Poll {
-    /// Watches nothing yet.
+    /// Polls no socket yet.
     pub fn new() -> io::Result<Poll> {
         Ok(Poll { poller: Poller::new()?, next: Cell::new(1), pending: RefCell::default() })
     }
@@ -56,7 +56,7 @@
         self.change(fd, change, Event::new(key, readable, writable))
     }
 
-    /// Watches a socket no more.
+    /// Stops watching a socket.
     pub fn remove(&self, socket: &impl AsFd) {
         let pending = self.pending.borrow_mut().remove(&socket.as_fd().as_raw_fd());
         if matches!(pending, Some((Change::Add, _))) {
@@ -67,21 +67,21 @@
         }
     }
 
-    /// Waits for events, at most so long.
+    /// Waits for events, for a span of `most` at the longest. An interrupted call returns without any.
     pub fn wait(&self, events: &mut Events, most: Duration) -> io::Result<()> {
         events.clear();
-        self.try_again();
-        let most = if self.pending.borrow().is_empty() { most } else { most.min(RETRY) };
+        self.retry_pending();
+        let most = if self.pending.borrow().is_empty() { most } else { most.min(RETRY_INTERVAL) };
         match self.poller.wait(events, Some(most)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
             _ => Ok(()),
         }
     }
 
-    /// Asks the system; what it has no memory for now is asked again before the next waits.
+    /// Asks the system; if it has no memory for the change, it is asked again before the next waits.
     fn change(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
-        match self.ask(fd, change, event) {
-            Err(e) if system_calls::passes(&e) => {
+        match self.apply(fd, change, event) {
+            Err(e) if system_calls::is_temporary(&e) => {
                 self.pending.borrow_mut().insert(fd, (change, event));
                 Ok(())
             }
@@ -92,7 +92,7 @@
         }
     }
 
-    fn try_again(&self) {
+    fn retry_pending(&self) {
         let pending = std::mem::take(&mut *self.pending.borrow_mut());
         for (fd, (change, event)) in pending {
             if let Err(e) = self.change(fd, change, event) {
@@ -102,8 +102,8 @@
     }
 
     #[allow(unsafe_code)]
-    fn ask(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
-        system_calls::watching(if change == Change::Add { Call::Watch } else { Call::Rewatch })?;
+    fn apply(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
+        system_calls::inject_poller_fault(if change == Change::Add { Call::Watch } else { Call::Rewatch })?;
         // SAFETY: polling asks that a source is deleted from the poller before it is dropped, and a borrowed
         // descriptor has to be open. Every owner in `net` keeps its socket beside its key and calls `remove` at the
         // one place where it closes it, which also takes it out of `pending`.
--- a/src/net/executors/pool.rs
+++ b/src/net/executors/pool.rs
@@ -72,7 +72,7 @@
             Ok(dialed) => dialed,
             Err(err) => {
                 tracing::warn!(%address, error = %err, "can't dial");
-                let ours = system_calls::of_our_side(&err);
+                let ours = system_calls::is_local_failure(&err);
                 self.starved |= dial::out_of_descriptors(&err);
                 return shared.ok_or(if ours { Lack::Ours } else { Lack::Theirs });
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -40,7 +40,7 @@
 mod tests;
 
 use crate::api::Micros;
-use crate::clock::{BootTimes, Clock, WallClock};
+use crate::clock::{Clock, ExecutorStartTimes, WallClock};
 use crate::codec::coordinator::Target;
 use crate::dispatch::Dispatch;
 use crate::operator::bans::Bans;
@@ -66,7 +66,7 @@
 use shutdown::Shutdown;
 use signals::Signals;
 use sockets::buffers::Pool;
-use sockets::descriptors::Descriptors;
+use sockets::descriptors::DescriptorShares;
 use std::collections::BTreeMap;
 
 /// Reads the configuration, when SIGHUP asks for it again.
@@ -79,11 +79,11 @@
     poll_times: PollTimes,
     schedule: Schedule,
     clock: Clock,
-    wall: WallClock,
+    wall_clock: WallClock,
     /// When executors started, as the endpoint list says, by this process's clock.
-    boots: BootTimes,
+    start_times: ExecutorStartTimes,
     pool: Pool,
-    descriptors: Descriptors,
+    descriptors: DescriptorShares,
     names: Names,
     dispatch: Dispatch<Rows>,
     listener: ClientListener,
--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -96,7 +96,7 @@
         for _ in 0..ACCEPTS {
             let stream = match system_calls::accept(&self.listener) {
                 Ok(stream) => stream,
-                Err(e) if system_calls::takes_another(&e) => continue,
+                Err(e) if system_calls::may_accept_again(&e) => continue,
                 Err(e) => {
                     if e.kind() != io::ErrorKind::WouldBlock {
                         tracing::warn!(error = %e, "operator: can't accept");
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -123,10 +123,10 @@
 
     /// The list has news. Starts that it tells by the wall clock become times of this process's clock.
     pub(super) fn members(&mut self, now: Micros, news: News, targets: &[Target]) {
-        self.wall.observe(now, clock::unix());
-        let boots = &mut self.boots;
+        self.wall_clock.observe(now, clock::unix());
+        let start_times = &mut self.start_times;
         let by_our_clock = |t: &Target| {
-            let started = boots.started(&t.uid, t.boot_ms, now, &self.wall);
+            let started = start_times.started_at(&t.uid, t.boot_ms, now, &self.wall_clock);
             // To the nearest millisecond, which is how it is told.
             Target { boot_ms: started.map_or(0, |at| (at + 500) / 1_000), ..t.clone() }
         };
@@ -184,8 +184,8 @@
             };
         }
         self.onlined.retain(|uid, _| self.targets.contains_key(uid));
-        if self.boots.len() > self.targets.len() {
-            self.boots.retain(|uid| self.targets.contains_key(uid));
+        if self.start_times.len() > self.targets.len() {
+            self.start_times.retain(|uid| self.targets.contains_key(uid));
         }
         self.executors.listed(targets, news != News::Changes, now, &self.poll);
         let orders = self.dispatch.members(now, news, &members);
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -18,10 +18,10 @@
 use super::shutdown::{Shutdown, ShutdownDeadlines};
 use super::signals::Signals;
 use super::sockets::buffers::Pool;
-use super::sockets::descriptors::Descriptors;
+use super::sockets::descriptors::DescriptorShares;
 use super::{DispatcherServer, LoadConfig};
 use crate::api::{Micros, Settings};
-use crate::clock::{BootTimes, Clock, WallClock};
+use crate::clock::{Clock, ExecutorStartTimes, WallClock};
 use crate::codec::coordinator::Target;
 use crate::dispatch::{Dispatch, News};
 use crate::membership::check::Catalog;
@@ -72,7 +72,7 @@
             .map_err(context(&format!("listen on {}", config.listen)))?;
         let signal_key = poll.add(&signals.stream, false)?;
         let pool = Pool::new((config.limits.memory_mb / BUFFER_MEMORY_DIVISOR * 1024.0 * 1024.0) as usize);
-        let descriptors = Descriptors::of(config.limits.sockets);
+        let descriptors = DescriptorShares::new(config.limits.sockets);
         let operators = bind_operators(operator_address, &descriptors, &poll, &pool)?;
         let figures = Figures::new();
         names.classes.keys().for_each(|class| figures.class(class));
@@ -119,8 +119,8 @@
             onlined: BTreeMap::new(),
             pool,
             clock,
-            wall: WallClock::default(),
-            boots: BootTimes::default(),
+            wall_clock: WallClock::default(),
+            start_times: ExecutorStartTimes::default(),
         };
         let known = server.start_lists(options.lists, catalog, config.known.targets(), now)?;
         server.log_addresses(&config.name, known.len())?;
@@ -187,7 +187,7 @@
 
 fn bind_operators(
     address: Option<SocketAddr>,
-    descriptors: &Descriptors,
+    descriptors: &DescriptorShares,
     poll: &Poll,
     pool: &Pool,
 ) -> io::Result<Option<Operators>> {
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program heeds: SIGTERM for a planned stop, SIGHUP to read its configuration again.
+//! Signals: SIGTERM shuts the process down, SIGHUP has it read its configuration again.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Caught signals; a byte on the stream wakes the loop.
+/// Caught signals. A byte on the stream wakes the event loop.
 pub struct Signals {
     pub(super) stream: UnixStream,
     terminate: Arc<AtomicBool>,
@@ -24,7 +24,7 @@
 }
 
 impl Signals {
-    /// Catches them from here on: one that comes before the loop runs is kept until it does.
+    /// Catches signals from here on; one that comes before the event loop runs is kept until it does.
     pub fn new() -> io::Result<Signals> {
         let (stream, write) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
--- a/src/net/sockets/buffers.rs
+++ b/src/net/sockets/buffers.rs
@@ -1,4 +1,4 @@
-//! Buffers of one size, used again from a pool.
+//! Buffers of one size, which are reused from a pool: no connection allocates while the pool lasts.
 
 use crate::net::sockets::system_calls;
 use std::cell::RefCell;
@@ -6,26 +6,27 @@
 use std::io::{self, Read, Write};
 use std::rc::Rc;
 
-/// The size of every buffer: the largest packet, line or page fits in one.
+/// The size of every buffer in bytes: the largest packet, line or page fits in one.
 pub const BLOCK: usize = 16 * 1024;
-/// Free buffers.
+
+/// Free buffers, shared by all connections.
 #[derive(Clone)]
 pub struct Pool {
     free: Rc<RefCell<Vec<Box<[u8]>>>>,
-    /// How many are kept; more than these go back to the system.
-    kept: usize,
+    /// The most free buffers that are kept; further ones go back to the system.
+    most_free: usize,
 }
 
 impl Pool {
-    /// An empty pool that keeps free buffers up to so many bytes.
+    /// An empty pool. It keeps free buffers up to so many bytes in all.
     pub fn new(bytes: usize) -> Pool {
-        Pool { free: Rc::default(), kept: bytes / BLOCK }
+        Pool { free: Rc::default(), most_free: bytes / BLOCK }
     }
 
-    /// An empty buffer.
+    /// Takes an empty buffer, or makes one.
     pub fn block(&self) -> Block {
         let bytes = self.free.borrow_mut().pop().unwrap_or_else(|| vec![0; BLOCK].into_boxed_slice());
-        Block { bytes, from: 0, to: 0, pool: self.clone() }
+        Block { bytes, start: 0, end: 0, pool: self.clone() }
     }
 
     /// How many buffers are free.
@@ -34,39 +35,40 @@
     }
 }
 
-/// One buffer; it goes back to its pool by itself.
+/// One buffer. It returns to its pool when it is dropped.
 pub struct Block {
     bytes: Box<[u8]>,
-    from: usize,
-    to: usize,
+    /// The unread bytes lie from `start` to `end`.
+    start: usize,
+    end: usize,
     pool: Pool,
 }
 
 impl Drop for Block {
     fn drop(&mut self) {
         let mut free = self.pool.free.borrow_mut();
-        if free.len() < self.pool.kept {
+        if free.len() < self.pool.most_free {
             free.push(std::mem::take(&mut self.bytes));
         }
     }
 }
 
 impl Block {
-    /// What it holds.
+    /// The bytes that it holds.
     pub fn bytes(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+        &self.bytes[self.start..self.end]
     }
 
-    /// Takes in as much as it has room for, and tells how much.
+    /// Appends as many bytes as fit, and returns how many.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
-        let n = bytes.len().min(BLOCK - self.to);
-        self.bytes[self.to..self.to + n].copy_from_slice(&bytes[..n]);
-        self.to += n;
+        let n = bytes.len().min(BLOCK - self.end);
+        self.bytes[self.end..self.end + n].copy_from_slice(&bytes[..n]);
+        self.end += n;
         n
     }
 }
 
-/// Bytes that came and were not read yet: one block at most.
+/// Bytes that were received and not understood yet: one block at most.
 pub struct Inbox {
     pool: Pool,
     block: Option<Block>,
@@ -78,7 +80,7 @@
         Inbox { pool: pool.clone(), block: None }
     }
 
-    /// What is there.
+    /// The bytes that it holds.
     pub fn bytes(&self) -> &[u8] {
         self.block.as_ref().map_or(&[], Block::bytes)
     }
@@ -88,26 +90,26 @@
         self.bytes().len() == BLOCK
     }
 
-    /// Drops bytes from the front; an empty buffer goes back.
+    /// Drops bytes from the front; an empty buffer returns to the pool.
     pub fn consume(&mut self, n: usize) {
-        if let Some(b) = &mut self.block {
-            b.from = (b.from + n).min(b.to);
-            if b.from == b.to {
+        if let Some(block) = &mut self.block {
+            block.start = (block.start + n).min(block.end);
+            if block.start == block.end {
                 self.block = None;
             }
         }
     }
 
-    /// Reads once; 0 is the end of the stream. It must not be full.
+    /// Reads once, and returns how many bytes came; 0 is the end of the stream. It must not be full.
     pub fn fill(&mut self, stream: &mut impl Read) -> io::Result<usize> {
-        let b = self.block.get_or_insert_with(|| self.pool.block());
-        if b.from > 0 {
-            b.bytes.copy_within(b.from..b.to, 0);
-            (b.from, b.to) = (0, b.to - b.from);
+        let block = self.block.get_or_insert_with(|| self.pool.block());
+        if block.start > 0 {
+            block.bytes.copy_within(block.start..block.end, 0);
+            (block.start, block.end) = (0, block.end - block.start);
         }
-        let read = system_calls::read(stream, &mut b.bytes[b.to..]);
-        b.to += *read.as_ref().unwrap_or(&0);
-        if b.from == b.to {
+        let read = system_calls::read(stream, &mut block.bytes[block.end..]);
+        block.end += *read.as_ref().unwrap_or(&0);
+        if block.start == block.end {
             self.block = None;
         }
         read
@@ -118,7 +120,7 @@
 pub struct Outbox {
     pool: Pool,
     blocks: VecDeque<Block>,
-    /// Whether a byte of what waits was written.
+    /// Whether some bytes of what waits were written.
     begun: bool,
 }
 
@@ -147,7 +149,7 @@
     /// Adds bytes.
     pub fn append(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let n = self.blocks.back_mut().map_or(0, |b| b.append(bytes));
+            let n = self.blocks.back_mut().map_or(0, |block| block.append(bytes));
             if n == 0 {
                 self.blocks.push_back(self.pool.block());
             }
@@ -155,15 +157,15 @@
         }
     }
 
-    /// Writes what the stream takes; true once all is written.
+    /// Writes as much as the stream takes. True once all is written.
     pub fn flush(&mut self, stream: &mut impl Write) -> io::Result<bool> {
-        while let Some(b) = self.blocks.front_mut() {
-            match system_calls::write(stream, b.bytes()) {
+        while let Some(block) = self.blocks.front_mut() {
+            match system_calls::write(stream, block.bytes()) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
                     self.begun = true;
-                    b.from += n;
-                    if b.from == b.to {
+                    block.start += n;
+                    if block.start == block.end {
                         self.blocks.pop_front();
                     }
                 }
--- a/src/net/sockets/dial.rs
+++ b/src/net/sockets/dial.rs
@@ -1,4 +1,4 @@
-//! Connections that go out.
+//! Outgoing connections.
 
 use crate::net::sockets::system_calls;
 use socket2::Domain;
@@ -14,7 +14,7 @@
     Ok(socket.into())
 }
 
-/// Whether a socket that became writable is up.
+/// Whether a connection was established, once its socket is writable.
 pub fn up(stream: &TcpStream) -> io::Result<()> {
     match stream.take_error()? {
         Some(e) => Err(e),
--- a/src/net/sockets/system_calls/tests.rs
+++ b/src/net/sockets/system_calls/tests.rs
@@ -6,7 +6,7 @@
 
 /// Every so many calls of a kind fail with an error, or bring and take one byte.
 #[derive(Debug, Clone, Copy)]
-pub(in crate::net) struct Plan {
+pub(in crate::net) struct FaultPlan {
     pub(in crate::net) call: Call,
     /// The error's number; `None` has reads and writes be short.
     pub(in crate::net) error: Option<i32>,
@@ -15,11 +15,11 @@
 }
 
 thread_local! {
-    static PLAN: RefCell<Option<(Plan, u32, u32)>> = const { RefCell::new(None) };
+    static PLAN: RefCell<Option<(FaultPlan, u32, u32)>> = const { RefCell::new(None) };
 }
 
 /// From now on calls on this thread fail so.
-pub(in crate::net) fn install(plan: Plan) {
+pub(in crate::net) fn install(plan: FaultPlan) {
     PLAN.with(|p| *p.borrow_mut() = Some((plan, 0, 0)));
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// Whether this call is one that fails.
-fn strikes(call: Call, short: bool) -> Option<Plan> {
+fn next_fault(call: Call, short: bool) -> Option<FaultPlan> {
     PLAN.with(|p| {
         let mut p = p.borrow_mut();
         let (plan, calls, failed) = p.as_mut()?;
@@ -43,12 +43,12 @@
     })
 }
 
-pub(in crate::net) fn fault(call: Call) -> io::Result<()> {
-    let error = strikes(call, false).and_then(|plan| plan.error);
+pub(in crate::net) fn inject_fault(call: Call) -> io::Result<()> {
+    let error = next_fault(call, false).and_then(|plan| plan.error);
     error.map_or(Ok(()), |code| Err(io::Error::from_raw_os_error(code)))
 }
 
 pub(in crate::net) fn shortened(length: usize) -> usize {
-    let short = strikes(Call::Read, true).or_else(|| strikes(Call::Write, true)).is_some();
+    let short = next_fault(Call::Read, true).or_else(|| next_fault(Call::Write, true)).is_some();
     if short { length.min(1) } else { length }
 }
--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::net::sockets::dial;
 use crate::net::sockets::system_calls::Call;
-use crate::net::sockets::system_calls::tests::{Plan, install};
+use crate::net::sockets::system_calls::tests::{FaultPlan, install};
 use std::io;
 use std::net::TcpListener;
 
@@ -27,7 +27,7 @@
 
 /// Plays clients against a dispatcher of which one in so many calls of a kind fails.
 fn holds(call: Call, error: Option<i32>, one_in: u32) {
-    let plan = Plan { call, error, one_in };
+    let plan = FaultPlan { call, error, one_in };
     let mut served = Served::start(Duration::from_millis(10), &Quiet::default(), move || install(plan));
     let answers: Vec<(u64, Got)> = std::thread::scope(|scope| {
         let served = &served;
@@ -109,10 +109,10 @@
 #[test]
 fn a_dial_that_fails_on_our_side_says_nothing_of_the_executor() {
     for error in [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENETUNREACH, libc::EAGAIN, libc::ENOMEM] {
-        assert!(system_calls::of_our_side(&io::Error::from_raw_os_error(error)), "{error}");
+        assert!(system_calls::is_local_failure(&io::Error::from_raw_os_error(error)), "{error}");
     }
     for error in [libc::ECONNREFUSED, libc::EHOSTUNREACH, libc::ETIMEDOUT] {
-        assert!(!system_calls::of_our_side(&io::Error::from_raw_os_error(error)), "{error}");
+        assert!(!system_calls::is_local_failure(&io::Error::from_raw_os_error(error)), "{error}");
     }
 }
 
@@ -120,7 +120,7 @@
 #[test]
 fn executors_connections_that_break() {
     for error in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET] {
-        let plan = Plan { call: Call::Read, error: Some(error), one_in: 7 };
+        let plan = FaultPlan { call: Call::Read, error: Some(error), one_in: 7 };
         let mut served = Served::start(Duration::from_millis(10), &Quiet::default(), move || install(plan));
         for rid in 1..20 {
             let class = CLASSES[(rid % 3) as usize];
@@ -140,7 +140,7 @@
 // was blamed.
 #[test]
 fn an_interrupted_connect_goes_on() {
-    install(Plan { call: Call::Connect, error: Some(libc::EINTR), one_in: 1 });
+    install(FaultPlan { call: Call::Connect, error: Some(libc::EINTR), one_in: 1 });
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = dial::dial(listener.local_addr().unwrap()).expect("a connection that is coming up");
     let (accepted, _) = listener.accept().unwrap();
