--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -6,8 +6,8 @@
     /// Priority by predicted cost against the mean of all requests, raised as the aim comes near.
     fn priority(&self, q: &Request) -> u8 {
         // What would be lost with this dispatcher, as nobody may run it again, goes first.
-        let last =
-            self.ends < Micros::MAX && self.s.classes[q.class].idempotency == Idempotency::NotIdempotent;
+        let last = self.shutdown_deadline < Micros::MAX
+            && self.settings.classes[q.class].idempotency == Idempotency::NotIdempotent;
         if last || self.now > q.latency_objective {
             return if last { 3 } else { 0 };
         }
@@ -21,7 +21,7 @@
 
     fn grant(&self, q: &Request, e: &Executor) -> f64 {
         let m = &self.models[q.class]; // where grants are not heeded, this does nothing
-        let memory = self.s.kinds[e.endpoint.kind].memory_mb * self.s.max_grant_fraction;
+        let memory = self.settings.kinds[e.endpoint.kind].memory_mb * self.settings.max_grant_fraction;
         let need = q.memory_estimate.map_or(m.memory.or(0.0), |x| x * m.memory_bias.clamp(-1.5, 1.5).exp());
         need.min(if memory > 0.0 { memory } else { need })
     }
@@ -29,12 +29,13 @@
     /// A further attempt beside one that is silent, or in place of one with a bad plan.
     pub(super) fn resend(&mut self, id: RequestId, n: u32, instead: bool) {
         let q = &self.requests[&id];
-        let may_stop = self.s.cancel && self.s.classes[q.class].idempotency == Idempotency::Idempotent;
+        let may_stop =
+            self.settings.cancel && self.settings.classes[q.class].idempotency == Idempotency::Idempotent;
         if q.live() != [n] || q.done || q.streaming || (instead && !may_stop) {
             return;
         }
         // Where copies are not allowed the next attempt goes out when the cancel is confirmed.
-        if (self.send(id, false) || !self.s.hedging) && instead {
+        if (self.send(id, false) || !self.settings.hedging) && instead {
             self.cancel(id, n);
         }
     }
@@ -59,10 +60,10 @@
             let Some(q) = self.requests.get(&id).filter(|q| !q.done && !q.streaming) else { continue };
             let (class, past) = (q.class, self.now > q.latency_objective);
             if past && !q.late {
-                self.request(id).late = true;
+                self.request_mut(id).late = true;
                 self.count_late(class);
             }
-            let harmless = self.s.classes[class].idempotency == Idempotency::Idempotent;
+            let harmless = self.settings.classes[class].idempotency == Idempotency::Idempotent;
             if past && self.models[class].pressure > GIVE_UP_PRESSURE && harmless {
                 self.end(id, SECOND, EndReason::Overloaded);
                 continue;
@@ -71,17 +72,17 @@
             let (a, expected) = (&q.attempts[n as usize], self.expected(q).max(0.05));
             let seconds = |t: Micros| (t - a.sent) as f64 / 1e6;
             // What the whole attempt will take: by its notes, else what it took so far.
-            let looks = match self.s.progress {
+            let looks = match self.settings.progress {
                 Some(_) if a.progress < 0.5 => seconds(a.noted) / a.progress.max(0.01),
                 Some(_) => 0.0,
                 None => seconds(self.now),
             };
             let in_time = self.now + (expected * 1e6) as Micros <= q.deadline;
-            let mute = a.mute(self.now, self.s.progress, SILENT_FACTOR, SILENT_LEAST);
+            let mute = a.mute(self.now, self.settings.progress, SILENT_FACTOR, SILENT_LEAST);
             let again = in_time && (mute || looks > RUNAWAY * q.attempts.len() as f64 * expected);
-            if self.s.priorities && p != q.priority {
+            if self.settings.priorities && p != q.priority {
                 self.actions.push(Action::SetTerms { request: id, memory_mb: q.grant, priority: p });
-                self.request(id).priority = p;
+                self.request_mut(id).priority = p;
             }
             if again {
                 self.resend(id, n, true);
@@ -93,11 +94,11 @@
         let now = self.now;
         let Some(q) = self.requests.get_mut(&id) else { return };
         let Some(a) = Attempt::word(&mut q.attempts, n, now) else { return };
-        self.executors[a.executor].hear(now, GAP_WEIGHT);
+        self.executors[a.executor].record_message(now, GAP_WEIGHT);
         match progress_note {
             AttemptProgress::Progress(p) if p.is_finite() => {
                 let (i, seconds) = a.progressed(now, p.clamp(0.001, 1.0));
-                let cost = q.cost.max(1e-6) / f64::from(self.s.classes[q.class].threads);
+                let cost = q.cost.max(1e-6) / f64::from(self.settings.classes[q.class].threads);
                 self.paced(i, seconds / cost);
             }
             AttemptProgress::Spill(missing) if !a.spilled && missing.is_finite() => {
@@ -145,15 +146,15 @@
         let q = &self.requests[&id];
         let further = !q.attempts.is_empty();
         let over = q.done || q.streaming || self.now >= q.deadline;
-        let most = q.attempts.len() >= q.most_attempts as usize;
-        let copy = q.out() > 0 && !self.s.hedging;
+        let most = q.attempts.len() >= q.max_attempts as usize;
+        let copy = q.out() > 0 && !self.settings.hedging;
         if over || most || copy || !self.has_turn(id) || (further && !self.budget_allows()) {
             return false;
         }
         let Some((i, q)) = self.draw(id, ask).map(|i| (i, &self.requests[&id])) else { return false };
         let (grant, priority) = (self.grant(q, &self.executors[i]), self.priority(q));
         let terms = Action::SetTerms { request: id, memory_mb: grant, priority };
-        self.actions.extend((self.s.grants || self.s.priorities).then_some(terms));
+        self.actions.extend((self.settings.grants || self.settings.priorities).then_some(terms));
         self.further.extend(further.then_some(self.now));
         self.record(id, i, grant, priority);
         let executor = self.executors[i].endpoint.executor;
--- a/src/balancer/cost.rs
+++ b/src/balancer/cost.rs
@@ -4,7 +4,7 @@
 
 impl Balancer {
     pub(super) fn class_mean(&self, class: ClassId) -> f64 {
-        let (m, c) = (&self.models[class], &self.s.classes[class]);
+        let (m, c) = (&self.models[class], &self.settings.classes[class]);
         let latency_objective = c.latency_objective as f64 / 1e6 * f64::from(c.threads);
         if m.cost.n >= ENOUGH { m.cost.value } else { m.estimate.or(latency_objective) }
     }
@@ -27,7 +27,7 @@
         reported_cost: Option<ReportedCost>,
     ) {
         let q = &self.requests[&id];
-        let threads = f64::from(self.s.classes[q.class].threads);
+        let threads = f64::from(self.settings.classes[q.class].threads);
         let spent = latency as f64 / 1e6 * threads;
         let cost = reported_cost.map_or(spent.min(OUTLIER * q.cost), |b| b.thread_seconds);
         let m = &mut self.models[q.class];
@@ -37,7 +37,9 @@
         let a = &q.attempts[attempt];
         reported_cost.into_iter().for_each(|b| m.memory.add(b.memory_mb, LEARN));
         // Without notes or told needs nothing is learned: a grant that fell with each answer spilled unseen.
-        if let Some(e) = q.memory_estimate.filter(|_| reported_cost.is_some() || self.s.progress.is_some()) {
+        if let Some(e) =
+            q.memory_estimate.filter(|_| reported_cost.is_some() || self.settings.progress.is_some())
+        {
             // A spill was learned when the note came; a told need moves the first few grants far.
             let first = reported_cost.map_or(0.0, |_| 1.0 / f64::from(m.memory.n + 1));
             let short = reported_cost.is_some_and(|b| b.memory_mb > e * m.memory_bias.exp());
--- a/src/balancer/draw.rs
+++ b/src/balancer/draw.rs
@@ -4,14 +4,18 @@
 
 impl Balancer {
     fn distance(&self, e: &Executor) -> f64 {
-        if e.endpoint.zone == self.s.zone { 1.0 } else { 1.0 + CROSS_WEIGHT * self.s.cross_zone_price }
+        if e.endpoint.zone == self.settings.zone {
+            1.0
+        } else {
+            1.0 + CROSS_WEIGHT * self.settings.cross_zone_price
+        }
     }
 
     /// Executors of a table group, the same at all dispatchers by rendezvous hashing: homes, or its loads'
     /// homes.
     pub(super) fn homes(&self, class: ClassId, group: u64) -> Vec<ExecutorId> {
-        let yields = self.s.classes[class].yields_to_loads;
-        let of = self.s.classes.iter().position(|c| yields && c.loads).unwrap_or(class);
+        let yields = self.settings.classes[class].yields_to_loads;
+        let of = self.settings.classes.iter().position(|c| yields && c.loads).unwrap_or(class);
         let score = |e: &Executor| {
             let unit = hashed(group, e.endpoint.executor);
             (-unit.ln() / e.cores * self.distance(e) / self.spared(of, e), e.endpoint.executor)
@@ -20,34 +24,38 @@
         self.look_at(near.len());
         let mut all: Vec<_> = near.into_iter().map(|i| score(&self.executors[i])).collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let homes = if self.s.classes[of].loads { LOAD_HOMES } else { HOMES };
+        let homes = if self.settings.classes[of].loads { LOAD_HOMES } else { HOMES };
         all.into_iter().take(homes).map(|(_, e)| e).collect()
     }
 
     /// A class that may go anywhere leaves the executors of a bound class to it.
     fn spared(&self, class: ClassId, e: &Executor) -> f64 {
         let bound = |c: &Class| c.only_kinds.is_some() || c.only_zones.is_some();
-        let mut all = self.s.classes.iter().enumerate();
-        let others = !bound(&self.s.classes[class]) && all.any(|(i, c)| bound(c) && e.pool >> i & 1 == 1);
+        let mut all = self.settings.classes.iter().enumerate();
+        let others =
+            !bound(&self.settings.classes[class]) && all.any(|(i, c)| bound(c) && e.pool >> i & 1 == 1);
         if others { SPARED } else { 1.0 }
     }
 
     fn weight(&self, q: &Request, e: &Executor) -> f64 {
         let capacity = e.cores * self.warmth(e) * e.endpoint.weight.unwrap_or(1.0);
         let load = self.load(e) * e.cores / capacity.max(1e-9);
-        let c = &self.s.classes[q.class];
+        let c = &self.settings.classes[q.class];
         let home = match q.homes.contains(&e.endpoint.executor) {
             false => 1.0,
             true if c.yields_to_loads => 1.0 / LOAD_BONUS, // its group may be held there
             true if c.loads => LOAD_BONUS,
             true => (HOME_BONUS * self.choices() as f64).max(1.0),
         };
-        let new =
-            if e.met || self.warmth(e) < 1.0 { 1.0 } else { 1.0 + HANDSHAKE_WEIGHT * self.s.handshake_price };
+        let new = if e.met || self.warmth(e) < 1.0 {
+            1.0
+        } else {
+            1.0 + HANDSHAKE_WEIGHT * self.settings.handshake_price
+        };
         let slow = e.slow.or(1.0).max(0.5) * self.distance(e) * new;
         let once = usize::from(c.idempotency == Idempotency::NotIdempotent);
-        let untried = once == 1 && e.slow.n == 0 && self.s.reports == Reports::OnProbe;
-        let sure = (1.0 - e.errors).powi(ERROR_POWERS[once]) * if untried { UNTRIED } else { 1.0 };
+        let untried = once == 1 && e.slow.n == 0 && self.settings.reports == Reports::OnProbe;
+        let sure = (1.0 - e.error_rate).powi(ERROR_POWERS[once]) * if untried { UNTRIED } else { 1.0 };
         let w =
             capacity * home * self.spared(q.class, e) / (LOAD_FLOOR + load).powi(DRAW_POWER) / slow * sure;
         if self.healthy(e) { w } else { w * UNHEALTHY }
@@ -63,7 +71,7 @@
             let allowed: Vec<usize> = candidates.into_iter().filter(|&i| self.permitted(q, i)).collect();
             let cores = |v: &[usize]| v.iter().map(|&i| self.executors[i].cores).sum::<f64>();
             // What can't be tried again is no trial.
-            let trial = self.s.classes[q.class].idempotency != Idempotency::NotIdempotent;
+            let trial = self.settings.classes[q.class].idempotency != Idempotency::NotIdempotent;
             let healthy = |e: &Executor| self.healthy(e) && (trial || e.ejected_until.is_none());
             fit = allowed.iter().copied().filter(|&i| healthy(&self.executors[i])).collect();
             if !allowed.is_empty() && cores(&fit) >= LEAST_USABLE * cores(&allowed) {
@@ -91,8 +99,8 @@
     /// Draws an executor among those lately heard of. With `ask`, too few of them make it probe others first.
     pub(super) fn draw(&mut self, id: RequestId, ask: bool) -> Option<usize> {
         // A probe is worth its price only where reports tell of load.
-        let tells = self.s.reports != Reports::Off && self.tells_load != Some(false);
-        let asks = tells && self.s.probes && self.executors.len() > 1;
+        let tells = self.settings.reports != Reports::Off && self.tells_load != Some(false);
+        let asks = tells && self.settings.probes && self.executors.len() > 1;
         // Cold executors go by lots, which no probe changes.
         let fit = self.fit(id).into_iter();
         let (cold, fit) = fit.partition::<Vec<_>, _>(|&i| self.cold_rate(&self.executors[i]).is_some());
@@ -100,7 +108,7 @@
         let (mut known, unknown) = fit.into_iter().partition::<Vec<_>, _>(lately);
         let q = &self.requests[&id];
         let asked = |e: &Executor| e.probe_sent.is_some_and(|t| self.now < t + SECOND);
-        let seeks = !self.s.classes[q.class].yields_to_loads;
+        let seeks = !self.settings.classes[q.class].yields_to_loads;
         let home = |e: &Executor| q.homes.contains(&e.endpoint.executor);
         let wants = |i: &usize| seeks && home(&self.executors[*i]) || asked(&self.executors[*i]);
         let (mut wanted, mut unknown) = unknown.into_iter().partition::<Vec<_>, _>(wants);
@@ -116,7 +124,7 @@
             }
         }
         let dear = self.requests[&id].cost > self.overall.value;
-        let kept = if dear { 0.0 } else { (PURSE / 2.0 - PROBE_SPEND / self.s.probe_price).max(0.0) };
+        let kept = if dear { 0.0 } else { (PURSE / 2.0 - PROBE_SPEND / self.settings.probe_price).max(0.0) };
         let mut waits = false;
         for &i in wanted.iter().filter(|_| ask) {
             let e = &mut self.executors[i];
@@ -132,7 +140,7 @@
         }
         if waits {
             let until = self.now + ASK_WAIT;
-            self.request(id).asked_until.get_or_insert(until);
+            self.request_mut(id).probe_wait_until.get_or_insert(until);
             return None;
         }
         // With little known all are drawn from, unknown ones as loaded as their pool, last those probed.
--- a/src/balancer/guards.rs
+++ b/src/balancer/guards.rs
@@ -5,7 +5,7 @@
 impl Balancer {
     /// Placement: zone and kind, at every attempt.
     pub(super) fn placed(&self, class: ClassId, e: &Executor) -> bool {
-        e.within(&self.s.classes[class].only_zones, &self.s.classes[class].only_kinds)
+        e.within(&self.settings.classes[class].only_zones, &self.settings.classes[class].only_kinds)
     }
 
     /// Whether the rules let an attempt of the request go to the executor now.
@@ -18,7 +18,7 @@
 
     /// Effects: unsafe only after proven non-runs; keyed inside its group and window.
     fn effect_allows(&self, q: &Request, e: &Executor) -> bool {
-        match self.s.classes[q.class].idempotency {
+        match self.settings.classes[q.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => q.never_ran(),
             Idempotency::IdempotencyKey { scope, window } => {
@@ -36,7 +36,7 @@
 
     /// Cold executors take no request that would be a large part of their budget alone.
     fn cold_allows(&self, q: &Request, e: &Executor) -> bool {
-        let most = |(rate, _)| COLD_LARGEST * rate * self.s.cold.fall as f64 / 1e6;
+        let most = |(rate, _)| COLD_LARGEST * rate * self.settings.cold.fall as f64 / 1e6;
         self.cold_rate(e).is_none_or(|rates| self.cold_work(q) <= most(rates))
     }
 
@@ -47,10 +47,10 @@
     pub(super) fn wins(&mut self, id: RequestId, i: usize) -> bool {
         let Some((_, own)) = self.cold_rate(&self.executors[i]) else { return true };
         let (work, span, lot) =
-            (self.cold_work(&self.requests[&id]), self.s.cold.fall as f64 / 1e6, self.chance());
+            (self.cold_work(&self.requests[&id]), self.settings.cold.fall as f64 / 1e6, self.chance());
         let all = self.cold_rates();
         // Its own share is that of the first moment, and a request counts as its class's mean: no luck there.
-        let first = own * self.s.cold.from / self.warmth(&self.executors[i]).max(1e-9);
+        let first = own * self.settings.cold.from / self.warmth(&self.executors[i]).max(1e-9);
         let whole = work.max(self.class_mean(self.requests[&id].class));
         let (now, e, most) = (self.now, &mut self.executors[i], own * span);
         e.cold.fill(now, first, first * span);
@@ -66,7 +66,7 @@
 
     /// Work a second to a cold executor by all, and by this one: at most an equal part, shares are misjudged.
     pub(super) fn cold_rate(&self, e: &Executor) -> Option<(f64, f64)> {
-        let (c, most) = (&self.s.cold, 1.0 / f64::from(self.s.dispatchers));
+        let (c, most) = (&self.settings.cold, 1.0 / f64::from(self.settings.dispatchers));
         let cold = c.fall > 0 && e.cold_since.is_some_and(|t| self.now < t + c.ramp);
         let rate = COLD_SAFETY * c.multiple * self.warmth(e) * e.cores;
         cold.then_some((rate, rate * self.share.min(most)))
@@ -74,8 +74,8 @@
 
     /// Work a second that all cold executors may get from here: the sum of what `cold_rate` has for each.
     fn cold_rates(&self) -> f64 {
-        let (c, most) = (&self.s.cold, 1.0 / f64::from(self.s.dispatchers));
-        let (cores, aged) = self.roster.cold_cores(&self.s.kinds, self.now);
+        let (c, most) = (&self.settings.cold, 1.0 / f64::from(self.settings.dispatchers));
+        let (cores, aged) = self.roster.cold_cores(&self.settings.kinds, self.now);
         let ramp_s = c.ramp.max(1) as f64 / 1e6;
         let warm_cores = c.from * cores + (1.0 - c.from) * aged / ramp_s;
         COLD_SAFETY * c.multiple * warm_cores * self.share.min(most)
@@ -83,14 +83,14 @@
 
     /// Executors whose ramp is over are cold no longer.
     pub(super) fn warm_up(&mut self) {
-        while let Some(i) = self.roster.started_by(self.now.saturating_sub(self.s.cold.ramp)) {
+        while let Some(i) = self.roster.started_by(self.now.saturating_sub(self.settings.cold.ramp)) {
             self.place(i);
         }
     }
 
     /// The attempt budget, counted as the rule does, with the present one included.
     pub(super) fn budget_allows(&mut self) -> bool {
-        let b = self.s.budget.unwrap_or(OWN_BUDGET);
+        let b = self.settings.budget.unwrap_or(OWN_BUDGET);
         // Sends on the window's edge count, requests on it do not; sends may arrive later than decided.
         self.further.retain(|t| t + b.span + b.slack >= self.now);
         self.taken.retain(|t| t + b.span > self.now + b.slack);
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -7,7 +7,7 @@
         if kind == EndpointListKind::Unavailable {
             return self.actions.push(Action::Watch);
         }
-        let first = !std::mem::replace(&mut self.loaded, true);
+        let first = !std::mem::replace(&mut self.endpoint_list_loaded, true);
         if kind != EndpointListKind::Update {
             self.only_present(&endpoints);
         }
@@ -16,7 +16,7 @@
             // An executor that appears or comes back without a time of start is cold from now.
             let fresh = known.map_or(!first, |e| !e.present || e.endpoint.readiness == Readiness::Left);
             let changed = fresh || known.is_none_or(|e| e.endpoint.started != endpoint.started);
-            let started = endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.s.cold.ramp);
+            let started = endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.settings.cold.ramp);
             let cold = started.or(fresh.then_some(self.now));
             let i = self.enter(endpoint, cold.filter(|_| changed));
             self.executors[i].pool = self.pool_of(&self.executors[i]);
@@ -32,7 +32,7 @@
     /// Closed, or half-open with no trial out.
     pub(super) fn healthy(&self, e: &Executor) -> bool {
         let trial = |until: Micros| self.now >= until && e.out.is_empty();
-        e.full_until <= self.now && e.ejected_until.is_none_or(trial)
+        e.rejecting_until <= self.now && e.ejected_until.is_none_or(trial)
     }
 
     fn eject(&mut self, i: usize, why: &str) {
@@ -51,26 +51,26 @@
         let (now, e) = (self.now, &mut self.executors[i]);
         match outcome {
             Outcome::Ok => {
-                e.hear(now, GAP_WEIGHT);
-                e.errors *= 1.0 - ERROR_WEIGHTS[1];
+                e.record_message(now, GAP_WEIGHT);
+                e.error_rate *= 1.0 - ERROR_WEIGHTS[1];
                 if e.ejected_until.is_some() {
                     // One answer does not clear an executor that fails every second time.
-                    (e.ejected_until, e.silent) = (None, false);
-                    (e.ejections, e.errors) = (e.ejections.saturating_sub(1), e.errors / 2.0);
+                    (e.ejected_until, e.unresponsive) = (None, false);
+                    (e.ejections, e.error_rate) = (e.ejections.saturating_sub(1), e.error_rate / 2.0);
                     self.actions.push(Action::Log(format!("executor {} is back", e.endpoint.executor)));
                 }
             }
             // Only the list says that an executor is cold: taking each reset for a start shut most of a
             // fleet.
             Outcome::Error | Outcome::Reset => {
-                e.hear(now, GAP_WEIGHT);
-                e.errors += (1.0 - e.errors) * ERROR_WEIGHTS[usize::from(outcome == Outcome::Reset)];
-                if e.errors > EJECT_ERRORS || e.ejected_until.is_some() {
+                e.record_message(now, GAP_WEIGHT);
+                e.error_rate += (1.0 - e.error_rate) * ERROR_WEIGHTS[usize::from(outcome == Outcome::Reset)];
+                if e.error_rate > EJECT_ERRORS || e.ejected_until.is_some() {
                     self.eject(i, if outcome == Outcome::Reset { "resets" } else { "errors" });
                 }
             }
             Outcome::ConnectFailed => self.eject(i, "no connection"),
-            Outcome::Rejected => e.full_until = now + 3 * TICK,
+            Outcome::Rejected => e.rejecting_until = now + 3 * TICK,
             Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
@@ -80,7 +80,7 @@
         let failed = |a: &&Attempt| a.outcome == Some(Outcome::Error);
         for i in Vec::from_iter(self.requests[&id].attempts.iter().filter(failed).map(|a| a.executor)) {
             let e = &mut self.executors[i];
-            e.errors += (1.0 - e.errors) * BLAME;
+            e.error_rate += (1.0 - e.error_rate) * BLAME;
         }
     }
 
@@ -98,25 +98,25 @@
 
     /// Silence: attempts are out for longer than it takes to hear of them, and nothing was heard.
     fn silent(&self, e: &Executor) -> bool {
-        let gap = (e.gap.value.min(SILENT_GAP_MOST) * SILENT_GAPS * 1e6) as Micros;
+        let gap = (e.message_interval.value.min(SILENT_GAP_MOST) * SILENT_GAPS * 1e6) as Micros;
         let overdue = |(id, n): &(RequestId, u32)| {
             let q = &self.requests[id];
             let expected = (self.expected(q) * 1e6) as Micros;
-            let word = self.s.progress.map_or(expected, |p| expected.min(p)) as f64 * SILENT_FACTOR;
-            let since = e.heard.max(q.attempts[*n as usize].sent);
+            let word = self.settings.progress.map_or(expected, |p| expected.min(p)) as f64 * SILENT_FACTOR;
+            let since = e.last_message_at.max(q.attempts[*n as usize].sent);
             self.now > since + (word as Micros).max(SILENT_LEAST).max(gap)
         };
-        e.present && !e.silent && e.out.iter().any(overdue)
+        e.present && !e.unresponsive && e.out.iter().any(overdue)
     }
 
     pub(super) fn check_health(&mut self) {
         self.look_at(self.roster.active.len());
         for i in Vec::from_iter(self.roster.active.iter().copied()) {
             if self.silent(&self.executors[i]) {
-                self.executors[i].silent = true;
+                self.executors[i].unresponsive = true;
                 self.eject(i, "silent");
                 let out = Vec::from_iter(self.executors[i].out.iter().copied());
-                out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.s.hedging));
+                out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.settings.hedging));
             }
         }
     }
--- a/src/balancer/lines.rs
+++ b/src/balancer/lines.rs
@@ -22,7 +22,7 @@
         if held_back && waits && over > 0 {
             return Err(over);
         }
-        self.request(id).run = run;
+        self.request_mut(id).run = run;
         let line = self.keys.entry(key).or_default();
         line.waiting.push_back(id);
         line.work += run;
@@ -61,7 +61,7 @@
 
     /// The key gets no new attempt for a while: what was stopped or lost may still run.
     pub(super) fn rest_key(&mut self, key: u64) {
-        let until = self.now + self.s.key_quiet.unwrap_or(0);
+        let until = self.now + self.settings.key_quiet.unwrap_or(0);
         let line = self.keys.entry(key).or_default();
         line.rest_until = line.rest_until.max(until);
         self.rests.insert((line.rest_until, key));
@@ -79,7 +79,7 @@
         if !q.attempts.is_empty() {
             return None;
         }
-        if self.now.saturating_add(run) > self.ends {
+        if self.now.saturating_add(run) > self.shutdown_deadline {
             return Some(EndReason::Stopping);
         }
         let held = q.key.is_some() && !self.has_turn(id);
@@ -104,7 +104,7 @@
 
     /// Rested keys go on; requests held in line are given up before their clients leave.
     pub(super) fn check_lines(&mut self) {
-        let whole = std::mem::take(&mut self.ends_changed);
+        let whole = std::mem::take(&mut self.shutdown_deadline_changed);
         let most = if whole { usize::MAX } else { CHECKED };
         for key in self.lines_to_check(most) {
             let waiting = self.keys.get(&key).into_iter().flat_map(|l| l.waiting.iter().take(most).copied());
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -32,12 +32,12 @@
 
     /// Admits by other settings of the same classes, tenants and machines from now on; what is open ends as
     /// it was admitted. Rules that stay keep what is in their buckets.
-    pub fn take_on(&mut self, settings: Settings) -> Result<Settings, SettingsError> {
+    pub fn update_settings(&mut self, settings: Settings) -> Result<Settings, SettingsError> {
         check(&settings)?;
         let mut rules = rules::build_rules(&settings);
         rules.iter_mut().for_each(|r| r.keep(&self.rules));
         self.rules = rules;
-        let old = std::mem::replace(&mut self.s, settings);
+        let old = std::mem::replace(&mut self.settings, settings);
         (0..self.executors.len()).for_each(|i| self.executors[i].pool = self.pool_of(&self.executors[i]));
         self.place_all();
         Ok(old)
@@ -47,16 +47,16 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.started && now > self.now + STALL {
             // This dispatcher stood still: what was not heard meanwhile says nothing of the executors.
-            self.stalled = now;
+            self.resumed_at = now;
             for &i in &self.roster.active {
-                self.executors[i].heard = now;
+                self.executors[i].last_message_at = now;
             }
         }
         self.now = now.max(self.now);
         if !self.started {
             self.started = true;
             self.actions.push(Action::SetTimer { token: 0, after: TICK });
-            self.actions.extend(self.s.list_must_be_polled.then_some(Action::Watch));
+            self.actions.extend(self.settings.list_must_be_polled.then_some(Action::Watch));
         }
         match event {
             Event::EndpointList { kind, endpoints } => self.list(kind, endpoints),
@@ -84,7 +84,7 @@
         self.warm_up();
         self.measure();
         self.set_rates();
-        if self.now > self.stalled {
+        if self.now > self.resumed_at {
             self.check_health();
             self.check_attempts();
         }
--- a/src/balancer/pressure.rs
+++ b/src/balancer/pressure.rs
@@ -44,8 +44,8 @@
 
     /// Threads of a request in flight, as own ones had lately; before that, as if classes held equal threads.
     fn mean_threads(&self) -> f64 {
-        let inverse: f64 = self.s.classes.iter().map(|c| 1.0 / f64::from(c.threads)).sum();
-        let guess = self.s.classes.len() as f64 / inverse;
+        let inverse: f64 = self.settings.classes.iter().map(|c| 1.0 / f64::from(c.threads)).sum();
+        let guess = self.settings.classes.len() as f64 / inverse;
         (self.held_threads + MIX_PRIOR * guess) / (self.held_requests + MIX_PRIOR)
     }
 
@@ -58,7 +58,7 @@
         // A dispatcher hears of few executors at a time: what is known of those stands for all, by age.
         let listed = self.roster.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
         let ejected: f64 = listed.clone().filter(|e| e.ejected_until.is_some()).map(|e| e.cores).sum();
-        fleet += self.roster.cores(&self.s.kinds, |_| true) - ejected;
+        fleet += self.roster.cores(&self.settings.kinds, |_| true) - ejected;
         self.look_at(self.roster.active.len());
         for e in listed.filter(|e| e.ejected_until.is_none()) {
             own += e.threads;
@@ -83,11 +83,14 @@
             self.share += (part - self.share) * SHARE_WEIGHT;
         }
         let over = |x: f64, [from, to]: [f64; 2]| (x - from) / (to - from);
-        let line =
-            if self.s.memory_shortage == MemoryShortage::Queue { MEMORY_LINE } else { MEMORY_OCCUPANCY };
+        let line = if self.settings.memory_shortage == MemoryShortage::Queue {
+            MEMORY_LINE
+        } else {
+            MEMORY_OCCUPANCY
+        };
         let ease = if self.occupancy < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK as f64 / 1e6;
         for p in pools.values_mut() {
-            let short = if self.s.grants && !mute { over(p.part(p.memory), line) } else { 0.0 };
+            let short = if self.settings.grants && !mute { over(p.part(p.memory), line) } else { 0.0 };
             let crowded = over(p.part(p.held), if mute { PACE_OCCUPANCY } else { OCCUPANCY });
             p.crowded = crowded.max(short).max(over(p.part(p.disks), DISKS));
         }
@@ -95,9 +98,10 @@
         self.models.iter_mut().for_each(|m| m.late = (m.late - ease).max(0.0));
         let before = self.pressure;
         for class in 0..self.models.len() {
-            let c = &self.s.classes[class];
+            let c = &self.settings.classes[class];
             let alike = |d: &Class| d.only_kinds == c.only_kinds && d.only_zones == c.only_zones;
-            let late = self.s.classes.iter().zip(&self.models).filter(|(d, _)| alike(d)).map(|(_, m)| m.late);
+            let late =
+                self.settings.classes.iter().zip(&self.models).filter(|(d, _)| alike(d)).map(|(_, m)| m.late);
             let late = late.fold(0.0, f64::max) * if told { LATE_MOST } else { 1.0 };
             let open = self.pools.iter().filter(|(pool, _)| **pool >> class & 1 == 1);
             let crowded = open.map(|(_, p)| p.crowded).reduce(f64::min).unwrap_or(0.0);
@@ -113,11 +117,12 @@
 
     /// Executors open to the same classes are a pool: a class has room where one of its pools has.
     pub(super) fn pool_of(&self, e: &Executor) -> u64 {
-        (0..self.s.classes.len()).filter(|&c| self.placed(c, e)).map(|c| 1 << c).sum()
+        (0..self.settings.classes.len()).filter(|&c| self.placed(c, e)).map(|c| 1 << c).sum()
     }
 
     pub(super) fn count_late(&mut self, class: ClassId) {
-        let (m, own) = (&mut self.models[class], self.now == self.stalled); // late by its own standing still
+        // Late by its own standing still.
+        let (m, own) = (&mut self.models[class], self.now == self.resumed_at);
         m.late = (m.late + if own { 0.0 } else { 1.0 / (m.rate + LATE_PRIOR) }).min(1.0);
     }
 }
--- a/src/balancer/rules.rs
+++ b/src/balancer/rules.rs
@@ -25,7 +25,7 @@
         let multiple = cost / self.class_mean(a.class).max(1e-9);
         // Counts scatter by their square root: a small dispatcher's few requests are not yet too many.
         let over = |t: TenantId| {
-            let fair = self.s.tenants[t].quota_per_s * self.share * TENANT_SPAN_S;
+            let fair = self.settings.tenants[t].quota_per_s * self.share * TENANT_SPAN_S;
             self.tenants[t] > fair + 2.0 * fair.sqrt() + 1.0
         };
         let matches = |r: &Rule| {
@@ -59,17 +59,17 @@
     /// Rates start from summed cores times this dispatcher's share, in thread-seconds, and follow pressure.
     pub(super) fn set_rates(&mut self) {
         let mut rules = std::mem::take(&mut self.rules);
-        let density = |c: ClassId| self.s.classes[c].priority_weight / self.class_mean(c).max(1e-6);
-        let least = (0..self.s.classes.len()).map(density).fold(f64::MAX, f64::min).max(1e-9);
+        let density = |c: ClassId| self.settings.classes[c].priority_weight / self.class_mean(c).max(1e-6);
+        let least = (0..self.settings.classes.len()).map(density).fold(f64::MAX, f64::min).max(1e-9);
         for r in &mut rules {
             let fits = |pool: u64| r.class.is_none_or(|c| pool >> c & 1 == 1);
-            let cores = self.roster.cores(&self.s.kinds, fits);
+            let cores = self.roster.cores(&self.settings.kinds, fits);
             // A class that earns more for each thread-second closes later.
             let later = r.class.map_or(1.0, |c| (density(c) / least).sqrt().clamp(1.0, 2.0));
             let pressure = r.class.map_or(self.pressure, |c| self.models[c].pressure);
             let step = if r.over_share { OVER_SHARE_STEP } else { 2.0 * TIER_STEP };
             r.open = 1.0 - ((pressure / later - r.closes_from) / step).clamp(0.0, 1.0);
-            let quota = r.tenant.map_or(0.0, |t| self.s.tenants[t].quota_per_s);
+            let quota = r.tenant.map_or(0.0, |t| self.settings.tenants[t].quota_per_s);
             let (rate, burst_s) = if r.over_share { (quota, 0.0) } else { (cores, BURST_S) };
             r.bucket.rate = self.share * rate * r.open * r.open;
             r.bucket.burst = r.bucket.rate * burst_s;
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -12,7 +12,7 @@
 impl Balancer {
     /// Whether the executors of a pool are open to a request.
     fn open_to<'a>(&self, q: &'a Request) -> impl Fn(u64) -> bool + use<'a> {
-        let c = &self.s.classes[q.class];
+        let c = &self.settings.classes[q.class];
         // One that was admitted by other settings goes by those.
         let alike = q.only_zones == c.only_zones && q.only_kinds == c.only_kinds;
         let class = q.class;
@@ -21,7 +21,7 @@
 
     /// How many executors this dispatcher's subset has, of so many.
     fn subset_size(&self, executors: usize) -> usize {
-        let covered = COVERED * executors / (self.s.dispatchers as usize).max(1);
+        let covered = COVERED * executors / (self.settings.dispatchers as usize).max(1);
         covered.max(SAMPLE)
     }
 
--- a/src/dispatch/ends.rs
+++ b/src/dispatch/ends.rs
@@ -30,7 +30,7 @@
 
     /// This dispatcher gives up at this time: what takes longer is not begun, but refused at once.
     pub fn ends_at(&mut self, at: Micros) {
-        self.dispatcher.ends_at(at);
+        self.dispatcher.set_shutdown_deadline(at);
     }
 
     /// Gives every request that is open its answer now: refused where that is harmless, else failed.
--- a/src/dispatch/intake.rs
+++ b/src/dispatch/intake.rs
@@ -50,10 +50,10 @@
         if self.take(now, request, before)? {
             return Ok(std::mem::take(&mut self.orders));
         }
-        let own = under.and_then(|s| self.dispatcher.take_on(on_sockets(s.clone())).ok());
+        let own = under.and_then(|s| self.dispatcher.update_settings(on_sockets(s.clone())).ok());
         let orders = self.run(now, arrival(request));
         if let Some(own) = own {
-            let back = self.dispatcher.take_on(own);
+            let back = self.dispatcher.update_settings(own);
             must!(back.is_ok(), "own settings were in use");
         }
         Ok(orders)
@@ -64,7 +64,7 @@
     pub fn take_on(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = on_sockets(settings);
         let slack = settings.budget.map(|b| b.slack);
-        self.dispatcher.take_on(settings).map(drop)?;
+        self.dispatcher.update_settings(settings).map(drop)?;
         self.budget_slack = slack;
         Ok(())
     }
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -23,13 +23,13 @@
     pub(crate) slow: Mean,
     /// Lately, time taken over expected, where nothing else tells of load.
     pub(crate) pace: Option<f64>,
-    pub(crate) heard: Micros,
-    pub(crate) gap: Mean,
-    pub(crate) errors: f64,
+    pub(crate) last_message_at: Micros,
+    pub(crate) message_interval: Mean,
+    pub(crate) error_rate: f64,
     pub(crate) ejected_until: Option<Micros>,
-    pub(crate) silent: bool,
+    pub(crate) unresponsive: bool,
     pub(crate) ejections: u32,
-    pub(crate) full_until: Micros,
+    pub(crate) rejecting_until: Micros,
     pub(crate) cold_since: Option<Micros>,
     /// While cold: own work that it may still get, and what may be staked in lots for it.
     pub(crate) cold: TokenBucket,
@@ -40,21 +40,22 @@
 }
 
 impl Executor {
-    /// Notes that something was heard, and the gap before it.
-    pub(crate) fn hear(&mut self, now: Micros, weight: f64) {
-        self.gap.add((now - self.heard) as f64 / 1e6, weight);
-        self.heard = now;
+    /// Notes that something was last_message_at, and the message_interval before it.
+    pub(crate) fn record_message(&mut self, now: Micros, weight: f64) {
+        self.message_interval.add((now - self.last_message_at) as f64 / 1e6, weight);
+        self.last_message_at = now;
     }
 
     pub(crate) fn new(endpoint: Endpoint, cores: f64, now: Micros, cold: Option<Micros>) -> Executor {
-        let mut e = Executor { endpoint, present: true, cores, heard: now, ..Executor::default() };
+        let mut e = Executor { endpoint, present: true, cores, last_message_at: now, ..Executor::default() };
         e.restarted(now, cold);
         e
     }
 
     /// Forgets what held of the process before.
     pub(crate) fn restarted(&mut self, now: Micros, cold_since: Option<Micros>) {
-        (self.cold_since, self.errors, self.ejected_until, self.silent) = (cold_since, 0.0, None, false);
+        (self.cold_since, self.error_rate, self.ejected_until, self.unresponsive) =
+            (cold_since, 0.0, None, false);
         (self.ejections, self.report, self.pace, self.met) = (0, Report::default(), None, false);
         self.cold = TokenBucket { at: now, ..TokenBucket::default() };
         self.lots = self.cold.clone();
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -4,16 +4,18 @@
 
 impl Balancer {
     /// It ends at this time: what could not be seen to its end by then is not begun.
-    pub fn ends_at(&mut self, at: Micros) {
-        self.ends = at;
-        self.ends_changed = true;
+    pub fn set_shutdown_deadline(&mut self, at: Micros) {
+        self.shutdown_deadline = at;
+        self.shutdown_deadline_changed = true;
     }
 
     /// Executors on the list, and of these those that take nothing new now: leaving, silent or ejected.
     pub(crate) fn avoided(&self, now: Micros) -> (usize, usize) {
         let listed = self.executors.iter().filter(|e| e.present && e.endpoint.readiness != Readiness::Left);
         let avoided = |e: &&Executor| {
-            e.endpoint.readiness != Readiness::Active || e.silent || e.ejected_until.is_some_and(|t| t > now)
+            e.endpoint.readiness != Readiness::Active
+                || e.unresponsive
+                || e.ejected_until.is_some_and(|t| t > now)
         };
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -23,7 +25,7 @@
     pub(crate) fn fleet(&self, now: Micros) -> [f64; 3] {
         let mut sums = [0.0; 3];
         for e in self.executors.iter().filter(|e| e.listed()) {
-            let healthy = !e.silent && e.ejected_until.is_none_or(|t| t <= now);
+            let healthy = !e.unresponsive && e.ejected_until.is_none_or(|t| t <= now);
             let usable = if healthy { e.cores } else { 0.0 };
             let parts = [e.cores, usable, usable * self.warmth(e)];
             sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part);
@@ -34,14 +36,14 @@
     /// Share of its capacity that an executor has: a cold one grows from `from` over the ramp.
     pub(crate) fn warmth(&self, e: &Executor) -> f64 {
         let Some(since) = e.cold_since else { return 1.0 };
-        let done = self.now.saturating_sub(since) as f64 / self.s.cold.ramp.max(1) as f64;
-        if done >= 1.0 { 1.0 } else { self.s.cold.from + (1.0 - self.s.cold.from) * done }
+        let done = self.now.saturating_sub(since) as f64 / self.settings.cold.ramp.max(1) as f64;
+        if done >= 1.0 { 1.0 } else { self.settings.cold.from + (1.0 - self.settings.cold.from) * done }
     }
 
     /// Seconds that a request should take, at the pace of the day.
     pub(crate) fn expected(&self, q: &Request) -> f64 {
         let pace = self.models[q.class].pace.or(1.0);
-        q.cost / f64::from(self.s.classes[q.class].threads) * pace
+        q.cost / f64::from(self.settings.classes[q.class].threads) * pace
     }
 
     /// How much a report still tells, 1 when new.
@@ -51,7 +53,7 @@
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
     pub(crate) fn memory_use(&self, e: &Executor, held: f64) -> f64 {
-        held * self.thread_mb.or(0.0) / self.s.kinds[e.endpoint.kind].memory_mb.max(1.0)
+        held * self.thread_mb.or(0.0) / self.settings.kinds[e.endpoint.kind].memory_mb.max(1.0)
     }
 
     /// Running means of own threads, requests and memory in flight.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -29,7 +29,7 @@
 
 /// One request dispatcher: what it was told, what it learned and what is open.
 pub struct Balancer {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
     pub(crate) started: bool,
@@ -67,27 +67,27 @@
     pub(crate) share: f64,
     pub(crate) pressure: f64,
     /// When it last woke from standing still.
-    pub(crate) stalled: Micros,
+    pub(crate) resumed_at: Micros,
     /// Threads a core that the executors hold, as far as they were heard.
     pub(crate) occupancy: f64,
     pub(crate) pools: BTreeMap<u64, Pool>,
     /// Whether reports tell of load, once one came.
     pub(crate) tells_load: Option<bool>,
     /// Requests that wait for probes.
-    pub(crate) asking: Vec<RequestId>,
+    pub(crate) awaiting_probes: Vec<RequestId>,
     /// A key's line is moving on.
     pub(crate) moves_on: bool,
-    pub(crate) loaded: bool,
+    pub(crate) endpoint_list_loaded: bool,
     /// When it ends; far off while it does not. Whether that has changed since the lines were looked at.
-    pub(crate) ends: Micros,
-    pub(crate) ends_changed: bool,
+    pub(crate) shutdown_deadline: Micros,
+    pub(crate) shutdown_deadline_changed: bool,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Balancer {
     /// One that has seen nothing: `seed` feeds its draws, `cache_size` is how many costs it remembers.
     pub(crate) fn empty(
-        s: Settings,
+        settings: Settings,
         seed: u64,
         rules: Vec<Rule>,
         cache_size: NonZeroUsize,
@@ -101,7 +101,7 @@
             cache: LruCache::new(cache_size),
             models,
             overall: Mean::default(),
-            tenants: vec![0.0; s.tenants.len()],
+            tenants: vec![0.0; settings.tenants.len()],
             purse: 0.0,
             stakes: TokenBucket::default(),
             executors: Vec::new(),
@@ -120,19 +120,19 @@
             thread_mb: Mean::default(),
             held_threads: 0.0,
             held_requests: 0.0,
-            share: 1.0 / f64::from(s.dispatchers),
+            share: 1.0 / f64::from(settings.dispatchers),
             pressure: 0.0,
-            stalled: 0,
+            resumed_at: 0,
             occupancy: 0.0,
             pools: BTreeMap::new(),
             tells_load: None,
             moves_on: false,
-            asking: Vec::new(),
-            loaded: false,
-            ends: Micros::MAX,
-            ends_changed: false,
+            awaiting_probes: Vec::new(),
+            endpoint_list_loaded: false,
+            shutdown_deadline: Micros::MAX,
+            shutdown_deadline_changed: false,
             actions: Vec::new(),
-            s,
+            settings,
         }
     }
 
@@ -140,7 +140,7 @@
         self.now.saturating_sub(t) as f64 / 1e6
     }
 
-    pub(crate) fn request(&mut self, id: RequestId) -> &mut Request {
+    pub(crate) fn request_mut(&mut self, id: RequestId) -> &mut Request {
         self.requests.get_mut(&id).expect("an open query")
     }
 
@@ -150,7 +150,7 @@
     }
 
     pub(crate) fn cancel(&mut self, id: RequestId, n: u32) {
-        self.request(id).attempts[n as usize].cancelled = true;
+        self.request_mut(id).attempts[n as usize].cancelled = true;
         self.actions.push(Action::Cancel { request: id, attempt: n });
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -19,7 +19,7 @@
     pub(crate) priority: u8,
     pub(crate) attempts: Vec<Attempt>,
     /// Until when it waits for probes.
-    pub(crate) asked_until: Option<Micros>,
+    pub(crate) probe_wait_until: Option<Micros>,
     /// What it was expected to take when it joined its key's line.
     pub(crate) run: Micros,
     pub(crate) done: bool,
@@ -28,7 +28,7 @@
     /// Where it may go and how often, by the settings that it was admitted by.
     pub(crate) only_zones: Option<Vec<ZoneId>>,
     pub(crate) only_kinds: Option<Vec<KindId>>,
-    pub(crate) most_attempts: u32,
+    pub(crate) max_attempts: u32,
 }
 
 impl Request {
@@ -40,7 +40,7 @@
         latency_objective: Micros,
         homes: Vec<ExecutorId>,
         class: &Class,
-        most_attempts: u32,
+        max_attempts: u32,
     ) -> Request {
         Request {
             class: a.class,
@@ -55,7 +55,7 @@
             memory_estimate: a.memory_mb,
             only_zones: class.only_zones.clone(),
             only_kinds: class.only_kinds.clone(),
-            most_attempts,
+            max_attempts,
             ..Request::default()
         }
     }
--- a/src/state/roster.rs
+++ b/src/state/roster.rs
@@ -134,7 +134,8 @@
 
 impl Balancer {
     fn place_of(&self, e: &Executor) -> Option<Place> {
-        let cold = e.cold_since.filter(|t| self.s.cold.fall > 0 && self.now < t + self.s.cold.ramp);
+        let cold =
+            e.cold_since.filter(|t| self.settings.cold.fall > 0 && self.now < t + self.settings.cold.ramp);
         // A start that lies ahead is one that is just now.
         let cold_since = cold.map(|t| t.min(self.now));
         e.listed().then_some(Place { pool: e.pool, kind: e.endpoint.kind, cold_since })
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -58,7 +58,7 @@
                 self.drop_gone();
             }
             self.index.insert(endpoint.executor, self.executors.len());
-            let cores = self.s.kinds[endpoint.kind].cores;
+            let cores = self.settings.kinds[endpoint.kind].cores;
             self.executors.push(Executor::new(endpoint, cores, self.now, restarted));
             return self.executors.len() - 1;
         };
@@ -81,7 +81,7 @@
     /// Writes an attempt down with its request and its executor.
     pub(crate) fn record(&mut self, id: RequestId, i: usize, grant: f64, priority: u8) {
         let now = self.now;
-        let q = self.request(id);
+        let q = self.request_mut(id);
         (q.grant, q.priority) = (grant, priority);
         let (n, class) = (q.attempts.len() as u32, q.class);
         q.attempts.push(Attempt {
@@ -93,13 +93,13 @@
             ..Attempt::default()
         });
         self.touch(i);
-        self.executors[i].take((id, n), f64::from(self.s.classes[class].threads), grant);
+        self.executors[i].take((id, n), f64::from(self.settings.classes[class].threads), grant);
     }
 
     /// Writes the outcome of an attempt down and tells its executor; nothing if it is unknown or had one.
     pub(crate) fn settle(&mut self, id: RequestId, n: u32, outcome: Outcome) -> Option<usize> {
         let q = self.requests.get_mut(&id)?;
-        let threads = f64::from(self.s.classes[q.class].threads);
+        let threads = f64::from(self.settings.classes[q.class].threads);
         let a = q.attempts.get_mut(n as usize).filter(|a| a.outcome.is_none())?;
         a.outcome = Some(outcome);
         let (i, grant) = (a.executor, a.grant);
--- a/tests/balancer/policy.rs
+++ b/tests/balancer/policy.rs
@@ -17,7 +17,7 @@
     let (open, actions) = rig.arrive(0, 0.2);
     let first = sent_to(&actions).expect("sent");
     assert!(first <= 2, "kind 0 alone: {first}");
-    let old = rig.dispatcher.take_on(only(1, 4)).expect("good settings");
+    let old = rig.dispatcher.update_settings(only(1, 4)).expect("good settings");
     assert_eq!(old.classes[0].only_kinds, Some(vec![0]), "those before come back");
     let (_, actions) = rig.arrive(0, 0.2);
     assert!(sent_to(&actions).is_some_and(|e| e > 2), "kind 1 alone: {actions:?}");
@@ -31,6 +31,6 @@
 #[test]
 fn settings_that_cannot_be_taken_on_change_nothing() {
     let mut rig = crate::two_kinds(only(0, 2));
-    assert!(rig.dispatcher.take_on(only(9, 2)).is_err());
+    assert!(rig.dispatcher.update_settings(only(9, 2)).is_err());
     assert!(sent_to(&rig.arrive(0, 0.2).1).is_some_and(|e| e <= 2));
 }
--- a/tests/balancer/requests.rs
+++ b/tests/balancer/requests.rs
@@ -88,7 +88,7 @@
     assert!(sent_to(&first).is_some());
     let (behind, _) = rig.arrive_as(load(12.0));
     let end = rig.now + 3 * S;
-    rig.dispatcher.ends_at(end);
+    rig.dispatcher.set_shutdown_deadline(end);
     let told = rig.pass(200 * MS);
     assert!(
         told.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == behind)),
@@ -114,7 +114,7 @@
     for _ in 0..5_000 {
         assert!(rig.arrive_as(keyed(40 * S)).1.is_empty(), "they wait for the first");
     }
-    rig.dispatcher.ends_at(rig.now);
+    rig.dispatcher.set_shutdown_deadline(rig.now);
     // Its key rests now, and nobody is at the head of the line.
     let mut actions = rig.finish(first, 0, executor, Outcome::Reset, 0.1);
     actions.extend(rig.pass(300 * MS));
