--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -43,7 +43,8 @@
     /// The attempts that are looked at in a tick: all that are out, or a bounded number, beginning where
     /// the tick before ended.
     fn attempts_to_check(&mut self) -> Vec<(RequestId, u32)> {
-        let active = self.roster.active.iter().flat_map(|i| self.executors[*i].out.iter());
+        let active =
+            self.executor_index.active.iter().flat_map(|i| self.executors[*i].attempts_in_flight.iter());
         let mut all: Vec<(RequestId, u32)> = active.copied().collect();
         if all.len() > CHECKED {
             let begin = self.attempts_checked % all.len();
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -9,29 +9,30 @@
         }
         let first = !std::mem::replace(&mut self.endpoint_list_loaded, true);
         if kind != EndpointListKind::Update {
-            self.only_present(&endpoints);
+            self.mark_absent_except(&endpoints);
         }
         for endpoint in endpoints {
             let known = self.index.get(&endpoint.executor).map(|&i| &self.executors[i]);
             // An executor that appears or comes back without a time of start is cold from now.
             let fresh = known.map_or(!first, |e| !e.present || e.endpoint.readiness == Readiness::Left);
             let changed = fresh || known.is_none_or(|e| e.endpoint.started != endpoint.started);
-            let started = endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.settings.cold.ramp);
+            let started =
+                endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.settings.slow_start.ramp);
             let cold = started.or(fresh.then_some(self.now));
             let i = self.enter(endpoint, cold.filter(|_| changed));
             self.executors[i].pool = self.pool_of(&self.executors[i]);
             if kind == EndpointListKind::Update {
-                self.place(i);
+                self.update_index(i);
             }
         }
         if kind != EndpointListKind::Update {
-            self.place_all();
+            self.rebuild_index();
         }
     }
 
     /// Closed, or half-open with no trial out.
     pub(super) fn healthy(&self, e: &Executor) -> bool {
-        let trial = |until: Micros| self.now >= until && e.out.is_empty();
+        let trial = |until: Micros| self.now >= until && e.attempts_in_flight.is_empty();
         e.rejecting_until <= self.now && e.ejected_until.is_none_or(trial)
     }
 
@@ -88,7 +89,7 @@
         self.reported(executor, report);
         let Some(&i) = self.index.get(&executor) else { return };
         self.executors[i].probe_sent = None;
-        self.touch(i);
+        self.mark_active(i);
         match outcome {
             Outcome::Ok => self.go_on(),
             Outcome::Rejected | Outcome::NotSent | Outcome::Error | Outcome::Cancelled => {}
@@ -97,7 +98,7 @@
     }
 
     /// Silence: attempts are out for longer than it takes to hear of them, and nothing was heard.
-    fn silent(&self, e: &Executor) -> bool {
+    fn is_unresponsive(&self, e: &Executor) -> bool {
         let gap = (e.message_interval.value.min(SILENT_GAP_MOST) * SILENT_GAPS * 1e6) as Micros;
         let overdue = |(id, n): &(RequestId, u32)| {
             let q = &self.requests[id];
@@ -106,16 +107,16 @@
             let since = e.last_message_at.max(q.attempts[*n as usize].sent);
             self.now > since + (word as Micros).max(SILENT_LEAST).max(gap)
         };
-        e.present && !e.unresponsive && e.out.iter().any(overdue)
+        e.present && !e.unresponsive && e.attempts_in_flight.iter().any(overdue)
     }
 
     pub(super) fn check_health(&mut self) {
-        self.look_at(self.roster.active.len());
-        for i in Vec::from_iter(self.roster.active.iter().copied()) {
-            if self.silent(&self.executors[i]) {
+        self.count_examined(self.executor_index.active.len());
+        for i in Vec::from_iter(self.executor_index.active.iter().copied()) {
+            if self.is_unresponsive(&self.executors[i]) {
                 self.executors[i].unresponsive = true;
                 self.eject(i, "silent");
-                let out = Vec::from_iter(self.executors[i].out.iter().copied());
+                let out = Vec::from_iter(self.executors[i].attempts_in_flight.iter().copied());
                 out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.settings.hedging));
             }
         }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -8,7 +8,7 @@
     pub(crate) key: Option<u64>,
     pub(crate) group: u64,
     /// Executors that read its table group by preference.
-    pub(crate) homes: Vec<ExecutorId>,
+    pub(crate) preferred_executors: Vec<ExecutorId>,
     pub(crate) arrived: Micros,
     pub(crate) deadline: Micros,
     pub(crate) latency_objective: Micros,
@@ -38,7 +38,7 @@
         now: Micros,
         cost: f64,
         latency_objective: Micros,
-        homes: Vec<ExecutorId>,
+        preferred_executors: Vec<ExecutorId>,
         class: &Class,
         max_attempts: u32,
     ) -> Request {
@@ -46,7 +46,7 @@
             class: a.class,
             key: a.key.filter(|_| class.keep_order),
             group: a.group,
-            homes,
+            preferred_executors,
             arrived: now,
             deadline: now + a.time_budget,
             latency_objective: now + latency_objective,
@@ -83,7 +83,7 @@
     pub(crate) outcome: Option<Outcome>,
     pub(crate) progress: f64,
     pub(crate) noted: Micros,
-    /// When any word of it came, or it was sent.
+    /// When its last message came, or it was sent.
     pub(crate) heard: Micros,
     pub(crate) cancelled: bool,
     pub(crate) spilled: bool,
