--- a/src/balancer/guards.rs
+++ b/src/balancer/guards.rs
@@ -5,7 +5,7 @@
 impl Balancer {
     /// The attempt budget, counted as the rule does, with the present one included.
     pub(super) fn budget_allows(&mut self) -> bool {
-        let b = self.s.budget.unwrap_or(OWN_BUDGET);
+        let b = self.settings.budget.unwrap_or(OWN_BUDGET);
         // Sends on the window's edge count, requests on it do not; sends may arrive later than decided.
         self.further.retain(|t| t + b.span + b.slack >= self.now);
         self.taken.retain(|t| t + b.span > self.now + b.slack);
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -7,7 +7,7 @@
         if kind == EndpointListKind::Unavailable {
             return self.actions.push(Action::Watch);
         }
-        let first = !std::mem::replace(&mut self.loaded, true);
+        let first = !std::mem::replace(&mut self.endpoint_list_loaded, true);
         if kind != EndpointListKind::Update {
             self.mark_absent_except(&endpoints);
         }
@@ -16,7 +16,8 @@
             // An executor that appears or comes back without a time of start is cold from now.
             let fresh = known.map_or(!first, |e| !e.present || e.endpoint.readiness == Readiness::Left);
             let changed = fresh || known.is_none_or(|e| e.endpoint.started != endpoint.started);
-            let started = endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.s.slow_start.ramp);
+            let started =
+                endpoint.started.filter(|t| self.now.saturating_sub(*t) < self.settings.slow_start.ramp);
             let cold = started.or(fresh.then_some(self.now));
             let i = self.enter(endpoint, cold.filter(|_| changed));
             self.executors[i].pool = self.pool_of(&self.executors[i]);
@@ -102,7 +103,7 @@
         let overdue = |(id, n): &(RequestId, u32)| {
             let q = &self.requests[id];
             let expected = (self.expected(q) * 1e6) as Micros;
-            let word = self.s.progress.map_or(expected, |p| expected.min(p)) as f64 * SILENT_FACTOR;
+            let word = self.settings.progress.map_or(expected, |p| expected.min(p)) as f64 * SILENT_FACTOR;
             let since = e.last_message_at.max(q.attempts[*n as usize].sent);
             self.now > since + (word as Micros).max(SILENT_LEAST).max(gap)
         };
@@ -116,7 +117,7 @@
                 self.executors[i].unresponsive = true;
                 self.eject(i, "silent");
                 let out = Vec::from_iter(self.executors[i].attempts_in_flight.iter().copied());
-                out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.s.hedging));
+                out.into_iter().for_each(|(id, n)| self.resend(id, n, !self.settings.hedging));
             }
         }
     }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -6,7 +6,7 @@
 impl Balancer {
     pub(super) fn arrival(&mut self, a: Arrival) {
         self.taken.push_back(self.now);
-        self.probe_budget.add_request(self.s.probe_price);
+        self.probe_budget.add_request(self.settings.probe_price);
         let cost = self.predict(&a);
         self.overall.add(cost, LEARN);
         let m = &mut self.models[a.class];
@@ -14,11 +14,19 @@
         a.estimate_s.into_iter().for_each(|e| m.estimate.add(e, LEARN));
         a.tenant.into_iter().for_each(|t| self.tenants[t] += 1.0); // a running count, see tick
         let admitted = self.admit(&a, cost);
-        let (preferred_executors, c) = (self.preferred_executors(a.class, a.group), &self.s.classes[a.class]);
+        let (preferred_executors, c) =
+            (self.preferred_executors(a.class, a.group), &self.settings.classes[a.class]);
         let latency_objective =
             c.latency_objective + (c.latency_objective_stretch * cost / f64::from(c.threads) * 1e6) as Micros;
-        let q =
-            Request::new(&a, self.now, cost, latency_objective, preferred_executors, c, self.s.max_attempts);
+        let q = Request::new(
+            &a,
+            self.now,
+            cost,
+            latency_objective,
+            preferred_executors,
+            c,
+            self.settings.max_attempts,
+        );
         self.requests.insert(a.request, q);
         if let Err(wait) = admitted {
             return self.end(a.request, wait, EndReason::OverLimit);
@@ -63,12 +71,12 @@
     /// The one place that ends a request: refused where that is harmless, else failed.
     pub(super) fn end(&mut self, id: RequestId, wait: Micros, reason: EndReason) {
         let Some(q) = self.requests.get(&id).filter(|q| !q.done) else { return };
-        let idempotency = self.s.classes[q.class].idempotency;
+        let idempotency = self.settings.classes[q.class].idempotency;
         let free = matches!(
             idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
         );
-        let retry_after = self.s.max_retry_after.map(|most| wait.clamp(TICK, most.max(TICK)));
+        let retry_after = self.settings.max_retry_after.map(|most| wait.clamp(TICK, most.max(TICK)));
         let refuse = Action::Reject { request: id, retry_after, reason };
         let fail = Action::Fail { request: id, reason };
         self.actions.push(if free || q.never_ran() { refuse } else { fail });
@@ -78,9 +86,9 @@
     /// The request has its answer: call off what is out, let the next of its key go.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(q) = self.requests.get_mut(&id) else { return };
-        let stoppable = self.s.cancel
+        let stoppable = self.settings.cancel
             && !q.streaming
-            && self.s.classes[q.class].idempotency != Idempotency::NotIdempotent;
+            && self.settings.classes[q.class].idempotency != Idempotency::NotIdempotent;
         let stop = !std::mem::replace(&mut q.done, true) && stoppable;
         q.live().into_iter().filter(|_| stop).for_each(|n| self.cancel(id, n));
         self.forget(id);
--- a/src/balancer/selection/weight.rs
+++ b/src/balancer/selection/weight.rs
@@ -54,10 +54,10 @@
 
     /// 1 in the dispatcher's own zone, more in others.
     pub(super) fn zone_distance(&self, executor: &Executor) -> f64 {
-        if executor.endpoint.zone == self.s.zone {
+        if executor.endpoint.zone == self.settings.zone {
             return 1.0;
         }
-        1.0 + CROSS_ZONE_WEIGHT * self.s.cross_zone_price
+        1.0 + CROSS_ZONE_WEIGHT * self.settings.cross_zone_price
     }
 
     /// 1 where a connection is there, more where one has to be made. Executors in slow start are exempt: all
@@ -66,16 +66,16 @@
         if executor.connected || self.capacity_fraction(executor) < 1.0 {
             return 1.0;
         }
-        1.0 + HANDSHAKE_WEIGHT * self.s.handshake_price
+        1.0 + HANDSHAKE_WEIGHT * self.settings.handshake_price
     }
 
     /// How likely the executor is to serve the request, by its errors.
     fn success_factor(&self, request: &Request, executor: &Executor) -> f64 {
         let success_rate = 1.0 - executor.error_rate;
-        if self.s.classes[request.class].idempotency != Idempotency::NotIdempotent {
+        if self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent {
             return success_rate.powi(SUCCESS_POWER);
         }
-        let is_untried = executor.relative_latency.n == 0 && self.s.reports == Reports::OnProbe;
+        let is_untried = executor.relative_latency.n == 0 && self.settings.reports == Reports::OnProbe;
         let trust = if is_untried { UNTRIED_WEIGHT } else { 1.0 };
         success_rate.powi(SUCCESS_POWER_NOT_IDEMPOTENT) * trust
     }
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -39,7 +39,7 @@
 }
 
 impl Executor {
-    /// Notes that something was last_message_at, and the gap before it.
+    /// Records a message from the executor, and the interval since the one before.
     pub(crate) fn record_message(&mut self, now: Micros, weight: f64) {
         self.message_interval.add((now - self.last_message_at) as f64 / 1e6, weight);
         self.last_message_at = now;
--- a/src/state/executor_index.rs
+++ b/src/state/executor_index.rs
@@ -134,9 +134,9 @@
 
 impl Balancer {
     fn place_of(&self, e: &Executor) -> Option<Place> {
-        let cold = e
-            .warming_since
-            .filter(|t| self.s.slow_start.overload_window > 0 && self.now < t + self.s.slow_start.ramp);
+        let cold = e.warming_since.filter(|t| {
+            self.settings.slow_start.overload_window > 0 && self.now < t + self.settings.slow_start.ramp
+        });
         // A start that lies ahead is one that is just now.
         let warming_since = cold.map(|t| t.min(self.now));
         e.listed().then_some(Place { pool: e.pool, kind: e.endpoint.kind, warming_since })
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -4,9 +4,9 @@
 
 impl Balancer {
     /// It ends at this time: what could not be seen to its end by then is not begun.
-    pub fn ends_at(&mut self, at: Micros) {
-        self.ends = at;
-        self.ends_changed = true;
+    pub fn set_shutdown_deadline(&mut self, at: Micros) {
+        self.shutdown_deadline = at;
+        self.shutdown_deadline_changed = true;
     }
 
     /// Executors on the list, and of these those that take nothing new now: leaving, silent or ejected.
@@ -36,7 +36,7 @@
     /// Seconds that a request should take, at the pace of the day.
     pub(crate) fn expected(&self, q: &Request) -> f64 {
         let pace = self.models[q.class].pace.or(1.0);
-        q.cost / f64::from(self.s.classes[q.class].threads) * pace
+        q.cost / f64::from(self.settings.classes[q.class].threads) * pace
     }
 
     /// How much a report still tells, 1 when new.
@@ -46,7 +46,7 @@
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
     pub(crate) fn memory_use(&self, e: &Executor, held: f64) -> f64 {
-        held * self.thread_mb.or(0.0) / self.s.kinds[e.endpoint.kind].memory_mb.max(1.0)
+        held * self.thread_mb.or(0.0) / self.settings.kinds[e.endpoint.kind].memory_mb.max(1.0)
     }
 
     /// Running means of own threads, requests and memory in flight.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -28,7 +28,7 @@
     /// Where it may go and how often, by the settings that it was admitted by.
     pub(crate) only_zones: Option<Vec<ZoneId>>,
     pub(crate) only_kinds: Option<Vec<KindId>>,
-    pub(crate) most_attempts: u32,
+    pub(crate) max_attempts: u32,
 }
 
 impl Request {
@@ -40,7 +40,7 @@
         latency_objective: Micros,
         preferred_executors: Vec<ExecutorId>,
         class: &Class,
-        most_attempts: u32,
+        max_attempts: u32,
     ) -> Request {
         Request {
             class: a.class,
@@ -55,7 +55,7 @@
             memory_estimate: a.memory_mb,
             only_zones: class.only_zones.clone(),
             only_kinds: class.only_kinds.clone(),
-            most_attempts,
+            max_attempts,
             ..Request::default()
         }
     }
@@ -83,7 +83,7 @@
     pub(crate) outcome: Option<Outcome>,
     pub(crate) progress: f64,
     pub(crate) noted: Micros,
-    /// When any word of it came, or it was sent.
+    /// When its last message came, or it was sent.
     pub(crate) heard: Micros,
     pub(crate) cancelled: bool,
     pub(crate) spilled: bool,
