--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -1,17 +1,18 @@
 //! What the decisions want, carried out; and what they are told of executors.
 
+use super::DispatcherServer;
+use super::clients::request_intake::OpenRequest;
 use super::executors::{Executors, Rows};
 use super::lists::{self, Lists};
-use super::requests::asker;
-use super::{Node, OpenRequest};
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
 use crate::dispatch::{Answer, End, Member, News, Order, Report, Standing, executor_id};
+use crate::net::clients::request_intake::asker;
 use crate::operator::figures::Disposition;
 use std::collections::VecDeque;
 
-impl Node {
+impl DispatcherServer {
     /// Carries orders out, and hands on what comes of them, until nothing is left.
     pub(super) fn settle(&mut self, orders: Vec<Order<Rows>>) {
         let mut orders = VecDeque::from(orders);
@@ -31,7 +32,7 @@
         match order {
             Order::Start { ticket, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
-                let Some(job) = self.open.get(&ticket.request).map(|o| o.job.clone()) else {
+                let Some(job) = self.requests.open.get(&ticket.request).map(|o| o.job.clone()) else {
                     return self.executors.reports.push_back(Report::Ended(ticket, End::NeverSent, None));
                 };
                 if !self.may_send(now, ticket, executor) {
@@ -45,7 +46,9 @@
             Order::Past(request, served, never_ran) => self.past(now, request, served, never_ran),
             Order::Probe(executor) => self.executors.probe(executor, now, &self.poll),
             Order::Answer(request, mut answer) => {
-                let Some(OpenRequest { client: key, job, .. }) = self.open.remove(&request) else { return };
+                let Some(OpenRequest { client: key, job, .. }) = self.requests.open.remove(&request) else {
+                    return;
+                };
                 self.end_in_flight(now, request, &answer);
                 self.figures.ended(
                     &job.kind,
@@ -67,10 +70,10 @@
                 }
                 if let Some(s) = self.sessions.by_key.get_mut(&key).filter(|s| s.open == Some(request)) {
                     s.answer(&answer);
-                    s.touched = now;
-                    self.flush(key);
-                    self.advance(key, now);
-                    self.send_away(key, now);
+                    s.active_at = now;
+                    self.flush_client(key);
+                    self.process_commands(key, now);
+                    self.close_if_idle_while_leaving(key, now);
                 }
             }
         }
