--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -19,8 +19,12 @@
 };
 pub use validation::{SettingsError, check};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a span, in microseconds. [`TimestampUs`] and [`DurationUs`] say which of the two.
 pub type Micros = u64;
+/// A point in time, in microseconds of the host's monotonic clock.
+pub type TimestampUs = Micros;
+/// A span of time, in microseconds.
+pub type DurationUs = Micros;
 /// Index into [`Settings::classes`].
 pub type ClassId = usize;
 /// Index into [`Settings::tenants`].
--- /dev/null
+++ b/src/balancer/attempt.rs
@@ -0,0 +1,103 @@
+//! Attempts: whether a request may be sent now, with how much memory and at which priority.
+
+use crate::api::{Action, Idempotency, RequestId, TimestampUs};
+use crate::state::{Balancer, Executor, Request};
+
+/// The highest priority of an attempt.
+const HIGHEST_PRIORITY: u8 = 3;
+/// A request's priority is one higher for each of these that its cost is below, as a multiple of the mean
+/// cost of all requests.
+const PRIORITY_COST_MULTIPLES: [f64; 3] = [4.0, 1.5, 0.5];
+/// Bounds of the learned memory bias when it sets a grant: its natural logarithm.
+const MAX_MEMORY_BIAS: f64 = 1.5;
+
+impl Balancer {
+    /// Sends an attempt of a request, if its state, the order of its key and the retry budget allow one and
+    /// an executor takes it: the one place that sends. Which executors may take it is checked where they are
+    /// drawn. With `may_probe` the request may wait for probes instead.
+    pub(super) fn send_attempt(&mut self, id: RequestId, may_probe: bool) -> bool {
+        if !self.may_send(id) {
+            return false;
+        }
+        let Some(index) = self.draw(id, may_probe) else { return false };
+        let request = &self.requests[&id];
+        let memory_grant_mb = self.memory_grant_mb(request, &self.executors[index]);
+        let priority = self.priority(request);
+        let is_retry = !request.attempts.is_empty();
+        if self.settings.grants || self.settings.priorities {
+            self.actions.push(Action::SetTerms { request: id, memory_mb: memory_grant_mb, priority });
+        }
+        if is_retry {
+            self.retry_limiter.record_retry(self.now);
+        }
+        self.record_attempt(id, index, memory_grant_mb, priority);
+        let executor = self.executors[index].endpoint.executor;
+        self.actions.push(Action::Send { request: id, executor, timeout: None });
+        true
+    }
+
+    /// Whether a request may be sent now, wherever.
+    fn may_send(&mut self, id: RequestId) -> bool {
+        let request = &self.requests[&id];
+        let is_over = request.answered || request.streaming || self.now >= request.deadline;
+        let is_last = request.attempts.len() >= request.max_attempts as usize;
+        let would_hedge = request.attempts_in_flight() > 0;
+        if is_over || is_last || (would_hedge && !self.settings.hedging) {
+            return false;
+        }
+        let is_retry = !request.attempts.is_empty();
+        self.has_turn(id) && (!is_retry || self.retry_budget_allows())
+    }
+
+    /// Priority of a request, 0 to 3. One that is late is the least urgent; a cheap one goes before a costly
+    /// one, and one that has used half of its time goes one step higher.
+    pub(super) fn priority(&self, request: &Request) -> u8 {
+        if self.is_lost_on_shutdown(request) {
+            return HIGHEST_PRIORITY;
+        }
+        if self.now > request.latency_objective {
+            return 0;
+        }
+        let cost_multiple = self.cost_multiple(request);
+        let is_below = |multiple: &&f64| cost_multiple < **multiple;
+        let by_cost = PRIORITY_COST_MULTIPLES.iter().filter(is_below).count() as u8;
+        let is_urgent = is_half_over(self.now, request.arrived_at, request.latency_objective);
+        (by_cost + u8::from(is_urgent)).min(HIGHEST_PRIORITY)
+    }
+
+    /// Whether a request must finish before this dispatcher shuts down, as nobody may run it again.
+    fn is_lost_on_shutdown(&self, request: &Request) -> bool {
+        let class = &self.settings.classes[request.class];
+        self.shutdown_deadline < TimestampUs::MAX && class.idempotency == Idempotency::NotIdempotent
+    }
+
+    /// Predicted cost as a multiple of the mean of all requests. The cost of one that others of its key wait
+    /// for counts for all of them.
+    fn cost_multiple(&self, request: &Request) -> f64 {
+        let queued = request.key.map_or(1, |key| self.key_queues.len(key).max(1));
+        request.cost / queued as f64 / self.overall.or(request.cost).max(1e-9)
+    }
+
+    /// Memory that an attempt is granted, in MB: the need as estimated and corrected, else as learned, up to
+    /// a part of the executor's memory. 0 leaves it to the executor; without grants it has no effect.
+    fn memory_grant_mb(&self, request: &Request, executor: &Executor) -> f64 {
+        let model = &self.models[request.class];
+        let corrected =
+            |estimate: f64| estimate * model.memory_bias.clamp(-MAX_MEMORY_BIAS, MAX_MEMORY_BIAS).exp();
+        let need_mb = request.memory_estimate.map_or(model.memory.or(0.0), corrected);
+        let executor_memory_mb = self.settings.kinds[executor.endpoint.kind].memory_mb;
+        let max_grant_mb = executor_memory_mb * self.settings.max_grant_fraction;
+        if max_grant_mb > 0.0 { need_mb.min(max_grant_mb) } else { need_mb }
+    }
+
+    /// Calls an attempt off.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
+        self.request_mut(id).attempts[attempt as usize].cancelled = true;
+        self.actions.push(Action::Cancel { request: id, attempt });
+    }
+}
+
+/// Whether more than half of the time from one point to the other is over.
+fn is_half_over(now: TimestampUs, from: TimestampUs, to: TimestampUs) -> bool {
+    (now - from) * 2 > to - from
+}
--- /dev/null
+++ b/src/balancer/attempt_events.rs
@@ -0,0 +1,86 @@
+//! What attempts report: their progress, and how they end. Decides whether a failed one is retried.
+
+use crate::api::{AttemptFinished, AttemptProgress, EndReason, Outcome, RequestId};
+use crate::balancer::RETRY_AFTER_US;
+use crate::state::Balancer;
+
+/// Weight of one spill in a class's memory bias.
+const SPILL_WEIGHT: f64 = 0.3;
+/// Bounds of a reported progress: a whole is 1, and nothing done would make the rest endless.
+const PROGRESS_RANGE: (f64, f64) = (0.001, 1.0);
+
+impl Balancer {
+    /// An attempt in flight has sent a message.
+    pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u32, progress: AttemptProgress) {
+        let now = self.now;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempts.get_mut(attempt as usize) else { return };
+        attempt.last_message_at = now;
+        self.executors[attempt.executor].record_message(now);
+        match progress {
+            AttemptProgress::Progress(done) if done.is_finite() => {
+                let (least, whole) = PROGRESS_RANGE;
+                let seconds = attempt.record_progress(now, done.clamp(least, whole));
+                let index = attempt.executor;
+                let threads = f64::from(self.settings.classes[request.class].threads);
+                let expected_s = request.cost.max(1e-6) / threads;
+                self.paced(index, seconds / expected_s);
+            }
+            AttemptProgress::Spill(missing_mb) if !attempt.spilled && missing_mb.is_finite() => {
+                attempt.spilled = true;
+                if let Some(estimate_mb) = request.memory_estimate {
+                    let needed_mb = attempt.memory_grant_mb + missing_mb;
+                    let needed_bias = (needed_mb.max(1.0) / estimate_mb.max(1.0)).ln();
+                    let model = &mut self.models[request.class];
+                    model.memory_bias += SPILL_WEIGHT * (needed_bias - model.memory_bias).max(0.0);
+                }
+            }
+            AttemptProgress::Progress(_) | AttemptProgress::Spill(_) | AttemptProgress::Waits => {}
+        }
+    }
+
+    /// An attempt is over: its outcome counts for its executor, and the request has its answer, is retried or
+    /// ends.
+    pub(super) fn handle_attempt_finished(&mut self, finished: AttemptFinished) {
+        let (id, outcome) = (finished.request, finished.outcome);
+        self.reported(finished.executor, finished.report);
+        let Some(index) = self.record_attempt_outcome(id, finished.attempt, outcome) else { return };
+        self.keep_key_quiet_after(id, outcome);
+        self.record_executor_outcome(index, outcome);
+        if outcome == Outcome::Ok {
+            self.learn_from_success(&finished);
+        }
+        if finished.done {
+            return self.finish_request(id);
+        }
+        self.retry_if_none_in_flight(id);
+        self.remove_finished_request(id);
+    }
+
+    /// After an outcome that tells that an attempt may still run, its key stays quiet.
+    fn keep_key_quiet_after(&mut self, id: RequestId, outcome: Outcome) {
+        let may_still_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        if let Some(key) = self.requests[&id].key.filter(|_| may_still_run) {
+            self.start_quiet_period(key);
+        }
+    }
+
+    fn learn_from_success(&mut self, finished: &AttemptFinished) {
+        let id = finished.request;
+        self.learn(id, finished.attempt as usize, finished.latency, finished.reported_cost);
+        self.attribute_errors(id);
+        let request = &self.requests[&id];
+        if self.now > request.latency_objective && !request.counted_late && !request.answered {
+            self.count_late(request.class);
+        }
+    }
+
+    /// Retries a request that has no answer and no attempt in flight, or ends it.
+    fn retry_if_none_in_flight(&mut self, id: RequestId) {
+        let request = &self.requests[&id];
+        let needs_attempt = !request.answered && !request.streaming && request.attempts_in_flight() == 0;
+        if needs_attempt && !self.send_attempt(id, false) {
+            self.reject_or_fail_request(id, RETRY_AFTER_US, EndReason::NoFurtherAttempt);
+        }
+    }
+}
--- a/src/balancer/constants.rs
+++ b/src/balancer/constants.rs
@@ -4,9 +4,6 @@
 use std::num::NonZeroUsize;
 
 pub(super) const SECOND: Micros = 1_000_000;
-/// Pace of housekeeping: short beside any aim. With nothing heard for STALL a dispatcher stood still.
-pub(super) const TICK: Micros = 100_000;
-pub(super) const STALL: Micros = 3 * TICK;
 /// Expensive means above these multiples of the class mean; each tier is a rule of its own, dearest first.
 pub(super) const TIERS: [f64; 6] = [4.0, 2.0, 1.0, 0.5, 0.25, 0.125];
 /// Tier k closes while pressure goes from k to k + 2 times this: the last ones act only in heavy overload.
@@ -85,32 +82,13 @@
 pub(super) const CROSS_WEIGHT: f64 = 200.0;
 /// The same for the price of a connection to an executor that nothing was sent to yet.
 pub(super) const HANDSHAKE_WEIGHT: f64 = 4000.0;
-/// Share of failed outcomes at which an executor is ejected: two resets, or six errors (maybe the
-/// statement's).
-pub(super) const EJECT_ERRORS: f64 = 0.25;
-pub(super) const ERROR_WEIGHTS: [f64; 2] = [0.05, 0.15];
-/// Further weight of an error on a request that another executor then served: the second such one ejects.
-pub(super) const BLAME: f64 = 0.24;
 /// How an executor's share of errors weighs in the draw: for what may be tried again, and for what may not.
 pub(super) const ERROR_POWERS: [i32; 2] = [2, 8];
 /// Weight, for the latter, of one that served nothing here: one that fails at once looks idle to a probe.
 pub(super) const UNTRIED_WEIGHT: f64 = 0.1;
-/// First ejection, and the most that doubling makes of it.
-pub(super) const EJECT: [Micros; 2] = [SECOND, 8 * SECOND];
 /// Ejections are ignored while less than this share of the cores would be left; weight of ejected ones then.
 pub(super) const LEAST_USABLE: f64 = 0.4;
 pub(super) const UNHEALTHY_WEIGHT: f64 = 0.05;
-/// Silence: this multiple of the time to the next word, no sooner than this, nor before so many usual gaps.
-pub(super) const SILENT_FACTOR: f64 = 3.0;
-pub(super) const SILENT_LEAST: Micros = 700_000;
-pub(super) const SILENT_GAPS: f64 = 8.0;
-pub(super) const SILENT_GAP_MOST: f64 = 0.3;
-pub(super) const GAP_WEIGHT: f64 = 0.1;
-/// Retry budget of our own where no rule states one: free attempts, share of requests, window.
-pub(super) const OWN_BUDGET: RetryBudget =
-    RetryBudget { free: 3.0, ratio: 0.25, span: 10 * SECOND, slack: 0 };
-/// An attempt has a bad plan once it looks this many times longer than expected.
-pub(super) const RUNAWAY: f64 = 4.0;
 /// Executors that a decision looks at, whatever the length of the list; usual fleets have fewer. In a large
 /// fleet so many dispatchers have each executor in their subsets: loads differ by a quarter at most times.
 pub(super) const SAMPLE_SIZE: usize = 128;
@@ -121,7 +99,6 @@
 /// long.
 pub(super) const REPORT_FRESHNESS: Micros = 800_000;
 pub(super) const CANDIDATES_WANTED: usize = 3;
-pub(super) const PROBE_WAIT: Micros = 40_000;
 /// Points of service that probes may cost: each request pays in what that buys at the stated price, a probe
 /// takes one out. Dear requests may empty it, others leave half of it, less what the next one brings.
 pub(super) const PROBE_BUDGET_POINTS: f64 = 0.01;
@@ -129,17 +106,9 @@
 /// Quantile of memory needs that a grant covers, its step (ln), and the weight of what one spill tells.
 pub(super) const GRANT_QUANTILE: f64 = 0.8;
 pub(super) const GRANT_STEP: f64 = 0.05;
-pub(super) const SPILL_WEIGHT: f64 = 0.3;
 /// Share of the cold-executor budget used in expectation; windows of it saved up at most for one request; the
 /// largest request, as a part of it, and the least part of its class's mean that one counts as.
 pub(super) const SLOW_START_UTILIZATION: f64 = 0.4;
 pub(super) const SLOW_START_SAVED_WINDOWS: f64 = 4.0;
 pub(super) const SLOW_START_LARGEST_FRACTION: f64 = 0.3;
 pub(super) const SLOW_START_LEAST_MEAN_FRACTION: f64 = 0.5;
-/// Requests past their aim are given up at once above this pressure.
-pub(super) const GIVE_UP_PRESSURE: f64 = 0.5;
-/// One in line for its key is given up once less than this, or than it takes, is left: two ticks and a half.
-pub(super) const HELD_MARGIN: Micros = 250_000;
-/// Requests in line, and attempts that are out, that a tick looks at: several times what a usual dispatcher
-/// has, and under a millisecond's work.
-pub(super) const CHECKED: usize = 512;
--- a/src/balancer/draw.rs
+++ b/src/balancer/draw.rs
@@ -59,7 +59,8 @@
         let slow = e.relative_latency.or(1.0).max(0.5) * self.distance(e) * new;
         let once = usize::from(c.idempotency == Idempotency::NotIdempotent);
         let untried = once == 1 && e.relative_latency.n == 0 && self.settings.reports == Reports::OnProbe;
-        let sure = (1.0 - e.error_rate).powi(ERROR_POWERS[once]) * if untried { UNTRIED_WEIGHT } else { 1.0 };
+        let sure =
+            (1.0 - e.health.error_rate).powi(ERROR_POWERS[once]) * if untried { UNTRIED_WEIGHT } else { 1.0 };
         let w = capacity * home * self.reserved_capacity_factor(q.class, e)
             / (LOAD_FLOOR + load).powi(DRAW_POWER)
             / slow
@@ -78,7 +79,7 @@
             let cores = |v: &[usize]| v.iter().map(|&i| self.executors[i].cores).sum::<f64>();
             // What can't be tried again is no trial.
             let trial = self.settings.classes[q.class].idempotency != Idempotency::NotIdempotent;
-            let healthy = |e: &Executor| self.healthy(e) && (trial || e.ejected_until.is_none());
+            let healthy = |e: &Executor| self.healthy(e) && (trial || e.health.ejected_until.is_none());
             fit = allowed.iter().copied().filter(|&i| healthy(&self.executors[i])).collect();
             if !allowed.is_empty() && cores(&fit) >= LEAST_USABLE * cores(&allowed) {
                 break;
@@ -150,7 +151,7 @@
             waits = true;
         }
         if waits {
-            let until = self.now + PROBE_WAIT;
+            let until = self.now + request_lifecycle::PROBE_WAIT_US;
             self.request_mut(id).probe_wait_until.get_or_insert(until);
             return None;
         }
--- a/src/balancer/guards.rs
+++ b/src/balancer/guards.rs
@@ -24,7 +24,7 @@
             Idempotency::IdempotencyKey { scope, window } => {
                 let ran = |a: &&Attempt| !a.outcome.is_some_and(Outcome::never_ran);
                 let holds = |a: &Attempt| scope.holds(&self.executors[a.executor].endpoint, &e.endpoint);
-                q.attempts.iter().filter(ran).all(|a| self.now < a.sent + window && holds(a))
+                q.attempts.iter().filter(ran).all(|a| self.now < a.sent_at + window && holds(a))
             }
         }
     }
@@ -95,20 +95,4 @@
             self.update_index(i);
         }
     }
-
-    /// The attempt budget, counted as the rule does, with the present one included.
-    pub(super) fn budget_allows(&mut self) -> bool {
-        let b = self.settings.budget.unwrap_or(OWN_BUDGET);
-        // Sends on the window's edge count, requests on it do not; sends may arrive later than decided.
-        self.further.retain(|t| t + b.span + b.slack >= self.now);
-        self.taken.retain(|t| t + b.span > self.now + b.slack);
-        (self.further.len() + 1) as f64 <= b.free + b.ratio * self.taken.len() as f64
-    }
-
-    /// Order: first in line for its key, which has rested.
-    pub(super) fn has_turn(&self, id: RequestId) -> bool {
-        let q = &self.requests[&id];
-        let Some(line) = q.key.map(|k| &self.keys[&k]) else { return true };
-        line.waiting.front() == Some(&id) && (!q.attempts.is_empty() || self.now >= line.rest_until)
-    }
 }
--- a/src/balancer/pressure.rs
+++ b/src/balancer/pressure.rs
@@ -58,10 +58,10 @@
         let mut pools = std::collections::BTreeMap::<u64, Pool>::new();
         // A dispatcher hears of few executors at a time: what is known of those stands for all, by age.
         let listed = self.executor_index.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
-        let ejected: f64 = listed.clone().filter(|e| e.ejected_until.is_some()).map(|e| e.cores).sum();
+        let ejected: f64 = listed.clone().filter(|e| e.health.ejected_until.is_some()).map(|e| e.cores).sum();
         fleet += self.executor_index.cores(&self.settings.kinds, |_| true) - ejected;
         self.count_examined(self.executor_index.active.len());
-        for e in listed.filter(|e| e.ejected_until.is_none()) {
+        for e in listed.filter(|e| e.health.ejected_until.is_none()) {
             own += e.in_flight_threads;
             let Some(r) = self.held(e) else { continue };
             let (now, sure) = (
@@ -92,7 +92,7 @@
         } else {
             MEMORY_OCCUPANCY
         };
-        let ease = if self.occupancy < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK as f64 / 1e6;
+        let ease = if self.occupancy < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK_US as f64 / 1e6;
         for p in pools.values_mut() {
             let short = if self.settings.grants && !mute { over(p.part(p.memory), line) } else { 0.0 };
             let crowded = over(p.part(p.held), if mute { PACE_OCCUPANCY } else { OCCUPANCY });
--- /dev/null
+++ b/src/balancer/request_lifecycle.rs
@@ -0,0 +1,184 @@
+//! The life cycle of a request: arrival, the wait for probes, the final answer, its removal.
+
+use crate::api::{Action, Arrival, ClassId, DurationUs, EndReason, Idempotency, KeyScope, RequestId};
+use crate::balancer::constants::{LEARN, PROBE_BUDGET_CAPACITY, PROBE_BUDGET_POINTS};
+use crate::balancer::{PROBE_WAIT_TIMER, RETRY_AFTER_US, TICK_US};
+use crate::state::{Balancer, Request};
+
+/// A request waits at most this long for probes: some round trips.
+pub(super) const PROBE_WAIT_US: DurationUs = 40_000;
+
+impl Balancer {
+    /// A request has arrived: it is admitted, joins its key's queue and is started, or it is rejected.
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
+        self.retry_limiter.record_arrival(self.now);
+        self.fund_probes();
+        let predicted_cost = self.predict(&arrival);
+        self.count_arrival(&arrival, predicted_cost);
+        let admission = self.admit(&arrival, predicted_cost);
+        self.open_request(&arrival, predicted_cost);
+        let id = arrival.request;
+        if let Err(retry_after) = admission {
+            return self.reject_or_fail_request(id, retry_after, EndReason::OverLimit);
+        }
+        match self.join_key_queue(id, arrival.held_back) {
+            Ok(()) => self.start_request(id),
+            Err(overrun) => self.reject_or_fail_request(id, overrun, EndReason::LineTooLong),
+        }
+    }
+
+    /// Each request pays for a part of a probe.
+    fn fund_probes(&mut self) {
+        let share_of_probe = PROBE_BUDGET_POINTS / self.settings.probe_price;
+        self.probe_budget = (self.probe_budget + share_of_probe).min(PROBE_BUDGET_CAPACITY);
+    }
+
+    /// Counts a request into the figures of its class and its tenant.
+    fn count_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
+        self.overall.add(predicted_cost, LEARN);
+        let model = &mut self.models[arrival.class];
+        model.arrived += 1.0;
+        if let Some(estimate) = arrival.estimate_s {
+            model.estimate.add(estimate, LEARN);
+        }
+        if let Some(tenant) = arrival.tenant {
+            self.tenants[tenant] += 1.0;
+        }
+    }
+
+    /// Enters a request among the open ones.
+    fn open_request(&mut self, arrival: &Arrival, predicted_cost: f64) {
+        let preferred_executors = self.preferred_executors(arrival.class, arrival.group);
+        let latency_objective = self.latency_objective(arrival.class, predicted_cost);
+        let class = &self.settings.classes[arrival.class];
+        let max_attempts = self.settings.max_attempts;
+        let request = Request::new(
+            arrival,
+            self.now,
+            predicted_cost,
+            latency_objective,
+            preferred_executors,
+            class,
+            max_attempts,
+        );
+        self.requests.insert(arrival.request, request);
+    }
+
+    /// Time from arrival within which an answer earns the whole weight: longer for a costlier request.
+    fn latency_objective(&self, class: ClassId, predicted_cost: f64) -> DurationUs {
+        let class = &self.settings.classes[class];
+        let stretch = class.latency_objective_stretch * predicted_cost / f64::from(class.threads);
+        class.latency_objective + (stretch * 1e6) as DurationUs
+    }
+
+    /// Sends a request's first attempt, once it is its turn; it may wait for probes before.
+    pub(super) fn start_request(&mut self, id: RequestId) {
+        if let Some(reason) = self.cannot_finish_in_time(id) {
+            return self.reject_or_fail_request(id, RETRY_AFTER_US, reason);
+        }
+        let waited_before = self.requests[&id].probe_wait_until.is_some();
+        let may_probe = self.may_wait_for_probes(id);
+        if !self.has_turn(id) || self.send_attempt(id, may_probe) {
+            return;
+        }
+        let probe_wait_until = self.requests[&id].probe_wait_until.unwrap_or(0);
+        if !may_probe || self.now >= probe_wait_until {
+            self.reject_or_fail_request(id, RETRY_AFTER_US, EndReason::NoExecutor);
+        } else if !waited_before {
+            self.awaiting_probes.push(id);
+            self.actions.push(Action::SetTimer { token: PROBE_WAIT_TIMER, after: PROBE_WAIT_US });
+        }
+    }
+
+    /// Whether a request may still wait for probes: until its wait is over, or if it did not wait yet and has
+    /// time for twice the wait.
+    fn may_wait_for_probes(&self, id: RequestId) -> bool {
+        let request = &self.requests[&id];
+        match request.probe_wait_until {
+            Some(until) => self.now < until,
+            None => self.now + 2 * PROBE_WAIT_US < request.deadline,
+        }
+    }
+
+    /// Starts the requests that wait for probes: one has been answered, or the wait is over.
+    pub(super) fn resume_after_probes(&mut self) {
+        let is_waiting = |request: &Request| !request.answered && request.attempts.is_empty();
+        let mut waiting = std::mem::take(&mut self.awaiting_probes);
+        waiting.retain(|id| {
+            if self.requests.get(id).is_some_and(is_waiting) {
+                self.start_request(*id);
+            }
+            self.requests.get(id).is_some_and(is_waiting)
+        });
+        // Those that began to wait meanwhile come first.
+        self.awaiting_probes.append(&mut waiting);
+    }
+
+    /// Ends a request without an answer from an executor, the one place that does so. It is rejected, which
+    /// tells the client that a repeat is harmless, where that is so; else it fails.
+    pub(super) fn reject_or_fail_request(
+        &mut self,
+        id: RequestId,
+        retry_after: DurationUs,
+        reason: EndReason,
+    ) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.answered) else { return };
+        let action = if self.is_safe_to_repeat(request) {
+            let retry_after = self.bounded_retry_after(retry_after);
+            Action::Reject { request: id, retry_after, reason }
+        } else {
+            Action::Fail { request: id, reason }
+        };
+        self.actions.push(action);
+        self.finish_request(id);
+    }
+
+    /// Whether a client may send a request again, whatever became of its attempts: it is idempotent on all
+    /// executors, or none of its attempts ran.
+    fn is_safe_to_repeat(&self, request: &Request) -> bool {
+        let is_idempotent_everywhere = matches!(
+            self.settings.classes[request.class].idempotency,
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+        );
+        is_idempotent_everywhere || request.never_ran()
+    }
+
+    /// A Retry-After that clients follow, a tick or longer; `None` where advice is not passed on.
+    fn bounded_retry_after(&self, retry_after: DurationUs) -> Option<DurationUs> {
+        let max_retry_after = self.settings.max_retry_after?;
+        Some(retry_after.clamp(TICK_US, max_retry_after.max(TICK_US)))
+    }
+
+    /// A request has its answer, or its client has left: its attempts are cancelled where that is allowed.
+    pub(super) fn finish_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let may_cancel = self.settings.cancel
+            && !request.streaming
+            && self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent;
+        let was_answered = std::mem::replace(&mut request.answered, true);
+        if may_cancel && !was_answered {
+            for attempt in request.live_attempts() {
+                self.cancel_attempt(id, attempt);
+            }
+        }
+        self.remove_finished_request(id);
+    }
+
+    /// Removes a request that has its answer and none of whose attempts is in flight.
+    pub(super) fn remove_finished_request(&mut self, id: RequestId) {
+        let is_over = |request: &Request| request.answered && request.attempts_in_flight() == 0;
+        if !self.requests.get(&id).is_some_and(is_over) {
+            return;
+        }
+        if let Some(request) = self.requests.remove(&id) {
+            self.leave_key_queue(id, &request);
+        }
+    }
+
+    /// A streamed answer has begun: its attempt belongs to the client and is neither cancelled nor repeated.
+    pub(super) fn start_streaming(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.streaming = true;
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/retry_budget.rs
@@ -0,0 +1,67 @@
+//! The retry budget: whether a request may be sent once more now, by how many were lately.
+
+use crate::api::{DurationUs, RetryBudget, TimestampUs};
+use crate::state::Balancer;
+use std::collections::VecDeque;
+
+/// Window of the default retry budget.
+const DEFAULT_WINDOW_US: DurationUs = 10_000_000;
+
+/// The retry budget where the settings state none. Without one, an overload looks like unresponsive
+/// executors, and the retries make it worse.
+const DEFAULT_RETRY_BUDGET: RetryBudget =
+    RetryBudget { free: 3.0, ratio: 0.25, span: DEFAULT_WINDOW_US, slack: 0 };
+
+/// Counts arrivals and retries (hedged requests among them) in a sliding window.
+#[derive(Debug, Default)]
+pub(crate) struct RetryLimiter {
+    /// When requests arrived, oldest first.
+    arrival_history: VecDeque<TimestampUs>,
+    /// When attempts beyond a request's first were sent, oldest first.
+    retry_history: VecDeque<TimestampUs>,
+}
+
+impl RetryLimiter {
+    /// Counts a request that arrived.
+    pub(super) fn record_arrival(&mut self, now: TimestampUs) {
+        self.arrival_history.push_back(now);
+    }
+
+    /// Counts an attempt beyond a request's first.
+    pub(super) fn record_retry(&mut self, now: TimestampUs) {
+        self.retry_history.push_back(now);
+    }
+
+    /// Whether the budget has one more retry now.
+    pub(super) fn allows_retry(&mut self, now: TimestampUs, budget: &RetryBudget) -> bool {
+        self.remove_expired(now, budget);
+        let retries = (self.retry_history.len() + 1) as f64;
+        retries <= budget.free + budget.ratio * self.arrival_history.len() as f64
+    }
+
+    /// Removes what has left the window. In doubt the stricter count holds: a retry on the window's edge
+    /// counts and an arrival there does not, and either may reach its executor `slack` later than it was
+    /// recorded.
+    pub(super) fn remove_expired(&mut self, now: TimestampUs, budget: &RetryBudget) {
+        self.retry_history.retain(|sent_at| sent_at + budget.span + budget.slack >= now);
+        self.arrival_history.retain(|arrived_at| arrived_at + budget.span > now + budget.slack);
+    }
+}
+
+impl Balancer {
+    fn retry_budget(&self) -> RetryBudget {
+        self.settings.budget.unwrap_or(DEFAULT_RETRY_BUDGET)
+    }
+
+    /// Whether the retry budget has one more retry now.
+    pub(super) fn retry_budget_allows(&mut self) -> bool {
+        let budget = self.retry_budget();
+        self.retry_limiter.allows_retry(self.now, &budget)
+    }
+
+    /// Removes what has left the window of the retry budget.
+    pub(super) fn trim_retry_history(&mut self) {
+        let budget = self.retry_budget();
+        self.retry_limiter.remove_expired(self.now, &budget);
+    }
+}
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -25,11 +25,8 @@
     pub(crate) latency_ratio: Option<f64>,
     pub(crate) last_message_at: Micros,
     pub(crate) message_interval: Mean,
-    pub(crate) error_rate: f64,
-    pub(crate) ejected_until: Option<Micros>,
-    pub(crate) unresponsive: bool,
-    pub(crate) ejections: u32,
-    pub(crate) rejecting_until: Micros,
+    /// Its errors, rejections and ejections.
+    pub(crate) health: ExecutorHealth,
     pub(crate) warming_since: Option<Micros>,
     /// While cold: own work that it may still get, and what may be staked in admission_tokens for it.
     pub(crate) own_budget: TokenBucket,
@@ -40,12 +37,6 @@
 }
 
 impl Executor {
-    /// Records a message from the executor, and the interval since the one before.
-    pub(crate) fn record_message(&mut self, now: Micros, weight: f64) {
-        self.message_interval.add((now - self.last_message_at) as f64 / 1e6, weight);
-        self.last_message_at = now;
-    }
-
     pub(crate) fn new(
         endpoint: Endpoint,
         cores: f64,
@@ -59,10 +50,9 @@
 
     /// Forgets what held of the process before.
     pub(crate) fn restarted(&mut self, now: Micros, warming_since: Option<Micros>) {
-        (self.warming_since, self.error_rate, self.ejected_until, self.unresponsive) =
-            (warming_since, 0.0, None, false);
-        (self.ejections, self.report, self.latency_ratio, self.connected) =
-            (0, Report::default(), None, false);
+        self.warming_since = warming_since;
+        self.health.reset_after_restart();
+        (self.report, self.latency_ratio, self.connected) = (Report::default(), None, false);
         self.own_budget = TokenBucket { at: now, ..TokenBucket::default() };
         self.admission_tokens = self.own_budget.clone();
     }
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -3,19 +3,13 @@
 use super::*;
 
 impl Balancer {
-    /// It ends at this time: what could not be seen to its end by then is not begun.
-    pub fn set_shutdown_deadline(&mut self, at: Micros) {
-        self.shutdown_deadline = at;
-        self.shutdown_deadline_changed = true;
-    }
-
     /// Executors on the list, and of these those that take nothing new now: leaving, silent or ejected.
     pub(crate) fn avoided(&self, now: Micros) -> (usize, usize) {
         let listed = self.executors.iter().filter(|e| e.present && e.endpoint.readiness != Readiness::Left);
         let avoided = |e: &&Executor| {
             e.endpoint.readiness != Readiness::Active
-                || e.unresponsive
-                || e.ejected_until.is_some_and(|t| t > now)
+                || e.health.unresponsive
+                || e.health.ejected_until.is_some_and(|t| t > now)
         };
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -25,7 +19,7 @@
     pub(crate) fn fleet(&self, now: Micros) -> [f64; 3] {
         let mut sums = [0.0; 3];
         for e in self.executors.iter().filter(|e| e.listed()) {
-            let healthy = !e.unresponsive && e.ejected_until.is_none_or(|t| t <= now);
+            let healthy = !e.health.unresponsive && e.health.ejected_until.is_none_or(|t| t <= now);
             let usable = if healthy { e.cores } else { 0.0 };
             let parts = [e.cores, usable, usable * self.capacity_fraction(e)];
             sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
 //! What a dispatcher remembers, and the arithmetic of its parts. It decides nothing: every decision and every
-//! tuned value stands in `src/control/`.
+//! constant stands in `src/balancer/`.
 
 mod chance;
 mod executor;
@@ -20,11 +20,12 @@
 pub(crate) use rule::*;
 
 use crate::api::*;
+use crate::balancer::{ExecutorHealth, KeyQueues, RetryLimiter};
 use lru::LruCache;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
 
 /// One request dispatcher: what it was told, what it learned and what is open.
@@ -52,14 +53,11 @@
     pub(crate) examined: Cell<u64>,
     pub(crate) index: BTreeMap<ExecutorId, usize>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    pub(crate) keys: BTreeMap<u64, KeyLine>,
-    /// When keys have rested, and the key whose line is looked at next.
-    pub(crate) rests: BTreeSet<(Micros, u64)>,
-    pub(crate) checked_from: u64,
+    /// Requests of a key, which run one at a time.
+    pub(crate) key_queues: KeyQueues,
     /// Attempts that ticks have looked at, where there are more than one looks at.
     pub(crate) attempts_checked: usize,
-    pub(crate) taken: VecDeque<Micros>,
-    pub(crate) further: VecDeque<Micros>,
+    pub(crate) retry_limiter: RetryLimiter,
     pub(crate) thread_mb: Mean,
     /// Own threads and requests in flight, running means.
     pub(crate) held_threads: f64,
@@ -75,8 +73,6 @@
     pub(crate) tells_load: Option<bool>,
     /// Requests that wait for probes.
     pub(crate) awaiting_probes: Vec<RequestId>,
-    /// A key's line is moving on.
-    pub(crate) moves_on: bool,
     pub(crate) endpoint_list_loaded: bool,
     /// When it ends; far off while it does not. Whether that has changed since the lines were looked at.
     pub(crate) shutdown_deadline: Micros,
@@ -111,12 +107,9 @@
             last_sweep: Micros::MAX,
             index: BTreeMap::new(),
             requests: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            rests: BTreeSet::new(),
-            checked_from: 0,
+            key_queues: KeyQueues::default(),
             attempts_checked: 0,
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
+            retry_limiter: RetryLimiter::default(),
             thread_mb: Mean::default(),
             held_threads: 0.0,
             held_requests: 0.0,
@@ -126,7 +119,6 @@
             occupancy: 0.0,
             pools: BTreeMap::new(),
             tells_load: None,
-            moves_on: false,
             awaiting_probes: Vec::new(),
             endpoint_list_loaded: false,
             shutdown_deadline: Micros::MAX,
@@ -141,17 +133,7 @@
     }
 
     pub(crate) fn request_mut(&mut self, id: RequestId) -> &mut Request {
-        self.requests.get_mut(&id).expect("an open query")
-    }
-
-    /// An answer has begun: the attempt belongs to the client.
-    pub(crate) fn streams(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).into_iter().for_each(|q| q.streaming = true);
-    }
-
-    pub(crate) fn cancel(&mut self, id: RequestId, n: u32) {
-        self.request_mut(id).attempts[n as usize].cancelled = true;
-        self.actions.push(Action::Cancel { request: id, attempt: n });
+        self.requests.get_mut(&id).expect("an open request")
     }
 
     pub(crate) fn log(&mut self, line: String) {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,58 +1,76 @@
-//! Open requests, their attempts, and the lines of those that share a key.
+//! Open requests and their attempts.
 
-use super::*;
+use crate::api::{Arrival, Class, ClassId, DurationUs, ExecutorId, KindId, Outcome, TimestampUs, ZoneId};
 
+/// An open request: it has no answer yet, or attempts that are in flight.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Request {
+    /// Its class.
     pub(crate) class: ClassId,
+    /// Its key, if its class keeps the order of a key.
     pub(crate) key: Option<u64>,
+    /// The group of tables that it reads.
     pub(crate) group: u64,
-    /// Executors that read its table group by preference.
+    /// Executors that have its table group cached, or should.
     pub(crate) preferred_executors: Vec<ExecutorId>,
-    pub(crate) arrived: Micros,
-    pub(crate) deadline: Micros,
-    pub(crate) latency_objective: Micros,
+    /// When it arrived.
+    pub(crate) arrived_at: TimestampUs,
+    /// When its client gives up.
+    pub(crate) deadline: TimestampUs,
+    /// Until when an answer earns the whole weight.
+    pub(crate) latency_objective: TimestampUs,
+    /// Predicted cost, in thread-seconds.
     pub(crate) cost: f64,
+    /// Estimated cost as it arrived, in thread-seconds.
     pub(crate) estimate: Option<f64>,
+    /// Estimated memory as it arrived, in MB.
     pub(crate) memory_estimate: Option<f64>,
-    pub(crate) grant: f64,
+    /// Memory that its latest attempt was granted, in MB; 0 leaves it to the executor.
+    pub(crate) memory_grant_mb: f64,
+    /// Priority of what is in flight, 0 to 3.
     pub(crate) priority: u8,
+    /// Its attempts, in the order in which they were sent.
     pub(crate) attempts: Vec<Attempt>,
-    /// Until when it waits for probes.
-    pub(crate) probe_wait_until: Option<Micros>,
-    /// What it was expected to take when it joined its key's line.
-    pub(crate) run: Micros,
-    pub(crate) done: bool,
+    /// Until when it waits for probes, if it ever did.
+    pub(crate) probe_wait_until: Option<TimestampUs>,
+    /// What it was expected to take when it joined its key's queue.
+    pub(crate) expected_run: DurationUs,
+    /// It has its final answer, or its client has left.
+    pub(crate) answered: bool,
+    /// Its answer is being streamed to the client.
     pub(crate) streaming: bool,
-    pub(crate) late: bool,
-    /// Where it may go and how often, by the settings that it was admitted by.
+    /// It was counted as late for its class.
+    pub(crate) counted_late: bool,
+    /// The only zones allowed, by the settings that admitted it.
     pub(crate) only_zones: Option<Vec<ZoneId>>,
+    /// The only kinds of machine allowed, by the settings that admitted it.
     pub(crate) only_kinds: Option<Vec<KindId>>,
+    /// Attempts allowed, by the settings that admitted it.
     pub(crate) max_attempts: u32,
 }
 
 impl Request {
-    /// A request as it arrived, with nothing sent.
+    /// A request as it arrives; `latency_objective` is a span here, in microseconds.
     pub(crate) fn new(
-        a: &Arrival,
-        now: Micros,
+        arrival: &Arrival,
+        now: TimestampUs,
         cost: f64,
-        latency_objective: Micros,
+        latency_objective: DurationUs,
         preferred_executors: Vec<ExecutorId>,
         class: &Class,
         max_attempts: u32,
     ) -> Request {
         Request {
-            class: a.class,
-            key: a.key.filter(|_| class.keep_order),
-            group: a.group,
+            class: arrival.class,
+            key: arrival.key.filter(|_| class.keep_order),
+            group: arrival.group,
             preferred_executors,
-            arrived: now,
-            deadline: now + a.time_budget,
+            arrived_at: now,
+            deadline: now + arrival.time_budget,
             latency_objective: now + latency_objective,
             cost,
-            estimate: a.estimate_s,
-            memory_estimate: a.memory_mb,
+            estimate: arrival.estimate_s,
+            memory_estimate: arrival.memory_mb,
             only_zones: class.only_zones.clone(),
             only_kinds: class.only_kinds.clone(),
             max_attempts,
@@ -60,63 +78,71 @@
         }
     }
 
-    /// Attempts that are out and not called off.
-    pub(crate) fn live(&self) -> Vec<u32> {
-        let all = self.attempts.iter().enumerate();
-        all.filter(|(_, a)| a.outcome.is_none() && !a.cancelled).map(|(n, _)| n as u32).collect()
+    /// Attempts in flight that are not cancelled, by their number.
+    pub(crate) fn live_attempts(&self) -> Vec<u32> {
+        let is_live = |attempt: &Attempt| attempt.outcome.is_none() && !attempt.cancelled;
+        let numbered = self.attempts.iter().enumerate();
+        numbered.filter(|(_, attempt)| is_live(attempt)).map(|(number, _)| number as u32).collect()
     }
 
-    pub(crate) fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.outcome.is_none()).count()
+    /// How many attempts have no outcome yet, cancelled ones included.
+    pub(crate) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
     }
 
     /// No attempt can have run.
     pub(crate) fn never_ran(&self) -> bool {
-        self.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::never_ran))
+        self.attempts.iter().all(|attempt| attempt.outcome.is_some_and(Outcome::never_ran))
+    }
+
+    /// Whether another attempt may be sent beside or in place of this one: nothing else is in flight, and the
+    /// client has received nothing yet.
+    pub(crate) fn may_replace(&self, attempt: u32) -> bool {
+        !self.answered && !self.streaming && self.live_attempts() == [attempt]
     }
 }
 
+/// An attempt of a request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Attempt {
+    /// Where it was sent, by index in the table of executors.
     pub(crate) executor: usize,
-    pub(crate) sent: Micros,
+    /// When it was sent.
+    pub(crate) sent_at: TimestampUs,
+    /// How it ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
+    /// Reported progress: 0 at its start, 1 is the whole.
     pub(crate) progress: f64,
-    pub(crate) noted: Micros,
+    /// When progress was reported last, or it was sent.
+    pub(crate) progress_at: TimestampUs,
     /// When its last message came, or it was sent.
-    pub(crate) heard: Micros,
+    pub(crate) last_message_at: TimestampUs,
+    /// It was called off.
     pub(crate) cancelled: bool,
+    /// Its executor has reported that it spills to disk.
     pub(crate) spilled: bool,
-    pub(crate) grant: f64,
+    /// Memory that it was granted, in MB.
+    pub(crate) memory_grant_mb: f64,
 }
 
 impl Attempt {
-    /// The attempt among these that word came of.
-    pub(crate) fn word(all: &mut [Attempt], n: u32, now: Micros) -> Option<&mut Attempt> {
-        let a = all.get_mut(n as usize)?;
-        a.heard = now;
-        Some(a)
-    }
-
-    /// Whether so many paces of notes, and at least so long, have brought no word of it, not even that it waits:
-    /// its executor may tell of all others and never have got this one.
-    pub(crate) fn mute(&self, now: Micros, pace: Option<Micros>, paces: f64, least: Micros) -> bool {
-        pace.is_some_and(|p| now.saturating_sub(self.heard) > ((p as f64 * paces) as Micros).max(least))
+    /// An attempt that is sent now.
+    pub(crate) fn sent(executor: usize, now: TimestampUs, memory_grant_mb: f64) -> Attempt {
+        Attempt {
+            executor,
+            sent_at: now,
+            progress_at: now,
+            last_message_at: now,
+            memory_grant_mb,
+            ..Attempt::default()
+        }
     }
 
-    /// Notes how far it is; its executor, and seconds for each whole since the note before.
-    pub(crate) fn progressed(&mut self, now: Micros, progress: f64) -> (usize, f64) {
-        let span = (now - self.noted) as f64 / 1e6;
-        let seconds = span / (progress - self.progress).max(0.001);
-        (self.progress, self.noted) = (progress, now);
-        (self.executor, seconds)
+    /// Records how far it is; the seconds that a whole would take at the pace since the last time.
+    pub(crate) fn record_progress(&mut self, now: TimestampUs, progress: f64) -> f64 {
+        let span_s = (now - self.progress_at) as f64 / 1e6;
+        let whole_s = span_s / (progress - self.progress).max(0.001);
+        (self.progress, self.progress_at) = (progress, now);
+        whole_s
     }
 }
-
-#[derive(Debug, Clone, Default)]
-pub(crate) struct KeyLine {
-    pub(crate) waiting: VecDeque<RequestId>,
-    /// What all that wait were expected to take when they joined.
-    pub(crate) work: Micros,
-    pub(crate) rest_until: Micros,
-}
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -82,33 +82,37 @@
         }
     }
 
-    /// Writes an attempt down with its request and its executor.
-    pub(crate) fn record(&mut self, id: RequestId, i: usize, grant: f64, priority: u8) {
+    /// Records an attempt that is sent now, with its request and its executor.
+    pub(crate) fn record_attempt(&mut self, id: RequestId, index: usize, memory_grant_mb: f64, priority: u8) {
         let now = self.now;
-        let q = self.request_mut(id);
-        (q.grant, q.priority) = (grant, priority);
-        let (n, class) = (q.attempts.len() as u32, q.class);
-        q.attempts.push(Attempt {
-            executor: i,
-            sent: now,
-            noted: now,
-            heard: now,
-            grant,
-            ..Attempt::default()
-        });
-        self.mark_active(i);
-        self.executors[i].start_attempt((id, n), f64::from(self.settings.classes[class].threads), grant);
+        let request = self.request_mut(id);
+        (request.memory_grant_mb, request.priority) = (memory_grant_mb, priority);
+        let number = request.attempts.len() as u32;
+        let class = request.class;
+        request.attempts.push(Attempt::sent(index, now, memory_grant_mb));
+        self.mark_active(index);
+        let threads = f64::from(self.settings.classes[class].threads);
+        self.executors[index].start_attempt((id, number), threads, memory_grant_mb);
     }
 
-    /// Writes the outcome of an attempt down and tells its executor; nothing if it is unknown or had one.
-    pub(crate) fn settle(&mut self, id: RequestId, n: u32, outcome: Outcome) -> Option<usize> {
-        let q = self.requests.get_mut(&id)?;
-        let threads = f64::from(self.settings.classes[q.class].threads);
-        let a = q.attempts.get_mut(n as usize).filter(|a| a.outcome.is_none())?;
-        a.outcome = Some(outcome);
-        let (i, grant) = (a.executor, a.grant);
-        self.models[q.class].settled += 1;
-        self.executors[i].finish_attempt((id, n), threads, grant);
-        Some(i)
+    /// Records the outcome of an attempt with its request and its executor, and returns the executor's index;
+    /// `None` if the attempt is unknown or has an outcome already.
+    pub(crate) fn record_attempt_outcome(
+        &mut self,
+        id: RequestId,
+        number: u32,
+        outcome: Outcome,
+    ) -> Option<usize> {
+        let request = self.requests.get_mut(&id)?;
+        let threads = f64::from(self.settings.classes[request.class].threads);
+        let attempt = request.attempts.get_mut(number as usize)?;
+        if attempt.outcome.is_some() {
+            return None;
+        }
+        attempt.outcome = Some(outcome);
+        let (index, memory_grant_mb) = (attempt.executor, attempt.memory_grant_mb);
+        self.models[request.class].settled += 1;
+        self.executors[index].finish_attempt((id, number), threads, memory_grant_mb);
+        Some(index)
     }
 }
