--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -19,7 +19,7 @@
         if !self.may_send(id) {
             return false;
         }
-        let Some(index) = self.draw(id, may_probe) else { return false };
+        let Some(index) = self.draw_executor(id, may_probe) else { return false };
         let request = &self.requests[&id];
         let memory_grant_mb = self.memory_grant_mb(request, &self.executors[index]);
         let priority = self.priority(request);
