--- a/src/balancer/constants.rs
+++ b/src/balancer/constants.rs
@@ -1,12 +1,7 @@
 //! Tuned constants: what each means, and why it is so.
 
-use super::*;
 use std::num::NonZeroUsize;
 
-pub(super) const SECOND: Micros = 1_000_000;
-/// Pace of housekeeping: short beside any aim. With nothing heard for STALL a dispatcher stood still.
-pub(super) const TICK: Micros = 100_000;
-pub(super) const STALL: Micros = 3 * TICK;
 /// Expensive means above these multiples of the class mean; each tier is a rule of its own, dearest first.
 pub(super) const TIERS: [f64; 6] = [4.0, 2.0, 1.0, 0.5, 0.25, 0.125];
 /// Tier k closes while pressure goes from k to k + 2 times this: the last ones act only in heavy overload.
@@ -68,33 +63,6 @@
 /// Memory or disks in use from which an executor counts as more loaded, and how much more.
 pub(super) const SCARCE_FROM: f64 = 0.75;
 pub(super) const SCARCE_WEIGHT: f64 = 2.0;
-/// Share of failed outcomes at which an executor is ejected: two resets, or six errors (maybe the
-/// statement's).
-pub(super) const EJECT_ERRORS: f64 = 0.25;
-pub(super) const ERROR_WEIGHTS: [f64; 2] = [0.05, 0.15];
-/// Further weight of an error on a request that another executor then served: the second such one ejects.
-pub(super) const BLAME: f64 = 0.24;
-/// First ejection, and the most that doubling makes of it.
-pub(super) const EJECT: [Micros; 2] = [SECOND, 8 * SECOND];
-/// Silence: this multiple of the time to the next word, no sooner than this, nor before so many usual gaps.
-pub(super) const SILENT_FACTOR: f64 = 3.0;
-pub(super) const SILENT_LEAST: Micros = 700_000;
-pub(super) const SILENT_GAPS: f64 = 8.0;
-pub(super) const SILENT_GAP_MOST: f64 = 0.3;
-pub(super) const GAP_WEIGHT: f64 = 0.1;
-/// Retry budget of our own where no rule states one: free attempts, share of requests, window.
-pub(super) const OWN_BUDGET: RetryBudget =
-    RetryBudget { free: 3.0, ratio: 0.25, span: 10 * SECOND, slack: 0 };
-/// An attempt has a bad plan once it looks this many times longer than expected.
-pub(super) const RUNAWAY: f64 = 4.0;
-/// Quantile of memory needs that a grant covers, its step (ln), and the weight of what one spill tells.
+/// Quantile of memory needs that a grant covers, and its step (ln).
 pub(super) const GRANT_QUANTILE: f64 = 0.8;
 pub(super) const GRANT_STEP: f64 = 0.05;
-pub(super) const SPILL_WEIGHT: f64 = 0.3;
-/// Requests past their aim are given up at once above this pressure.
-pub(super) const GIVE_UP_PRESSURE: f64 = 0.5;
-/// One in line for its key is given up once less than this, or than it takes, is left: two ticks and a half.
-pub(super) const HELD_MARGIN: Micros = 250_000;
-/// Requests in line, and attempts that are out, that a tick looks at: several times what a usual dispatcher
-/// has, and under a millisecond's work.
-pub(super) const CHECKED: usize = 512;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -40,6 +40,6 @@
     /// Whether the executor would drop a repeat of the attempt now.
     fn drops_repeat(&self, attempt: &Attempt, executor: &Executor, scope: KeyScope, window: Micros) -> bool {
         let tried = &self.executors[attempt.executor].endpoint;
-        self.now < attempt.sent + window && scope.holds(tried, &executor.endpoint)
+        self.now < attempt.sent_at + window && scope.holds(tried, &executor.endpoint)
     }
 }
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -51,7 +51,7 @@
         let class = self.requests[&id].class;
         let may_be_trial = self.settings.classes[class].idempotency != Idempotency::NotIdempotent;
         let is_usable = |executor: &Executor| {
-            self.healthy(executor) && (may_be_trial || executor.ejected_until.is_none())
+            self.healthy(executor) && (may_be_trial || executor.health.ejected_until.is_none())
         };
         executors.iter().copied().filter(|&i| is_usable(&self.executors[i])).collect()
     }
--- a/src/balancer/selection/weight.rs
+++ b/src/balancer/selection/weight.rs
@@ -71,7 +71,7 @@
 
     /// How likely the executor is to serve the request, by its errors.
     fn success_factor(&self, request: &Request, executor: &Executor) -> f64 {
-        let success_rate = 1.0 - executor.error_rate;
+        let success_rate = 1.0 - executor.health.error_rate;
         if self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent {
             return success_rate.powi(SUCCESS_POWER);
         }
