--- a/src/balancer/selection/affinity.rs
+++ b/src/balancer/selection/affinity.rs
@@ -33,8 +33,8 @@
     /// The preferred executors of a table group, best first. A class that yields to loads gets those of the
     /// loads, to keep away from them.
     pub(in crate::balancer) fn preferred_executors(&self, class: ClassId, group: u64) -> Vec<ExecutorId> {
-        let yields = self.s.classes[class].yields_to_loads;
-        let loads = self.s.classes.iter().position(|other| yields && other.loads);
+        let yields = self.settings.classes[class].yields_to_loads;
+        let loads = self.settings.classes.iter().position(|other| yields && other.loads);
         let class = loads.unwrap_or(class);
         let among = self.affinity_candidates(class, group);
         self.count_examined(among.len());
@@ -44,8 +44,11 @@
             .map(|executor| (self.affinity_score(class, group, executor), executor.endpoint.executor))
             .collect();
         scored.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let wanted =
-            if self.s.classes[class].loads { PREFERRED_EXECUTORS_OF_LOADS } else { PREFERRED_EXECUTORS };
+        let wanted = if self.settings.classes[class].loads {
+            PREFERRED_EXECUTORS_OF_LOADS
+        } else {
+            PREFERRED_EXECUTORS
+        };
         scored.into_iter().take(wanted).map(|(_, executor)| executor).collect()
     }
 
@@ -68,10 +71,10 @@
     /// Factor of an executor's weight: a class that may go anywhere leaves the executors of bound classes to
     /// them.
     pub(super) fn reserved_capacity_factor(&self, class: ClassId, executor: &Executor) -> f64 {
-        if is_bound(&self.s.classes[class]) {
+        if is_bound(&self.settings.classes[class]) {
             return 1.0;
         }
-        let mut others = self.s.classes.iter().enumerate();
+        let mut others = self.settings.classes.iter().enumerate();
         let is_reserved = others.any(|(other, c)| is_bound(c) && executor.pool >> other & 1 == 1);
         if is_reserved { RESERVED_CAPACITY_WEIGHT } else { 1.0 }
     }
@@ -81,7 +84,7 @@
         if !request.prefers(executor) {
             return 1.0;
         }
-        let class = &self.s.classes[request.class];
+        let class = &self.settings.classes[request.class];
         if class.yields_to_loads {
             // A load may hold its table group there.
             return 1.0 / LOAD_AFFINITY_WEIGHT;
