--- a/src/clock/wall.rs
+++ b/src/clock/wall.rs
@@ -25,10 +25,7 @@
             Some(last) if last.abs_diff(offset) < u128::from(LEAST_STEP) => *last = offset,
             _ => {
                 if !self.offsets.is_empty() {
-                    tracing::warn!(
-                        by_s = (offset - self.offsets[0]) / 1_000_000,
-                        "the wall clock was stepped"
-                    );
+                    tracing::warn!(by_s = (offset - self.offsets[0]) / 1_000_000, "wall clock stepped");
                 }
                 self.offsets.push_front(offset);
                 self.offsets.truncate(REMEMBERED_OFFSETS);
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -57,7 +57,7 @@
                 Err(e) if system_calls::may_accept_again(&e) => {}
                 Err(e) if dial::out_of_descriptors(&e) && self.shed_idle_client(now) => {}
                 Err(e) => {
-                    tracing::error!(error = %e, "accept: pausing");
+                    tracing::error!(error = %e, "accept paused");
                     self.listener.pause(&self.poll, now, self.poll_times.events_since());
                     return Backlog::Done;
                 }
@@ -100,7 +100,7 @@
     pub(in crate::net) fn resume_accepting(&mut self, now: Micros) {
         match self.listener.resume(&self.poll, now) {
             Ok(()) => self.accept_clients(now),
-            Err(e) => tracing::error!(error = %e, "accept: pausing"),
+            Err(e) => tracing::error!(error = %e, "accept paused"),
         }
     }
 
@@ -124,7 +124,8 @@
         tracing::warn!(
             clients = self.sessions.by_key.len(),
             shed = self.client_counters.shed,
-            "out of descriptors: newest idle client closed"
+            reason = "out of descriptors",
+            "idle client closed"
         );
         self.close_client(key, now);
         true
--- a/src/net/clients/listener.rs
+++ b/src/net/clients/listener.rs
@@ -127,7 +127,7 @@
     /// Listens on the same address again after [`ClientListener::close`].
     pub(in crate::net) fn reopen(&mut self, poll: &Poll) -> io::Result<()> {
         let listener = listen::bind_shared(self.address).inspect_err(|e| {
-            tracing::error!(address = %self.address, error = %e, "JOIN: can't listen");
+            tracing::error!(address = %self.address, error = %e, "JOIN: listen failed");
         })?;
         let key = poll.add(&listener, false)?;
         self.state = State::Listening(key, listener);
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -51,7 +51,7 @@
     /// A client sent another statement while its request is open: it gets an error, and its connection closes.
     pub(in crate::net) fn reject_second_request(&mut self, key: Key, now: Micros) {
         let Some(session) = self.sessions.by_key.get_mut(&key) else { return };
-        tracing::info!(client = session.id, "client closed: sends on without waiting for its answer");
+        tracing::info!(client = session.id, reason = "second request", "client closed");
         let open = session.open.take();
         session.close_with_error(ClientError::SecondRequest, now);
         if let Some(request) = open {
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -15,11 +15,15 @@
         match (self.load_config)().map_err(|e| e.to_string()).and_then(usable) {
             Ok((coordinator, settings)) => {
                 self.figures.sighup_applied.inc();
-                tracing::info!(%coordinator, "SIGHUP: configuration read again");
+                tracing::info!(%coordinator, "configuration reloaded");
                 // Where the fleet holds one policy, a file at one dispatcher changes nothing of it.
                 if let Some(rules) = self.rules.as_ref().filter(|r| r.base != settings) {
                     let number = rules.part.number();
-                    tracing::warn!(number, "SIGHUP: the file's settings differ; the fleet's policy holds");
+                    tracing::warn!(
+                        number,
+                        reason = "an agreed policy is in force",
+                        "settings of the file ignored"
+                    );
                 }
                 if let Some(feed) = &mut self.feed {
                     feed.move_to(coordinator, now, &self.poll);
@@ -30,7 +34,7 @@
             }
             Err(e) => {
                 self.figures.sighup_rejected.inc();
-                tracing::error!(error = e.replace('\n', " "), "SIGHUP: the old configuration stays");
+                tracing::error!(error = e.replace('\n', " "), "configuration reload rejected");
             }
         }
     }
--- a/tests/bad_settings.rs
+++ b/tests/bad_settings.rs
@@ -183,9 +183,9 @@
         }
         std::fs::write(&d.file, with(&moved, path, value.clone())).unwrap();
         d.signal("HUP");
-        let line = d.logs("SIGHUP");
+        let line = d.logs("configuration reload");
         assert!(
-            line.contains("the old configuration stays") && line.contains(key),
+            line.contains("configuration reload rejected") && line.contains(key),
             "{path} {value:?}: {line}"
         );
     }
@@ -193,13 +193,13 @@
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
     d.signal("HUP");
-    d.logs("the old configuration stays");
+    d.logs("configuration reload rejected");
     assert!(!followed(), "a file with a fault moved the feed");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
     assert!(matches!(client.got(), Got::Rows(_)));
     std::fs::write(&d.file, &moved).unwrap();
     d.signal("HUP");
-    d.logs("read again");
+    d.logs("configuration reloaded");
     let begun = Instant::now();
     while !followed() {
         assert!(begun.elapsed() < Duration::from_secs(5), "a good file moved nothing");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -22,6 +22,6 @@
     let idle: Vec<TcpStream> = (0..5).filter_map(|_| TcpStream::connect(d.address).ok()).collect();
     let mut late = Client::says(d.address, "SELECT 1");
     assert_ne!(late.got(), Got::Closed, "the new client is served");
-    assert!(d.logs("out of descriptors").contains("newest idle client closed"));
+    assert!(d.logs("idle client closed").contains("out of descriptors"));
     drop((crowd, idle));
 }
--- a/tests/endings/moves.rs
+++ b/tests/endings/moves.rs
@@ -16,7 +16,7 @@
     let config = d.config.replace(&format!("\"{}\"", old.address), &format!("\"{}\"", new.address));
     std::fs::write(&d.file, config).unwrap();
     d.signal("HUP");
-    d.logs("read again");
+    d.logs("configuration reloaded");
     writeln!(watch, "{}", event(2, false, &[target("e1", executors[0].address, "draining")])).unwrap();
     d.logs("executor listed anew executor=\"e1\" state=Draining");
     let mut client = Client::asks(d.address, &long("load", 1));
--- a/tests/endings/shutdown.rs
+++ b/tests/endings/shutdown.rs
@@ -183,13 +183,13 @@
     d.logs("SIGTERM");
     d.signal("TERM");
     d.signal("HUP");
-    d.logs("configuration read again");
+    d.logs("configuration reloaded");
     std::fs::write(&d.file, "{").unwrap();
     d.stands_still();
     d.signal("HUP");
     d.signal("TERM");
     d.goes_on();
-    d.logs("the old configuration stays");
+    d.logs("configuration reload rejected");
     peer.page(&pull, "OK pages=1", ROW);
     last_served(&mut client);
     assert!(d.ends());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -143,7 +143,9 @@
     let dump = call(ops, "DUMP");
     assert!(dump.contains("dispatcher_outstanding 1\n"), "{dump}");
     let moved = d.config.replace(&format!("\"{}\"", old.address), &format!("\"{}\"", new.address));
-    for (text, told) in [(&moved[..99], "the old configuration stays"), (&moved[..], "read again")] {
+    for (text, told) in
+        [(&moved[..99], "configuration reload rejected"), (&moved[..], "configuration reloaded")]
+    {
         std::fs::write(&d.file, text).unwrap();
         d.signal("HUP");
         d.logs(told);
--- a/tests/stories/program.rs
+++ b/tests/stories/program.rs
@@ -65,7 +65,9 @@
     let pull = peer.command().unwrap();
     let new = Coordinator::new();
     let moved = d.config.replace(&format!("\"{}\"", old.address), &format!("\"{}\"", new.address));
-    for (config, told) in [(&moved[..99], "the old configuration stays"), (&moved, "read again")] {
+    for (config, told) in
+        [(&moved[..99], "configuration reload rejected"), (&moved, "configuration reloaded")]
+    {
         std::fs::write(&d.file, config).unwrap();
         d.signal("HUP");
         d.signal("HUP");
