--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -73,6 +73,7 @@
     customer: Option<Customer>,
     #[serde(default)]
     order_key: Option<u64>,
+    #[serde(rename = "grace")]
     time_budget: f64,
     #[serde(default)]
     estimate: Option<f64>,
@@ -108,7 +109,7 @@
     done_flag: bool,
     ending: u64,
     wait_time: f64,
-    #[serde(default)]
+    #[serde(rename = "bill", default)]
     reported_cost: Option<u64>,
     #[serde(default)]
     stats: Option<StatsIn>,
--- a/src/bin/ottercroft-adapter/wire/tests.rs
+++ b/src/bin/ottercroft-adapter/wire/tests.rs
@@ -11,3 +11,21 @@
     let tell = Action::Gossip { to: None, content: "hi".into() };
     assert_eq!(text(tell), r#"{"TELL":{"who":"gateway/1","dest":null,"content":"hi"}}"#);
 }
+
+/// The names of an arrival's and an answer's fields were renamed with the code, and the program refused the first
+/// request of every day. The fields on the wire keep their names whatever the code calls them.
+#[test]
+fn arrivals_and_answers_are_read_by_the_names_that_the_wire_has() {
+    use ottercroft::api::Event;
+    let classes = [("lookup".to_string(), 0)].into();
+    let (tenants, zones, kinds) = Default::default();
+    let names = ottercroft::settings::Names { classes, tenants, zones, kinds };
+    let read = |name: &str, text: &str| event(name, text, &names, &Lists::new()).ok().flatten();
+    let inbound = r#"{"call":"000000000000000a","profile":"lookup","grace":1.5}"#;
+    let Some(Event::Arrival(arrival)) = read("INBOUND", inbound) else { panic!("an arrival") };
+    assert_eq!((arrival.request, arrival.time_budget), (10, 1_500_000));
+    let reply = r#"{"call":"000000000000000a","node":1,"go":0,"doneFlag":true,"ending":10,"waitTime":0.2,"bill":8193}"#;
+    let Some(Event::AttemptFinished(finished)) = read("REPLY", reply) else { panic!("an outcome") };
+    let cost = finished.reported_cost.expect("the cost that the answer states");
+    assert_eq!((cost.thread_seconds, cost.memory_mb), (0.002, 4.0));
+}
