--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -109,7 +109,8 @@
     done_flag: bool,
     ending: u64,
     wait_time: f64,
-    #[serde(rename = "bill", default)]
+    #[serde(default)]
+    #[serde(rename = "bill")]
     reported_cost: Option<u64>,
     #[serde(default)]
     stats: Option<StatsIn>,
