--- /dev/null
+++ b/src/net/clients/accept.rs
@@ -0,0 +1,174 @@
+//! Which clients are accepted, and which idle ones are closed for them.
+
+use super::CLIENT_BACKOFF;
+use super::session::Session;
+use crate::api::Micros;
+use crate::codec::mysql::Error;
+use crate::net::DispatcherServer;
+use crate::net::event_loop::poll::Key;
+use crate::net::sockets::listen::BACKLOG;
+use crate::net::sockets::{dial, system_calls};
+use std::io;
+use std::net::TcpStream;
+
+/// Connections accepted in one batch.
+const BATCH: usize = 64;
+/// Batches that empty a full backlog. More would not end under a flood, which fills the backlog as fast as it is emptied.
+const MOST_BATCHES: usize = BACKLOG.div_ceil(BATCH);
+/// A client that has just connected has this long to send something before it may be closed for another one.
+const CONNECT_PATIENCE: Micros = 100_000;
+
+/// Whether the backlog may hold further connections after a batch.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Backlog {
+    MayHoldMore,
+    /// It is empty, or accepting has paused.
+    Done,
+}
+
+impl DispatcherServer {
+    /// Accepts all that wait. A KILL may wait behind any number of other connections, and the request that it ends must
+    /// not begin: so the backlog is emptied before any request begins.
+    pub(in crate::net) fn accept_clients(&mut self, now: Micros) {
+        if self.accept_batches(now) == Backlog::MayHoldMore {
+            self.listener.backlog_since.get_or_insert(self.poll_times.events_since());
+        }
+    }
+
+    fn accept_batches(&mut self, now: Micros) -> Backlog {
+        for _ in 0..MOST_BATCHES {
+            if self.accept_batch(now) == Backlog::Done {
+                return Backlog::Done;
+            }
+        }
+        Backlog::MayHoldMore
+    }
+
+    fn accept_batch(&mut self, now: Micros) -> Backlog {
+        for _ in 0..BATCH {
+            let Some(socket) = self.listener.socket() else { return Backlog::Done };
+            match system_calls::accept(socket) {
+                Ok(stream) => self.admit_client(stream, now),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.listener.backlog_is_empty();
+                    return Backlog::Done;
+                }
+                Err(e) if system_calls::takes_another(&e) => {}
+                Err(e) if dial::out_of_descriptors(&e) && self.shed_idle_client(now) => {}
+                Err(e) => {
+                    tracing::error!(error = %e, "accept: pausing");
+                    self.listener.pause(&self.poll, now, self.poll_times.events_since());
+                    return Backlog::Done;
+                }
+            }
+        }
+        Backlog::MayHoldMore
+    }
+
+    /// Begins a session on a new connection, or refuses it where no client can be closed for it.
+    fn admit_client(&mut self, stream: TcpStream, now: Micros) {
+        let id = self.sessions.take_connection_id();
+        let is_full = self.sessions.served() >= self.descriptors.clients && !self.evict_idle_client(now);
+        // The client's first bytes may have come at any time since the backlog was last empty.
+        let noticed = self.poll_times.occurrence_noticed_at(now);
+        let connected = self.listener.backlog_since.map_or(noticed, |since| noticed.since(since));
+        let mut session = match Session::new(stream, &self.poll, &self.pool, id, &scramble(id), connected) {
+            Ok(session) => session,
+            Err(e) => return tracing::warn!(client = id, error = %e, "client lost at its start"),
+        };
+        if is_full {
+            session.close_with_error(&self.too_many_connections(), now);
+        }
+        let key = self.sessions.insert(session);
+        // What the client wrote ahead is read now: its request came before later ones.
+        self.flush_client(key);
+        self.read_client(key, now);
+        self.close_excess_lingering(now);
+    }
+
+    fn too_many_connections(&mut self) -> Error {
+        self.client_counters.refused += 1;
+        let wait = match &mut self.storm {
+            Some(storm) => storm.connection_refused(CLIENT_BACKOFF),
+            None => CLIENT_BACKOFF,
+        };
+        Error::new(1040, "08004", format!("too many connections: backoff={}", wait.div_ceil(1_000)))
+    }
+
+    /// Accepts again after a pause.
+    pub(in crate::net) fn resume_accepting(&mut self, now: Micros) {
+        match self.listener.resume(&self.poll, now) {
+            Ok(()) => self.accept_clients(now),
+            Err(e) => tracing::error!(error = %e, "accept: pausing"),
+        }
+    }
+
+    /// Accepts all that wait and closes the listener: later connections are another process's. Closing it with
+    /// connections in the backlog would reset them.
+    pub(in crate::net) fn stop_accepting(&mut self, now: Micros) {
+        self.listener.end_pause(&self.poll);
+        self.accept_batches(now);
+        self.listener.close(&self.poll);
+    }
+
+    /// Out of descriptors: closes the newest client that has nothing open, unwritten or unread, so that the one
+    /// that waits can come in; false if none can be spared.
+    pub(in crate::net) fn shed_idle_client(&mut self, now: Micros) -> bool {
+        let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_PATIENCE).map(|_| *k);
+        let all = self.sessions.by_key.iter().rev();
+        let Some(key) = all.filter_map(spare).find(|k| self.sessions.has_nothing_unread(*k)) else {
+            return false;
+        };
+        self.client_counters.shed += 1;
+        tracing::warn!(
+            clients = self.sessions.by_key.len(),
+            shed = self.client_counters.shed,
+            "out of descriptors: newest idle client closed"
+        );
+        self.close_client(key, now);
+        true
+    }
+
+    /// Where the feed or an attempt found no descriptor, an idle client goes for it.
+    pub(in crate::net) fn free_descriptors(&mut self, now: Micros) {
+        if std::mem::take(&mut self.executors.starved) {
+            self.shed_idle_client(now);
+        }
+        if self.feed.as_ref().is_some_and(|f| f.starved)
+            && self.shed_idle_client(now)
+            && let Some(feed) = &mut self.feed
+        {
+            feed.try_again(now, &self.poll);
+        }
+    }
+
+    /// Lets the client go that can be spared best, for another to come in; false if none can.
+    pub(in crate::net) fn evict_idle_client(&mut self, now: Micros) -> bool {
+        let rank = |(k, s): (&Key, &Session)| {
+            s.eviction_rank(now, CONNECT_PATIENCE).filter(|(r, _)| *r > 0).map(|r| (r, *k))
+        };
+        let mut idle: Vec<_> = self.sessions.by_key.iter().filter_map(rank).collect();
+        idle.sort_unstable();
+        let found = idle.into_iter().find(|(_, k)| self.sessions.has_nothing_unread(*k));
+        let Some((_, key)) = found else { return false };
+        self.client_counters.evicted += 1;
+        self.finish_client(key, now);
+        true
+    }
+
+    /// Keeps those that only read their last bytes to their share: the longest of them is closed.
+    pub(in crate::net) fn close_excess_lingering(&mut self, now: Micros) {
+        while self.sessions.lingering() > self.descriptors.lingering {
+            let since = |(k, s): (&Key, &Session)| s.closing_since().map(|t| (t, *k));
+            let Some((_, key)) = self.sessions.by_key.iter().filter_map(since).min() else { return };
+            self.close_client(key, now);
+        }
+    }
+}
+
+/// Bytes of the login handshake, which are printable and not 0; nothing here checks passwords.
+fn scramble(connection_id: u32) -> [u8; 20] {
+    let mut bytes = [0; 20];
+    (0u32..).zip(&mut bytes).for_each(|(i, byte)| *byte = 33 + (connection_id.rotate_left(i) % 90) as u8);
+    bytes
+}
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -3,11 +3,11 @@
 use super::server::{FollowerServer, Heard};
 use crate::api::{Micros, Settings};
 use crate::clock::Clock;
-use crate::net::event_source::EventSource;
+use crate::net::event_loop::event_source::EventSource;
+use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::operator::Operators;
 use crate::net::peers::Peers;
 use crate::net::policy_calls::PolicyCalls;
-use crate::net::poll::{Key, Poll};
 use crate::net::setup::context;
 use crate::net::signals::Signals;
 use crate::policies::ready;
@@ -81,11 +81,11 @@
 
     fn ready(&mut self, key: Key, now: Micros) {
         if key == self.signals.0 {
-            let (stop, reread) = self.signals.1.take();
-            if reread {
+            let raised = self.signals.1.take();
+            if raised.reload {
                 tracing::info!("SIGHUP: a member's settings take a restart");
             }
-            if stop && self.stopping.is_none() {
+            if raised.terminate && self.stopping.is_none() {
                 tracing::info!(followers = self.member.followers(), "stopping");
                 self.stopping = Some(now + self.lease);
                 self.member.leave();
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -2,26 +2,26 @@
 
 use crate::api::Micros;
 use crate::dispatch::{Order, Request};
-use crate::net::Node;
+use crate::net::DispatcherServer;
+use crate::net::clients::request_intake::OpenRequest;
+use crate::net::event_loop::poll::Key;
 use crate::net::executors::{Job, Rows};
-use crate::net::poll::Key;
-use crate::net::requests::OpenRequest;
 use crate::takeover::Move;
 use fleet::ledger::Record;
 
 /// No client's key: keys count from 1.
 const NOBODY: Key = 0;
 
-impl Node {
+impl DispatcherServer {
     /// Lets the record do what is due, before anything else of a turn and after all: a lease that ran out while
     /// this process stood still is over before it is acted on.
-    pub(in crate::net) fn keep_in_flight(&mut self, now: Micros) {
+    pub(in crate::net) fn tick_in_flight(&mut self, now: Micros) {
         let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.next_due() <= now) else {
             return;
         };
         in_flight.takeover.tick(now);
         // What was lost with the time that has passed is known before anything else is done.
-        self.keep_policy(now);
+        self.tick_policy(now);
         self.move_in_flight(now);
     }
 
@@ -33,7 +33,7 @@
                 in_flight.takeover.hears(now, from, message);
             }
             in_flight.takeover.flush(now);
-            self.keep_policy(now);
+            self.tick_policy(now);
             let Some(in_flight) = &mut self.in_flight else { return };
             for (to, message) in std::mem::take(&mut in_flight.takeover.fleet.messages) {
                 in_flight.peers.send(to, &message, now);
@@ -74,7 +74,7 @@
             held_back: false,
         };
         let job = Job { kind, statement: statement.into(), token: None };
-        self.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
+        self.requests.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
         let under = self.rules.as_ref().filter(|r| r.part.number() != record.policy);
         let under = under.and_then(|r| r.under(record.policy));
         match self.dispatch.adopt(now, &request, record.tried.len(), under) {
@@ -85,7 +85,7 @@
                     error = e,
                     "fleet: not taken over"
                 );
-                self.open.remove(&record.rid);
+                self.requests.open.remove(&record.rid);
                 self.end_in_flight_unasked(now, record.rid);
                 Vec::new()
             }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -1,7 +1,7 @@
 //! What all dispatchers of the fleet admit requests by, where our settings say so: requests pass by here before all
 //! else, and wait here while a change takes hold. It is learned from a fleet of peers or from a control group.
 
-use super::Node;
+use super::DispatcherServer;
 use super::executors::{Job, Rows};
 use super::rules::Held;
 use crate::api::Micros;
@@ -10,7 +10,7 @@
 use crate::takeover::{Gate, Reply};
 use fleet::policy::{Act, Gate as Door, Policies, PolicyRecord};
 
-impl Node {
+impl DispatcherServer {
     /// A request whose client would wait longer than the policy allows is given up when that says.
     pub(super) fn cap(&self, request: &mut Request) {
         let settings = self.rules.as_ref().and_then(|r| r.under(r.part.number()));
@@ -74,8 +74,8 @@
     fn hold_for_policy(&mut self, rid: u64, request: Option<Request>) {
         let Some(rules) = &mut self.rules else { return };
         // Those whose clients have left go: as many wait as are open, and no more.
-        if rules.held.len() > self.open.len() + 1_024 {
-            rules.held.retain(|h| self.open.contains_key(&h.rid));
+        if rules.held.len() > self.requests.open.len() + 1_024 {
+            rules.held.retain(|h| self.requests.open.contains_key(&h.rid));
         }
         rules.tally[0] += 1;
         rules.held.push_back(Held { rid, request });
@@ -103,7 +103,7 @@
     }
 
     /// Looks at what the fleet holds alike, says what is to be said of it, and lets requests go that waited.
-    pub(super) fn keep_policy(&mut self, now: Micros) {
+    pub(super) fn tick_policy(&mut self, now: Micros) {
         let Some(rules) = &mut self.rules else { return };
         let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
         {
@@ -178,7 +178,7 @@
         }
         let held = self.rules.as_mut().map(|r| std::mem::take(&mut r.held));
         for Held { rid, request } in held.unwrap_or_default() {
-            let Some(job) = self.open.get(&rid).map(|o| o.job.clone()) else { continue };
+            let Some(job) = self.requests.open.get(&rid).map(|o| o.job.clone()) else { continue };
             let orders = match (door, request) {
                 (Some(Door::Refuse), _) => {
                     let answer = self.no_policy();
