--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -13,16 +13,17 @@
         }
         // One that others of its key wait behind is urgent for them all.
         let behind = q.key.and_then(|k| self.keys.get(&k)).map_or(1, |line| line.waiting.len().max(1));
-        let multiple = q.cost / behind as f64 / self.overall.or(q.cost).max(1e-9);
+        let multiple = q.cost / behind as f64 / self.mean_cost.value_or(q.cost).max(1e-9);
         let base = [4.0, 1.5, 0.5].iter().filter(|t| multiple < **t).count() as u8;
         let urgent = (self.now - q.arrived) * 2 > q.latency_objective - q.arrived;
         (base + u8::from(urgent)).min(3)
     }
 
     fn grant(&self, q: &Request, e: &Executor) -> f64 {
-        let m = &self.models[q.class]; // where grants are not heeded, this does nothing
+        let m = &self.class_models[q.class]; // where grants are not heeded, this does nothing
         let memory = self.s.kinds[e.endpoint.kind].memory_mb * self.s.max_grant_fraction;
-        let need = q.memory_estimate.map_or(m.memory.or(0.0), |x| x * m.memory_bias.clamp(-1.5, 1.5).exp());
+        let need =
+            q.memory_estimate.map_or(m.memory_mb.value_or(0.0), |x| x * m.memory_bias.clamp(-1.5, 1.5).exp());
         need.min(if memory > 0.0 { memory } else { need })
     }
 
@@ -61,15 +62,15 @@
             let (class, past) = (q.class, self.now > q.latency_objective);
             if past && !q.late {
                 self.request(id).late = true;
-                self.count_late(class);
+                self.record_late(class);
             }
             let harmless = self.s.classes[class].idempotency == Idempotency::Idempotent;
-            if past && self.models[class].pressure > GIVE_UP_PRESSURE && harmless {
+            if past && self.class_models[class].pressure > GIVE_UP_PRESSURE && harmless {
                 self.end(id, SECOND, EndReason::Overloaded);
                 continue;
             }
             let (q, p) = (&self.requests[&id], self.priority(&self.requests[&id]));
-            let (a, expected) = (&q.attempts[n as usize], self.expected(q).max(0.05));
+            let (a, expected) = (&q.attempts[n as usize], self.expected_latency_s(q).max(0.05));
             let seconds = |t: Micros| (t - a.sent) as f64 / 1e6;
             // What the whole attempt will take: by its notes, else what it took so far.
             let looks = match self.s.progress {
@@ -99,12 +100,12 @@
             AttemptProgress::Progress(p) if p.is_finite() => {
                 let (i, seconds) = a.progressed(now, p.clamp(0.001, 1.0));
                 let cost = q.cost.max(1e-6) / f64::from(self.s.classes[q.class].threads);
-                self.paced(i, seconds / cost);
+                self.record_latency_ratio(i, seconds / cost);
             }
             AttemptProgress::Spill(missing) if !a.spilled && missing.is_finite() => {
                 a.spilled = true;
                 if let Some(e) = q.memory_estimate {
-                    let m = &mut self.models[q.class];
+                    let m = &mut self.class_models[q.class];
                     let needed = ((a.grant + missing).max(1.0) / e.max(1.0)).ln();
                     m.memory_bias += SPILL_WEIGHT * (needed - m.memory_bias).max(0.0);
                 }
@@ -123,11 +124,11 @@
         }
         self.judge(i, outcome);
         if outcome == Outcome::Ok {
-            self.learn(id, n as usize, f.latency, f.reported_cost);
+            self.learn_cost(id, n as usize, f.latency, f.reported_cost);
             self.blame(id);
             let q = &self.requests[&id];
             if self.now > q.latency_objective && !q.late && !q.done {
-                self.count_late(q.class);
+                self.record_late(q.class);
             }
         }
         if f.done {
--- a/src/balancer/cost.rs
+++ b/src/balancer/cost.rs
@@ -4,22 +4,22 @@
 
 impl Balancer {
     pub(super) fn class_mean(&self, class: ClassId) -> f64 {
-        let (m, c) = (&self.models[class], &self.s.classes[class]);
+        let (m, c) = (&self.class_models[class], &self.s.classes[class]);
         let latency_objective = c.latency_objective as f64 / 1e6 * f64::from(c.threads);
-        if m.cost.n >= ENOUGH { m.cost.value } else { m.estimate.or(latency_objective) }
+        if m.cost.count >= ENOUGH { m.cost.value } else { m.estimate.value_or(latency_objective) }
     }
 
     /// Thread-seconds: the told estimate, corrected; else the cache's mean; else the class's.
-    pub(super) fn predict(&mut self, a: &Arrival) -> f64 {
-        let m = &self.models[a.class];
-        let bias = m.actual.or(1.0) / m.told.or(1.0).max(1e-9);
+    pub(super) fn predict_cost(&mut self, a: &Arrival) -> f64 {
+        let m = &self.class_models[a.class];
+        let bias = m.observed_mean.value_or(1.0) / m.estimate_mean.value_or(1.0).max(1e-9);
         if let Some(e) = a.estimate_s {
             return e * bias;
         }
         self.cache.get(&(a.class, a.group)).copied().map_or_else(|| self.class_mean(a.class), |m| m.value)
     }
 
-    pub(super) fn learn(
+    pub(super) fn learn_cost(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -30,23 +30,23 @@
         let threads = f64::from(self.s.classes[q.class].threads);
         let spent = latency as f64 / 1e6 * threads;
         let cost = reported_cost.map_or(spent.min(OUTLIER * q.cost), |b| b.thread_seconds);
-        let m = &mut self.models[q.class];
+        let m = &mut self.class_models[q.class];
         m.cost.add(cost, LEARN);
-        m.pace.add((spent / q.cost.max(1e-6)).min(10.0), LEARN * 2.0);
+        m.latency_ratio.add((spent / q.cost.max(1e-6)).min(10.0), LEARN * 2.0);
         q.estimate.into_iter().for_each(|e| m.compare(e, cost.min(20.0 * q.cost), TRUSTED, LEARN));
         let a = &q.attempts[attempt];
-        reported_cost.into_iter().for_each(|b| m.memory.add(b.memory_mb, LEARN));
+        reported_cost.into_iter().for_each(|b| m.memory_mb.add(b.memory_mb, LEARN));
         // Without notes or told needs nothing is learned: a grant that fell with each answer spilled unseen.
         if let Some(e) = q.memory_estimate.filter(|_| reported_cost.is_some() || self.s.progress.is_some()) {
             // A spill was learned when the note came; a told need moves the first few grants far.
-            let first = reported_cost.map_or(0.0, |_| 1.0 / f64::from(m.memory.n + 1));
+            let first = reported_cost.map_or(0.0, |_| 1.0 / f64::from(m.memory_mb.count + 1));
             let short = reported_cost.is_some_and(|b| b.memory_mb > e * m.memory_bias.exp());
             let way = if short { GRANT_QUANTILE } else { GRANT_QUANTILE - 1.0 };
             m.memory_bias += if short || !a.spilled { GRANT_STEP.max(first) * way } else { 0.0 };
         }
-        let (i, times, pace) = (a.executor, spent / q.cost.max(1e-6), m.pace.value.max(1e-6));
+        let (i, times, pace) = (a.executor, spent / q.cost.max(1e-6), m.latency_ratio.value.max(1e-6));
         self.executors[i].relative_latency.add((times / pace).clamp(0.1, 10.0), SPEED_WEIGHT);
         self.cache.get_or_insert_mut((q.class, q.group), Mean::default).add(cost, CACHE_WEIGHT);
-        self.paced(i, times);
+        self.record_latency_ratio(i, times);
     }
 }
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -101,7 +101,7 @@
         let gap = (e.message_interval.value.min(SILENT_GAP_MOST) * SILENT_GAPS * 1e6) as Micros;
         let overdue = |(id, n): &(RequestId, u32)| {
             let q = &self.requests[id];
-            let expected = (self.expected(q) * 1e6) as Micros;
+            let expected = (self.expected_latency_s(q) * 1e6) as Micros;
             let word = self.s.progress.map_or(expected, |p| expected.min(p)) as f64 * SILENT_FACTOR;
             let since = e.last_message_at.max(q.attempts[*n as usize].sent);
             self.now > since + (word as Micros).max(SILENT_LEAST).max(gap)
--- a/src/balancer/lines.rs
+++ b/src/balancer/lines.rs
@@ -68,7 +68,7 @@
     }
 
     fn expected_run(&self, q: &Request) -> Micros {
-        (self.expected(q) * 1e6) as Micros
+        (self.expected_latency_s(q) * 1e6) as Micros
     }
 
     /// In line for its key with too little time left, or with more to run than is left of this dispatcher's
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -25,8 +25,8 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         check(&settings)?;
         // The executors' own choice of grant is a quarter over the estimate.
-        let pace = Mean { value: 1.0, n: TRUSTED };
-        let bias = ClassModel { memory_bias: 0.25f64.ln_1p(), pace, ..ClassModel::default() };
+        let latency_ratio = Mean { value: 1.0, count: TRUSTED };
+        let bias = ClassModel { memory_bias: 0.25f64.ln_1p(), latency_ratio, ..ClassModel::default() };
         let (rules, models) = (rules::build_rules(&settings), vec![bias; settings.classes.len()]);
         Ok(Balancer::empty(settings, seed, rules, CACHE_SIZE, models))
     }
@@ -79,12 +79,12 @@
     fn tick(&mut self) {
         self.actions.push(Action::SetTimer { token: 0, after: TICK });
         let dt = TICK as f64 / 1e6;
-        self.models.iter_mut().for_each(|m| m.count(dt, RATE_SPAN_S));
-        self.tenants.iter_mut().for_each(|t| *t *= 1.0 - dt / TENANT_SPAN_S);
+        self.class_models.iter_mut().for_each(|m| m.count(dt, RATE_SPAN_S));
+        self.tenant_arrivals.iter_mut().for_each(|t| *t *= 1.0 - dt / TENANT_SPAN_S);
         self.budget_allows(); // forgets what has left the window
         self.finish_slow_starts();
-        self.measure();
-        self.set_rates();
+        self.update_pressure();
+        self.update_rule_rates();
         if self.now > self.stalled {
             self.check_health();
             self.check_attempts();
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -7,12 +7,12 @@
     pub(super) fn arrival(&mut self, a: Arrival) {
         self.taken.push_back(self.now);
         self.probe_budget.add_request(self.s.probe_price);
-        let cost = self.predict(&a);
-        self.overall.add(cost, LEARN);
-        let m = &mut self.models[a.class];
-        m.arrived += 1.0;
+        let cost = self.predict_cost(&a);
+        self.mean_cost.add(cost, LEARN);
+        let m = &mut self.class_models[a.class];
+        m.arrivals += 1.0;
         a.estimate_s.into_iter().for_each(|e| m.estimate.add(e, LEARN));
-        a.tenant.into_iter().for_each(|t| self.tenants[t] += 1.0); // a running count, see tick
+        a.tenant.into_iter().for_each(|t| self.tenant_arrivals[t] += 1.0); // a running count, see tick
         let admitted = self.admit(&a, cost);
         let (preferred_executors, c) = (self.preferred_executors(a.class, a.group), &self.s.classes[a.class]);
         let latency_objective =
--- a/src/balancer/rules.rs
+++ b/src/balancer/rules.rs
@@ -4,7 +4,7 @@
 
 /// Tiers of expensive requests by class, and one rule for each tenant; none of one priority can match alike.
 pub(super) fn build_rules(s: &Settings) -> Vec<Rule> {
-    let open = Rule { open: 1.0, ..Rule::default() };
+    let open = Rule { open_fraction: 1.0, ..Rule::default() };
     let mut rules = Vec::new();
     for class in 0..s.classes.len() {
         rules.extend(TIERS.iter().enumerate().map(|(k, &threshold)| {
@@ -13,7 +13,7 @@
         }));
     }
     if s.over_quota_weight < 1.0 {
-        let over = Rule { over_share: true, threshold: OVER_SHARE_MULTIPLE, priority: 90, ..open };
+        let over = Rule { over_quota: true, threshold: OVER_SHARE_MULTIPLE, priority: 90, ..open };
         rules.extend((0..s.tenants.len()).map(|t| Rule { tenant: Some(t), ..over.clone() }));
     }
     rules
@@ -25,12 +25,13 @@
         let multiple = cost / self.class_mean(a.class).max(1e-9);
         // Counts scatter by their square root: a small dispatcher's few requests are not yet too many.
         let over = |t: TenantId| {
-            let fair = self.s.tenants[t].quota_per_s * self.share * TENANT_SPAN_S;
-            self.tenants[t] > fair + 2.0 * fair.sqrt() + 1.0
+            let fair = self.s.tenants[t].quota_per_s * self.traffic_share * TENANT_SPAN_S;
+            self.tenant_arrivals[t] > fair + 2.0 * fair.sqrt() + 1.0
         };
         let matches = |r: &Rule| {
-            let applies = !r.over_share || a.tenant.is_some_and(over);
-            let (class, group) = (r.class.is_none_or(|c| c == a.class), r.group.is_none_or(|g| g == a.group));
+            let applies = !r.over_quota || a.tenant.is_some_and(over);
+            let (class, group) =
+                (r.class.is_none_or(|c| c == a.class), r.table_group.is_none_or(|g| g == a.group));
             let selects = class && group && r.tenant.is_none_or(|t| a.tenant == Some(t));
             multiple > r.threshold && applies && selects
         };
@@ -41,15 +42,15 @@
     /// Passes a request or says when to come back. What is left of a bucket passes it by chance, in
     /// proportion.
     pub(super) fn admit(&mut self, a: &Arrival, cost: f64) -> Result<(), Micros> {
-        let learned = self.models[a.class].settled >= ENOUGH; // any kind: nothing ends well in a jam
+        let learned = self.class_models[a.class].finished_attempts >= ENOUGH; // any kind: nothing ends well in a jam
         let Some(i) = self.match_rule(a, cost).filter(|_| learned) else { return Ok(()) };
         let (mean, now, part) = (self.class_mean(a.class), self.now, self.chance());
         let r = &mut self.rules[i];
         // Beyond its share a tenant's requests count alike, and leave evenly spaced: a leaky bucket.
-        let (n, unit) = if r.over_share { (1.0, 1.0) } else { (cost, mean) };
-        r.bucket.refill(now, r.bucket.burst.max(unit * r.open));
+        let (n, unit) = if r.over_quota { (1.0, 1.0) } else { (cost, mean) };
+        r.bucket.refill(now, r.bucket.burst.max(unit * r.open_fraction));
         let need = n.min(r.bucket.burst.max(unit)) * part;
-        if r.open < 1.0 && r.bucket.level < need {
+        if r.open_fraction < 1.0 && r.bucket.level < need {
             return Err(((need - r.bucket.level) / r.bucket.rate.max(1e-3) * 1e6) as Micros);
         }
         r.bucket.level -= n; // what is dearer than what is there leaves a debt
@@ -57,7 +58,7 @@
     }
 
     /// Rates start from summed cores times this dispatcher's share, in thread-seconds, and follow pressure.
-    pub(super) fn set_rates(&mut self) {
+    pub(super) fn update_rule_rates(&mut self) {
         let mut rules = std::mem::take(&mut self.rules);
         let density = |c: ClassId| self.s.classes[c].priority_weight / self.class_mean(c).max(1e-6);
         let least = (0..self.s.classes.len()).map(density).fold(f64::MAX, f64::min).max(1e-9);
@@ -66,15 +67,15 @@
             let cores = self.executor_index.cores(&self.s.kinds, fits);
             // A class that earns more for each thread-second closes later.
             let later = r.class.map_or(1.0, |c| (density(c) / least).sqrt().clamp(1.0, 2.0));
-            let pressure = r.class.map_or(self.pressure, |c| self.models[c].pressure);
-            let step = if r.over_share { OVER_SHARE_STEP } else { 2.0 * TIER_STEP };
-            r.open = 1.0 - ((pressure / later - r.closes_from) / step).clamp(0.0, 1.0);
+            let pressure = r.class.map_or(self.pressure, |c| self.class_models[c].pressure);
+            let step = if r.over_quota { OVER_SHARE_STEP } else { 2.0 * TIER_STEP };
+            r.open_fraction = 1.0 - ((pressure / later - r.closes_from) / step).clamp(0.0, 1.0);
             let quota = r.tenant.map_or(0.0, |t| self.s.tenants[t].quota_per_s);
-            let (rate, burst_s) = if r.over_share { (quota, 0.0) } else { (cores, BURST_S) };
-            r.bucket.rate = self.share * rate * r.open * r.open;
+            let (rate, burst_s) = if r.over_quota { (quota, 0.0) } else { (cores, BURST_S) };
+            r.bucket.rate = self.traffic_share * rate * r.open_fraction * r.open_fraction;
             r.bucket.burst = r.bucket.rate * burst_s;
-            if r.open >= 1.0 {
-                (r.bucket.level, r.bucket.at) = (r.bucket.burst, self.now);
+            if r.open_fraction >= 1.0 {
+                (r.bucket.level, r.bucket.updated_at) = (r.bucket.burst, self.now);
             }
         }
         self.rules = rules;
--- a/src/balancer/selection/weight.rs
+++ b/src/balancer/selection/weight.rs
@@ -37,7 +37,7 @@
     fn weight(&self, request: &Request, executor: &Executor) -> f64 {
         let capacity =
             executor.cores * self.capacity_fraction(executor) * executor.endpoint.weight.unwrap_or(1.0);
-        let load = self.load(executor) * executor.cores / capacity.max(LEAST_CAPACITY);
+        let load = self.executor_load(executor) * executor.cores / capacity.max(LEAST_CAPACITY);
         let affinity = self.affinity_factor(request, executor);
         let reserved = self.reserved_capacity_factor(request.class, executor);
         let load_factor = (LOAD_FLOOR + load).powi(LOAD_POWER);
@@ -48,7 +48,7 @@
 
     /// What an attempt costs there beside one at a near, connected executor of usual latency.
     fn relative_price(&self, executor: &Executor) -> f64 {
-        let latency = executor.relative_latency.or(1.0).max(LEAST_RELATIVE_LATENCY);
+        let latency = executor.relative_latency.value_or(1.0).max(LEAST_RELATIVE_LATENCY);
         latency * self.zone_distance(executor) * self.connection_factor(executor)
     }
 
@@ -75,7 +75,7 @@
         if self.s.classes[request.class].idempotency != Idempotency::NotIdempotent {
             return success_rate.powi(SUCCESS_POWER);
         }
-        let is_untried = executor.relative_latency.n == 0 && self.s.reports == Reports::OnProbe;
+        let is_untried = executor.relative_latency.count == 0 && self.s.reports == Reports::OnProbe;
         let trust = if is_untried { UNTRIED_WEIGHT } else { 1.0 };
         success_rate.powi(SUCCESS_POWER_NOT_IDEMPOTENT) * trust
     }
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -34,8 +34,8 @@
     }
 
     /// Seconds that a request should take, at the pace of the day.
-    pub(crate) fn expected(&self, q: &Request) -> f64 {
-        let pace = self.models[q.class].pace.or(1.0);
+    pub(crate) fn expected_latency_s(&self, q: &Request) -> f64 {
+        let pace = self.class_models[q.class].latency_ratio.value_or(1.0);
         q.cost / f64::from(self.s.classes[q.class].threads) * pace
     }
 
@@ -45,19 +45,19 @@
     }
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
-    pub(crate) fn memory_use(&self, e: &Executor, held: f64) -> f64 {
-        held * self.thread_mb.or(0.0) / self.s.kinds[e.endpoint.kind].memory_mb.max(1.0)
+    pub(crate) fn estimated_memory_use(&self, e: &Executor, held: f64) -> f64 {
+        held * self.mb_per_thread.value_or(0.0) / self.s.kinds[e.endpoint.kind].memory_mb.max(1.0)
     }
 
     /// Running means of own threads, requests and memory in flight.
-    pub(crate) fn tally(&mut self, weight: f64) {
+    pub(crate) fn update_in_flight_means(&mut self, weight: f64) {
         let requests = self.requests.len() as f64;
         let active = self.executor_index.active.iter().map(|i| &self.executors[*i]);
         let (mb, out) = active.fold((0.0, 0.0), |(m, t), e| (m + e.granted_mb, t + e.in_flight_threads));
         if out > 0.0 {
-            self.thread_mb.add(mb / out, weight);
-            self.held_threads += (out - self.held_threads) * weight;
-            self.held_requests += (requests - self.held_requests) * weight;
+            self.mb_per_thread.add(mb / out, weight);
+            self.mean_in_flight_threads += (out - self.mean_in_flight_threads) * weight;
+            self.mean_in_flight_requests += (requests - self.mean_in_flight_requests) * weight;
         }
     }
 }
--- a/src/state/rule.rs
+++ b/src/state/rule.rs
@@ -8,15 +8,15 @@
     pub(crate) level: f64,
     pub(crate) rate: f64,
     pub(crate) burst: f64,
-    pub(crate) at: Micros,
+    pub(crate) updated_at: Micros,
 }
 
 impl TokenBucket {
     /// Fills up to `most` at the rate held since the last time.
     pub(crate) fn refill(&mut self, now: Micros, most: f64) {
-        let dt = now.saturating_sub(self.at) as f64 / 1e6;
+        let dt = now.saturating_sub(self.updated_at) as f64 / 1e6;
         self.level = (self.level + self.rate * dt).min(most);
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// The same at this rate.
@@ -30,10 +30,10 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Rule {
     pub(crate) class: Option<ClassId>,
-    pub(crate) group: Option<u64>,
+    pub(crate) table_group: Option<u64>,
     pub(crate) tenant: Option<TenantId>,
     /// Matches only while the tenant sends more than its share.
-    pub(crate) over_share: bool,
+    pub(crate) over_quota: bool,
     /// Least predicted cost, as a multiple of the class mean.
     pub(crate) threshold: f64,
     /// 1 to 100; the highest match decides.
@@ -41,7 +41,7 @@
     /// Pressure at which it begins to close.
     pub(crate) closes_from: f64,
     /// How far it is open: 1 refuses nobody, 0 all.
-    pub(crate) open: f64,
+    pub(crate) open_fraction: f64,
     pub(crate) bucket: TokenBucket,
 }
 
@@ -50,7 +50,7 @@
     pub(crate) fn keep(&mut self, before: &[Rule]) {
         let alike = |o: &&Rule| (o.class, o.tenant, o.priority) == (self.class, self.tenant, self.priority);
         if let Some(old) = before.iter().find(alike) {
-            (self.bucket, self.open) = (old.bucket.clone(), old.open);
+            (self.bucket, self.open_fraction) = (old.bucket.clone(), old.open_fraction);
         }
     }
 }
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -76,7 +76,7 @@
 
     pub(crate) fn reported(&mut self, executor: ExecutorId, report: Option<Report>) {
         if let Some((&i, r)) = self.index.get(&executor).zip(report) {
-            self.tells_load = Some(r.util.or(r.inflight).or(r.memory).or(r.disks).is_some());
+            self.reports_tell_load = Some(r.util.or(r.inflight).or(r.memory).or(r.disks).is_some());
             self.executors[i].reported(r.sane(), self.now);
             self.mark_active(i);
         }
@@ -107,7 +107,7 @@
         let a = q.attempts.get_mut(n as usize).filter(|a| a.outcome.is_none())?;
         a.outcome = Some(outcome);
         let (i, grant) = (a.executor, a.grant);
-        self.models[q.class].settled += 1;
+        self.class_models[q.class].finished_attempts += 1;
         self.executors[i].finish_attempt((id, n), threads, grant);
         Some(i)
     }
