--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -75,16 +75,16 @@
     /// for counts for all of them.
     fn cost_multiple(&self, request: &Request) -> f64 {
         let queued = request.key.map_or(1, |key| self.key_queues.len(key).max(1));
-        request.cost / queued as f64 / self.overall.or(request.cost).max(1e-9)
+        request.cost / queued as f64 / self.mean_cost.value_or(request.cost).max(1e-9)
     }
 
     /// Memory that an attempt is granted, in MB: the need as estimated and corrected, else as learned, up to
     /// a part of the executor's memory. 0 leaves it to the executor; without grants it has no effect.
     fn memory_grant_mb(&self, request: &Request, executor: &Executor) -> f64 {
-        let model = &self.models[request.class];
+        let model = &self.class_models[request.class];
         let corrected =
             |estimate: f64| estimate * model.memory_bias.clamp(-MAX_MEMORY_BIAS, MAX_MEMORY_BIAS).exp();
-        let need_mb = request.memory_estimate.map_or(model.memory.or(0.0), corrected);
+        let need_mb = request.memory_estimate.map_or(model.memory_mb.value_or(0.0), corrected);
         let executor_memory_mb = self.settings.kinds[executor.endpoint.kind].memory_mb;
         let max_grant_mb = executor_memory_mb * self.settings.max_grant_fraction;
         if max_grant_mb > 0.0 { need_mb.min(max_grant_mb) } else { need_mb }
--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -24,14 +24,14 @@
                 let index = attempt.executor;
                 let threads = f64::from(self.settings.classes[request.class].threads);
                 let expected_s = request.cost.max(1e-6) / threads;
-                self.paced(index, seconds / expected_s);
+                self.record_latency_ratio(index, seconds / expected_s);
             }
             AttemptProgress::Spill(missing_mb) if !attempt.spilled && missing_mb.is_finite() => {
                 attempt.spilled = true;
                 if let Some(estimate_mb) = request.memory_estimate {
                     let needed_mb = attempt.memory_grant_mb + missing_mb;
                     let needed_bias = (needed_mb.max(1.0) / estimate_mb.max(1.0)).ln();
-                    let model = &mut self.models[request.class];
+                    let model = &mut self.class_models[request.class];
                     model.memory_bias += SPILL_WEIGHT * (needed_bias - model.memory_bias).max(0.0);
                 }
             }
@@ -67,11 +67,11 @@
 
     fn learn_from_success(&mut self, finished: &AttemptFinished) {
         let id = finished.request;
-        self.learn(id, finished.attempt as usize, finished.latency, finished.reported_cost);
+        self.learn_cost(id, finished.attempt as usize, finished.latency, finished.reported_cost);
         self.attribute_errors(id);
         let request = &self.requests[&id];
         if self.now > request.latency_objective && !request.counted_late && !request.answered {
-            self.count_late(request.class);
+            self.record_late(request.class);
         }
     }
 
--- a/src/balancer/key_order.rs
+++ b/src/balancer/key_order.rs
@@ -66,7 +66,7 @@
 
     /// What a request is expected to take on an executor.
     fn expected_run(&self, request: &Request) -> DurationUs {
-        (self.expected(request) * 1e6) as DurationUs
+        (self.expected_latency_s(request) * 1e6) as DurationUs
     }
 
     /// Whether a request that was not sent yet cannot finish in time, and why: it needs longer than this
