--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -11,7 +11,7 @@
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         self.retry_limiter.record_arrival(self.now);
         self.probe_budget.add_request(self.settings.probe_price);
-        let predicted_cost = self.predict(&arrival);
+        let predicted_cost = self.predict_cost(&arrival);
         self.count_arrival(&arrival, predicted_cost);
         let admission = self.admit(&arrival, predicted_cost);
         self.open_request(&arrival, predicted_cost);
@@ -27,14 +27,14 @@
 
     /// Counts a request into the figures of its class and its tenant.
     fn count_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
-        self.overall.add(predicted_cost, LEARN);
-        let model = &mut self.models[arrival.class];
-        model.arrived += 1.0;
+        self.mean_cost.add(predicted_cost, LEARN);
+        let model = &mut self.class_models[arrival.class];
+        model.arrivals += 1.0;
         if let Some(estimate) = arrival.estimate_s {
             model.estimate.add(estimate, LEARN);
         }
         if let Some(tenant) = arrival.tenant {
-            self.tenants[tenant] += 1.0;
+            self.tenant_arrivals[tenant] += 1.0;
         }
     }
 
