--- a/src/balancer/constants.rs
+++ b/src/balancer/constants.rs
@@ -1,6 +1,5 @@
 //! Tuned constants: what each means, and why it is so.
 
-use super::*;
 use std::num::NonZeroUsize;
 
 /// Expensive means above these multiples of the class mean; each tier is a rule of its own, dearest first.
