--- a/src/balancer/constants.rs
+++ b/src/balancer/constants.rs
@@ -63,6 +63,6 @@
 /// Memory or disks in use from which an executor counts as more loaded, and how much more.
 pub(super) const SCARCE_FROM: f64 = 0.75;
 pub(super) const SCARCE_WEIGHT: f64 = 2.0;
-/// Quantile of memory needs that a grant covers, its step (ln), and the weight of what one spill tells.
+/// Quantile of memory needs that a grant covers, and its step (ln).
 pub(super) const GRANT_QUANTILE: f64 = 0.8;
 pub(super) const GRANT_STEP: f64 = 0.05;
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -2,17 +2,15 @@
 
 use crate::api::{Action, Arrival, ClassId, DurationUs, EndReason, Idempotency, KeyScope, RequestId};
 use crate::balancer::constants::LEARN;
+use crate::balancer::selection::PROBE_WAIT;
 use crate::balancer::{PROBE_WAIT_TIMER, RETRY_AFTER_US, TICK_US};
 use crate::state::{Balancer, Request};
 
-/// A request waits at most this long for probes: some round trips.
-pub(super) const PROBE_WAIT_US: DurationUs = 40_000;
-
 impl Balancer {
     /// A request has arrived: it is admitted, joins its key's queue and is started, or it is rejected.
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         self.retry_limiter.record_arrival(self.now);
-        self.fund_probes();
+        self.probe_budget.add_request(self.settings.probe_price);
         let predicted_cost = self.predict(&arrival);
         self.count_arrival(&arrival, predicted_cost);
         let admission = self.admit(&arrival, predicted_cost);
@@ -27,11 +25,6 @@
         }
     }
 
-    /// Each request pays for a part of a probe.
-    fn fund_probes(&mut self) {
-        self.probe_budget.add_request(self.settings.probe_price);
-    }
-
     /// Counts a request into the figures of its class and its tenant.
     fn count_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
         self.overall.add(predicted_cost, LEARN);
@@ -85,7 +78,7 @@
             self.reject_or_fail_request(id, RETRY_AFTER_US, EndReason::NoExecutor);
         } else if !waited_before {
             self.awaiting_probes.push(id);
-            self.actions.push(Action::SetTimer { token: PROBE_WAIT_TIMER, after: PROBE_WAIT_US });
+            self.actions.push(Action::SetTimer { token: PROBE_WAIT_TIMER, after: PROBE_WAIT });
         }
     }
 
@@ -95,7 +88,7 @@
         let request = &self.requests[&id];
         match request.probe_wait_until {
             Some(until) => self.now < until,
-            None => self.now + 2 * PROBE_WAIT_US < request.deadline,
+            None => self.now + 2 * PROBE_WAIT < request.deadline,
         }
     }
 
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -11,7 +11,6 @@
 pub(crate) use probe_budget::ProbeBudget;
 
 use super::constants::ROOM;
-use super::request_lifecycle::PROBE_WAIT_US;
 use crate::api::{Action, Micros, Reports, RequestId};
 use crate::state::{Balancer, Executor, weighted};
 
@@ -19,6 +18,8 @@
 const REPORT_FRESHNESS: Micros = 800_000;
 /// Executors with a known load that a draw needs; with fewer of them others are probed first.
 const CANDIDATES_WANTED: usize = 3;
+/// Longest wait of a request for the answers to its probes, in microseconds: some round trips.
+pub(super) const PROBE_WAIT: Micros = 40_000;
 /// A probe without an answer is sent again after this long, in microseconds.
 const PROBE_RESEND_AFTER: Micros = 1_000_000;
 
@@ -62,7 +63,7 @@
         if may_probe {
             self.choose_probes(id, choices, &mut candidates);
             if self.send_probes(id, &candidates.to_probe) {
-                let wait_until = self.now + PROBE_WAIT_US;
+                let wait_until = self.now + PROBE_WAIT;
                 self.request_mut(id).probe_wait_until.get_or_insert(wait_until);
                 return None;
             }
