--- a/src/balancer/pressure.rs
+++ b/src/balancer/pressure.rs
@@ -50,8 +50,8 @@
 
     /// Threads of a request in flight, as own ones had lately; before that, as if classes held equal threads.
     fn mean_threads(&self) -> f64 {
-        let inverse: f64 = self.s.classes.iter().map(|c| 1.0 / f64::from(c.threads)).sum();
-        let guess = self.s.classes.len() as f64 / inverse;
+        let inverse: f64 = self.settings.classes.iter().map(|c| 1.0 / f64::from(c.threads)).sum();
+        let guess = self.settings.classes.len() as f64 / inverse;
         (self.mean_in_flight_threads + MIX_PRIOR * guess) / (self.mean_in_flight_requests + MIX_PRIOR)
     }
 
@@ -63,10 +63,10 @@
         let mut pools = std::collections::BTreeMap::<u64, Pool>::new();
         // A dispatcher hears of few executors at a time: what is known of those stands for all, by age.
         let listed = self.executor_index.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
-        let ejected: f64 = listed.clone().filter(|e| e.ejected_until.is_some()).map(|e| e.cores).sum();
-        fleet += self.executor_index.cores(&self.s.kinds, |_| true) - ejected;
+        let ejected: f64 = listed.clone().filter(|e| e.health.ejected_until.is_some()).map(|e| e.cores).sum();
+        fleet += self.executor_index.cores(&self.settings.kinds, |_| true) - ejected;
         self.count_examined(self.executor_index.active.len());
-        for e in listed.filter(|e| e.ejected_until.is_none()) {
+        for e in listed.filter(|e| e.health.ejected_until.is_none()) {
             own += e.in_flight_threads;
             let Some(r) = self.reported_threads(e) else { continue };
             let (now, confidence) = (
@@ -94,11 +94,14 @@
             self.traffic_share += (part - self.traffic_share) * SHARE_WEIGHT;
         }
         let over = |x: f64, [from, to]: [f64; 2]| (x - from) / (to - from);
-        let line =
-            if self.s.memory_shortage == MemoryShortage::Queue { MEMORY_LINE } else { MEMORY_OCCUPANCY };
-        let ease = if self.mean_load < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK as f64 / 1e6;
+        let line = if self.settings.memory_shortage == MemoryShortage::Queue {
+            MEMORY_LINE
+        } else {
+            MEMORY_OCCUPANCY
+        };
+        let ease = if self.mean_load < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK_US as f64 / 1e6;
         for p in pools.values_mut() {
-            let short = if self.s.grants && !mute { over(p.per_core(p.memory), line) } else { 0.0 };
+            let short = if self.settings.grants && !mute { over(p.per_core(p.memory), line) } else { 0.0 };
             let saturation =
                 over(p.per_core(p.in_flight_threads), if mute { PACE_OCCUPANCY } else { OCCUPANCY });
             p.saturation = saturation.max(short).max(over(p.per_core(p.disks), DISKS));
@@ -107,10 +110,10 @@
         self.class_models.iter_mut().for_each(|m| m.lateness = (m.lateness - ease).max(0.0));
         let before = self.pressure;
         for class in 0..self.class_models.len() {
-            let c = &self.s.classes[class];
+            let c = &self.settings.classes[class];
             let alike = |d: &Class| d.only_kinds == c.only_kinds && d.only_zones == c.only_zones;
             let late = self
-                .s
+                .settings
                 .classes
                 .iter()
                 .zip(&self.class_models)
@@ -131,11 +134,12 @@
 
     /// Executors open to the same classes are a pool: a class has room where one of its pools has.
     pub(super) fn pool_of(&self, e: &Executor) -> u64 {
-        (0..self.s.classes.len()).filter(|&c| self.placement_allows(c, e)).map(|c| 1 << c).sum()
+        (0..self.settings.classes.len()).filter(|&c| self.placement_allows(c, e)).map(|c| 1 << c).sum()
     }
 
     pub(super) fn record_late(&mut self, class: ClassId) {
-        let (m, own) = (&mut self.class_models[class], self.now == self.stalled); // late by its own standing still
+        // Late by its own standing still.
+        let (m, own) = (&mut self.class_models[class], self.now == self.resumed_at);
         m.lateness = (m.lateness + if own { 0.0 } else { 1.0 / (m.arrival_rate + LATE_PRIOR) }).min(1.0);
     }
 }
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -3,19 +3,13 @@
 use super::*;
 
 impl Balancer {
-    /// It ends at this time: what could not be seen to its end by then is not begun.
-    pub fn ends_at(&mut self, at: Micros) {
-        self.ends = at;
-        self.ends_changed = true;
-    }
-
     /// Executors on the list, and of these those that take nothing new now: leaving, silent or ejected.
     pub(crate) fn avoided(&self, now: Micros) -> (usize, usize) {
         let listed = self.executors.iter().filter(|e| e.present && e.endpoint.readiness != Readiness::Left);
         let avoided = |e: &&Executor| {
             e.endpoint.readiness != Readiness::Active
-                || e.unresponsive
-                || e.ejected_until.is_some_and(|t| t > now)
+                || e.health.unresponsive
+                || e.health.ejected_until.is_some_and(|t| t > now)
         };
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -25,7 +19,7 @@
     pub(crate) fn fleet(&self, now: Micros) -> [f64; 3] {
         let mut sums = [0.0; 3];
         for e in self.executors.iter().filter(|e| e.listed()) {
-            let healthy = !e.unresponsive && e.ejected_until.is_none_or(|t| t <= now);
+            let healthy = !e.health.unresponsive && e.health.ejected_until.is_none_or(|t| t <= now);
             let usable = if healthy { e.cores } else { 0.0 };
             let parts = [e.cores, usable, usable * self.capacity_fraction(e)];
             sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part);
@@ -36,7 +30,7 @@
     /// Seconds that a request should take, at the pace of the day.
     pub(crate) fn expected_latency_s(&self, q: &Request) -> f64 {
         let pace = self.class_models[q.class].latency_ratio.value_or(1.0);
-        q.cost / f64::from(self.s.classes[q.class].threads) * pace
+        q.cost / f64::from(self.settings.classes[q.class].threads) * pace
     }
 
     /// How much a report still tells, 1 when new.
@@ -46,7 +40,7 @@
 
     /// Memory in use where it is not reported: what own threads were granted stands for all.
     pub(crate) fn estimated_memory_use(&self, e: &Executor, held: f64) -> f64 {
-        held * self.mb_per_thread.value_or(0.0) / self.s.kinds[e.endpoint.kind].memory_mb.max(1.0)
+        held * self.mb_per_thread.value_or(0.0) / self.settings.kinds[e.endpoint.kind].memory_mb.max(1.0)
     }
 
     /// Running means of own threads, requests and memory in flight.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
 //! What a dispatcher remembers, and the arithmetic of its parts. It decides nothing: every decision and every
-//! tuned value stands in `src/control/`.
+//! constant stands in `src/balancer/`.
 
 mod chance;
 mod executor;
@@ -22,16 +22,17 @@
 use crate::api::*;
 use crate::balancer::selection::ProbeBudget;
 use crate::balancer::slow_start::{SlowStartAdmission, WarmingBuckets};
+use crate::balancer::{ExecutorHealth, KeyQueues, RetryLimiter};
 use lru::LruCache;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
 
 /// One request dispatcher: what it was told, what it learned and what is open.
 pub struct Balancer {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
     pub(crate) started: bool,
@@ -52,14 +53,11 @@
     pub(crate) examined: Cell<u64>,
     pub(crate) index: BTreeMap<ExecutorId, usize>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    pub(crate) keys: BTreeMap<u64, KeyLine>,
-    /// When keys have rested, and the key whose line is looked at next.
-    pub(crate) rests: BTreeSet<(Micros, u64)>,
-    pub(crate) checked_from: u64,
+    /// Requests of a key, which run one at a time.
+    pub(crate) key_queues: KeyQueues,
     /// Attempts that ticks have looked at, where there are more than one looks at.
     pub(crate) attempts_checked: usize,
-    pub(crate) taken: VecDeque<Micros>,
-    pub(crate) further: VecDeque<Micros>,
+    pub(crate) retry_limiter: RetryLimiter,
     pub(crate) mb_per_thread: Mean,
     /// Own threads and requests in flight, running means.
     pub(crate) mean_in_flight_threads: f64,
@@ -67,7 +65,7 @@
     pub(crate) traffic_share: f64,
     pub(crate) pressure: f64,
     /// When it last woke from standing still.
-    pub(crate) stalled: Micros,
+    pub(crate) resumed_at: Micros,
     /// Threads a core that the executors hold, as far as they were heard.
     pub(crate) mean_load: f64,
     pub(crate) pools: BTreeMap<u64, Pool>,
@@ -75,19 +73,17 @@
     pub(crate) reports_tell_load: Option<bool>,
     /// Requests that wait for probes.
     pub(crate) awaiting_probes: Vec<RequestId>,
-    /// A key's line is moving on.
-    pub(crate) moves_on: bool,
-    pub(crate) loaded: bool,
+    pub(crate) endpoint_list_loaded: bool,
     /// When it ends; far off while it does not. Whether that has changed since the lines were looked at.
-    pub(crate) ends: Micros,
-    pub(crate) ends_changed: bool,
+    pub(crate) shutdown_deadline: Micros,
+    pub(crate) shutdown_deadline_changed: bool,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Balancer {
     /// One that has seen nothing: `seed` feeds its draws, `cache_size` is how many costs it remembers.
     pub(crate) fn empty(
-        s: Settings,
+        settings: Settings,
         seed: u64,
         rules: Vec<Rule>,
         cache_size: NonZeroUsize,
@@ -101,7 +97,7 @@
             cache: LruCache::new(cache_size),
             class_models: models,
             mean_cost: Mean::default(),
-            tenant_arrivals: vec![0.0; s.tenants.len()],
+            tenant_arrivals: vec![0.0; settings.tenants.len()],
             probe_budget: ProbeBudget::default(),
             slow_start: SlowStartAdmission::default(),
             executors: Vec::new(),
@@ -111,28 +107,24 @@
             last_sweep: Micros::MAX,
             index: BTreeMap::new(),
             requests: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            rests: BTreeSet::new(),
-            checked_from: 0,
+            key_queues: KeyQueues::default(),
             attempts_checked: 0,
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
+            retry_limiter: RetryLimiter::default(),
             mb_per_thread: Mean::default(),
             mean_in_flight_threads: 0.0,
             mean_in_flight_requests: 0.0,
-            traffic_share: 1.0 / f64::from(s.dispatchers),
+            traffic_share: 1.0 / f64::from(settings.dispatchers),
             pressure: 0.0,
-            stalled: 0,
+            resumed_at: 0,
             mean_load: 0.0,
             pools: BTreeMap::new(),
             reports_tell_load: None,
-            moves_on: false,
             awaiting_probes: Vec::new(),
-            loaded: false,
-            ends: Micros::MAX,
-            ends_changed: false,
+            endpoint_list_loaded: false,
+            shutdown_deadline: Micros::MAX,
+            shutdown_deadline_changed: false,
             actions: Vec::new(),
-            s,
+            settings,
         }
     }
 
@@ -140,18 +132,8 @@
         self.now.saturating_sub(t) as f64 / 1e6
     }
 
-    pub(crate) fn request(&mut self, id: RequestId) -> &mut Request {
-        self.requests.get_mut(&id).expect("an open query")
-    }
-
-    /// An answer has begun: the attempt belongs to the client.
-    pub(crate) fn streams(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).into_iter().for_each(|q| q.streaming = true);
-    }
-
-    pub(crate) fn cancel(&mut self, id: RequestId, n: u32) {
-        self.request(id).attempts[n as usize].cancelled = true;
-        self.actions.push(Action::Cancel { request: id, attempt: n });
+    pub(crate) fn request_mut(&mut self, id: RequestId) -> &mut Request {
+        self.requests.get_mut(&id).expect("an open request")
     }
 
     pub(crate) fn log(&mut self, line: String) {
