--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -63,7 +63,7 @@
         if self.now > request.latency_objective && !request.counted_late {
             let class = request.class;
             self.request_mut(id).counted_late = true;
-            self.count_late(class);
+            self.record_late(class);
         }
     }
 
@@ -71,7 +71,7 @@
     fn is_given_up(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let is_late = self.now > request.latency_objective;
-        let is_overloaded = self.models[request.class].pressure > GIVE_UP_PRESSURE;
+        let is_overloaded = self.class_models[request.class].pressure > GIVE_UP_PRESSURE;
         is_late && is_overloaded && self.is_idempotent(request)
     }
 
@@ -94,7 +94,7 @@
     fn needs_retry(&self, id: RequestId, attempt: u32) -> bool {
         let request = &self.requests[&id];
         let attempt = &request.attempts[attempt as usize];
-        let expected_s = self.expected(request).max(MIN_EXPECTED_S);
+        let expected_s = self.expected_latency_s(request).max(MIN_EXPECTED_S);
         let expected_end = self.now + (expected_s * 1e6) as TimestampUs;
         if expected_end > request.deadline {
             return false;
