--- a/tests/clients/crowds.rs
+++ b/tests/clients/crowds.rs
@@ -17,10 +17,12 @@
         (launch.settings, launch.sockets) = (Quiet::default().json(), limit.max(64));
         let refusing = Refusing::new();
         let old = Executor::new();
-        let mut d = launch.serving(&launch.config(refusing.address, &[("e0", old.address)]));
-        d.logs("feed: lost");
-        let mut crowd: Vec<Client> = (0..70).map(|_| Client::says(d.address, "SET NAMES utf8mb4")).collect();
-        let silent: Vec<TcpStream> = (0..70).filter_map(|_| TcpStream::connect(d.address).ok()).collect();
+        let mut dispatcher = launch.serving(&launch.config(refusing.address, &[("e0", old.address)]));
+        dispatcher.logs("feed: lost");
+        let mut crowd: Vec<Client> =
+            (0..70).map(|_| Client::says(dispatcher.address, "SET NAMES utf8mb4")).collect();
+        let silent: Vec<TcpStream> =
+            (0..70).filter_map(|_| TcpStream::connect(dispatcher.address).ok()).collect();
         let within =
             crowd.iter_mut().filter_map(|c| (c.got() == Got::Ok && c.got() == Got::Ok).then_some(())).count();
         assert!(within > 8, "{within} were let in");
@@ -29,8 +31,8 @@
         assert_eq!(line, "follow 1\n");
         let list = [target("e0", old.address, "draining"), target("e1", executor.address, "up")];
         writeln!(feed, "{}", event(2, false, &list)).unwrap();
-        d.logs("executor listed anew");
-        let mut client = Client::asks(d.address, &request("read", "d1"));
+        dispatcher.logs("executor listed anew");
+        let mut client = Client::asks(dispatcher.address, &request("read", "d1"));
         let mut peer = executor.accept();
         let pull = peer.command().unwrap();
         peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
@@ -44,8 +46,9 @@
 #[test]
 fn nothing_is_probed_where_probes_are_not_permitted() {
     let executor = Executor::new();
-    let (d, _coordinator) = quiet(&[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, &request("load", "d2").replace("budget=15000", "budget=4000"));
+    let (dispatcher, _coordinator) = quiet(&[("e1", executor.address)]);
+    let mut client =
+        Client::asks(dispatcher.address, &request("load", "d2").replace("budget=15000", "budget=4000"));
     let mut peer = executor.accept();
     assert_eq!(peer.command().unwrap()[0], "PULL");
     assert_eq!(peer.line(), "KILL 00000000000000d2");
@@ -60,15 +63,16 @@
     let mut launch = launch();
     launch.settings = Quiet::default().json();
     launch.sockets = 64;
-    let (d, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
+    let (dispatcher, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
     // As many as a dispatcher with these descriptors serves.
     let mut busy: Vec<Client> =
-        (0x10..0x2c).map(|n| Client::asks(d.address, &request("read", &format!("{n:x}")))).collect();
-    d.stands_still();
-    let mut more: Vec<Client> =
-        (0x30..0x44).map(|n| Client::writes(d.address, &request("read", &format!("{n:x}")))).collect();
+        (0x10..0x2c).map(|n| Client::asks(dispatcher.address, &request("read", &format!("{n:x}")))).collect();
+    dispatcher.stands_still();
+    let mut more: Vec<Client> = (0x30..0x44)
+        .map(|n| Client::writes(dispatcher.address, &request("read", &format!("{n:x}"))))
+        .collect();
     more.iter().for_each(|client| arrived(&client.stream));
-    d.goes_on();
+    dispatcher.goes_on();
     for client in &mut more {
         // The greeting is a packet of its own kind; behind it comes the refusal.
         let mut all = Vec::new();
--- a/tests/clients/keyed.rs
+++ b/tests/clients/keyed.rs
@@ -10,8 +10,9 @@
 #[test]
 fn a_keyed_request_takes_its_token_along_on_every_attempt() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, &request("read", "c1").replace("rid=", "token=7f-A_9.z,rid="));
+    let (dispatcher, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
+    let mut client =
+        Client::asks(dispatcher.address, &request("read", "c1").replace("rid=", "token=7f-A_9.z,rid="));
     let mut first = executor.accept();
     assert!(first.command().unwrap()[2].contains("token=7f-A_9.z,"));
     first.say("x what is this\r\n"); // spoilt: it may have run, and is tried again where repeats are known
@@ -26,11 +27,13 @@
 #[test]
 fn a_token_that_is_no_word_is_an_error() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
+    let (dispatcher, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
     let long = "x".repeat(73);
     for token in ["a b", "", "a\u{e9}", "1 2\r\nKILL", long.as_str()] {
-        let mut client =
-            Client::asks(d.address, &request("read", "c2").replace("rid=", &format!("token={token},rid=")));
+        let mut client = Client::asks(
+            dispatcher.address,
+            &request("read", "c2").replace("rid=", &format!("token={token},rid=")),
+        );
         assert!(matches!(client.got(), Got::Error(1064, text) if text.contains("token")), "{token:?}");
     }
 }
--- a/tests/clients/leaving.rs
+++ b/tests/clients/leaving.rs
@@ -19,13 +19,13 @@
     let executor = Executor::new();
     let mut launch = launch();
     launch.settings = Quiet::default().json().replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
-    let (mut d, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
+    let (mut dispatcher, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
     let filler = executor.narrows();
-    let mut client = Client::asks(d.address, &request(class, "c1"));
+    let mut client = Client::asks(dispatcher.address, &request(class, "c1"));
     dialed(executor.address, 1);
     match how {
         Goes::Kills => {
-            let mut killer = Client::asks(d.address, &format!("KILL QUERY {}", client.id));
+            let mut killer = Client::asks(dispatcher.address, &format!("KILL QUERY {}", client.id));
             assert_eq!(killer.got(), Got::Ok);
             assert!(matches!(client.got(), Got::Error(1317, _)));
         }
@@ -34,10 +34,10 @@
         Goes::Shuts => client.stream.shutdown(Shutdown::Write).unwrap(),
         Goes::Quits => client.stream.write_all(&[1, 0, 0, 0, 1]).unwrap(),
     }
-    d.logs("client left");
+    dispatcher.logs("client left");
     executor.widens(filler);
     let mut peer = executor.accept();
-    let mut next = Client::asks(d.address, &request("read", "c2"));
+    let mut next = Client::asks(dispatcher.address, &request("read", "c2"));
     let pull = peer.command().unwrap();
     assert_eq!(pull[1], "00000000000000c2", "{class}: {pull:?}");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
@@ -66,14 +66,14 @@
 #[test]
 fn what_was_never_sent_is_refused_at_the_end() {
     let executor = Executor::new();
-    let (mut d, _coordinator) = quiet(&[("e1", executor.address)]);
+    let (mut dispatcher, _coordinator) = quiet(&[("e1", executor.address)]);
     let _filler = executor.narrows();
-    let mut client = Client::asks(d.address, &request("load", "c1"));
+    let mut client = Client::asks(dispatcher.address, &request("load", "c1"));
     dialed(executor.address, 1);
-    d.signal("TERM");
+    dispatcher.signal("TERM");
     match client.got() {
         Got::Error(1203, text) => assert!(text.contains("backoff="), "{text}"),
         got => panic!("{got:?}"),
     }
-    assert!(d.child.wait().unwrap().success());
+    assert!(dispatcher.child.wait().unwrap().success());
 }
--- a/tests/clients/standstill.rs
+++ b/tests/clients/standstill.rs
@@ -10,33 +10,33 @@
 const STILL: Duration = Duration::from_millis(400);
 
 /// Stops the program, has this done, and lets it go on once it has been still for long enough.
-fn while_still(d: &Dispatcher, what: impl FnOnce()) {
-    d.stands_still();
+fn while_still(dispatcher: &Dispatcher, what: impl FnOnce()) {
+    dispatcher.stands_still();
     what();
     std::thread::sleep(STILL);
-    d.goes_on();
+    dispatcher.goes_on();
 }
 
 /// A dispatcher with an executor, and the connection between them, up and idle: whatever begins is written at once.
 fn with_idle_connection(executor: &Executor) -> (Dispatcher, Coordinator, Peer) {
-    let (d, coordinator) = quiet(&[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, &request("read", "a0"));
+    let (dispatcher, coordinator) = quiet(&[("e1", executor.address)]);
+    let mut client = Client::asks(dispatcher.address, &request("read", "a0"));
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
     assert_eq!(client.got(), row());
-    (d, coordinator, peer)
+    (dispatcher, coordinator, peer)
 }
 
-fn rests(d: &Dispatcher) -> Client {
-    let mut client = Client::asks(d.address, "SET NAMES utf8mb4");
+fn logged_in_client(dispatcher: &Dispatcher) -> Client {
+    let mut client = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
     client
 }
 
 /// Asks for one more, and sees that its request is the first that goes out.
-fn next_is_first(d: &Dispatcher, peer: &mut Peer) {
-    let mut next = Client::asks(d.address, &request("read", "af"));
+fn next_is_first(dispatcher: &Dispatcher, peer: &mut Peer) {
+    let mut next = Client::asks(dispatcher.address, &request("read", "af"));
     let pull = peer.command().unwrap();
     assert_eq!(pull[1], "00000000000000af", "{pull:?}");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
@@ -47,9 +47,10 @@
 #[test]
 fn a_request_whose_client_closed_behind_it_does_not_begin() {
     let executor = Executor::new();
-    let (d, _coordinator, mut peer) = with_idle_connection(&executor);
-    let (mut closes, mut shuts, mut quits) = (rests(&d), rests(&d), rests(&d));
-    while_still(&d, || {
+    let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
+    let (mut closes, mut shuts, mut quits) =
+        (logged_in_client(&dispatcher), logged_in_client(&dispatcher), logged_in_client(&dispatcher));
+    while_still(&dispatcher, || {
         closes.ask(&request("load", "a1"));
         drop(closes);
         shuts.ask(&request("read", "a2"));
@@ -58,7 +59,7 @@
         quits.stream.write_all(&[1, 0, 0, 0, 1]).unwrap();
         quits.stream.shutdown(Shutdown::Write).unwrap();
     });
-    next_is_first(&d, &mut peer);
+    next_is_first(&dispatcher, &mut peer);
 }
 
 // A KILL comes on a connection of its own, which may not even have been accepted when the request it is for is read;
@@ -66,19 +67,19 @@
 #[test]
 fn a_request_that_was_killed_before_it_was_read_does_not_begin() {
     let executor = Executor::new();
-    let (d, _coordinator, mut peer) = with_idle_connection(&executor);
-    let mut client = rests(&d);
+    let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
+    let mut client = logged_in_client(&dispatcher);
     // More connections than are accepted in one turn wait before the one that kills.
     let mut waits = Vec::new();
     let id = client.id;
     let mut killer = None;
-    while_still(&d, || {
+    while_still(&dispatcher, || {
         client.ask(&request("load", "a1"));
-        waits.extend((0..100).map(|_| std::net::TcpStream::connect(d.address).unwrap()));
-        killer = Some(Client::writes(d.address, &format!("KILL QUERY {id}")));
+        waits.extend((0..100).map(|_| std::net::TcpStream::connect(dispatcher.address).unwrap()));
+        killer = Some(Client::writes(dispatcher.address, &format!("KILL QUERY {id}")));
     });
     assert!(matches!(client.got(), Got::Error(1317, _)));
-    next_is_first(&d, &mut peer);
+    next_is_first(&dispatcher, &mut peer);
     drop((waits, killer));
 }
 
@@ -87,9 +88,9 @@
 #[test]
 fn nothing_is_written_to_a_connection_whose_end_is_here_already() {
     let executor = Executor::new();
-    let (d, _coordinator, peer) = with_idle_connection(&executor);
-    let mut client = rests(&d);
-    while_still(&d, || {
+    let (dispatcher, _coordinator, peer) = with_idle_connection(&executor);
+    let mut client = logged_in_client(&dispatcher);
+    while_still(&dispatcher, || {
         client.ask(&request("load", "a1"));
         drop(peer);
     });
@@ -105,22 +106,22 @@
 #[test]
 fn who_drains_is_known_before_anything_begins() {
     let (executor, other, old) = (Executor::new(), Executor::new(), Executor::new());
-    let (mut d, coordinator) = quiet(&[("e0", old.address)]);
+    let (mut dispatcher, coordinator) = quiet(&[("e0", old.address)]);
     let (mut feed, _) = coordinator.accept();
     let list = [target("e0", old.address, "draining"), target("e1", executor.address, "up")];
     writeln!(feed, "{}", event(2, false, &list)).unwrap();
-    d.logs("executor listed anew");
-    let mut first = Client::asks(d.address, &request("read", "b9"));
+    dispatcher.logs("executor listed anew");
+    let mut first = Client::asks(dispatcher.address, &request("read", "b9"));
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
     assert_eq!(first.got(), row());
     let list = [target("e0", old.address, "removed"), target("e2", other.address, "up")];
     writeln!(feed, "{}", event(3, false, &list)).unwrap();
-    d.logs("executor listed anew");
-    let mut clients: Vec<Client> = (0..8).map(|_| rests(&d)).collect();
+    dispatcher.logs("executor listed anew");
+    let mut clients: Vec<Client> = (0..8).map(|_| logged_in_client(&dispatcher)).collect();
     let drains = event(4, false, &[target("e1", executor.address, "draining")]);
-    while_still(&d, || {
+    while_still(&dispatcher, || {
         for (n, client) in clients.iter_mut().enumerate() {
             client.ask(&request("read", &format!("b{n}")).replace("sales_7", &format!("sales_{n}")));
         }
@@ -144,8 +145,8 @@
 #[test]
 fn a_request_whose_client_closed_during_its_pause_does_not_begin() {
     let executor = Executor::new();
-    let (d, _coordinator, mut peer) = with_idle_connection(&executor);
-    let mut client = rests(&d);
+    let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
+    let mut client = logged_in_client(&dispatcher);
     for _ in 0..6 {
         client.ask("SELECT a FROM t");
         assert!(matches!(client.got(), Got::Error(1064, _)));
@@ -154,7 +155,7 @@
     drop(client);
     // Longer than the pause after the sixth mistake.
     std::thread::sleep(3 * STILL);
-    next_is_first(&d, &mut peer);
+    next_is_first(&dispatcher, &mut peer);
 }
 
 // Found by the soak (seed 39): a load on a resting connection and, a moment later, one of its key on a new connection, while
@@ -167,17 +168,17 @@
     let mut launch = launch();
     launch.settings = Quiet::default().json().replace(keeps_order.0, keeps_order.1);
     assert!(launch.settings.contains(keeps_order.1));
-    let (d, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
+    let (dispatcher, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
     let load = |digits| request("load", digits).replace("est=", "obj=00000000000000ee,est=");
-    let mut resting = Client::asks(d.address, "SET NAMES utf8mb4");
+    let mut resting = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(resting.got(), Got::Ok);
-    d.stands_still();
-    let _waits = std::net::TcpStream::connect(d.address).expect("a backlog");
+    dispatcher.stands_still();
+    let _waits = std::net::TcpStream::connect(dispatcher.address).expect("a backlog");
     resting.ask(&load("f1"));
     arrived(&resting.stream);
-    let new = Client::writes(d.address, &load("f2"));
+    let new = Client::writes(dispatcher.address, &load("f2"));
     arrived(&new.stream);
-    d.goes_on();
+    dispatcher.goes_on();
     let mut peer = executor.accept();
     assert!(peer.command().expect("a pull")[1].ends_with("f1"), "the earlier one runs first");
 }
--- a/tests/endings/backlog.rs
+++ b/tests/endings/backlog.rs
@@ -11,16 +11,16 @@
 fn a_backlog_larger_than_a_turn_is_answered_as_accepting_ends() {
     let mut launch = launch(&Quiet::default());
     launch.sockets = 2048;
-    let (mut d, _coordinator) = launch.dispatcher(&[]);
-    d.signal("TERM");
-    d.logs("SIGTERM");
-    d.stands_still();
+    let (mut dispatcher, _coordinator) = launch.dispatcher(&[]);
+    dispatcher.signal("TERM");
+    dispatcher.logs("SIGTERM");
+    dispatcher.stands_still();
     let mut login = (0x200u32 | 0x8000 | 0x8).to_le_bytes().to_vec();
     login.extend_from_slice(&[0; 28]);
     login.extend_from_slice(b"app\0\0main\0");
     let mut clients: Vec<Client> = (1..=300)
         .map(|n| {
-            let mut stream = TcpStream::connect(d.address).unwrap();
+            let mut stream = TcpStream::connect(dispatcher.address).unwrap();
             stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
             let head = [login.len() as u8, 0, 0, 1];
             stream
@@ -31,12 +31,12 @@
         })
         .collect();
     std::thread::sleep(shutdown::TAKEN_ON);
-    d.goes_on();
+    dispatcher.goes_on();
     let answered = clients.iter_mut().filter_map(|client| {
         let mut all = Vec::new();
         // Greeting, OK to the login, the refusal, and an orderly end.
         client.stream.read_to_end(&mut all).ok().filter(|_| all.windows(7).any(|w| w == b"refused"))
     });
     assert_eq!(answered.count(), 300, "all of them have an answer");
-    assert!(d.ends());
+    assert!(dispatcher.ends());
 }
--- a/tests/endings/late.rs
+++ b/tests/endings/late.rs
@@ -23,8 +23,8 @@
 fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
     let executor = Executor::new();
     let settings = Quiet { dedup_window: 0.9, ..Quiet::default() };
-    let (d, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, &long("keyed", 1));
+    let (dispatcher, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
+    let mut client = Client::asks(dispatcher.address, &long("keyed", 1));
     let mut peer = executor.accept();
     pulled(&mut peer, 1);
     let read = Instant::now();
@@ -44,8 +44,8 @@
 fn a_repeat_whose_connection_comes_up_after_the_span_is_not_sent() {
     let executor = Executor::new();
     let settings = Quiet { free_resends: 0.0, further_ratio: 1.0, ratio_span: 0.9, ..Quiet::default() };
-    let (d, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, &long("read", 1));
+    let (dispatcher, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
+    let mut client = Client::asks(dispatcher.address, &long("read", 1));
     let mut peer = executor.accept();
     let pull = pulled(&mut peer, 1);
     let read = Instant::now();
@@ -65,15 +65,16 @@
     for sigterm in [false, true] {
         let executor = Executor::new();
         let _filler = executor.narrows();
-        let (mut d, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
+        let (mut dispatcher, _coordinator) =
+            launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
         let budget = if sigterm { 15_000 } else { 1_500 };
-        let mut client = Client::asks(d.address, &request("load", 1, budget, 1_000));
+        let mut client = Client::asks(dispatcher.address, &request("load", 1, budget, 1_000));
         dialed(executor.address, 1);
         if sigterm {
-            d.signal("TERM");
+            dispatcher.signal("TERM");
         }
         let got = client.got();
         assert!(matches!(got, Got::Error(1203, _)), "{got:?} with SIGTERM {sigterm}");
-        assert!(!sigterm || d.ends());
+        assert!(!sigterm || dispatcher.ends());
     }
 }
--- a/tests/endings/shutdown.rs
+++ b/tests/endings/shutdown.rs
@@ -23,8 +23,8 @@
 
 fn one_of(settings: &Quiet) -> (Executor, Dispatcher, Coordinator) {
     let executor = Executor::new();
-    let (d, coordinator) = launch(settings).dispatcher(&[("e1", executor.address)]);
-    (executor, d, coordinator)
+    let (dispatcher, coordinator) = launch(settings).dispatcher(&[("e1", executor.address)]);
+    (executor, dispatcher, coordinator)
 }
 
 /// The one answer of a client whose dispatcher ends; its connection is closed after it.
@@ -50,18 +50,18 @@
 #[test]
 fn a_request_whose_end_comes_with_sigterm_or_after_it() {
     for after in [false, true] {
-        let (executor, mut d, _coordinator) = one();
-        let mut clients = CLASSES.map(|_| Client::asks(d.address, "SET NAMES utf8mb4"));
+        let (executor, mut dispatcher, _coordinator) = one();
+        let mut clients = CLASSES.map(|_| Client::asks(dispatcher.address, "SET NAMES utf8mb4"));
         clients.iter_mut().for_each(|client| assert_eq!(client.got(), Got::Ok));
         let requests = [1, 2, 3].map(|n| packet(&short(CLASSES[n - 1], n as u64)));
         for (client, request) in clients.iter_mut().zip(&requests) {
             client.stream.write_all(&request[..40]).unwrap();
         }
         if after {
-            d.signal("TERM");
-            d.logs("SIGTERM");
+            dispatcher.signal("TERM");
+            dispatcher.logs("SIGTERM");
         }
-        d.stands_still();
+        dispatcher.stands_still();
         for (client, request) in clients.iter_mut().zip(&requests) {
             client.stream.write_all(&request[40..]).unwrap();
             arrived(&client.stream);
@@ -69,36 +69,37 @@
         if after {
             std::thread::sleep(TAKEN_ON);
         } else {
-            d.signal("TERM");
+            dispatcher.signal("TERM");
         }
-        d.goes_on();
+        dispatcher.goes_on();
         let _peers = answered(&executor, 3);
         clients.iter_mut().for_each(last_served);
-        assert!(d.ends());
+        assert!(dispatcher.ends());
     }
 }
 
 // A request that stays half read was not taken: its connection ends, and the program does not wait for it.
 #[test]
 fn half_a_request_holds_nothing_up() {
-    let (_executor, mut d, _coordinator) = one();
-    let mut client = Client::asks(d.address, "SET NAMES utf8mb4");
+    let (_executor, mut dispatcher, _coordinator) = one();
+    let mut client = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
     client.stream.write_all(&packet(&short("load", 1))[..40]).unwrap();
-    d.signal("TERM");
-    assert!(d.ends());
+    dispatcher.signal("TERM");
+    assert!(dispatcher.ends());
 }
 
 // What waits for a connection as SIGTERM comes is sent once it is up, and refused if it never is.
 #[test]
 fn sigterm_while_requests_wait_for_a_connection() {
     for comes_up in [true, false] {
-        let (executor, mut d, _coordinator) = one();
+        let (executor, mut dispatcher, _coordinator) = one();
         let filler = executor.narrows();
-        let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long(CLASSES[n - 1], n as u64)));
+        let mut clients =
+            [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long(CLASSES[n - 1], n as u64)));
         dialed(executor.address, 3);
-        d.signal("TERM");
-        d.logs("SIGTERM");
+        dispatcher.signal("TERM");
+        dispatcher.logs("SIGTERM");
         if comes_up {
             executor.widens(filler);
             let _peers = answered(&executor, 3);
@@ -109,7 +110,7 @@
                 assert!(matches!(got, Got::Error(1203 | 1105, _)), "{got:?}");
             }
         }
-        assert!(d.ends());
+        assert!(dispatcher.ends());
         assert!(executor.came().is_empty());
     }
 }
@@ -119,8 +120,9 @@
 #[test]
 fn sigterm_while_requests_are_out() {
     for hangs in [false, true] {
-        let (executor, mut d, _coordinator) = one();
-        let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long(CLASSES[n - 1], n as u64)));
+        let (executor, mut dispatcher, _coordinator) = one();
+        let mut clients =
+            [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long(CLASSES[n - 1], n as u64)));
         let mut peers: Vec<_> = (0..3).map(|_| executor.accept()).collect();
         let ids: Vec<_> = peers.iter_mut().map(|peer| peer.command().unwrap()[1].clone()).collect();
         // The first has its first page, the second half a page, the third nothing.
@@ -129,11 +131,11 @@
         if !hangs {
             peers[1].say(&format!("{} OK pages=1 6\r\n1\t", ids[1]));
         }
-        d.stands_still();
-        d.signal("TERM");
+        dispatcher.stands_still();
+        dispatcher.signal("TERM");
         if hangs {
-            d.goes_on();
-            d.logs("SIGTERM");
+            dispatcher.goes_on();
+            dispatcher.logs("SIGTERM");
             for (client, number) in clients.iter_mut().zip([1203, 1105, 1203]) {
                 last_ended(client, number);
             }
@@ -141,13 +143,13 @@
             peers[0].page(&ids[0], "ROWS page=1", "2\tx\ty\n");
             peers[1].say("x\ty\n\r\n");
             peers[..2].iter().for_each(|peer| arrived(peer.stream()));
-            d.goes_on();
-            d.logs("SIGTERM");
+            dispatcher.goes_on();
+            dispatcher.logs("SIGTERM");
             peers[2].page(&ids[2], "OK pages=1", ROW);
             assert!(matches!(last(&mut clients[0]), Got::Rows(rows) if rows.len() == 2));
             clients[1..].iter_mut().for_each(last_served);
         }
-        assert!(d.ends());
+        assert!(dispatcher.ends());
         assert!(executor.came().is_empty());
     }
 }
@@ -156,43 +158,43 @@
 // served, a load fails.
 #[test]
 fn sigterm_while_requests_are_repeated() {
-    let (executor, mut d, _coordinator) = one();
-    let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &short(CLASSES[n - 1], n as u64)));
+    let (executor, mut dispatcher, _coordinator) = one();
+    let mut clients = [1, 2, 3].map(|n| Client::asks(dispatcher.address, &short(CLASSES[n - 1], n as u64)));
     let mut peers: Vec<_> = (0..3).map(|_| executor.accept()).collect();
     peers.iter_mut().for_each(|peer| assert_eq!(peer.command().unwrap()[0], "PULL"));
-    d.stands_still();
-    d.signal("TERM");
+    dispatcher.stands_still();
+    dispatcher.signal("TERM");
     peers.into_iter().for_each(Peer::resets);
-    d.goes_on();
+    dispatcher.goes_on();
     let _peers = answered(&executor, 2);
     last_served(&mut clients[0]);
     last_ended(&mut clients[1], 1105);
     last_served(&mut clients[2]);
-    assert!(d.ends());
+    assert!(dispatcher.ends());
     assert!(executor.came().is_empty());
 }
 
 // A second SIGTERM, SIGHUP with a good file and one with a bad file, all during the shutdown, change nothing of it.
 #[test]
 fn more_signals_during_the_shutdown() {
-    let (executor, mut d, _coordinator) = one();
-    let mut client = Client::asks(d.address, &short("load", 1));
+    let (executor, mut dispatcher, _coordinator) = one();
+    let mut client = Client::asks(dispatcher.address, &short("load", 1));
     let mut peer = executor.accept();
     let pull = pulled(&mut peer, 1);
-    d.signal("TERM");
-    d.logs("SIGTERM");
-    d.signal("TERM");
-    d.signal("HUP");
-    d.logs("configuration reloaded");
-    std::fs::write(&d.file, "{").unwrap();
-    d.stands_still();
-    d.signal("HUP");
-    d.signal("TERM");
-    d.goes_on();
-    d.logs("configuration reload rejected");
+    dispatcher.signal("TERM");
+    dispatcher.logs("SIGTERM");
+    dispatcher.signal("TERM");
+    dispatcher.signal("HUP");
+    dispatcher.logs("configuration reloaded");
+    std::fs::write(&dispatcher.file, "{").unwrap();
+    dispatcher.stands_still();
+    dispatcher.signal("HUP");
+    dispatcher.signal("TERM");
+    dispatcher.goes_on();
+    dispatcher.logs("configuration reload rejected");
     peer.page(&pull, "OK pages=1", ROW);
     last_served(&mut client);
-    assert!(d.ends());
+    assert!(dispatcher.ends());
 }
 
 // SIGTERM as soon as the address takes connections, and both signals at once: an orderly end, with an answer to
@@ -200,15 +202,15 @@
 #[test]
 fn sigterm_right_after_the_start() {
     for both in [false, true] {
-        let (executor, mut d, _coordinator) = one();
-        d.signal("TERM");
+        let (executor, mut dispatcher, _coordinator) = one();
+        dispatcher.signal("TERM");
         if both {
-            d.signal("HUP");
+            dispatcher.signal("HUP");
         }
-        d.logs("SIGTERM");
-        let mut client = Client::asks(d.address, &short("load", 1));
+        dispatcher.logs("SIGTERM");
+        let mut client = Client::asks(dispatcher.address, &short("load", 1));
         let _peers = answered(&executor, 1);
         last_served(&mut client);
-        assert!(d.ends());
+        assert!(dispatcher.ends());
     }
 }
--- a/tests/endings/start.rs
+++ b/tests/endings/start.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 /// Connects, logs in and has a COM_PING answered, with the patience of a front.
-fn ready(d: &Dispatcher) -> Client {
+fn ready(dispatcher: &Dispatcher) -> Client {
     use std::io::Write;
     let from = Instant::now();
-    let mut client = Client::asks(d.address, "SET NAMES utf8mb4");
+    let mut client = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
     client.stream.write_all(&[1, 0, 0, 0, 0x0e]).unwrap();
     assert_eq!(client.got(), Got::Ok);
@@ -27,16 +27,16 @@
     let launch = launch(&Quiet::default());
     let (refusing, silent) = (Refusing::new(), Coordinator::new());
     for coordinator in [refusing.address, silent.address] {
-        let d = launch.serving(&without_known(&launch.config(coordinator, &[])));
-        let mut client = ready(&d);
+        let dispatcher = launch.serving(&without_known(&launch.config(coordinator, &[])));
+        let mut client = ready(&dispatcher);
         for (n, class) in (1..).zip(CLASSES) {
             client.ask(&long(class, n));
             ended(&mut client, 1203);
         }
         // And it ends, too.
-        let mut d = d;
-        d.signal("TERM");
-        assert!(d.ends());
+        let mut dispatcher = dispatcher;
+        dispatcher.signal("TERM");
+        assert!(dispatcher.ends());
     }
 }
 
@@ -44,9 +44,9 @@
 #[test]
 fn the_first_event_after_nothing_was_known() {
     let (launch, away, executor) = (launch(&Quiet::default()), Refusing::new(), Executor::new());
-    let mut d = launch.serving(&without_known(&launch.config(away.address, &[])));
-    d.logs("feed: lost");
-    let mut client = ready(&d);
+    let mut dispatcher = launch.serving(&without_known(&launch.config(away.address, &[])));
+    dispatcher.logs("feed: lost");
+    let mut client = ready(&dispatcher);
     let coordinator = away.coordinator();
     let (mut feed, line) = coordinator.accept();
     assert_eq!(line, "follow 0\n");
@@ -83,13 +83,13 @@
     let [narrow, mute] = [0; 2].map(|_| Executor::new());
     let _filler = narrow.narrows();
     for executor in [&narrow, &mute] {
-        let (d, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
-        let mut clients =
-            [1, 2, 3].map(|n| Client::asks(d.address, &request(CLASSES[n - 1], n as u64, 1_500, 100)));
-        ready(&d);
+        let (dispatcher, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
+        let mut clients = [1, 2, 3]
+            .map(|n| Client::asks(dispatcher.address, &request(CLASSES[n - 1], n as u64, 1_500, 100)));
+        ready(&dispatcher);
         for client in &mut clients {
             assert!(matches!(client.got(), Got::Error(1203 | 1105, _)));
         }
-        ready(&d);
+        ready(&dispatcher);
     }
 }
--- a/tests/held_back/main.rs
+++ b/tests/held_back/main.rs
@@ -29,8 +29,8 @@
     let settings = Quiet::default().json();
     assert!(settings.contains(load_class));
     launch.settings = settings.replace(load_class, &format!(r#"{load_class},"keepOrder":true"#));
-    let (d, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
-    let client = SpacedClient { dispatcher: d.address, budget: BUDGET, spaces };
+    let (dispatcher, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
+    let client = SpacedClient { dispatcher: dispatcher.address, budget: BUDGET, spaces };
     let rids: Vec<u64> = (0xa00..0xa00 + REQUESTS).collect();
     client.ask(PACE, &rids, load)
 }
--- a/tests/slow_turns/deadlines.rs
+++ b/tests/slow_turns/deadlines.rs
@@ -15,15 +15,16 @@
     assert!(passed_on <= left + SLACK_MS, "{passed_on} ms passed on, {left} ms left");
 }
 
-// It was read at the beginning of a turn that took long, and goes out at its end.
+// A request was read at the beginning of a turn that took long, and goes out at its end: the budget that is passed on was
+// too long by that turn.
 #[test]
 fn counts_the_turn_that_it_was_read_in() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut peer = with_idle_connection(&d, &executor);
-    let mut client = resting(&d);
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let mut client = logged_in_client(&dispatcher);
     let mut asked = None;
-    let turn = LongTurn::begin(&d, || {
+    let turn = LongTurn::begin(&dispatcher, || {
         asked = Some(Instant::now());
         client.ask(&request("read", 0xa1, ""));
         arrived(&client.stream);
@@ -35,13 +36,14 @@
     assert_eq!(client.got(), row());
 }
 
-// A client is not read for a while after mistakes of its own: what it asked meanwhile has waited.
+// A client is not read for a while after mistakes of its own. What it asked meanwhile has waited for that pause, and its
+// budget has run.
 #[test]
 fn counts_the_pause_after_a_mistake() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut peer = with_idle_connection(&d, &executor);
-    let mut client = resting(&d);
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let mut client = logged_in_client(&dispatcher);
     for _ in 0..6 {
         client.ask("SELECT a FROM t");
         assert!(matches!(client.got(), Got::Error(1064, _)));
@@ -54,15 +56,16 @@
     assert_eq!(client.got(), row());
 }
 
-// It came during one turn, and the next did something else that took long before it read the request.
+// A request came during one turn. The next turn did something else that took long before it read the request: that time
+// counts as well.
 #[test]
 fn counts_what_the_turn_did_before_it_was_read() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut peer = with_idle_connection(&d, &executor);
-    let mut client = resting(&d);
-    let turn = LongTurn::begin(&d, || ());
-    let next = turn.holds_up_the_next(&d);
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let mut client = logged_in_client(&dispatcher);
+    let turn = LongTurn::begin(&dispatcher, || ());
+    let next = turn.holds_up_the_next(&dispatcher);
     let asked = Instant::now();
     client.ask(&request("read", 0xa1, ""));
     arrived(&client.stream);
@@ -78,12 +81,12 @@
 #[test]
 fn counts_what_the_turn_did_before_it_was_accepted() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut peer = with_idle_connection(&d, &executor);
-    let turn = LongTurn::begin(&d, || ());
-    let next = turn.holds_up_the_next(&d);
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let turn = LongTurn::begin(&dispatcher, || ());
+    let next = turn.holds_up_the_next(&dispatcher);
     let asked = Instant::now();
-    let client = Client::writes(d.address, &request("read", 0xa1, ""));
+    let client = Client::writes(dispatcher.address, &request("read", 0xa1, ""));
     arrived(&client.stream);
     turn.end_after(Duration::from_millis(50));
     next.end_after(Duration::from_millis(1_100));
--- a/tests/slow_turns/departed.rs
+++ b/tests/slow_turns/departed.rs
@@ -7,21 +7,24 @@
 const OVERDUE: Duration = Duration::from_millis(250);
 
 /// The next request to reach the executor has to be another client's.
-fn nothing_began(d: &Dispatcher, peer: &mut Peer) {
-    let mut next = Client::asks(d.address, &request("read", 0xaf, ""));
+fn nothing_began(dispatcher: &Dispatcher, peer: &mut Peer) {
+    let mut next = Client::asks(dispatcher.address, &request("read", 0xaf, ""));
     let pull = peer.command().expect("a pull");
     assert_eq!(pull[1], format!("{:016x}", 0xaf), "began for a client that had left: {pull:?}");
     answer(peer, &pull);
     assert_eq!(next.got(), row());
 }
 
+// A turn reads two requests and then takes long. One client closes meanwhile, the other is killed: neither request may
+// begin once the turn goes on.
 #[test]
 fn as_it_arrived() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut peer = with_idle_connection(&d, &executor);
-    let (mut closes, mut killed, mut killer) = (resting(&d), resting(&d), resting(&d));
-    let turn = LongTurn::begin(&d, || {
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let (mut closes, mut killed, mut killer) =
+        (logged_in_client(&dispatcher), logged_in_client(&dispatcher), logged_in_client(&dispatcher));
+    let turn = LongTurn::begin(&dispatcher, || {
         closes.ask(&request("load", 0xa1, ""));
         arrived(&closes.stream);
         killed.ask(&request("read", 0xa2, ""));
@@ -30,105 +33,109 @@
     drop(closes);
     killer.ask(&format!("KILL QUERY {}", killed.id));
     turn.end_after(OVERDUE);
-    nothing_began(&d, &mut peer);
+    nothing_began(&dispatcher, &mut peer);
     assert!(matches!(killed.got(), Got::Error(1317, _)));
     assert_eq!(killer.got(), Got::Ok);
 }
 
-// A KILL on a connection that nobody has accepted yet.
+// A request is read in a long turn. Its KILL comes meanwhile on a connection that waits in the backlog, behind a hundred
+// others: it has to be accepted and read before the request may begin.
 #[test]
 fn killed_from_the_backlog() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut peer = with_idle_connection(&d, &executor);
-    let mut killed = resting(&d);
-    let turn = LongTurn::begin(&d, || {
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let mut killed = logged_in_client(&dispatcher);
+    let turn = LongTurn::begin(&dispatcher, || {
         killed.ask(&request("load", 0xa1, ""));
         arrived(&killed.stream);
     });
     let crowd: Vec<_> =
-        (0..100).map(|_| std::net::TcpStream::connect(d.address).expect("a backlog")).collect();
-    let _killer = Client::writes(d.address, &format!("KILL QUERY {}", killed.id));
+        (0..100).map(|_| std::net::TcpStream::connect(dispatcher.address).expect("a backlog")).collect();
+    let _killer = Client::writes(dispatcher.address, &format!("KILL QUERY {}", killed.id));
     turn.end_after(OVERDUE);
-    nothing_began(&d, &mut peer);
+    nothing_began(&dispatcher, &mut peer);
     assert!(matches!(killed.got(), Got::Error(1317, _)));
     drop(crowd);
 }
 
-// A timer: the key has rested by the end of the long turn, and the next load of it is due.
+// A load may have run, so that the next one of its key waits for a quiet time. That time ends in a long turn, in which the
+// client of the next one leaves: the timer must not begin it.
 #[test]
 fn due_by_a_timer() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(1.5, &[&executor]);
-    let mut first = Client::asks(d.address, &request("load", 0xa1, ",obj=00000000000000ee"));
+    let (dispatcher, _coordinator) = dispatcher(1.5, &[&executor]);
+    let mut first = Client::asks(dispatcher.address, &request("load", 0xa1, ",obj=00000000000000ee"));
     let mut peer = executor.accept();
     assert_eq!(peer.command().expect("a pull")[1], format!("{:016x}", 0xa1));
-    let mut second = resting(&d);
+    let mut second = logged_in_client(&dispatcher);
     second.ask(&request("load", 0xa2, ",obj=00000000000000ee"));
     arrived(&second.stream);
     peer.resets();
     assert!(matches!(first.got(), Got::Error(1105, _)));
-    let mut peer = with_idle_connection(&d, &executor);
-    let turn = LongTurn::begin(&d, || ());
+    let mut peer = with_idle_connection(&dispatcher, &executor);
+    let turn = LongTurn::begin(&dispatcher, || ());
     drop(second);
     turn.end_after(Duration::from_millis(2_000));
-    nothing_began(&d, &mut peer);
+    nothing_began(&dispatcher, &mut peer);
 }
 
-// The one before of its key has its answer in that turn.
+// Two loads of a key: the second waits for the first. The first has its answer in a long turn, in which the second's
+// client leaves: the second must not begin.
 #[test]
 fn next_of_its_key() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut spare = with_idle_connection(&d, &executor);
-    let mut first = Client::asks(d.address, &request("load", 0xa1, ",obj=00000000000000ee"));
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut spare = with_idle_connection(&dispatcher, &executor);
+    let mut first = Client::asks(dispatcher.address, &request("load", 0xa1, ",obj=00000000000000ee"));
     let pull = spare.command().expect("a pull");
-    let mut second = resting(&d);
+    let mut second = logged_in_client(&dispatcher);
     second.ask(&request("load", 0xa2, ",obj=00000000000000ee"));
     arrived(&second.stream);
-    let turn = LongTurn::begin(&d, || {
+    let turn = LongTurn::begin(&dispatcher, || {
         answer(&mut spare, &pull);
         arrived(spare.stream());
     });
     drop(second);
     turn.end_after(OVERDUE);
     assert_eq!(first.got(), row());
-    nothing_began(&d, &mut spare);
+    nothing_began(&dispatcher, &mut spare);
 }
 
-// Its connection comes up in that turn.
+// A request waits for its connection, which comes up in a long turn. Its client leaves in that turn: nothing is written.
 #[test]
 fn waits_for_its_connection() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(0.1, &[&executor]);
+    let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let filler = executor.narrows();
-    let client = Client::asks(d.address, &request("load", 0xa1, ""));
+    let client = Client::asks(dispatcher.address, &request("load", 0xa1, ""));
     dialed(executor.address, 1);
     let mut peer = None;
-    let turn = LongTurn::begin(&d, || {
+    let turn = LongTurn::begin(&dispatcher, || {
         executor.widens(filler);
         peer = Some(executor.accept());
     });
     drop(client);
     turn.end_after(OVERDUE);
-    nothing_began(&d, &mut peer.expect("its connection"));
+    nothing_began(&dispatcher, &mut peer.expect("its connection"));
 }
 
-// Its first attempt is lost in that turn, and another executor is there for a second.
+// A request's first attempt is lost in a long turn, and another executor could take a second one. Its client leaves in
+// that turn: there is no second attempt.
 #[test]
 fn sent_again_elsewhere() {
     let executors = [Executor::new(), Executor::new()];
     let both = [&executors[0], &executors[1]];
-    let (d, _coordinator) = dispatcher(0.1, &both);
-    let mut peers = with_idle_connections(&d, &both);
-    let client = Client::asks(d.address, &request("read", 0xa1, ""));
+    let (dispatcher, _coordinator) = dispatcher(0.1, &both);
+    let mut peers = with_idle_connections(&dispatcher, &both);
+    let client = Client::asks(dispatcher.address, &request("read", 0xa1, ""));
     let (at, pull) = next_pull(&mut peers);
     assert_eq!(pull[1], format!("{:016x}", 0xa1));
     let busy = peers.swap_remove(at);
-    let turn = LongTurn::begin(&d, || busy.resets());
+    let turn = LongTurn::begin(&dispatcher, || busy.resets());
     drop(client);
     turn.end_after(OVERDUE);
-    let mut next = Client::asks(d.address, &request("read", 0xaf, ""));
+    let mut next = Client::asks(dispatcher.address, &request("read", 0xaf, ""));
     let (at, pull) = next_pull(&mut peers);
     assert_eq!(pull[1], format!("{:016x}", 0xaf), "began for a client that had left: {pull:?}");
     answer(&mut peers[at], &pull);
@@ -136,7 +143,7 @@
 }
 
 /// Idle connections to all of these executors.
-fn with_idle_connections(d: &Dispatcher, executors: &[&Executor]) -> Vec<Peer> {
+fn with_idle_connections(dispatcher: &Dispatcher, executors: &[&Executor]) -> Vec<Peer> {
     let (mut clients, mut peers) = (Vec::new(), Vec::new());
     let mut met = vec![false; executors.len()];
     for rid in 0xb00.. {
@@ -144,7 +151,7 @@
             break;
         }
         // All stay open for now, so that each has a connection of its own.
-        clients.push(Client::asks(d.address, &request("read", rid, "")));
+        clients.push(Client::asks(dispatcher.address, &request("read", rid, "")));
         let (at, mut peer) = Executor::any(executors);
         met[at] = true;
         let pull = peer.command().expect("a pull");
--- a/tests/slow_turns/long_turn.rs
+++ b/tests/slow_turns/long_turn.rs
@@ -35,20 +35,20 @@
 
 impl LongTurn {
     /// Holds the program still, has `before` bring what the turn begins with, and holds up the turn.
-    pub fn begin(d: &Dispatcher, before: impl FnOnce()) -> LongTurn {
-        pipe_instead_of(&d.file);
-        d.stands_still();
+    pub fn begin(dispatcher: &Dispatcher, before: impl FnOnce()) -> LongTurn {
+        pipe_instead_of(&dispatcher.file);
+        dispatcher.stands_still();
         before();
-        d.signal("HUP");
-        d.goes_on();
-        LongTurn { pipe: opened(&d.file), config: d.config.clone() }
+        dispatcher.signal("HUP");
+        dispatcher.goes_on();
+        LongTurn { pipe: opened(&dispatcher.file), config: dispatcher.config.clone() }
     }
 
     /// Has the next turn begin with a SIGHUP that holds it up too, before whatever comes from now on.
-    pub fn holds_up_the_next(&self, d: &Dispatcher) -> NextTurn {
-        pipe_instead_of(&d.file);
-        d.signal("HUP");
-        NextTurn { file: d.file.clone(), config: d.config.clone() }
+    pub fn holds_up_the_next(&self, dispatcher: &Dispatcher) -> NextTurn {
+        pipe_instead_of(&dispatcher.file);
+        dispatcher.signal("HUP");
+        NextTurn { file: dispatcher.file.clone(), config: dispatcher.config.clone() }
     }
 
     /// Lets so much time pass, then lets the turn go on.
--- a/tests/slow_turns/main.rs
+++ b/tests/slow_turns/main.rs
@@ -35,8 +35,8 @@
 }
 
 /// A client that is logged in and asks nothing.
-fn resting(d: &Dispatcher) -> Client {
-    let mut client = Client::asks(d.address, "SET NAMES utf8mb4");
+fn logged_in_client(dispatcher: &Dispatcher) -> Client {
+    let mut client = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
     client
 }
@@ -47,8 +47,8 @@
 }
 
 /// Has a request served, so that a connection to the executor is up and idle.
-fn with_idle_connection(d: &Dispatcher, executor: &Executor) -> Peer {
-    let mut client = Client::asks(d.address, &request("read", 0xa0, ""));
+fn with_idle_connection(dispatcher: &Dispatcher, executor: &Executor) -> Peer {
+    let mut client = Client::asks(dispatcher.address, &request("read", 0xa0, ""));
     let mut peer = executor.accept();
     let pull = peer.command().expect("a pull");
     answer(&mut peer, &pull);
--- a/tests/slow_turns/shutdown.rs
+++ b/tests/slow_turns/shutdown.rs
@@ -8,10 +8,10 @@
 #[test]
 fn what_was_read_and_never_began_is_refused_at_the_end() {
     let executor = Executor::new();
-    let (mut d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut clients: Vec<Client> = (0..40).map(|_| resting(&d)).collect();
-    let turn = LongTurn::begin(&d, || {
-        d.signal("TERM");
+    let (mut dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut clients: Vec<Client> = (0..40).map(|_| logged_in_client(&dispatcher)).collect();
+    let turn = LongTurn::begin(&dispatcher, || {
+        dispatcher.signal("TERM");
         for (rid, client) in (0xa1..).zip(&mut clients) {
             client.ask(&request("load", rid, ""));
             arrived(&client.stream);
@@ -25,7 +25,7 @@
             got => panic!("no refusal but {got:?}"),
         }
     }
-    assert!(d.ends());
+    assert!(dispatcher.ends());
 }
 
 /// The platform kills no sooner than this after SIGTERM: the longest deadline counts as 3 s, and 0.7 s more.
@@ -35,34 +35,34 @@
 #[test]
 fn a_signal_in_a_long_turn_counts_from_when_it_came() {
     let executor = Executor::new();
-    let (mut d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut client = resting(&d);
+    let (mut dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut client = logged_in_client(&dispatcher);
     client.ask(&request("load", 0xa1, ""));
     let mut hangs = executor.accept();
     assert_eq!(hangs.command().expect("a pull")[1], format!("{:016x}", 0xa1));
-    let turn = LongTurn::begin(&d, || ());
+    let turn = LongTurn::begin(&dispatcher, || ());
     let told = Instant::now();
-    d.signal("TERM");
+    dispatcher.signal("TERM");
     turn.end_after(Duration::from_millis(800));
     assert!(matches!(client.got(), Got::Error(1105, _)));
     assert!(told.elapsed() < KILLED_AFTER, "answered {:?} after the signal", told.elapsed());
-    assert!(d.ends());
+    assert!(dispatcher.ends());
 }
 
 // As long as new requests may come, each is answered, however late the signal was heeded.
 #[test]
 fn a_signal_in_a_long_turn_leaves_the_time_for_what_still_comes() {
     let executor = Executor::new();
-    let (mut d, _coordinator) = dispatcher(0.1, &[&executor]);
-    let mut early = resting(&d);
-    let turn = LongTurn::begin(&d, || ());
-    d.signal("TERM");
+    let (mut dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
+    let mut early = logged_in_client(&dispatcher);
+    let turn = LongTurn::begin(&dispatcher, || ());
+    dispatcher.signal("TERM");
     // Longer than what is begun could still be seen to its end.
     turn.end_after(Duration::from_millis(3_300));
     early.ask(&request("load", 0xa1, ""));
-    let mut late = Client::asks(d.address, &request("load", 0xa2, ""));
+    let mut late = Client::asks(dispatcher.address, &request("load", 0xa2, ""));
     for client in [&mut early, &mut late] {
         assert!(matches!(client.got(), Got::Error(1203, _)), "refused, as it never ran");
     }
-    assert!(d.ends());
+    assert!(dispatcher.ends());
 }
--- a/tests/stories/clients.rs
+++ b/tests/stories/clients.rs
@@ -6,8 +6,8 @@
 #[test]
 fn bad_input_costs_one_connection() {
     let executor = Executor::new();
-    let (mut d, _coordinator) = dispatcher(&[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, READ);
+    let (mut dispatcher, _coordinator) = dispatcher(&[("e1", executor.address)]);
+    let mut client = Client::asks(dispatcher.address, READ);
     let mut peer = executor.accept();
     peer.command().unwrap();
     peer.say("00000000000000a1 OK pages=1 6\r\nx\ty\tz\n\r"); // one byte short of its length's end
@@ -30,9 +30,9 @@
     client.stream.write_all(&[255, 255, 255, 0, 3]).unwrap();
     assert!(matches!(client.got(), Got::Error(1153, _)));
     assert_eq!(client.got(), Got::Closed);
-    let mut other = Client::asks(d.address, "SET NAMES utf8mb4");
+    let mut other = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(other.got(), Got::Ok);
-    assert!(d.child.try_wait().unwrap().is_none());
+    assert!(dispatcher.child.try_wait().unwrap().is_none());
 }
 
 // Some clients say nothing, or half of it: they have to go by the dispatcher's own clock, while one that asked
@@ -40,12 +40,12 @@
 #[test]
 fn who_never_asks_has_to_go_and_who_rests_may_stay() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(&[("e1", executor.address)]);
-    let mut rests = Client::asks(d.address, "SET NAMES utf8mb4");
+    let (dispatcher, _coordinator) = dispatcher(&[("e1", executor.address)]);
+    let mut rests = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(rests.got(), Got::Ok);
     let from = std::time::Instant::now();
-    let mut silent = std::net::TcpStream::connect(d.address).unwrap();
-    let mut half = Client::asks(d.address, "SET NAMES utf8mb4");
+    let mut silent = std::net::TcpStream::connect(dispatcher.address).unwrap();
+    let mut half = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(half.got(), Got::Ok);
     half.stream.write_all(&[90, 0, 0, 0, 3, b'S']).unwrap();
     assert!(matches!(half.got(), Got::Error(1159, _)));
@@ -61,7 +61,7 @@
 #[test]
 fn what_is_no_request_is_never_served() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(&[("e1", executor.address)]);
+    let (dispatcher, _coordinator) = dispatcher(&[("e1", executor.address)]);
     let wrong = [
         "SELECT 1",
         "/* never closed SELECT 1",
@@ -73,7 +73,7 @@
         "/* method=read_x,rid=00000000000000a1,budget=9 */ SELECT 1",
     ];
     // The same again as soon as it is turned away: after some errors in a row the client has to go.
-    let mut client = Client::asks(d.address, wrong[0]);
+    let mut client = Client::asks(dispatcher.address, wrong[0]);
     for next in wrong.iter().skip(1) {
         assert!(matches!(client.got(), Got::Error(1064 | 1105, _)));
         client.ask(next);
@@ -81,7 +81,7 @@
     assert!(matches!(client.got(), Got::Error(..)));
     assert_eq!(client.got(), Got::Closed);
     // Requests written one behind the other are all turned away, and the one that went out is given up.
-    let mut many = Client::asks(d.address, READ);
+    let mut many = Client::asks(dispatcher.address, READ);
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
     many.ask(&READ.replace("a1", "a2"));
@@ -95,17 +95,18 @@
 #[test]
 fn a_crowd_that_stays_makes_room() {
     let executor = Executor::new();
-    let (d, _coordinator) = dispatcher(&[("e1", executor.address)]);
-    let mut first = Client::asks(d.address, "SET NAMES utf8mb4");
+    let (dispatcher, _coordinator) = dispatcher(&[("e1", executor.address)]);
+    let mut first = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(first.got(), Got::Ok);
-    let mut open = Client::asks(d.address, &READ.replace("est=10", "est=2000"));
+    let mut open = Client::asks(dispatcher.address, &READ.replace("est=10", "est=2000"));
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
-    let connect = |_| std::net::TcpStream::connect(d.address).unwrap();
+    let connect = |_| std::net::TcpStream::connect(dispatcher.address).unwrap();
     let silent: Vec<_> = (0..150).map(connect).collect();
     std::thread::sleep(std::time::Duration::from_millis(300));
     // On a busy machine a client may stand still between its connect and its login, and be taken for silent.
-    let mut crowd: Vec<Client> = (0..200).map(|_| Client::says(d.address, "SET NAMES utf8mb4")).collect();
+    let mut crowd: Vec<Client> =
+        (0..200).map(|_| Client::says(dispatcher.address, "SET NAMES utf8mb4")).collect();
     let served =
         crowd.iter_mut().filter_map(|c| (c.got() == Got::Ok && c.got() == Got::Ok).then_some(())).count();
     assert!(served > 150, "{served} of 200 who ask are let in");
