--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,11 +1,11 @@
-//! What a dispatcher wants done.
+//! What the balancer decides: the actions that its host carries out.
 
-use super::{EndReason, ExecutorId, Micros, RequestId};
+use super::{DurationUs, EndReason, ExecutorId, RequestId};
 
-/// What a dispatcher wants done, in this order and at once.
+/// What a dispatcher is to do, at once and in the order in which the actions come.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Set memory and priority for the request's further sends; the priority also for what is out.
+    /// Set the memory grant of the request's next attempts, and the priority of these and of those in flight.
     SetTerms {
         /// The request.
         request: RequestId,
@@ -18,63 +18,63 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The executor that it goes to.
         executor: ExecutorId,
-        /// Its time-out; `None` until the client gives up.
-        timeout: Option<Micros>,
+        /// How long to wait for its answer; `None` until the client gives up.
+        timeout: Option<DurationUs>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt that is in flight.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// Final answer: turned away, trying again is harmless.
+    /// Final answer: rejected. A repeat is harmless: the request is idempotent, or no attempt of it ran.
     Reject {
         /// The request.
         request: RequestId,
-        /// When to come back.
-        retry_after: Option<Micros>,
+        /// How long the client should wait before it repeats the request; `None` where no advice is passed on.
+        retry_after: Option<DurationUs>,
         /// Why, for the log.
         reason: EndReason,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed. An attempt may have run, so that a repeat may run it twice.
     Fail {
         /// The request.
         request: RequestId,
         /// Why, for the log.
         reason: EndReason,
     },
-    /// Probe an executor.
+    /// Send an executor a health check, which brings its load report.
     Probe {
         /// The executor.
         executor: ExecutorId,
     },
-    /// Ask for the changes of the executor list from now on.
+    /// Watch the endpoint list: its changes come as events from now on.
     Watch,
-    /// Stop hearing of changes.
+    /// Stop watching the endpoint list.
     Unwatch,
-    /// Ask for the whole executor list once.
+    /// Fetch the complete endpoint list once.
     FetchEndpointList,
     /// Close idle connections to an executor.
     CloseIdle {
         /// The executor.
         executor: ExecutorId,
     },
-    /// Tell one dispatcher of the tier something, or all of them.
+    /// Send gossip to one dispatcher of the tier, or to all.
     Gossip {
         /// Its number; `None` for all.
         to: Option<u32>,
-        /// What is told.
+        /// The message.
         content: String,
     },
     /// Set a timer.
     SetTimer {
-        /// Comes back with the timer.
+        /// Comes back with the timer's event.
         token: u64,
-        /// From now.
-        after: Micros,
+        /// Time from now until it is due.
+        after: DurationUs,
     },
     /// A line for the log.
     Log(String),
--- a/src/api/end_reason.rs
+++ b/src/api/end_reason.rs
@@ -7,27 +7,27 @@
 pub enum EndReason {
     /// It was served.
     Served,
-    /// A rule refused it on arrival: it costs too much now, or its tenant is over its share.
+    /// Rejected on arrival by an admission rule: too costly under the present load, or over its tenant's quota.
     OverLimit,
-    /// What waits before it in its key's line takes longer than its client waits.
+    /// Rejected on arrival: what is before it in its key's queue takes longer than its client waits.
     LineTooLong,
-    /// It waited in its key's line until hardly any time was left.
+    /// It waited in its key's queue until it could not finish in time.
     LineTimedOut,
-    /// No executor may take it.
+    /// No executor may take it, or none that is usable.
     NoExecutor,
-    /// Its last attempt failed, and no further one may be made.
+    /// Its last attempt failed, and no retry is allowed.
     NoFurtherAttempt,
-    /// It was past its aim, and the executors are overloaded.
+    /// It missed its latency objective in an overload, and was given up in favour of others.
     Overloaded,
-    /// Its time is over.
+    /// Its deadline is over.
     Deadline,
-    /// This dispatcher ends before it could be served.
+    /// This dispatcher shuts down before it could be served.
     Stopping,
     /// Too many requests were open.
     TooManyOpen,
-    /// Answered with the word of others: of the fleet, of a policy, or of a retry storm's limits.
+    /// Answered on the decision of another part: the control plane, the admission policy or overload control.
     Elsewhere,
-    /// The right to act on it was lost.
+    /// The lease that gave the right to act on it was lost.
     LeaseLost,
 }
 
@@ -48,7 +48,7 @@
         EndReason::LeaseLost,
     ];
 
-    /// Its name in logs.
+    /// Its name in logs and counters, as the operators' pages give it.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::Served => "served",
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,6 +1,6 @@
-//! What happens to a dispatcher.
+//! The events that the host hands to the balancer.
 
-use super::{ClassId, Endpoint, EndpointListKind, ExecutorId, Micros, Report, RequestId, TenantId};
+use super::{ClassId, DurationUs, Endpoint, EndpointListKind, ExecutorId, Report, RequestId, TenantId};
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     Ok,
     /// The executor answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// The executor rejected it without running it.
     Rejected,
     /// No answer in time; it may have run or still run.
     Timeout,
@@ -17,7 +17,7 @@
     ConnectFailed,
     /// The connection dropped; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -30,23 +30,23 @@
     }
 }
 
-/// What a request cost, where answers tell it.
+/// What a request cost, as its answer reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReportedCost {
-    /// Work of all threads, in seconds.
+    /// Cost in thread-seconds.
     pub thread_seconds: f64,
     /// Memory needed, in MB.
     pub memory_mb: f64,
 }
 
-/// Word on an attempt that is out.
+/// A message of an attempt that is in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptProgress {
-    /// Share done, rough.
+    /// Fraction done, 0 to 1, a rough figure.
     Progress(f64),
-    /// It spills; so many MB are missing.
+    /// It spills to disk, as so many MB of memory are missing.
     Spill(f64),
-    /// It waits for memory or a load.
+    /// It waits for memory, or for a load of its table group.
     Waits,
 }
 
@@ -59,19 +59,19 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// Its key, for classes that keep order.
+    /// Its key, for classes whose requests run in the order of their key.
     pub key: Option<u64>,
-    /// How long until the client gives up on this try.
-    pub time_budget: Micros,
-    /// Estimated work of all threads, in seconds.
+    /// Time from now until the client gives up on this request.
+    pub time_budget: DurationUs,
+    /// Estimated cost, in thread-seconds.
     pub estimate_s: Option<f64>,
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
     /// The group of tables that it reads.
     pub group: u64,
-    /// The client says that it tried before.
+    /// The client says that it has sent the request before.
     pub repeated: bool,
-    /// Its client may have held it back before it sent it: its grace is reckoned at the worst.
+    /// Its client may have held it back before it sent it, so that `time_budget` is the least it can be.
     pub held_back: bool,
 }
 
@@ -82,24 +82,24 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: u32,
-    /// Where it ran.
+    /// The executor that it was sent to.
     pub executor: ExecutorId,
     /// The request has its final answer.
     pub done: bool,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub latency: Micros,
-    /// What it cost, if told.
+    pub latency: DurationUs,
+    /// What it cost, if the answer reports it.
     pub reported_cost: Option<ReportedCost>,
     /// A load report, if one came along.
     pub report: Option<Report>,
 }
 
-/// What happens to a dispatcher.
+/// Something that happened to a dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the executor list.
+    /// The endpoint list, or a change of it.
     EndpointList {
         /// What the entries are.
         kind: EndpointListKind,
@@ -108,7 +108,7 @@
     },
     /// A request arrived.
     Arrival(Arrival),
-    /// A streamed answer has begun: the attempt belongs to the client.
+    /// A streamed answer has begun: its attempt is neither cancelled nor repeated from now on.
     FirstByte {
         /// The request.
         request: RequestId,
@@ -117,7 +117,7 @@
     },
     /// An attempt is over.
     AttemptFinished(AttemptFinished),
-    /// Word on an attempt that is out.
+    /// An attempt in flight has sent a message.
     AttemptProgressed {
         /// The request.
         request: RequestId,
@@ -125,10 +125,10 @@
         attempt: u32,
         /// Where it runs.
         executor: ExecutorId,
-        /// The word.
+        /// The message.
         progress_note: AttemptProgress,
     },
-    /// The client left; no answer is owed.
+    /// The client has disconnected and gets no answer.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -138,11 +138,11 @@
         /// As it was set.
         token: u64,
     },
-    /// Another dispatcher of the tier told something.
+    /// Gossip of another dispatcher of the tier.
     Gossip {
         /// Its number.
         from: u32,
-        /// What it told.
+        /// The message.
         content: String,
     },
     /// A probe is over.
@@ -152,7 +152,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        latency: Micros,
+        latency: DurationUs,
         /// A load report, if one came along.
         report: Option<Report>,
     },
--- a/src/api/executors.rs
+++ b/src/api/executors.rs
@@ -1,20 +1,20 @@
-//! The executor list and load reports.
+//! Endpoints, the list of them, and load reports.
 
-use super::{ExecutorId, KindId, Micros, ZoneId};
+use super::{ExecutorId, KindId, TimestampUs, ZoneId};
 
-/// What an executor's process does, as the list has it.
+/// Whether an executor takes requests, by the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Readiness {
     /// Takes requests.
     #[default]
     Active,
-    /// Completes its work, takes nothing new.
+    /// Draining: it completes its work and takes nothing new.
     Leaving,
     /// Removed.
     Left,
 }
 
-/// An entry of the executor list.
+/// An executor, as an entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Endpoint {
     /// The executor.
@@ -25,17 +25,17 @@
     pub kind: KindId,
     /// Its cell.
     pub cell: u64,
-    /// What it does.
+    /// Whether it takes requests.
     pub readiness: Readiness,
-    /// Relative size, where the list tells it.
+    /// Relative size, as the list gives it.
     pub rating: f64,
-    /// Its latest start; `None` for long ago.
-    pub started: Option<Micros>,
-    /// Share of the work beside others of its kind; `None` is the usual, 1.
+    /// When its process started; `None` for long ago.
+    pub started: Option<TimestampUs>,
+    /// Its part of the traffic, as a multiple of others of its kind; `None` is the usual, 1.
     pub weight: Option<f64>,
 }
 
-/// Why a list arrived.
+/// What the entries of an endpoint list are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// Only entries that changed.
@@ -44,22 +44,22 @@
     Replace,
     /// All entries as last seen before a restart, perhaps stale.
     Restored,
-    /// The call failed; the old list holds.
+    /// The list could not be had; the old one holds.
     Unavailable,
 }
 
 /// A load report; what is not reported is `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Report {
-    /// Share of the cores that is busy.
+    /// Fraction of the cores that is busy.
     pub util: Option<f64>,
     /// Requests held.
     pub inflight: Option<f64>,
     /// Requests waiting for memory.
     pub queue: Option<f64>,
-    /// Share of memory granted.
+    /// Fraction of the memory that is granted.
     pub memory: Option<f64>,
-    /// Share of disks busy.
+    /// Fraction of the time that disks are busy.
     pub disks: Option<f64>,
 }
 
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The interface of the decision module: settings, events, actions and ids. It decides nothing.
+//! The interface of the balancer: its settings, the events that its host hands to it, and the actions that
+//! come back. It decides nothing.
 //!
 //! Classes, tenants, zones and kinds of machine are indices into the lists of [`Settings`]; their names
-//! stay with the host. All times and spans are whole microseconds.
+//! stay with the host. All points in time and spans are whole microseconds.
 
 mod action;
 mod end_reason;
@@ -17,7 +18,7 @@
 pub use settings::{
     Class, Idempotency, KeyScope, Kind, MemoryShortage, Reports, RetryBudget, Settings, SlowStart, Tenant,
 };
-pub use validation::{SettingsError, check};
+pub use validation::{ClassError, SettingsError, check};
 
 /// A point in time or a span, in microseconds. [`TimestampUs`] and [`DurationUs`] say which of the two.
 pub type Micros = u64;
@@ -33,7 +34,7 @@
 pub type ZoneId = usize;
 /// Index into [`Settings::kinds`].
 pub type KindId = usize;
-/// An executor, by the id that the list gives it. It tells nothing of zone, kind or age.
+/// An executor, by the id that the endpoint list gives it. The id says nothing of its zone, kind or age.
 pub type ExecutorId = u32;
 /// A request; never used twice.
 pub type RequestId = u64;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,24 +1,24 @@
-//! What a dispatcher is told at its start: classes, kinds of machine, tenants, and what executors do.
+//! Settings of the balancer: classes of request, kinds of machine, tenants, and what executors support.
 
-use super::{Endpoint, KindId, Micros, ZoneId};
+use super::{DurationUs, Endpoint, KindId, Micros, ZoneId};
 
-/// What may be done about an attempt whose fate is unknown.
+/// Whether a request may run again after an attempt of it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated freely.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats are dropped inside a group of executors, for a while.
+    /// Executors of a group drop repeats for a while, by an idempotency key.
     IdempotencyKey {
         /// The executors that drop each other's repeats.
         scope: KeyScope,
         /// For how long after the first attempt that may have run.
-        window: Micros,
+        window: DurationUs,
     },
-    /// Must not run twice.
+    /// It must not run twice.
     NotIdempotent,
 }
 
-/// Which executors drop repeats of a keyed request.
+/// Which executors drop repeats of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
     /// Any executor.
@@ -43,25 +43,25 @@
 /// A class of request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time, plus `aim_stretch`, earns the whole worth.
-    pub latency_objective: Micros,
-    /// The aim grows by this times the request's work over its threads.
+    /// An answer within this time of the arrival, plus the stretch, earns the whole weight.
+    pub latency_objective: DurationUs,
+    /// The latency objective grows by this multiple of the request's cost over its threads.
     pub latency_objective_stretch: f64,
-    /// How long a client waits in all.
-    pub deadline: Micros,
-    /// Worth of one answer.
+    /// How long a client waits in all, its own repeats included.
+    pub deadline: DurationUs,
+    /// What one answer in time earns, in points of service.
     pub priority_weight: f64,
-    /// Share of the worth that a late answer still earns.
+    /// Fraction of the weight that a late answer still earns.
     pub late_priority_weight: f64,
     /// Threads that a request runs on.
     pub threads: u32,
-    /// What may be repeated.
+    /// Whether its requests may run again.
     pub idempotency: Idempotency,
     /// Requests of one key run one at a time.
     pub keep_order: bool,
     /// It holds its table group on its executor while it runs.
     pub loads: bool,
-    /// It stands still where a load holds its table group.
+    /// It waits on an executor where a load holds its table group.
     pub yields_to_loads: bool,
     /// The only zones allowed, if bound.
     pub only_zones: Option<Vec<ZoneId>>,
@@ -81,43 +81,43 @@
 /// A tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all dispatchers, inside its share.
+    /// Its quota: requests a second, over all dispatchers.
     pub quota_per_s: f64,
 }
 
 /// What happens when grants pass an executor's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemoryShortage {
-    /// The request waits in the executor's line.
+    /// The request waits in the executor's queue.
     Queue,
-    /// It gets what is left, and spills.
+    /// It gets what is left, and spills to disk.
     Trim,
-    /// It is let in and everything slows down.
+    /// It is admitted, and everything on the executor slows down.
     Swap,
 }
 
 /// How executors report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reports {
-    /// Inside outcomes and probe results.
+    /// In answers and in probe results.
     Inline,
-    /// Inside probe results only.
+    /// In probe results only.
     OnProbe,
     /// Not at all.
     Off,
 }
 
-/// The attempt budget.
+/// The retry budget: how many attempts beyond a request's first may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts allowed in every window whatever the traffic.
+    /// Retries allowed in every window whatever the traffic.
     pub free: f64,
-    /// Further attempts allowed for each request taken in the window.
+    /// Retries allowed for each request that arrived in the window.
     pub ratio: f64,
     /// Length of the window.
-    pub span: Micros,
-    /// An attempt may reach its executor so much after it was decided, and the window is counted there.
-    pub slack: Micros,
+    pub span: DurationUs,
+    /// An attempt may reach its executor so much after it was decided; the window is counted there.
+    pub slack: DurationUs,
 }
 
 /// The cold-executor rule.
@@ -133,7 +133,7 @@
     pub overload_window: Micros,
 }
 
-/// All that a dispatcher is told at its start.
+/// The settings of a dispatcher's decisions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Dispatchers in this tier.
@@ -148,17 +148,17 @@
     pub zones: usize,
     /// This dispatcher's zone.
     pub zone: ZoneId,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
+    /// Weight of a request over its tenant's quota, as a fraction of the usual.
     pub over_quota_weight: f64,
-    /// Price of an attempt that crosses zones, in points of service for each first try.
+    /// Price of an attempt that crosses zones, in points of service for each request.
     pub cross_zone_price: f64,
-    /// Price of a probe, in points of service for each first try.
+    /// Price of a probe, in the same.
     pub probe_price: f64,
     /// Price of a new connection, in the same.
     pub handshake_price: f64,
-    /// Load reports.
+    /// How executors report their load.
     pub reports: Reports,
-    /// The executor list must be asked for.
+    /// The endpoint list comes only to those that watch it.
     pub list_must_be_polled: bool,
     /// Probes are allowed.
     pub probes: bool,
@@ -166,30 +166,30 @@
     pub cancel: bool,
     /// A request may have two attempts out at once.
     pub hedging: bool,
-    /// Most attempts for a request.
+    /// The most attempts of a request.
     pub max_attempts: u32,
-    /// The longest wait that a client will follow; `None` where advice is not passed on.
-    pub max_retry_after: Option<Micros>,
-    /// Memory grants are heeded.
+    /// The longest Retry-After that clients follow; `None` where none is passed on.
+    pub max_retry_after: Option<DurationUs>,
+    /// Executors follow memory grants.
     pub grants: bool,
-    /// Priorities are heeded.
+    /// Executors follow priorities.
     pub priorities: bool,
-    /// Share of an executor's memory that one request gets at most.
+    /// The largest fraction of an executor's memory that one request is granted.
     pub max_grant_fraction: f64,
     /// What a shortage of memory does.
     pub memory_shortage: MemoryShortage,
-    /// Pace of progress notes; `None` where there are none.
-    pub progress: Option<Micros>,
-    /// Answers tell what a request cost.
+    /// Interval of an attempt's progress messages; `None` where there are none.
+    pub progress: Option<DurationUs>,
+    /// Answers report what a request cost.
     pub reports_cost: bool,
-    /// The attempt budget, where one is stated.
+    /// The retry budget, where one is stated.
     pub budget: Option<RetryBudget>,
     /// The cold-executor rule.
     pub slow_start: SlowStart,
-    /// Nothing new may go to an executor this long after word that it drains or is gone.
-    pub drain_grace: Micros,
-    /// How long a key rests after an attempt that may still run.
-    pub key_quiet: Option<Micros>,
+    /// Nothing new may reach an executor this long after the list had it as draining or gone.
+    pub drain_grace: DurationUs,
+    /// How long a key gets no new request after an attempt of it that may still run.
+    pub key_quiet: Option<DurationUs>,
     /// Shortest time between two batches of events.
-    pub step: Micros,
+    pub step: DurationUs,
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -1,51 +1,159 @@
-//! Settings that make no sense are refused.
+//! Validation of settings: which ones make no sense, and why.
 
-use super::Settings;
+use super::{Class, ClassId, Settings};
 use std::fmt;
 
-/// Settings that make no sense.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingsError(pub String);
+/// The most classes that there may be: a set of classes is kept as the bits of a word.
+const MAX_CLASSES: usize = 64;
 
+/// Why settings are refused.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SettingsError {
+    /// There is no dispatcher in the tier.
+    NoDispatchers,
+    /// There is no class of request.
+    NoClasses,
+    /// There are more than 64 classes.
+    TooManyClasses,
+    /// This dispatcher's zone is not one of the zones.
+    UnknownOwnZone,
+    /// A kind of machine has no cores, or an amount of them that is negative or not finite.
+    KindCores,
+    /// The memory of a kind of machine is negative or not finite.
+    KindMemory,
+    /// The quota of a tenant is negative or not finite.
+    TenantQuota,
+    /// Something is wrong with a class.
+    Class {
+        /// The class.
+        class: ClassId,
+        /// What is wrong with it.
+        error: ClassError,
+    },
+    /// A number of the slow-start rule is negative or not finite.
+    SlowStart,
+    /// A number of the retry budget is negative or not finite.
+    RetryBudget,
+    /// A price, or the weight of a request over its tenant's quota, is negative or not finite.
+    Price,
+    /// The largest part of an executor's memory for one request is negative or not finite.
+    MaxGrantFraction,
+}
+
+/// Why a class is refused.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ClassError {
+    /// The stretch of its latency objective or one of its weights is negative or not finite.
+    BadNumber,
+    /// Its requests run on no thread.
+    NoThreads,
+    /// Its clients wait no time.
+    NoDeadline,
+    /// It is bound to a zone that there is not.
+    UnknownZone,
+    /// It is bound to a kind of machine that there is not.
+    UnknownKind,
+}
+
+/// The texts go to the host as they are; they use the words of its settings (a dispatcher is a gateway there).
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings: {}", self.0)
+        f.write_str("settings: ")?;
+        match self {
+            SettingsError::NoDispatchers => f.write_str("number of gateways is zero"),
+            SettingsError::NoClasses => f.write_str("no class"),
+            SettingsError::TooManyClasses => write!(f, "more than {MAX_CLASSES} classes"),
+            SettingsError::UnknownOwnZone => f.write_str("own zone is unknown"),
+            SettingsError::KindCores => f.write_str("cores of a kind are not positive"),
+            SettingsError::KindMemory => f.write_str("memory of a kind is negative or not finite"),
+            SettingsError::TenantQuota => f.write_str("quota of a tenant is negative or not finite"),
+            SettingsError::Class { class, error } => write!(f, "class {class}: {error}"),
+            SettingsError::SlowStart => f.write_str("cold-engine rule: negative or non-finite number"),
+            SettingsError::RetryBudget => f.write_str("attempt budget: bad number"),
+            SettingsError::Price => f.write_str("worth or price: bad number"),
+            SettingsError::MaxGrantFraction => f.write_str("most grant: bad number"),
+        }
+    }
+}
+
+impl fmt::Display for ClassError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ClassError::BadNumber => "negative or non-finite number",
+            ClassError::NoThreads => "no threads",
+            ClassError::NoDeadline => "no deadline",
+            ClassError::UnknownZone => "unknown zone",
+            ClassError::UnknownKind => "unknown kind",
+        })
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// Refuses settings that make no sense, with the reason.
-pub fn check(s: &Settings) -> Result<(), SettingsError> {
-    let need = |ok: bool, what: &str| if ok { Ok(()) } else { Err(SettingsError(what.into())) };
-    let sane = |x: f64| x.is_finite() && x >= 0.0;
-    need(s.dispatchers > 0, "number of gateways is zero")?;
-    need(!s.classes.is_empty(), "no class")?;
-    need(s.classes.len() <= 64, "more than 64 classes")?;
-    need(s.zone < s.zones, "own zone is unknown")?;
-    need(s.kinds.iter().all(|k| sane(k.cores) && k.cores > 0.0), "cores of a kind are not positive")?;
-    need(s.kinds.iter().all(|k| sane(k.memory_mb)), "memory of a kind is negative or not finite")?;
-    need(s.tenants.iter().all(|t| sane(t.quota_per_s)), "quota of a tenant is negative or not finite")?;
-    for (i, c) in s.classes.iter().enumerate() {
-        let need = |ok: bool, what: &str| need(ok, &format!("class {i}: {what}"));
-        need(
-            sane(c.latency_objective_stretch) && sane(c.priority_weight) && sane(c.late_priority_weight),
-            "negative or non-finite number",
-        )?;
-        need(c.threads > 0, "no threads")?;
-        need(c.deadline > 0, "no deadline")?;
-        need(c.only_zones.iter().flatten().all(|z| *z < s.zones), "unknown zone")?;
-        need(c.only_kinds.iter().flatten().all(|k| *k < s.kinds.len()), "unknown kind")?;
+impl std::error::Error for ClassError {}
+
+/// Refuses settings that make no sense.
+///
+/// # Errors
+/// The first thing that is wrong with them.
+pub fn check(settings: &Settings) -> Result<(), SettingsError> {
+    check_tier(settings)?;
+    check_machines_and_tenants(settings)?;
+    for (class, entry) in settings.classes.iter().enumerate() {
+        check_class(settings, entry).map_err(|error| SettingsError::Class { class, error })?;
     }
-    let c = &s.slow_start;
-    need(
-        sane(c.initial_fraction) && sane(c.overload_factor),
-        "cold-engine rule: negative or non-finite number",
-    )?;
-    need(s.budget.is_none_or(|b| sane(b.free) && sane(b.ratio)), "attempt budget: bad number")?;
-    need(
-        [s.over_quota_weight, s.cross_zone_price, s.probe_price, s.handshake_price].into_iter().all(sane),
-        "worth or price: bad number",
-    )?;
-    need(sane(s.max_grant_fraction), "most grant: bad number")
+    check_rules(settings)
+}
+
+fn check_tier(settings: &Settings) -> Result<(), SettingsError> {
+    require(settings.dispatchers > 0, SettingsError::NoDispatchers)?;
+    require(!settings.classes.is_empty(), SettingsError::NoClasses)?;
+    require(settings.classes.len() <= MAX_CLASSES, SettingsError::TooManyClasses)?;
+    require(settings.zone < settings.zones, SettingsError::UnknownOwnZone)
+}
+
+fn check_machines_and_tenants(settings: &Settings) -> Result<(), SettingsError> {
+    let has_cores = settings.kinds.iter().all(|kind| is_amount(kind.cores) && kind.cores > 0.0);
+    require(has_cores, SettingsError::KindCores)?;
+    let has_memory = settings.kinds.iter().all(|kind| is_amount(kind.memory_mb));
+    require(has_memory, SettingsError::KindMemory)?;
+    let has_quota = settings.tenants.iter().all(|tenant| is_amount(tenant.quota_per_s));
+    require(has_quota, SettingsError::TenantQuota)
+}
+
+fn check_class(settings: &Settings, class: &Class) -> Result<(), ClassError> {
+    let numbers = [class.latency_objective_stretch, class.priority_weight, class.late_priority_weight];
+    require(numbers.into_iter().all(is_amount), ClassError::BadNumber)?;
+    require(class.threads > 0, ClassError::NoThreads)?;
+    require(class.deadline > 0, ClassError::NoDeadline)?;
+    let zones_known = class.only_zones.iter().flatten().all(|zone| *zone < settings.zones);
+    require(zones_known, ClassError::UnknownZone)?;
+    let kinds_known = class.only_kinds.iter().flatten().all(|kind| *kind < settings.kinds.len());
+    require(kinds_known, ClassError::UnknownKind)
+}
+
+fn check_rules(settings: &Settings) -> Result<(), SettingsError> {
+    let slow_start = &settings.slow_start;
+    let slow_start_numbers = [slow_start.initial_fraction, slow_start.overload_factor];
+    require(slow_start_numbers.into_iter().all(is_amount), SettingsError::SlowStart)?;
+    let is_budget_sane =
+        settings.budget.is_none_or(|budget| is_amount(budget.free) && is_amount(budget.ratio));
+    require(is_budget_sane, SettingsError::RetryBudget)?;
+    let prices = [
+        settings.over_quota_weight,
+        settings.cross_zone_price,
+        settings.probe_price,
+        settings.handshake_price,
+    ];
+    require(prices.into_iter().all(is_amount), SettingsError::Price)?;
+    require(is_amount(settings.max_grant_fraction), SettingsError::MaxGrantFraction)
+}
+
+fn require<E>(holds: bool, error: E) -> Result<(), E> {
+    if holds { Ok(()) } else { Err(error) }
+}
+
+/// Whether a number is finite and not negative.
+fn is_amount(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
 }
--- a/tests/balancer/requests.rs
+++ b/tests/balancer/requests.rs
@@ -62,16 +62,26 @@
 
 #[test]
 fn settings_that_make_no_sense_are_refused_with_the_reason() {
-    let why = |s: Settings| Balancer::new(s, 1).err().expect("refused").to_string();
-    assert!(why(Settings { classes: vec![], ..settings() }).contains("no class"));
-    assert!(why(Settings { zone: 9, ..settings() }).contains("zone"));
-    assert!(why(Settings { dispatchers: 0, ..settings() }).contains("gateways"));
-    let mut s = settings();
-    s.classes[1].priority_weight = f64::NAN;
-    assert!(why(s).contains("class 1"));
-    let mut s = settings();
-    s.classes[0].only_kinds = Some(vec![4]);
-    assert!(why(s).contains("unknown kind"));
+    let why = |settings: Settings| Balancer::new(settings, 1).err().expect("refused");
+    let no_classes = why(Settings { classes: vec![], ..settings() });
+    assert_eq!(no_classes, SettingsError::NoClasses);
+    assert!(no_classes.to_string().contains("no class"));
+    let unknown_zone = why(Settings { zone: 9, ..settings() });
+    assert_eq!(unknown_zone, SettingsError::UnknownOwnZone);
+    assert!(unknown_zone.to_string().contains("zone"));
+    let no_dispatchers = why(Settings { dispatchers: 0, ..settings() });
+    assert_eq!(no_dispatchers, SettingsError::NoDispatchers);
+    assert!(no_dispatchers.to_string().contains("gateways"));
+    let mut not_a_number = settings();
+    not_a_number.classes[1].priority_weight = f64::NAN;
+    let not_a_number = why(not_a_number);
+    assert_eq!(not_a_number, SettingsError::Class { class: 1, error: ClassError::BadNumber });
+    assert!(not_a_number.to_string().contains("class 1"));
+    let mut unknown_kind = settings();
+    unknown_kind.classes[0].only_kinds = Some(vec![4]);
+    let unknown_kind = why(unknown_kind);
+    assert_eq!(unknown_kind, SettingsError::Class { class: 0, error: ClassError::UnknownKind });
+    assert!(unknown_kind.to_string().contains("unknown kind"));
 }
 
 /// Found on `roll+mass`, where a tenth of the dispatchers at a time is restarted: of 929 loads that met one that was
