--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -75,13 +75,13 @@
     /// for counts for all of them.
     fn cost_multiple(&self, request: &Request) -> f64 {
         let queued = request.key.map_or(1, |key| self.key_queues.len(key).max(1));
-        request.cost / queued as f64 / self.mean_cost.value_or(request.cost).max(1e-9)
+        request.cost / queued as f64 / self.cost_model.mean_cost.value_or(request.cost).max(1e-9)
     }
 
     /// Memory that an attempt is granted, in MB: the need as estimated and corrected, else as learned, up to
     /// a part of the executor's memory. 0 leaves it to the executor; without grants it has no effect.
     fn memory_grant_mb(&self, request: &Request, executor: &Executor) -> f64 {
-        let model = &self.class_models[request.class];
+        let model = &self.cost_model.classes[request.class];
         let corrected =
             |estimate: f64| estimate * model.memory_bias.clamp(-MAX_MEMORY_BIAS, MAX_MEMORY_BIAS).exp();
         let need_mb = request.memory_estimate.map_or(model.memory_mb.value_or(0.0), corrected);
--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -31,7 +31,7 @@
                 if let Some(estimate_mb) = request.memory_estimate {
                     let needed_mb = attempt.memory_grant_mb + missing_mb;
                     let needed_bias = (needed_mb.max(1.0) / estimate_mb.max(1.0)).ln();
-                    let model = &mut self.class_models[request.class];
+                    let model = &mut self.cost_model.classes[request.class];
                     model.memory_bias += SPILL_WEIGHT * (needed_bias - model.memory_bias).max(0.0);
                 }
             }
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -71,7 +71,7 @@
     fn is_given_up(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let is_late = self.now > request.latency_objective;
-        let is_overloaded = self.class_models[request.class].pressure > GIVE_UP_PRESSURE;
+        let is_overloaded = self.pressure.of(request.class) > GIVE_UP_PRESSURE;
         is_late && is_overloaded && self.is_idempotent(request)
     }
 
--- /dev/null
+++ b/src/balancer/load/pool.rs
@@ -0,0 +1,96 @@
+//! The load of a pool, which is the executors that are open to the same classes, and where it is saturated.
+
+use crate::api::{ClassId, MemoryShortage, Settings};
+use crate::state::{Balancer, Executor};
+
+/// A figure from which a resource begins to run out, and at which it is exhausted.
+struct Range {
+    start: f64,
+    full: f64,
+}
+
+impl Range {
+    /// Where a value lies in the range: 0 at the start, 1 where the resource is exhausted.
+    fn position(&self, value: f64) -> f64 {
+        (value - self.start) / (self.full - self.start)
+    }
+}
+
+/// Threads a core. An executor does less work in all beyond one to two threads a core.
+const THREADS: Range = Range { start: 1.8, full: 3.6 };
+/// Latency ratio, where it stands in for threads a core: it rises with any resource that runs out.
+const LATENCY_RATIO: Range = Range { start: 1.0, full: 2.5 };
+/// Fraction of memory in use, where requests wait for memory.
+const MEMORY_WITH_QUEUE: Range = Range { start: 0.8, full: 1.05 };
+/// Fraction of memory in use, where requests with too little memory spill to disk.
+const MEMORY_WITH_SPILL: Range = Range { start: 0.75, full: 1.35 };
+/// Fraction of disks busy. Total work falls when many requests wait for disks.
+const DISKS: Range = Range { start: 0.65, full: 0.9 };
+
+/// Sums over the executors of a pool with a known load, each weighted by the confidence in its report.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct PoolLoad {
+    /// Threads in flight, of all dispatchers.
+    pub(crate) in_flight_threads: f64,
+    /// Cores.
+    pub(super) cores: f64,
+    /// Fraction of memory in use, times cores.
+    memory: f64,
+    /// Fraction of disks busy, times cores.
+    disks: f64,
+    /// 0 where the scarcest resource begins to run out, 1 where it is exhausted; may be below and above.
+    pub(super) saturation: f64,
+}
+
+/// The load of one executor, as far as it is known.
+pub(super) struct ExecutorLoad {
+    /// How much the report still counts, 0 to 1.
+    pub(super) confidence: f64,
+    /// Threads in flight; where latencies stand in for reports, the logarithm of the ratio times cores.
+    pub(super) threads: f64,
+    /// Fraction of memory in use.
+    pub(super) memory: f64,
+}
+
+impl PoolLoad {
+    /// Adds an executor.
+    pub(super) fn add(&mut self, executor: &Executor, load: &ExecutorLoad) {
+        let disks = executor.report.disks.unwrap_or(0.0);
+        self.cores += executor.cores * load.confidence;
+        self.in_flight_threads += load.threads * load.confidence;
+        self.memory += load.memory * executor.cores * load.confidence;
+        self.disks += disks * executor.cores * load.confidence;
+    }
+
+    /// A sum of the pool for each of its cores.
+    pub(super) fn per_core(&self, sum: f64) -> f64 {
+        sum / self.cores.max(1.0)
+    }
+
+    /// Works out how far the scarcest resource of the pool is used up.
+    pub(super) fn update_saturation(&mut self, settings: &Settings, uses_latency_ratios: bool) {
+        let threads = if uses_latency_ratios { LATENCY_RATIO } else { THREADS };
+        let memory = match settings.memory_shortage {
+            MemoryShortage::Queue => MEMORY_WITH_QUEUE,
+            MemoryShortage::Trim | MemoryShortage::Swap => MEMORY_WITH_SPILL,
+        };
+        let by_threads = threads.position(self.per_core(self.in_flight_threads));
+        let counts_memory = settings.grants && !uses_latency_ratios;
+        let by_memory = if counts_memory { memory.position(self.per_core(self.memory)) } else { 0.0 };
+        let by_disks = DISKS.position(self.per_core(self.disks));
+        self.saturation = by_threads.max(by_memory).max(by_disks);
+    }
+}
+
+/// Whether the executors of a pool are open to a class; a pool has a bit for each class.
+pub(in crate::balancer) fn is_open_to(pool: u64, class: ClassId) -> bool {
+    pool >> class & 1 == 1
+}
+
+impl Balancer {
+    /// The pool of an executor: a bit for each class that its zone and kind are open to.
+    pub(in crate::balancer) fn pool_of(&self, executor: &Executor) -> u64 {
+        let classes = 0..self.settings.classes.len();
+        classes.filter(|&class| self.placement_allows(class, executor)).map(|class| 1 << class).sum()
+    }
+}
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -4,31 +4,32 @@
 //! its turn if it has a key, and an executor is drawn by weight. An attempt that fails or takes too long is
 //! retried within the retry budget.
 
+mod admission;
 mod attempt;
 mod attempt_events;
-mod constants;
-mod cost;
+mod cost_model;
 mod endpoint_list;
 mod hedging;
 mod key_order;
 mod key_queue;
+mod load;
 mod outlier_detection;
 mod placement;
-mod pressure;
 mod request_lifecycle;
 mod retry_budget;
-mod rules;
 pub(crate) mod selection;
 pub(crate) mod slow_start;
 mod unresponsive;
 
+pub(crate) use admission::AdmissionRules;
+pub(crate) use cost_model::CostModel;
 pub(crate) use key_queue::KeyQueues;
+pub(crate) use load::{LoadModel, Pressure};
 pub(crate) use outlier_detection::ExecutorHealth;
 pub(crate) use retry_budget::RetryLimiter;
 
 use crate::api::*;
 use crate::state::*;
-use constants::*;
 
 /// Interval of the periodic checks: short beside any latency objective.
 const TICK_US: DurationUs = 100_000;
@@ -49,11 +50,7 @@
     /// The settings make no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         check(&settings)?;
-        // The executors' own choice of grant is a quarter over the estimate.
-        let latency_ratio = Mean { value: 1.0, count: TRUSTED };
-        let bias = ClassModel { memory_bias: 0.25f64.ln_1p(), latency_ratio, ..ClassModel::default() };
-        let (rules, models) = (rules::build_rules(&settings), vec![bias; settings.classes.len()]);
-        Ok(Balancer::empty(settings, seed, rules, CACHE_SIZE, models))
+        Ok(Balancer::empty(settings, seed))
     }
 
     /// Decides by other settings of the same classes, tenants and kinds from now on, and returns those
@@ -64,9 +61,7 @@
     /// The settings make no sense; those before stay in force.
     pub fn update_settings(&mut self, settings: Settings) -> Result<Settings, SettingsError> {
         check(&settings)?;
-        let mut rules = rules::build_rules(&settings);
-        rules.iter_mut().for_each(|rule| rule.keep(&self.rules));
-        self.rules = rules;
+        self.admission.update(&settings);
         let old_settings = std::mem::replace(&mut self.settings, settings);
         for index in 0..self.executors.len() {
             self.executors[index].pool = self.pool_of(&self.executors[index]);
@@ -136,11 +131,11 @@
     fn tick(&mut self) {
         self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK_US });
         let tick_s = TICK_US as f64 / 1e6;
-        self.class_models.iter_mut().for_each(|model| model.count(tick_s, RATE_SPAN_S));
-        self.tenant_arrivals.iter_mut().for_each(|requests| *requests *= 1.0 - tick_s / TENANT_SPAN_S);
+        self.pressure.update_arrival_rates(tick_s);
+        self.admission.forget_tenant_requests(tick_s);
         self.trim_retry_history();
         self.finish_slow_starts();
-        self.update_pressure();
+        self.update_load();
         self.update_rule_rates();
         if self.now > self.resumed_at {
             self.check_responsiveness();
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -1,7 +1,6 @@
 //! The life cycle of a request: arrival, the wait for probes, the final answer, its removal.
 
 use crate::api::{Action, Arrival, ClassId, DurationUs, EndReason, Idempotency, KeyScope, RequestId};
-use crate::balancer::constants::LEARN;
 use crate::balancer::selection::PROBE_WAIT;
 use crate::balancer::{PROBE_WAIT_TIMER, RETRY_AFTER_US, TICK_US};
 use crate::state::{Balancer, Request};
@@ -11,7 +10,7 @@
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         self.retry_limiter.record_arrival(self.now);
         self.probe_budget.add_request(self.settings.probe_price);
-        let predicted_cost = self.predict_cost(&arrival);
+        let predicted_cost = self.cost_model.predict(&arrival, &self.settings);
         self.count_arrival(&arrival, predicted_cost);
         let admission = self.admit(&arrival, predicted_cost);
         self.open_request(&arrival, predicted_cost);
@@ -27,15 +26,9 @@
 
     /// Counts a request into the figures of its class and its tenant.
     fn count_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
-        self.mean_cost.add(predicted_cost, LEARN);
-        let model = &mut self.class_models[arrival.class];
-        model.arrivals += 1.0;
-        if let Some(estimate) = arrival.estimate_s {
-            model.estimate.add(estimate, LEARN);
-        }
-        if let Some(tenant) = arrival.tenant {
-            self.tenant_arrivals[tenant] += 1.0;
-        }
+        self.cost_model.record_arrival(arrival, predicted_cost);
+        self.pressure.record_arrival(arrival.class);
+        self.admission.record_arrival(arrival.tenant);
     }
 
     /// Enters a request among the open ones.
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -10,7 +10,7 @@
 
 pub(crate) use probe_budget::ProbeBudget;
 
-use super::constants::ROOM;
+use super::load::SPARE_CAPACITY_LOAD;
 use crate::api::{Action, Micros, Reports, RequestId};
 use crate::state::{Balancer, Executor, weighted};
 
@@ -93,7 +93,8 @@
 
     /// Whether a probe can improve a draw: only where reports tell of load, and there is a choice.
     fn probes_help(&self) -> bool {
-        let reports_load = self.settings.reports != Reports::Off && self.reports_tell_load != Some(false);
+        let reports_load =
+            self.settings.reports != Reports::Off && self.load.reports_tell_load != Some(false);
         reports_load && self.settings.probes && self.executors.len() > 1
     }
 
@@ -106,7 +107,9 @@
     /// table groups would never leave theirs.
     fn count_choices(&self, id: RequestId, known: &[usize]) -> usize {
         let request = &self.requests[&id];
-        let is_full = |executor: &Executor| request.prefers(executor) && self.executor_load(executor) > ROOM;
+        let is_full = |executor: &Executor| {
+            request.prefers(executor) && self.executor_load(executor) > SPARE_CAPACITY_LOAD
+        };
         known.iter().filter(|&&i| !is_full(&self.executors[i])).count()
     }
 
@@ -126,7 +129,7 @@
 
     /// Probes executors as far as the probe budget goes; whether any answer is awaited now.
     fn send_probes(&mut self, id: RequestId, to_probe: &[usize]) -> bool {
-        let is_expensive = self.requests[&id].cost > self.mean_cost.value;
+        let is_expensive = self.requests[&id].cost > self.cost_model.mean_cost.value;
         let reserve = if is_expensive { 0.0 } else { ProbeBudget::reserve(self.settings.probe_price) };
         let mut awaited = false;
         for &i in to_probe {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -107,7 +107,7 @@
             rate,
             initial_rate: rate * slow_start.initial_fraction / capacity_fraction,
             total_rate: self.total_warming_rate(),
-            mean_work: self.mean_cost.value,
+            mean_work: self.cost_model.mean_cost.value,
             window_s: slow_start.overload_window as f64 / 1e6,
         }
     }
@@ -152,7 +152,7 @@
     /// misjudged.
     fn slow_start_share(&self) -> f64 {
         let equal_share = 1.0 / f64::from(self.settings.dispatchers);
-        self.traffic_share.min(equal_share)
+        self.load.traffic_share.min(equal_share)
     }
 
     /// Share of its capacity that an executor has: it grows from `initial_fraction` to 1 over the ramp.
--- a/src/dispatch/fleet.rs
+++ b/src/dispatch/fleet.rs
@@ -66,7 +66,7 @@
 
     /// Cores that work, of all executors on the list, as far as they were heard.
     pub fn busy(&self, now: Micros) -> f64 {
-        self.dispatcher.mean_load * self.fleet(now).listed
+        self.dispatcher.load.mean_load * self.fleet(now).listed
     }
 
     /// Executors on the list, and of these how many are avoided now: draining, silent or ejected.
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -27,31 +27,9 @@
         sums
     }
 
-    /// Seconds that a request should take, at the pace of the day.
-    pub(crate) fn expected_latency_s(&self, q: &Request) -> f64 {
-        let pace = self.class_models[q.class].latency_ratio.value_or(1.0);
-        q.cost / f64::from(self.settings.classes[q.class].threads) * pace
-    }
-
-    /// How much a report still tells, 1 when new.
-    pub(crate) fn confidence(&self, e: &Executor, span_s: f64) -> f64 {
-        (-(self.seconds_since(e.report_received_at) / span_s)).exp()
-    }
-
-    /// Memory in use where it is not reported: what own threads were granted stands for all.
-    pub(crate) fn estimated_memory_use(&self, e: &Executor, held: f64) -> f64 {
-        held * self.mb_per_thread.value_or(0.0) / self.settings.kinds[e.endpoint.kind].memory_mb.max(1.0)
-    }
-
-    /// Running means of own threads, requests and memory in flight.
-    pub(crate) fn update_in_flight_means(&mut self, weight: f64) {
-        let requests = self.requests.len() as f64;
-        let active = self.executor_index.active.iter().map(|i| &self.executors[*i]);
-        let (mb, out) = active.fold((0.0, 0.0), |(m, t), e| (m + e.granted_mb, t + e.in_flight_threads));
-        if out > 0.0 {
-            self.mb_per_thread.add(mb / out, weight);
-            self.mean_in_flight_threads += (out - self.mean_in_flight_threads) * weight;
-            self.mean_in_flight_requests += (requests - self.mean_in_flight_requests) * weight;
-        }
+    /// Time that a request should take, in seconds, by how its class does lately.
+    pub(crate) fn expected_latency_s(&self, request: &Request) -> f64 {
+        let latency_ratio = self.cost_model.classes[request.class].latency_ratio.value_or(1.0);
+        request.cost / f64::from(self.settings.classes[request.class].threads) * latency_ratio
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -5,30 +5,31 @@
 mod executor;
 mod executor_index;
 mod figures;
-mod learned;
+mod mean;
 mod request;
 mod ring;
-mod rule;
+
 mod table;
+mod token_bucket;
 
 pub(crate) use chance::*;
 pub(crate) use executor::*;
 pub(crate) use executor_index::*;
-pub(crate) use learned::*;
+pub(crate) use mean::*;
 pub(crate) use request::*;
 pub(crate) use ring::*;
-pub(crate) use rule::*;
+pub(crate) use token_bucket::*;
 
 use crate::api::*;
 use crate::balancer::selection::ProbeBudget;
 use crate::balancer::slow_start::{SlowStartAdmission, WarmingBuckets};
-use crate::balancer::{ExecutorHealth, KeyQueues, RetryLimiter};
-use lru::LruCache;
+use crate::balancer::{
+    AdmissionRules, CostModel, ExecutorHealth, KeyQueues, LoadModel, Pressure, RetryLimiter,
+};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
 use std::collections::BTreeMap;
-use std::num::NonZeroUsize;
 
 /// One request dispatcher: what it was told, what it learned and what is open.
 pub struct Balancer {
@@ -36,11 +37,14 @@
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
     pub(crate) started: bool,
-    pub(crate) rules: Vec<Rule>,
-    pub(crate) cache: CostCache,
-    pub(crate) class_models: Vec<ClassModel>,
-    pub(crate) mean_cost: Mean,
-    pub(crate) tenant_arrivals: Vec<f64>,
+    /// Which requests are admitted.
+    pub(crate) admission: AdmissionRules,
+    /// What requests cost.
+    pub(crate) cost_model: CostModel,
+    /// How loaded the executors are.
+    pub(crate) load: LoadModel,
+    /// How far the rules of admission close.
+    pub(crate) pressure: Pressure,
     pub(crate) probe_budget: ProbeBudget,
     pub(crate) slow_start: SlowStartAdmission,
     /// When executors that are gone were looked for last.
@@ -58,19 +62,8 @@
     /// Attempts that ticks have looked at, where there are more than one looks at.
     pub(crate) attempts_checked: usize,
     pub(crate) retry_limiter: RetryLimiter,
-    pub(crate) mb_per_thread: Mean,
-    /// Own threads and requests in flight, running means.
-    pub(crate) mean_in_flight_threads: f64,
-    pub(crate) mean_in_flight_requests: f64,
-    pub(crate) traffic_share: f64,
-    pub(crate) pressure: f64,
     /// When it last woke from standing still.
     pub(crate) resumed_at: Micros,
-    /// Threads a core that the executors hold, as far as they were heard.
-    pub(crate) mean_load: f64,
-    pub(crate) pools: BTreeMap<u64, Pool>,
-    /// Whether reports tell of load, once one came.
-    pub(crate) reports_tell_load: Option<bool>,
     /// Requests that wait for probes.
     pub(crate) awaiting_probes: Vec<RequestId>,
     pub(crate) endpoint_list_loaded: bool,
@@ -81,23 +74,16 @@
 }
 
 impl Balancer {
-    /// One that has seen nothing: `seed` feeds its draws, `cache_size` is how many costs it remembers.
-    pub(crate) fn empty(
-        settings: Settings,
-        seed: u64,
-        rules: Vec<Rule>,
-        cache_size: NonZeroUsize,
-        models: Vec<ClassModel>,
-    ) -> Balancer {
+    /// One that has seen nothing; `seed` feeds its draws.
+    pub(crate) fn empty(settings: Settings, seed: u64) -> Balancer {
         Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
             started: false,
-            rules,
-            cache: LruCache::new(cache_size),
-            class_models: models,
-            mean_cost: Mean::default(),
-            tenant_arrivals: vec![0.0; settings.tenants.len()],
+            admission: AdmissionRules::new(&settings),
+            cost_model: CostModel::new(settings.classes.len()),
+            load: LoadModel::new(settings.dispatchers),
+            pressure: Pressure::new(settings.classes.len()),
             probe_budget: ProbeBudget::default(),
             slow_start: SlowStartAdmission::default(),
             executors: Vec::new(),
@@ -110,15 +96,7 @@
             key_queues: KeyQueues::default(),
             attempts_checked: 0,
             retry_limiter: RetryLimiter::default(),
-            mb_per_thread: Mean::default(),
-            mean_in_flight_threads: 0.0,
-            mean_in_flight_requests: 0.0,
-            traffic_share: 1.0 / f64::from(settings.dispatchers),
-            pressure: 0.0,
             resumed_at: 0,
-            mean_load: 0.0,
-            pools: BTreeMap::new(),
-            reports_tell_load: None,
             awaiting_probes: Vec::new(),
             endpoint_list_loaded: false,
             shutdown_deadline: Micros::MAX,
@@ -128,10 +106,6 @@
         }
     }
 
-    pub(crate) fn seconds_since(&self, t: Micros) -> f64 {
-        self.now.saturating_sub(t) as f64 / 1e6
-    }
-
     pub(crate) fn request_mut(&mut self, id: RequestId) -> &mut Request {
         self.requests.get_mut(&id).expect("an open request")
     }
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -76,7 +76,7 @@
 
     pub(crate) fn reported(&mut self, executor: ExecutorId, report: Option<Report>) {
         if let Some((&i, r)) = self.index.get(&executor).zip(report) {
-            self.reports_tell_load = Some(r.util.or(r.inflight).or(r.memory).or(r.disks).is_some());
+            self.load.reports_tell_load = Some(r.util.or(r.inflight).or(r.memory).or(r.disks).is_some());
             self.executors[i].reported(r.sane(), self.now);
             self.mark_active(i);
         }
@@ -111,7 +111,7 @@
         }
         attempt.outcome = Some(outcome);
         let (index, memory_grant_mb) = (attempt.executor, attempt.memory_grant_mb);
-        self.class_models[request.class].finished_attempts += 1;
+        self.cost_model.classes[request.class].finished_attempts += 1;
         self.executors[index].finish_attempt((id, number), threads, memory_grant_mb);
         Some(index)
     }
