--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -8,7 +8,11 @@
 use crate::net::sockets::buffers::Block;
 use std::net::Shutdown;
 
+/// Names of the columns of every result.
+const RESULT_COLUMNS: [&str; 3] = ["c1", "c2", "c3"];
+
 impl Session {
+    /// Has the protocol's server side write packets, and queues them.
     pub(super) fn write_packets(&mut self, write: impl FnOnce(&mut Server, &mut Vec<u8>)) {
         let mut bytes = Vec::new();
         write(&mut self.server, &mut bytes);
@@ -17,13 +21,13 @@
 
     /// Answers with OK.
     pub fn answer_ok(&mut self) {
-        self.write_packets(|s, out| s.ok(out));
+        self.write_packets(|server, out| server.ok(out));
     }
 
     /// Answers with an error.
     pub fn answer_error(&mut self, error: impl Into<Error>) {
         let error = error.into();
-        self.write_packets(|s, out| s.error(&error, out));
+        self.write_packets(|server, out| server.error(&error, out));
     }
 
     /// Gives the open request its final answer.
@@ -32,17 +36,31 @@
         match answer {
             Answer::Refused(ms) => self.answer_error(ClientError::Refused { backoff_ms: *ms }),
             Answer::Failed => self.answer_error(ClientError::Failed),
-            Answer::Served(pages) => {
-                self.write_packets(|s, out| s.columns(&["c1", "c2", "c3"], out));
-                for page in pages {
-                    let rows = page.bytes().strip_suffix(b"\n").map(|p| p.split(|b| *b == b'\n'));
-                    self.write_packets(|s, out| {
-                        rows.into_iter().flatten().for_each(|r| s.row(r.split(|b| *b == b'\t'), out));
-                    });
-                }
-                self.write_packets(|s, out| s.end_of_part(out));
-            }
+            Answer::Served(pages) => self.answer_rows(pages),
+        }
+    }
+
+    /// Answers with a result. A page is lines of fields with tabs between, as executors send it.
+    fn answer_rows(&mut self, pages: &[Block]) {
+        self.write_packets(|server, out| server.columns(&RESULT_COLUMNS, out));
+        for page in pages {
+            let rows = page.bytes().strip_suffix(b"\n").map(|page| page.split(|byte| *byte == b'\n'));
+            self.write_packets(|server, out| {
+                let rows = rows.into_iter().flatten();
+                rows.for_each(|row| server.row(row.split(|byte| *byte == b'\t'), out));
+            });
         }
+        self.write_packets(|server, out| server.end_of_part(out));
+    }
+
+    /// Answers with one row of named values.
+    pub(super) fn answer_values(&mut self, values: &[(String, String)]) {
+        let names: Vec<&str> = values.iter().map(|(name, _)| name.as_str()).collect();
+        self.write_packets(|server, out| {
+            server.columns(&names, out);
+            server.row(values.iter().map(|(_, value)| value.as_bytes()), out);
+            server.end_of_part(out);
+        });
     }
 
     /// Whether all that was answered is written.
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -32,17 +32,17 @@
 const MISTAKE_PAUSE: Micros = 10_000;
 /// After so many mistakes in a row its connection closes.
 const MOST_MISTAKES: u32 = 8;
-/// A statement that is here in part: the packet header and the command byte.
-const PACKET_HEAD: usize = 5;
+/// Length of a quit command: the packet's header and the command byte.
+const QUIT_LENGTH: usize = 5;
 
-/// What a client wants that the session can't answer by itself.
+/// A command of a client's that its session can't answer by itself.
 #[derive(Debug)]
 pub enum ClientCommand {
     /// A request, and what an attempt of it needs.
     Request(Request, Job),
     /// The request of the connection with this id is to be given up.
     Kill(u32),
-    /// It wants to go, or has to.
+    /// The connection is to be closed.
     Close,
 }
 
@@ -50,7 +50,7 @@
 pub struct Session {
     stream: TcpStream,
     key: Key,
-    /// The connection id that the greeting told.
+    /// The connection id in the greeting, by which KILL names it.
     pub id: u32,
     server: Server,
     inbox: Inbox,
@@ -127,22 +127,15 @@
         })
     }
 
-    /// When the last byte of what was read came: a request's time counts from there.
+    /// When the last byte of what was read came: a request's budget runs from there.
     pub fn received(&self) -> Occurrence {
         self.received
     }
 
-    /// Reads once; `noticed` is when what a watched socket has came. False once the client is gone.
+    /// Reads once; `noticed` is when the bytes came that a watched socket holds. False once the client has gone.
     pub fn read(&mut self, noticed: Occurrence) -> bool {
         if self.closing_since.is_some() {
-            let mut waste = [0; 4096];
-            return match system_calls::read(&mut self.stream, &mut waste) {
-                Ok(n) => {
-                    self.discarded_bytes += n;
-                    n > 0 && self.discarded_bytes < MOST_DISCARDED
-                }
-                Err(e) => matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
-            };
+            return self.discard();
         }
         if self.paused_until.is_some() {
             return true;
@@ -154,7 +147,20 @@
         }
         match self.inbox.fill(&mut self.stream) {
             Ok(n) => n > 0,
-            Err(e) => matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
+            Err(e) => may_read_later(&e),
+        }
+    }
+
+    /// Reads once from a connection that closes, and drops what came. False once the client has gone, or has sent too
+    /// much.
+    fn discard(&mut self) -> bool {
+        let mut bytes = [0; 4096];
+        match system_calls::read(&mut self.stream, &mut bytes) {
+            Ok(n) => {
+                self.discarded_bytes += n;
+                n > 0 && self.discarded_bytes < MOST_DISCARDED
+            }
+            Err(e) => may_read_later(&e),
         }
     }
 
@@ -180,44 +186,39 @@
     /// Whether the client sent more than a quit command, which it may not do while its request is open.
     pub fn sends_while_open(&self) -> bool {
         let bytes = self.inbox.bytes();
-        bytes.len() > PACKET_HEAD || (bytes.len() == PACKET_HEAD && !matches!(bytes, [1, 0, 0, _, 1]))
+        bytes.len() >= QUIT_LENGTH && !is_quit(bytes)
     }
 
     /// Whether the client sent the quit command while its request is open.
     pub fn has_quit(&self) -> bool {
-        self.open.is_some() && matches!(self.inbox.bytes(), [1, 0, 0, _, 1])
+        self.open.is_some() && is_quit(self.inbox.bytes())
     }
 
-    /// The next thing that the client wants; what the session can answer by itself, it answers.
+    /// The next command that the session can't answer by itself; those that it can, it answers.
     pub fn next_command(&mut self, names: &Names, now: Micros) -> Option<ClientCommand> {
         while self.open.is_none() && self.closing_since.is_none() && self.paused_until.is_none() {
-            let (n, login, asked) = match self.server.next(self.inbox.bytes()) {
+            let (length, is_login, interpretation) = match self.server.next(self.inbox.bytes()) {
                 Ok(None) => {
                     let part = !self.inbox.bytes().is_empty();
                     self.partial_since = part.then(|| self.partial_since.unwrap_or(now));
                     return None;
                 }
-                Ok(Some((n, command))) => (n, command == Command::Login, interpret(&command, names)),
+                Ok(Some((length, command))) => {
+                    (length, command == Command::Login, interpret(&command, names))
+                }
                 Err(e) => {
                     tracing::info!(client = self.id, error = %e, "client closed");
                     self.close_with_error(e, now);
                     return None;
                 }
             };
-            self.inbox.consume(n);
+            self.inbox.consume(length);
             self.partial_since = None;
-            self.sent_command |= !login;
-            match asked {
-                Ok(Interpretation::Ok) => self.write_packets(|s, out| s.ok(out)),
-                Ok(Interpretation::Values(values)) => {
-                    let names: Vec<&str> = values.iter().map(|(n, _)| n.as_str()).collect();
-                    self.write_packets(|s, out| {
-                        s.columns(&names, out);
-                        s.row(values.iter().map(|(_, v)| v.as_bytes()), out);
-                        s.end_of_part(out);
-                    });
-                }
-                Ok(Interpretation::Command(asked)) => return Some(asked),
+            self.sent_command |= !is_login;
+            match interpretation {
+                Ok(Interpretation::Ok) => self.answer_ok(),
+                Ok(Interpretation::Values(values)) => self.answer_values(&values),
+                Ok(Interpretation::Command(command)) => return Some(command),
                 Err(e) => self.reject_mistake(e, now),
             }
         }
@@ -241,5 +242,15 @@
     }
 }
 
+/// Whether bytes are a quit command and nothing more.
+fn is_quit(bytes: &[u8]) -> bool {
+    matches!(bytes, [1, 0, 0, _, 1])
+}
+
+/// Whether a read found nothing now and may find something later.
+fn may_read_later(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/net/clients/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -27,10 +27,10 @@
     }
 
     /// Adds one, and returns its key.
-    pub fn insert(&mut self, s: Session) -> Key {
-        let key = s.key;
-        self.by_id.insert(s.id, key);
-        self.by_key.insert(key, s);
+    pub fn insert(&mut self, session: Session) -> Key {
+        let key = session.key;
+        self.by_id.insert(session.id, key);
+        self.by_key.insert(key, session);
         key
     }
 
@@ -51,8 +51,8 @@
 
     /// Removes one.
     pub fn remove(&mut self, key: Key) -> Option<Session> {
-        let s = self.by_key.remove(&key)?;
-        self.by_id.remove(&s.id);
-        Some(s)
+        let session = self.by_key.remove(&key)?;
+        self.by_id.remove(&session.id);
+        Some(session)
     }
 }
--- a/src/net/clients/session/statements.rs
+++ b/src/net/clients/session/statements.rs
@@ -6,13 +6,17 @@
 use crate::net::clients::client_error::ClientError;
 use crate::settings::Names;
 
-/// What a client's command comes to: an answer that the session has by itself, or something asked.
+/// What a client's command means to its session.
 pub(in crate::net) enum Interpretation {
+    /// It is answered with OK.
     Ok,
+    /// It is answered with a row of these names and values.
     Values(Vec<(String, String)>),
+    /// The session can't answer it by itself.
     Command(ClientCommand),
 }
 
+/// Interprets a command, or says what is wrong with it.
 pub(in crate::net) fn interpret(command: &Command<'_>, names: &Names) -> Result<Interpretation, Error> {
     match command {
         Command::Login | Command::Ping => Ok(Interpretation::Ok),
@@ -25,13 +29,13 @@
 
 /// A statement: a request if its comment says so, else one of the few that drivers send by themselves.
 pub(in crate::net) fn query(sql: &str, names: &Names) -> Result<Interpretation, Error> {
-    let s = statement::split(sql);
-    if s.fields.contains_key("method") || s.fields.contains_key("rid") {
-        return request::parse(&s, names)
+    let statement = statement::split(sql);
+    if statement.fields.contains_key("method") || statement.fields.contains_key("rid") {
+        return request::parse(&statement, names)
             .map(|(request, job)| Interpretation::Command(ClientCommand::Request(request, job)))
             .map_err(Error::from);
     }
-    let text = s.text.trim().trim_end_matches(';').trim_end();
+    let text = statement.text.trim().trim_end_matches(';').trim_end();
     let words: Vec<&str> = text.split_whitespace().collect();
     let first = words.first().map_or(String::new(), |w| w.to_ascii_lowercase());
     match (first.as_str(), &words[..]) {
