--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -8,13 +8,13 @@
 use std::net::TcpListener;
 
 /// What a client got: one answer for each of its requests, and nothing besides.
-fn asks(served: &Served, client: u64, without_descriptors: bool) -> Vec<(u64, Got)> {
+fn ask_all(dispatcher: &RunningDispatcher, client: u64, without_descriptors: bool) -> Vec<(u64, Got)> {
     let mut all = Vec::new();
     for n in 0..6 {
         let rid = 0x1000 * (client + 1) + n;
         let class = CLASSES[(n % 3) as usize];
         // A new connection for each, as accept is among what fails.
-        let mut c = Client::says(served.address, &request(class, rid, 10_000));
+        let mut c = Client::says(dispatcher.address, &request(class, rid, 10_000));
         assert_eq!(c.got(), Got::Ok, "logged in");
         all.push((rid, c.got()));
         let next = c.try_ask("SET NAMES utf8mb4").map_or(Got::Closed, |()| c.got());
@@ -26,24 +26,25 @@
 }
 
 /// Plays clients against a dispatcher of which one in so many calls of a kind fails.
-fn holds(call: Call, error: Option<i32>, one_in: u32) {
+fn each_request_has_one_answer(call: Call, error: Option<i32>, one_in: u32) {
     let plan = FaultPlan { call, error, one_in };
-    let mut served = Served::start(Duration::from_millis(10), &Quiet::default(), move || install(plan));
+    let mut dispatcher =
+        RunningDispatcher::start(Duration::from_millis(10), &Quiet::default(), move || install(plan));
     let answers: Vec<(u64, Got)> = std::thread::scope(|scope| {
-        let served = &served;
+        let dispatcher = &dispatcher;
         let without_descriptors = matches!(error, Some(libc::EMFILE | libc::ENFILE));
-        let asks = move |c| scope.spawn(move || asks(served, c, without_descriptors));
+        let asks = move |c| scope.spawn(move || ask_all(dispatcher, c, without_descriptors));
         let clients: Vec<_> = (0..4).map(asks).collect();
         clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
     });
-    served.terminate();
-    let failed = served.ends();
+    dispatcher.terminate();
+    let failed = dispatcher.join();
     assert!(failed > 0, "{plan:?} never struck");
     for (rid, got) in answers {
         let refused = matches!(&got, Got::Error(1203, text) if text.contains("backoff="));
         assert!(!refused || error != Some(libc::EINTR), "{plan:?}: {rid:x} refused for an interrupted call");
         assert!(is_result(&got, rid) || refused, "{plan:?}: {rid:x} got {got:?}");
-        let runs = served.runs(rid);
+        let runs = dispatcher.run_count(rid);
         let class = CLASSES[(rid % 0x1000 % 3) as usize];
         assert!(class != "load" || runs <= 1, "{plan:?}: load {rid:x} ran {runs} times");
         assert!(!refused || class != "load" || runs == 0, "{plan:?}: {rid:x} ran and was refused");
@@ -65,43 +66,43 @@
         libc::ENOMEM,
         libc::EAGAIN,
     ];
-    passing.into_iter().for_each(|error| holds(Call::Accept, Some(error), 3));
+    passing.into_iter().for_each(|error| each_request_has_one_answer(Call::Accept, Some(error), 3));
 }
 
 #[test]
 fn socket_and_connect() {
     for error in [libc::ENFILE, libc::EMFILE, libc::ENOBUFS, libc::ENOMEM] {
-        holds(Call::Socket, Some(error), 2);
+        each_request_has_one_answer(Call::Socket, Some(error), 2);
     }
     for error in [libc::EINTR, libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS, libc::EAGAIN] {
-        holds(Call::Connect, Some(error), 2);
+        each_request_has_one_answer(Call::Connect, Some(error), 2);
     }
 }
 
 #[test]
 fn reads() {
     for error in [libc::EINTR, libc::EAGAIN, libc::ENOMEM, libc::ENOBUFS] {
-        holds(Call::Read, Some(error), 3);
-        holds(Call::Read, Some(error), 2);
+        each_request_has_one_answer(Call::Read, Some(error), 3);
+        each_request_has_one_answer(Call::Read, Some(error), 2);
     }
-    holds(Call::Read, None, 2);
-    holds(Call::Read, None, 1);
+    each_request_has_one_answer(Call::Read, None, 2);
+    each_request_has_one_answer(Call::Read, None, 1);
 }
 
 #[test]
 fn writes() {
     for error in [libc::EINTR, libc::EAGAIN, libc::ENOMEM, libc::ENOBUFS] {
-        holds(Call::Write, Some(error), 2);
+        each_request_has_one_answer(Call::Write, Some(error), 2);
     }
-    holds(Call::Write, None, 2);
-    holds(Call::Write, None, 1);
+    each_request_has_one_answer(Call::Write, None, 2);
+    each_request_has_one_answer(Call::Write, None, 1);
 }
 
 #[test]
 fn watching_sockets() {
     for error in [libc::ENOMEM, libc::ENOSPC] {
-        holds(Call::Watch, Some(error), 2);
-        holds(Call::Rewatch, Some(error), 2);
+        each_request_has_one_answer(Call::Watch, Some(error), 2);
+        each_request_has_one_answer(Call::Rewatch, Some(error), 2);
     }
 }
 
@@ -121,18 +122,19 @@
 fn executors_connections_that_break() {
     for error in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET] {
         let plan = FaultPlan { call: Call::Read, error: Some(error), one_in: 7 };
-        let mut served = Served::start(Duration::from_millis(10), &Quiet::default(), move || install(plan));
+        let mut dispatcher =
+            RunningDispatcher::start(Duration::from_millis(10), &Quiet::default(), move || install(plan));
         for rid in 1..20 {
             let class = CLASSES[(rid % 3) as usize];
-            let mut c = Client::says(served.address, &request(class, rid, 10_000));
+            let mut c = Client::says(dispatcher.address, &request(class, rid, 10_000));
             let answers = [c.got(), c.got()];
             // A client whose own connection broke is owed nothing; a load runs once at most in any case.
             let told = answers.iter().filter(|a| matches!(a, Got::Rows(_) | Got::Error(..))).count();
             assert!(told <= 1, "{error}: {answers:?}");
-            assert!(class != "load" || served.runs(rid) <= 1);
+            assert!(class != "load" || dispatcher.run_count(rid) <= 1);
         }
-        served.terminate();
-        assert!(served.ends() > 0);
+        dispatcher.terminate();
+        assert!(dispatcher.join() > 0);
     }
 }
 
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -23,7 +23,7 @@
 const CLASSES: [&str; 3] = ["read", "load", "keyed"];
 
 /// A dispatcher that serves on a thread.
-struct Served {
+struct RunningDispatcher {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
     wake: UnixStream,
@@ -32,9 +32,9 @@
     executors: Vec<Executor>,
 }
 
-impl Served {
+impl RunningDispatcher {
     /// Serves with two executors, each of which takes so long for a request; `before` runs on its thread.
-    fn start(work: Duration, settings: &Quiet, before: impl FnOnce() + Send + 'static) -> Served {
+    fn start(work: Duration, settings: &Quiet, before: impl FnOnce() + Send + 'static) -> RunningDispatcher {
         let feed = Feed::at("127.0.0.1:0", 1).unwrap();
         let executors: Vec<Executor> = (0..2).map(|_| Executor::new(move |_| work).unwrap()).collect();
         let targets: Vec<String> =
@@ -54,7 +54,7 @@
             system_calls::tests::failed()
         });
         let address = told.recv().unwrap();
-        Served { address, stop, wake, thread: Some(thread), _feed: feed, executors }
+        RunningDispatcher { address, stop, wake, thread: Some(thread), _feed: feed, executors }
     }
 
     /// As SIGTERM does.
@@ -63,13 +63,13 @@
         self.wake.write_all(&[1]).unwrap();
     }
 
-    /// Waits for its end; how many of its calls failed.
-    fn ends(&mut self) -> u32 {
+    /// Waits for its end. Returns how many of its system calls failed.
+    fn join(&mut self) -> u32 {
         self.thread.take().unwrap().join().expect("it ends in order")
     }
 
-    /// How often executors got a request.
-    fn runs(&self, rid: u64) -> usize {
+    /// How often executors were sent a request.
+    fn run_count(&self, rid: u64) -> usize {
         let id = format!("{rid:016x}");
         self.executors.iter().flat_map(Executor::pulls).filter(|p| p.id == id).count()
     }
