--- a/tests/sliver/admission.rs
+++ b/tests/sliver/admission.rs
@@ -1,10 +1,10 @@
-//! What passes and what is refused: shares, cold executors, overload.
+//! Which requests are admitted and rejected where a dispatcher has a small share of the traffic.
 
 use super::*;
 
-/// Found on the bench: a bucket of a small share held less than one request and refused it for ever.
+/// The bucket of a dispatcher with a small traffic share held less than one request, and rejected it for ever.
 #[test]
-fn a_small_share_passes_an_expensive_request_when_nothing_presses() {
+fn a_small_share_admits_an_expensive_request_without_pressure() {
     let mut rig = Rig::new(fleet(300), 40);
     rig.teach(1, 30, 2.0);
     rig.pass(S);
@@ -14,9 +14,9 @@
     }
 }
 
-/// Found on the bench: the fixed part of the cold budget was under one request, so that nobody sent anything.
+/// Each dispatcher's part of the slow-start budget was under one request, so that nobody sent anything to the executor.
 #[test]
-fn three_hundred_dispatchers_together_use_a_cold_executor_within_its_budget() {
+fn three_hundred_dispatchers_together_use_a_warming_executor_within_its_budget() {
     let mut sent: Vec<(Micros, f64)> = vec![];
     for seed in 0..300 {
         let mut rig = Rig::seeded(fleet(300), 2, seed);
@@ -26,12 +26,12 @@
         let start = rig.now;
         for _ in 0..10 {
             rig.pass(400 * MS + seed * MS);
-            let (q, actions) = rig.arrive(0, 0.2);
+            let (request, actions) = rig.arrive(0, 0.2);
             let Some(executor) = sent_to(&actions) else { continue };
             if executor == 1 {
                 sent.push((rig.now - start, 0.2));
             }
-            rig.finish(q, 0, executor, Outcome::Ok, 0.2);
+            rig.finish(request, 0, executor, Outcome::Ok, 0.2);
         }
     }
     let c = fleet(300).slow_start;
@@ -41,19 +41,19 @@
     };
     let most = (0..40).map(|i| window(i * 100 * MS)).fold(0.0, f64::max);
     assert!(most <= budget, "{most} of {budget}");
-    assert!(most > 0.1 * budget, "{most} of {budget}: the engine stands idle");
+    assert!(most > 0.1 * budget, "{most} of {budget}: the executor stands idle");
 }
 
-/// Found on the bench (llandudno-dc-later, overload): after a jam had begun, no report ended well, so that
-/// the class never had its eight outcomes and its buckets stayed open for good.
+/// Once an overload had begun, no request of a class ended well. The class never had its eight outcomes, and its
+/// buckets stayed open for good. Attempts count however they end.
 #[test]
 fn buckets_of_a_class_close_though_none_of_its_requests_ends_well() {
     let mut rig = Rig::new(fleet(2), 2);
     rig.teach(0, 30, 0.2);
     for _ in 0..8 {
-        let (q, actions) = rig.arrive(1, 2.0);
-        rig.event(Event::ClientDisconnected { request: q });
-        rig.finish(q, 0, sent_to(&actions).expect("sent"), Outcome::Cancelled, 2.0);
+        let (request, actions) = rig.arrive(1, 2.0);
+        rig.event(Event::ClientDisconnected { request });
+        rig.finish(request, 0, sent_to(&actions).expect("sent"), Outcome::Cancelled, 2.0);
     }
     for executor in [1, 2] {
         let report = Some(Report { inflight: Some(200.0), ..Report::default() });
@@ -63,8 +63,7 @@
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
 }
 
-/// Found on the bench: requests turned into the heaviest class, and those under half its mean alone were
-/// more than the fleet.
+/// In a heavy overload the requests under half their class's mean were alone more than the fleet could serve.
 #[test]
 fn heavy_overload_closes_below_half_the_mean() {
     let mut rig = Rig::new(fleet(2), 2);
@@ -76,7 +75,7 @@
     }
     rig.pass(300 * MS);
     assert!(refused(&rig.arrive(1, 0.7).1).is_some());
-    assert!(sent_to(&rig.arrive(1, 0.01).1).is_some(), "the cheapest match no rule");
+    assert!(sent_to(&rig.arrive(1, 0.01).1).is_some(), "the cheapest requests match no rule");
 }
 
 #[test]
@@ -85,6 +84,6 @@
         let mut rig = Rig::new(fleet(dispatchers), executors);
         rig.teach(0, 20, 0.2);
         rig.pass(S);
-        assert!(sent_to(&rig.arrive(0, 0.2).1).is_some(), "{dispatchers} gateways, {executors} engines");
+        assert!(sent_to(&rig.arrive(0, 0.2).1).is_some(), "{dispatchers} dispatchers, {executors} executors");
     }
 }
--- a/tests/sliver/grants.rs
+++ b/tests/sliver/grants.rs
@@ -1,8 +1,9 @@
-//! Memory granted where little is heard of it.
+//! Memory grants of a dispatcher that sees few outcomes.
 
 use super::*;
 
-/// Found on the bench: a dispatcher that sees few outcomes kept granting too little; 45% of requests spilled.
+/// A dispatcher that sees few outcomes kept granting too little memory, and 45% of its requests spilled to disk. One
+/// spill note raises the next grant.
 #[test]
 fn one_spill_note_raises_the_next_grant() {
     let mut rig = Rig::new(Settings { reports_cost: false, ..fleet(300) }, 3);
@@ -23,10 +24,10 @@
     assert!(after > 1.2 * before, "{before} then {after}");
 }
 
-/// Found on the bench (freight-exchange): with neither notes nor told needs the grant fell a little with every answer,
-/// until most reports spilled and the disks jammed on a quiet day.
+/// With neither progress notes nor reported needs the grant fell a little with every answer, until most requests spilled
+/// and the disks were saturated on a quiet day.
 #[test]
-fn grants_do_not_fall_where_nothing_tells_of_spills() {
+fn grants_do_not_fall_where_spills_are_not_reported() {
     let mut rig = Rig::new(Settings { reports_cost: false, progress: None, ..fleet(2) }, 3);
     let mut grants = vec![];
     for _ in 0..60 {
--- a/tests/sliver/main.rs
+++ b/tests/sliver/main.rs
@@ -5,8 +5,8 @@
 mod common;
 mod grants;
 mod homes;
-mod mute;
 mod probes;
+mod reports_without_load;
 
 use common::*;
 use ottercroft::api::*;
