--- a/src/bin/ottercroft-adapter/main.rs
+++ b/src/bin/ottercroft-adapter/main.rs
@@ -12,7 +12,7 @@
 use wire::Out;
 
 struct Instance {
-    dispatcher: Balancer,
+    balancer: Balancer,
     names: Names,
 }
 
@@ -66,7 +66,7 @@
                     self.actions.clear();
                     let (now, actions) = (self.now, &mut self.actions);
                     let run =
-                        catch_unwind(AssertUnwindSafe(|| instance.dispatcher.handle(now, event, actions)));
+                        catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
                     for action in &self.actions {
                         emit(&mut self.reply, &wire::action(&who, action));
                     }
@@ -88,8 +88,8 @@
         let (settings, names) = message.env.settings()?;
         let who = message.who;
         match Balancer::new(settings, message.entropy) {
-            Ok(dispatcher) => {
-                self.instances.insert(who, Instance { dispatcher, names });
+            Ok(balancer) => {
+                self.instances.insert(who, Instance { balancer, names });
             }
             Err(e) => emit(&mut self.reply, &Out::Exception { who: &who, what: &e.to_string() }),
         }
--- a/src/dispatch/request.rs
+++ b/src/dispatch/client_request.rs
@@ -3,7 +3,7 @@
 use crate::api::{Arrival, Event, Micros};
 
 /// An answer has to be seen before the client leaves, also when this process or its machine stood still for a
-/// moment: all ends this much before, or this part of a shorter budget.
+/// moment: all ends this much earlier_attempts, or this part of a shorter budget.
 const MARGIN: Micros = 250_000;
 const MARGIN_PART: Micros = 8;
 
@@ -19,7 +19,7 @@
 
 /// One attempt of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct AttemptId {
     /// The request.
     pub request: u64,
     /// The attempt, from 0.
--- a/src/dispatch/fleet.rs
+++ b/src/dispatch/endpoints.rs
@@ -1,11 +1,11 @@
 //! The executors of the list, and news of them.
 
-use super::{Dispatch, Order};
+use super::{Command, Dispatch};
 use crate::api::{Endpoint, EndpointListKind, Event, ExecutorId, Micros, Readiness};
 
 /// An executor as the list has it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Member {
+pub struct ListedExecutor {
     /// Which executor.
     pub executor: ExecutorId,
     /// Its zone, an index.
@@ -15,7 +15,7 @@
     /// Its cell.
     pub cell: u64,
     /// What it does.
-    pub standing: Standing,
+    pub state: ExecutorState,
     /// Relative size.
     pub size: f64,
     /// Unix time of a late start.
@@ -26,29 +26,29 @@
 
 /// What an executor's process does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ExecutorState {
     /// Takes requests.
     Up,
     /// Completes its work.
     Draining,
-    /// Gone.
-    Gone,
+    /// Its process is gone.
+    Removed,
 }
 
 /// Why a list comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum WatchEvent {
     /// As last known before the start.
     Restored,
     /// The whole list.
-    Whole,
+    Replaced,
     /// What changed.
-    Changes,
+    Changed,
 }
 
 /// The fleet as the decisions see it, in cores.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Fleet {
+pub struct FleetCapacity {
     /// Of all executors that the list has as up.
     pub listed: f64,
     /// Of those that are healthy.
@@ -59,37 +59,42 @@
 
 impl<R> Dispatch<R> {
     /// The fleet now.
-    pub fn fleet(&self, now: Micros) -> Fleet {
-        let [listed, usable, warm] = self.dispatcher.fleet(now);
-        Fleet { listed, usable, warm }
+    pub fn fleet_capacity(&self, now: Micros) -> FleetCapacity {
+        let [listed, usable, warm] = self.balancer.fleet(now);
+        FleetCapacity { listed, usable, warm }
     }
 
     /// Cores that work, of all executors on the list, as far as they were heard.
-    pub fn busy(&self, now: Micros) -> f64 {
-        self.dispatcher.occupancy * self.fleet(now).listed
+    pub fn busy_cores(&self, now: Micros) -> f64 {
+        self.balancer.occupancy * self.fleet_capacity(now).listed
     }
 
     /// Executors on the list, and of these how many are avoided now: draining, silent or ejected.
-    pub fn avoided(&self, now: Micros) -> (usize, usize) {
-        self.dispatcher.avoided(now)
+    pub fn listed_and_avoided(&self, now: Micros) -> (usize, usize) {
+        self.balancer.avoided(now)
     }
 
     /// News of the executors.
-    pub fn members(&mut self, now: Micros, news: News, members: &[Member]) -> Vec<Order<R>> {
+    pub fn apply_watch_event(
+        &mut self,
+        now: Micros,
+        news: WatchEvent,
+        members: &[ListedExecutor],
+    ) -> Vec<Command<R>> {
         let kind = match news {
-            News::Restored => EndpointListKind::Restored,
-            News::Whole => EndpointListKind::Replace,
-            News::Changes => EndpointListKind::Update,
+            WatchEvent::Restored => EndpointListKind::Restored,
+            WatchEvent::Replaced => EndpointListKind::Replace,
+            WatchEvent::Changed => EndpointListKind::Update,
         };
-        let endpoint = |m: &Member| Endpoint {
+        let endpoint = |m: &ListedExecutor| Endpoint {
             executor: m.executor,
             zone: m.zone,
             kind: m.kind,
             cell: m.cell,
-            readiness: match m.standing {
-                Standing::Up => Readiness::Active,
-                Standing::Draining => Readiness::Leaving,
-                Standing::Gone => Readiness::Left,
+            readiness: match m.state {
+                ExecutorState::Up => Readiness::Active,
+                ExecutorState::Draining => Readiness::Leaving,
+                ExecutorState::Removed => Readiness::Left,
             },
             rating: m.size,
             started: m.started,
--- a/src/dispatch/open.rs
+++ b/src/dispatch/pending_request.rs
@@ -1,6 +1,6 @@
 //! Requests that are open, and their attempts.
 
-use super::{Answer, Dispatch, Ticket};
+use super::{Answer, AttemptId, Dispatch};
 use crate::api::{EndReason, ExecutorId, Micros, Outcome};
 
 #[derive(Debug)]
@@ -15,11 +15,11 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Open<R> {
+pub(super) struct PendingRequest<R> {
     pub(super) arrived: Micros,
     pub(super) deadline: Micros,
     /// Refusing it is harmless whatever ran.
-    pub(super) safe: bool,
+    pub(super) idempotent: bool,
     /// Executors know repeats for so long, if that is what makes them harmless.
     pub(super) window: Option<Micros>,
     /// Answered, or the client has left.
@@ -27,15 +27,15 @@
     /// The client has left.
     pub(super) left: bool,
     /// What was served after that.
-    pub(super) late: Option<R>,
+    pub(super) late_result: Option<R>,
     /// Attempts that others made before.
-    pub(super) before: usize,
+    pub(super) earlier_attempts: usize,
     pub(super) memory_mb: f64,
     pub(super) priority: u8,
     pub(super) attempts: Vec<Attempt>,
 }
 
-impl<R> Open<R> {
+impl<R> PendingRequest<R> {
     pub(super) fn over(&self) -> bool {
         self.closed && self.attempts.iter().all(|a| a.outcome.is_some())
     }
@@ -45,24 +45,24 @@
         Progress {
             waited_ms: now.saturating_sub(self.arrived) / 1_000,
             left_ms: self.deadline.saturating_sub(now) / 1_000,
-            attempts: self.before + self.attempts.len(),
-            out: self.all_out().count(),
+            attempts: self.earlier_attempts + self.attempts.len(),
+            outstanding: self.outstanding_attempts().count(),
         }
     }
 
     /// Logs its final answer: one that says nothing of what ran is worth a line at any time.
     pub(super) fn log_end(&self, now: Micros, id: u64, answer: &Answer<R>, reason: EndReason) {
-        let Progress { waited_ms, left_ms, attempts, out } = self.progress(now);
+        let Progress { waited_ms, left_ms, attempts, outstanding } = self.progress(now);
         let request = format_args!("{id:016x}");
         match answer {
             Answer::Failed => {
-                tracing::info!(request, %reason, waited_ms, left_ms, attempts, out, "request failed");
+                tracing::info!(request, %reason, waited_ms, left_ms, attempts, outstanding, "request failed");
             }
             Answer::Refused(backoff_ms) => {
-                tracing::debug!(request, %reason, waited_ms, left_ms, attempts, out, backoff_ms, "request refused");
+                tracing::debug!(request, %reason, waited_ms, left_ms, attempts, outstanding, backoff_ms, "request refused");
             }
             Answer::Served(_) => {
-                tracing::debug!(request, waited_ms, left_ms, attempts, out, "request served");
+                tracing::debug!(request, waited_ms, left_ms, attempts, outstanding, "request served");
             }
         }
     }
@@ -78,8 +78,8 @@
         self.window.and_then(|w| ran.map(|a| a.sent + w).min())
     }
 
-    /// The attempts that are out.
-    pub(super) fn all_out(&self) -> impl Iterator<Item = u32> {
+    /// The attempts that are outstanding.
+    pub(super) fn outstanding_attempts(&self) -> impl Iterator<Item = u32> {
         (0..).zip(&self.attempts).filter(|(_, a)| a.outcome.is_none()).map(|(n, _)| n)
     }
 }
@@ -93,19 +93,19 @@
     pub left_ms: u64,
     /// Attempts so far, those of dispatchers before this one too.
     pub attempts: usize,
-    /// Attempts that are out.
-    pub out: usize,
+    /// Attempts that are outstanding.
+    pub outstanding: usize,
 }
 
 impl<R> Dispatch<R> {
     /// How far a request has come that is open.
     pub fn progress(&self, now: Micros, id: u64) -> Option<Progress> {
-        self.open.get(&id).filter(|o| !o.closed).map(|o| o.progress(now))
+        self.pending.get(&id).filter(|o| !o.closed).map(|o| o.progress(now))
     }
 
-    /// An attempt that is out.
-    pub(super) fn out(&mut self, t: Ticket) -> Option<&mut Attempt> {
-        let attempt = self.open.get_mut(&t.request)?.attempts.get_mut(t.attempt as usize)?;
+    /// An attempt that is outstanding.
+    pub(super) fn outstanding(&mut self, t: AttemptId) -> Option<&mut Attempt> {
+        let attempt = self.pending.get_mut(&t.request)?.attempts.get_mut(t.attempt as usize)?;
         attempt.outcome.is_none().then_some(attempt)
     }
 }
--- a/src/dispatch/tests/policy.rs
+++ b/src/dispatch/tests/admission_policy.rs
@@ -10,8 +10,10 @@
     env.settings().unwrap().0
 }
 
-fn started(orders: &[Order<()>]) -> Option<ExecutorId> {
-    orders.iter().find_map(|o| if let Order::Start { executor, .. } = o { Some(*executor) } else { None })
+fn started(commands: &[Command<()>]) -> Option<ExecutorId> {
+    commands
+        .iter()
+        .find_map(|o| if let Command::StartAttempt { executor, .. } = o { Some(*executor) } else { None })
 }
 
 // A request of a lost dispatcher was admitted by the policy before this one. It ends under that, and nothing that
@@ -19,12 +21,12 @@
 #[test]
 fn a_request_taken_over_goes_by_the_settings_that_it_was_admitted_by() {
     let mut d: Dispatch<()> = Dispatch::new(bound("new"), 9, 7).unwrap();
-    let of = |executor, kind| Member { kind, ..member(executor, Standing::Up) };
-    d.members(1_000, News::Restored, &[of(5, 0), of(6, 1)]);
-    assert_eq!(started(&pick(&mut d, 2_000, 1)), Some(6));
-    let orders = d.adopt(2_000, &request(2, BUDGET), 1, Some(&bound("old"))).unwrap();
-    assert_eq!(started(&orders), Some(5));
-    assert_eq!(started(&pick(&mut d, 2_000, 3)), Some(6));
-    d.take_on(bound("old")).unwrap();
-    assert_eq!(started(&pick(&mut d, 2_000, 4)), Some(5));
+    let of = |executor, kind| ListedExecutor { kind, ..listed(executor, ExecutorState::Up) };
+    d.apply_watch_event(1_000, WatchEvent::Restored, &[of(5, 0), of(6, 1)]);
+    assert_eq!(started(&submit(&mut d, 2_000, 1)), Some(6));
+    let commands = d.adopt(2_000, &request(2, BUDGET), 1, Some(&bound("old"))).unwrap();
+    assert_eq!(started(&commands), Some(5));
+    assert_eq!(started(&submit(&mut d, 2_000, 3)), Some(6));
+    d.update_settings(bound("old")).unwrap();
+    assert_eq!(started(&submit(&mut d, 2_000, 4)), Some(5));
 }
--- a/src/dispatch/tests/ends.rs
+++ b/src/dispatch/tests/completion.rs
@@ -7,21 +7,21 @@
 fn a_request_ends_once_and_well_before_its_client_leaves() {
     for (begun, answer) in [(true, Answer::Failed), (false, Answer::Refused(BACKOFF_MS))] {
         let mut d = dispatch();
-        let ticket = Ticket { request: 1, attempt: 0 };
-        let orders = pick(&mut d, 2_000, 1);
-        assert!(matches!(orders[..], [Order::Start { ticket: t, .. }] if t == ticket));
+        let attempt_id = AttemptId { request: 1, attempt: 0 };
+        let commands = submit(&mut d, 2_000, 1);
+        assert!(matches!(commands[..], [Command::StartAttempt { attempt_id: t, .. }] if t == attempt_id));
         if begun {
-            assert!(d.report(2_000, Report::Begun(ticket)).is_empty());
+            assert!(d.handle(2_000, NetworkEvent::AttemptBegun(attempt_id)).is_empty());
         }
         let mut given = Vec::new();
-        while d.waiting() > 0 {
+        while d.open_requests() > 0 {
             let now = d.next_due().unwrap();
             assert!(now + 200_000 < 2_000 + BUDGET, "the end comes too near to the client's");
             given.extend(d.tick(now));
         }
-        assert!(given.contains(&Order::Stop(ticket)));
+        assert!(given.contains(&Command::StopAttempt(attempt_id)));
         assert_eq!(answers(&given), [&answer]);
-        assert!(d.open.is_empty() && d.deadlines.is_empty());
+        assert!(d.pending.is_empty() && d.deadlines.is_empty());
     }
 }
 
@@ -31,11 +31,11 @@
     let mut d = dispatch();
     let mut keyed = request(1, BUDGET);
     keyed.key = Some(9);
-    d.pick(2_000, &keyed).unwrap();
+    d.submit(2_000, &keyed).unwrap();
     let due = d.next_due().expect("a timer");
-    let deadline = d.open[&1].deadline;
-    assert!(due < deadline && d.expire_due(deadline - 1).is_empty());
-    let orders = d.expire_due(deadline);
-    assert_eq!(answers(&orders), [&Answer::Refused(BACKOFF_MS)], "no byte of it was written");
+    let deadline = d.pending[&1].deadline;
+    assert!(due < deadline && d.end_expired(deadline - 1).is_empty());
+    let commands = d.end_expired(deadline);
+    assert_eq!(answers(&commands), [&Answer::Refused(BACKOFF_MS)], "no byte of it was written");
     assert_eq!(d.next_due(), Some(due), "its timers still wait");
 }
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::settings::Env;
 
-mod ends;
-mod fleet;
-mod held;
-mod intake;
-mod policy;
+mod admission_policy;
+mod completion;
+mod endpoints;
+mod held_requests;
+mod submission;
 
 const SETTINGS: &str = r#"{"balancers":1,"kinds":["k"],"domain":{"kindCores":[8],"parallelism":[1]},
     "permissions":{"cancel":true,"maxAttempts":3},
@@ -13,15 +13,15 @@
     "rules":{"stopSendingWithin":2,"coldFrom":0.3,"rampTime":10,"fall":2,"fallMultiple":3}}"#;
 const BUDGET: Micros = 4_000_000;
 
-fn member(executor: ExecutorId, standing: Standing) -> Member {
+fn listed(executor: ExecutorId, state: ExecutorState) -> ListedExecutor {
     let (zone, kind, cell, size) = (0, 0, 0, 1.0);
-    Member { executor, zone, kind, cell, standing, size, started: None, weight: None }
+    ListedExecutor { executor, zone, kind, cell, state, size, started: None, weight: None }
 }
 
 fn dispatch() -> Dispatch<()> {
     let env: Env = serde_json::from_str(SETTINGS).unwrap();
     let mut d = Dispatch::new(env.settings().unwrap().0, 2, 7).unwrap();
-    d.members(1_000, News::Restored, &[member(5, Standing::Up)]);
+    d.apply_watch_event(1_000, WatchEvent::Restored, &[listed(5, ExecutorState::Up)]);
     d
 }
 
@@ -42,10 +42,10 @@
     }
 }
 
-fn pick(d: &mut Dispatch<()>, now: Micros, id: u64) -> Vec<Order<()>> {
-    d.pick(now, &request(id, BUDGET)).unwrap()
+fn submit(d: &mut Dispatch<()>, now: Micros, id: u64) -> Vec<Command<()>> {
+    d.submit(now, &request(id, BUDGET)).unwrap()
 }
 
-fn answers(orders: &[Order<()>]) -> Vec<&Answer<()>> {
-    orders.iter().filter_map(|o| if let Order::Answer(_, a) = o { Some(a) } else { None }).collect()
+fn answers(commands: &[Command<()>]) -> Vec<&Answer<()>> {
+    commands.iter().filter_map(|o| if let Command::Answer(_, a) = o { Some(a) } else { None }).collect()
 }
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -4,7 +4,7 @@
 use super::{LEAVE_PATIENCE, Node, listen};
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
-use crate::dispatch::News;
+use crate::dispatch::WatchEvent;
 use std::io;
 
 impl Node {
@@ -103,7 +103,7 @@
     /// A ban was put on or lifted: the module hears of the executor anew, and the next process of it.
     pub(super) fn banned(&mut self, now: Micros, id: &str) {
         if let Some(target) = self.targets.get(id).cloned() {
-            self.relist(now, News::Changes, &[target]);
+            self.relist(now, WatchEvent::Changed, &[target]);
         }
         self.bans_file.save(&self.bans);
     }
@@ -112,7 +112,7 @@
         let f = &self.figures;
         f.forwards.inc_by(self.executors.wire.forwards.saturating_sub(f.forwards.get()));
         f.outstanding.set(self.open.len() as i64);
-        let (listed, avoided) = self.dispatch.avoided(now);
+        let (listed, avoided) = self.dispatch.listed_and_avoided(now);
         f.discovered.set(listed as i64);
         f.ejected.set(avoided as i64);
         f.text()
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::api::Micros;
 use crate::codec::mysql::Error;
-use crate::dispatch::Report;
+use crate::dispatch::NetworkEvent;
 
 impl Node {
     pub(super) fn read(&mut self, key: Key, now: Micros) {
@@ -72,7 +72,7 @@
         if let Some(open) = self.open.remove(&request) {
             self.log_left(request, &open, now);
         }
-        let orders = self.dispatch.report(now, Report::Left(request));
+        let orders = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
         self.settle(orders);
         self.client_left(now, request);
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -4,7 +4,7 @@
 use super::sys;
 use crate::api::Micros;
 use crate::codec::executor::{self, Note};
-use crate::dispatch::{End, ExecutorId, Terms, Ticket, Word};
+use crate::dispatch::{AttemptEnd, AttemptId, AttemptProgress, AttemptTerms, ExecutorId};
 use crate::must;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpStream;
@@ -29,7 +29,7 @@
 
 /// An attempt on its way.
 pub(super) struct Stream {
-    pub(super) ticket: Ticket,
+    pub(super) attempt_id: AttemptId,
     /// A byte of it was written, and that was told.
     pub(super) begun: bool,
     /// Written whole.
@@ -45,7 +45,7 @@
 
 /// What waits to be written.
 pub(super) enum Outgoing {
-    Pull { id: u64, job: Job, terms: Terms },
+    Pull { id: u64, job: Job, terms: AttemptTerms },
     Kill(u64),
     Boost(u64, u8),
     Scroll(u64, u32),
@@ -133,21 +133,21 @@
     Goes,
     /// Said before: dropped.
     Copy,
-    Noted(Word),
+    Noted(AttemptProgress),
     Pages(u32),
-    Ended(End<Rows>),
+    Ended(AttemptEnd<Rows>),
     Broken(&'static str),
 }
 
 pub(super) fn advance(s: &mut Stream, word: executor::Word, body: &[u8], pool: &Pool) -> Step {
     match word {
         executor::Word::Note(None) => Step::Goes,
-        executor::Word::Note(Some(Note::Done(x))) => Step::Noted(Word::Progress(x)),
-        executor::Word::Note(Some(Note::Spills(x))) => Step::Noted(Word::Spills(x)),
-        executor::Word::Note(Some(Note::Waits)) => Step::Noted(Word::Waits),
-        executor::Word::Busy => Step::Ended(End::Full),
-        executor::Word::Void => Step::Ended(End::Void),
-        executor::Word::Err => Step::Ended(End::Error),
+        executor::Word::Note(Some(Note::Done(x))) => Step::Noted(AttemptProgress::Progress(x)),
+        executor::Word::Note(Some(Note::Spills(x))) => Step::Noted(AttemptProgress::Spill(x)),
+        executor::Word::Note(Some(Note::Waits)) => Step::Noted(AttemptProgress::Waits),
+        executor::Word::Busy => Step::Ended(AttemptEnd::Rejected),
+        executor::Word::Void => Step::Ended(AttemptEnd::NotRun),
+        executor::Word::Err => Step::Ended(AttemptEnd::Error),
         executor::Word::Ok { pages } => {
             if s.pages > 0 {
                 return Step::Copy;
@@ -160,7 +160,7 @@
             }
             s.pages = pages;
             match pages {
-                1 => Step::Ended(End::Served(std::mem::take(&mut s.rows))),
+                1 => Step::Ended(AttemptEnd::Served(std::mem::take(&mut s.rows))),
                 n => Step::Pages(n),
             }
         }
@@ -177,7 +177,7 @@
                 return Step::Broken("rows that can't be read, or too many");
             }
             match s.rows.len() == s.pages as usize {
-                true => Step::Ended(End::Served(std::mem::take(&mut s.rows))),
+                true => Step::Ended(AttemptEnd::Served(std::mem::take(&mut s.rows))),
                 false => Step::Goes,
             }
         }
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -3,7 +3,7 @@
 use super::pool::Lack;
 use super::{Due, Executors, Job, PROBE_SLACK};
 use crate::api::Micros;
-use crate::dispatch::{Echo, End, ExecutorId, Report, Terms, Ticket};
+use crate::dispatch::{AttemptEnd, AttemptId, AttemptTerms, ExecutorId, NetworkEvent, ProbeOutcome};
 use crate::must;
 use crate::net::connection::{Outgoing, Stream};
 use crate::net::poll::{Key, Poll};
@@ -14,21 +14,30 @@
 
 impl Executors {
     /// Sends an attempt.
-    pub fn start(&mut self, t: Ticket, to: ExecutorId, job: Job, terms: Terms, now: Micros, poll: &Poll) {
+    pub fn start(
+        &mut self,
+        t: AttemptId,
+        to: ExecutorId,
+        job: Job,
+        terms: AttemptTerms,
+        now: Micros,
+        poll: &Poll,
+    ) {
         let id = t.request;
         let most = if t.attempt < SUSPECT { self.transport.streams_per_conn } else { 1 };
         let key = match self.connection(to, now, poll, |c| c.takes(id, most, now)) {
             Ok(key) => key,
             Err(lack) => {
-                let end = if lack == Lack::Ours { End::Void } else { End::NeverSent };
-                return self.reports.push_back(Report::Ended(t, end, None));
+                let end = if lack == Lack::Ours { AttemptEnd::NotRun } else { AttemptEnd::NeverSent };
+                return self.reports.push_back(NetworkEvent::AttemptEnded(t, end, None));
             }
         };
         let Some(conn) = self.conns.get_mut(&key) else { return };
         let (rows, begun, written) = (Vec::new(), false, false);
-        conn.streams.insert(id, Stream { ticket: t, begun, written, pages: 0, rows, bytes: 0, since: now });
+        conn.streams
+            .insert(id, Stream { attempt_id: t, begun, written, pages: 0, rows, bytes: 0, since: now });
         conn.queue.push_back(Outgoing::Pull { id, job, terms });
-        if terms.begin_by < terms.until {
+        if terms.begin_by < terms.deadline {
             self.timers.set(terms.begin_by, Due::Begin(t));
         }
         must!(self.places.insert(t, key).is_none(), "an attempt was started twice");
@@ -36,7 +45,7 @@
     }
 
     /// Gives an attempt up; nothing more is told of it.
-    pub fn stop(&mut self, t: Ticket, now: Micros, poll: &Poll) {
+    pub fn stop(&mut self, t: AttemptId, now: Micros, poll: &Poll) {
         let Some(key) = self.places.remove(&t) else { return };
         let Some(conn) = self.conns.get_mut(&key) else { return };
         let id = t.request;
@@ -50,7 +59,7 @@
     }
 
     /// Takes an attempt back if no byte of it was written, and tells that it was never sent; else it goes on.
-    pub fn withdraw(&mut self, t: Ticket, now: Micros, poll: &Poll) {
+    pub fn withdraw(&mut self, t: AttemptId, now: Micros, poll: &Poll) {
         let Some(key) = self.places.get(&t).copied() else { return };
         let Some(conn) = self.conns.get_mut(&key).filter(|c| c.streams.contains_key(&t.request)) else {
             return;
@@ -58,13 +67,13 @@
         if conn.take_back(t.request) {
             conn.streams.remove(&t.request);
             self.places.remove(&t);
-            self.reports.push_back(Report::Ended(t, End::NeverSent, None));
+            self.reports.push_back(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, None));
             self.write(key, now, poll);
         }
     }
 
     /// A new priority for an attempt.
-    pub fn boost(&mut self, t: Ticket, priority: u8, now: Micros, poll: &Poll) {
+    pub fn boost(&mut self, t: AttemptId, priority: u8, now: Micros, poll: &Poll) {
         let Some(key) = self.places.get(&t).copied() else { return };
         let Some(conn) = self.conns.get_mut(&key) else { return };
         for o in &mut conn.queue {
@@ -86,8 +95,8 @@
         let key = match self.connection(to, now, poll, |c| !c.retired && !c.doubtful(now)) {
             Ok(key) => key,
             Err(lack) => {
-                let echo = if lack == Lack::Ours { Echo::Unknown } else { Echo::Unreachable };
-                return self.reports.push_back(Report::ProbeFinished(to, echo, 0));
+                let echo = if lack == Lack::Ours { ProbeOutcome::Unknown } else { ProbeOutcome::Unreachable };
+                return self.reports.push_back(NetworkEvent::ProbeFinished(to, echo, 0));
             }
         };
         self.meter(key, now, poll);
--- a/src/net/executors/listing.rs
+++ b/src/net/executors/listing.rs
@@ -3,7 +3,7 @@
 use super::{Executor, Executors};
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
-use crate::dispatch::{End, ExecutorId, Report, executor_id};
+use crate::dispatch::{AttemptEnd, ExecutorId, NetworkEvent, executor_id};
 use crate::net::poll::{Key, Poll};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -119,8 +119,8 @@
             if conn.take_back(id)
                 && let Some(s) = conn.streams.remove(&id)
             {
-                self.places.remove(&s.ticket);
-                self.reports.push_back(Report::Ended(s.ticket, End::NeverSent, None));
+                self.places.remove(&s.attempt_id);
+                self.reports.push_back(NetworkEvent::AttemptEnded(s.attempt_id, AttemptEnd::NeverSent, None));
             }
         }
     }
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -27,7 +27,7 @@
 use crate::api::Micros;
 use crate::clock::Clock;
 use crate::codec::coordinator::State;
-use crate::dispatch::{ExecutorId, Report, Ticket, executor_id};
+use crate::dispatch::{AttemptId, ExecutorId, NetworkEvent, executor_id};
 use crate::settings::Transport;
 use look::Look;
 use rand_core::SeedableRng;
@@ -57,9 +57,9 @@
     /// An answer in part.
     Part(Key),
     /// Word on what was written.
-    Word(Key),
+    Progress(Key),
     /// An attempt that may not begin later.
-    Begin(Ticket),
+    Begin(AttemptId),
 }
 
 /// Counters of the connections.
@@ -90,14 +90,14 @@
     addresses: HashMap<SocketAddr, ExecutorId>,
     conns: BTreeMap<Key, Conn>,
     /// Where each attempt is.
-    places: BTreeMap<Ticket, Key>,
+    places: BTreeMap<AttemptId, Key>,
     timers: Timers<Due>,
     clock: Clock,
     look: Look,
     tags: Pcg64Mcg,
     scratch: Vec<u8>,
     /// What the dispatcher has to be told, in order.
-    pub reports: VecDeque<Report<Rows>>,
+    pub reports: VecDeque<NetworkEvent<Rows>>,
     /// Whether a dial found no descriptor.
     pub starved: bool,
     /// Counters.
--- a/src/net/executors/pool.rs
+++ b/src/net/executors/pool.rs
@@ -3,7 +3,7 @@
 use super::{Due, Executors};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
-use crate::dispatch::{Echo, End, ExecutorId, Report};
+use crate::dispatch::{AttemptEnd, ExecutorId, NetworkEvent, ProbeOutcome};
 use crate::net::buffers::{Inbox, Outbox};
 use crate::net::connection::Conn;
 use crate::net::dial;
@@ -129,19 +129,19 @@
         }
         let spoke = conn.heard > conn.opened;
         for s in conn.streams.into_values() {
-            self.places.remove(&s.ticket);
+            self.places.remove(&s.attempt_id);
             let end = match (s.written, conn.up) {
-                (true, _) if spoke => End::Spoilt,
-                (true, _) => End::Lost,
+                (true, _) if spoke => AttemptEnd::ConnectionUnusable,
+                (true, _) => AttemptEnd::ConnectionLost,
                 // The connection came up, so its executor is there: that it never ran is all this tells.
-                (false, true) => End::Void,
-                (false, false) => End::NeverSent,
+                (false, true) => AttemptEnd::NotRun,
+                (false, false) => AttemptEnd::NeverSent,
             };
-            self.reports.push_back(Report::Ended(s.ticket, end, None));
+            self.reports.push_back(NetworkEvent::AttemptEnded(s.attempt_id, end, None));
         }
-        let echo = if conn.up { Echo::Unknown } else { Echo::Unreachable };
+        let echo = if conn.up { ProbeOutcome::Unknown } else { ProbeOutcome::Unreachable };
         for _ in conn.probes {
-            self.reports.push_back(Report::ProbeFinished(conn.executor, echo, 0));
+            self.reports.push_back(NetworkEvent::ProbeFinished(conn.executor, echo, 0));
         }
     }
 
--- a/src/net/executors/silence.rs
+++ b/src/net/executors/silence.rs
@@ -2,7 +2,7 @@
 
 use super::{Due, Executors, PART, PROBE_SLACK};
 use crate::api::Micros;
-use crate::dispatch::{Echo, Report};
+use crate::dispatch::{NetworkEvent, ProbeOutcome};
 use crate::net::event_source::EventSource;
 use crate::net::poll::{Key, Poll};
 use crate::settings::Transport;
@@ -35,7 +35,7 @@
         let asks = probes && now >= due && !conn.mute && conn.probes.is_empty();
         let next = due.max(now + 2 * PROBE_SLACK);
         conn.word_at = Some(next);
-        self.timers.set(next, Due::Word(key));
+        self.timers.set(next, Due::Progress(key));
         if asks {
             self.meter(key, now, poll);
         }
@@ -66,8 +66,8 @@
                         conn.retired |= conn.mute;
                         let executor = conn.executor;
                         let lives = self.list.get(&executor).is_some_and(|e| e.heard > sent);
-                        let echo = if lives { Echo::Unknown } else { Echo::Silent };
-                        self.reports.push_back(Report::ProbeFinished(
+                        let echo = if lives { ProbeOutcome::Unknown } else { ProbeOutcome::TimedOut };
+                        self.reports.push_back(NetworkEvent::ProbeFinished(
                             executor,
                             echo,
                             now.saturating_sub(sent),
@@ -81,8 +81,8 @@
                         self.lose(key, poll, "an answer stopped half way");
                     }
                 }
-                Due::Word(key) => self.ask_for_word(key, now, poll),
-                Due::Begin(ticket) => self.withdraw(ticket, now, poll),
+                Due::Progress(key) => self.ask_for_word(key, now, poll),
+                Due::Begin(attempt_id) => self.withdraw(attempt_id, now, poll),
             }
         }
     }
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::codec::coordinator::Target;
-use crate::dispatch::{End, Load, Terms};
+use crate::dispatch::{AttemptEnd, AttemptTerms, LoadReport};
 use crate::net::event_source::EventSource;
 use crate::net::poll::Poll;
 use std::net::TcpListener;
@@ -23,13 +23,13 @@
     e.listed(&[target], false, now, poll);
 }
 
-fn start(e: &mut Executors, request: u64, now: Micros, poll: &Poll) -> Ticket {
-    let ticket = Ticket { request, attempt: 0 };
+fn start(e: &mut Executors, request: u64, now: Micros, poll: &Poll) -> AttemptId {
+    let attempt_id = AttemptId { request, attempt: 0 };
     let job = Job { kind: "read".into(), statement: "SELECT 1".into(), token: None };
-    let until = now + 9_000_000;
-    let terms = Terms { memory_mb: 0.0, priority: 1, until, begin_by: until };
-    e.start(ticket, executor_id("e1"), job, terms, now, poll);
-    ticket
+    let deadline = now + 9_000_000;
+    let terms = AttemptTerms { memory_mb: 0.0, priority: 1, deadline, begin_by: deadline };
+    e.start(attempt_id, executor_id("e1"), job, terms, now, poll);
+    attempt_id
 }
 
 // A pull that waits for its connection must not go out seconds after the executor drains: it is taken back
@@ -40,10 +40,12 @@
     let at = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
     listed(&mut e, &at, State::Up, 0, 1, &poll);
-    let ticket = start(&mut e, 7, 2, &poll);
+    let attempt_id = start(&mut e, 7, 2, &poll);
     assert!(e.reports.is_empty());
     listed(&mut e, &at, State::Draining, 0, 3, &poll);
-    assert!(matches!(e.reports.pop_front(), Some(Report::Ended(t, End::NeverSent, _)) if t == ticket));
+    assert!(
+        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
+    );
     let key = *e.conns.keys().next().unwrap();
     e.ready(key, false, true, 4, &poll);
     assert!(e.conns[&key].queue.is_empty() && e.conns[&key].outbox.is_empty());
@@ -56,9 +58,11 @@
     let [old, new] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
     listed(&mut e, &old, State::Up, 0, 1, &poll);
-    let ticket = start(&mut e, 7, 2, &poll);
+    let attempt_id = start(&mut e, 7, 2, &poll);
     listed(&mut e, &new, State::Up, 0, 3, &poll);
-    assert!(matches!(e.reports.pop_front(), Some(Report::Ended(t, End::NeverSent, _)) if t == ticket));
+    assert!(
+        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
+    );
 }
 
 // A process that started anew knows nothing of what an old connection asked; one opened since does. A
@@ -74,16 +78,22 @@
     while !e.conns[&old_key].up {
         e.ready(old_key, false, true, 1_001, &poll);
     }
-    assert!(matches!(e.reports.pop_front(), Some(Report::Begun(t)) if t == old));
+    assert!(matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == old));
     let new = start(&mut e, 8, 9_000, &poll);
     let over = start(&mut e, 9, 9_000, &poll);
     // All connections are busy: that is no fault of the executor's, which was left out for it.
-    assert!(matches!(e.reports.pop_front(), Some(Report::Ended(t, End::Void, _)) if t == over));
+    assert!(
+        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NotRun, _)) if t == over)
+    );
     listed(&mut e, &at, State::Up, 5, 10_000, &poll);
-    assert!(matches!(e.reports.pop_front(), Some(Report::Ended(t, End::Lost, _)) if t == old));
+    assert!(
+        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::ConnectionLost, _)) if t == old)
+    );
     assert!(e.reports.is_empty() && e.places.contains_key(&new));
     e.tick(9_000 + TRANSPORT.dial_timeout, &poll);
-    assert!(matches!(e.reports.pop_front(), Some(Report::Ended(t, End::NeverSent, _)) if t == new));
+    assert!(
+        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == new)
+    );
 }
 
 // At a site where executors tell their load in every answer and are never probed, the decisions saw no
@@ -95,7 +105,7 @@
     let at = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
     listed(&mut e, &at, State::Up, 0, 1, &poll);
-    let ticket = start(&mut e, 0x2a, 2, &poll);
+    let attempt_id = start(&mut e, 0x2a, 2, &poll);
     let key = *e.conns.keys().next().unwrap();
     let (mut executor, _) = at.accept().unwrap();
     let mut seen = Vec::new();
@@ -107,12 +117,14 @@
             seen.extend_from_slice(&chunk[..n]);
         }
     }
-    assert!(matches!(e.reports.pop_front(), Some(Report::Begun(t)) if t == ticket));
+    assert!(matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == attempt_id));
     executor.write_all(b"2a BUSY gauges=inflight:7;util:0.61 0\r\n\r\n").unwrap();
     while e.reports.is_empty() {
         e.ready(key, true, false, 4, &poll);
     }
-    let load = Load { inflight: Some(7.0), util: Some(0.61), ..Load::default() };
+    let load = LoadReport { inflight: Some(7.0), util: Some(0.61), ..LoadReport::default() };
     let found = e.reports.pop_front();
-    assert!(matches!(found, Some(Report::Ended(t, End::Full, Some(l))) if t == ticket && l == load));
+    assert!(
+        matches!(found, Some(NetworkEvent::AttemptEnded(t, AttemptEnd::Rejected, Some(l))) if t == attempt_id && l == load)
+    );
 }
--- a/src/net/executors/traffic.rs
+++ b/src/net/executors/traffic.rs
@@ -3,7 +3,7 @@
 use super::{Due, Executors, PART};
 use crate::api::Micros;
 use crate::codec::executor::{self, Answer, Gauges, Terms};
-use crate::dispatch::{self as attempt, Echo, End, Load, Report};
+use crate::dispatch::{self as attempt, AttemptEnd, LoadReport, NetworkEvent, ProbeOutcome};
 use crate::net::connection::{Outgoing, Step, advance};
 use crate::net::dial;
 use crate::net::poll::{Key, Poll};
@@ -66,8 +66,8 @@
             match answer {
                 Answer::Probe { tag, up, gauges } => {
                     if let Some(sent) = conn.probes.remove(&tag) {
-                        let echo = if up { Echo::Up(gauges.map(load)) } else { Echo::Down };
-                        self.reports.push_back(Report::ProbeFinished(
+                        let echo = if up { ProbeOutcome::Up(gauges.map(load)) } else { ProbeOutcome::Down };
+                        self.reports.push_back(NetworkEvent::ProbeFinished(
                             conn.executor,
                             echo,
                             now.saturating_sub(sent),
@@ -87,7 +87,7 @@
                                 None
                             }
                             Step::Noted(word) => {
-                                self.reports.push_back(Report::AttemptProgressed(s.ticket, word));
+                                self.reports.push_back(NetworkEvent::AttemptProgressed(s.attempt_id, word));
                                 None
                             }
                             Step::Pages(pages) => {
@@ -104,12 +104,16 @@
                     if let Some(end) = ended
                         && let Some(s) = conn.streams.remove(&id)
                     {
-                        self.places.remove(&s.ticket);
+                        self.places.remove(&s.attempt_id);
                         // One that was served never comes again, all else may be tried again.
-                        if !matches!(end, End::Served(_)) {
+                        if !matches!(end, AttemptEnd::Served(_)) {
                             conn.spent.insert(id, now);
                         }
-                        self.reports.push_back(Report::Ended(s.ticket, end, gauges.map(load)));
+                        self.reports.push_back(NetworkEvent::AttemptEnded(
+                            s.attempt_id,
+                            end,
+                            gauges.map(load),
+                        ));
                     }
                 }
             }
@@ -135,7 +139,7 @@
                 writing.filter(|s| !s.begun && (conn.outbox.begun() || matches!(flushed, Ok(true))))
             {
                 s.begun = true;
-                self.reports.push_back(Report::Begun(s.ticket));
+                self.reports.push_back(NetworkEvent::AttemptBegun(s.attempt_id));
             }
             match flushed {
                 Ok(true) => {}
@@ -148,7 +152,7 @@
                 if conn.word_at.is_none() {
                     let due = now + conn.word_within + 1;
                     conn.word_at = Some(due);
-                    self.timers.set(due, Due::Word(key));
+                    self.timers.set(due, Due::Progress(key));
                 }
             }
             let Some(next) = conn.queue.pop_front() else { break None };
@@ -158,12 +162,16 @@
             let out = &mut self.scratch;
             match next {
                 Outgoing::Pull { id, job, terms } => {
-                    let attempt::Terms { memory_mb, priority, until, begin_by } = terms;
+                    let attempt::AttemptTerms { memory_mb, priority, deadline, begin_by } = terms;
                     if now > begin_by
                         && let Some(s) = conn.streams.remove(&id)
                     {
-                        self.places.remove(&s.ticket);
-                        self.reports.push_back(Report::Ended(s.ticket, End::NeverSent, None));
+                        self.places.remove(&s.attempt_id);
+                        self.reports.push_back(NetworkEvent::AttemptEnded(
+                            s.attempt_id,
+                            AttemptEnd::NeverSent,
+                            None,
+                        ));
                         continue;
                     }
                     if !self.look.is_fresh(now) {
@@ -172,7 +180,7 @@
                         break None;
                     }
                     self.look.begins();
-                    let wait_ms = (until.saturating_sub(now) / 1000).max(1);
+                    let wait_ms = (deadline.saturating_sub(now) / 1000).max(1);
                     executor::pull(
                         out,
                         id,
@@ -203,6 +211,6 @@
         }
     }
 }
-fn load(g: Gauges) -> Load {
-    Load { inflight: g.inflight, util: g.util, queue: g.queue, memory: g.x0, disks: g.x1 }
+fn load(g: Gauges) -> LoadReport {
+    LoadReport { inflight: g.inflight, util: g.util, queue: g.queue, memory: g.x0, disks: g.x1 }
 }
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -1,7 +1,7 @@
 //! What the record has done of itself: moves that come of time and of peers' words, and the end.
 
 use crate::api::Micros;
-use crate::dispatch::{Order, Request};
+use crate::dispatch::{Command, Request};
 use crate::net::Node;
 use crate::net::executors::{Job, Rows};
 use crate::net::poll::Key;
@@ -47,14 +47,14 @@
                     self.dispatch.answer_held(now, rid, answer)
                 }
                 Move::Adopt(record) => self.adopt(now, &record),
-                Move::LetGo(rid) => self.dispatch.let_go(now, rid),
+                Move::LetGo(rid) => self.dispatch.release(now, rid),
             };
             self.settle(orders);
         }
     }
 
     /// Takes a request of a lost peer in hand; its result waits for its client.
-    fn adopt(&mut self, now: Micros, record: &Record) -> Vec<Order<Rows>> {
+    fn adopt(&mut self, now: Micros, record: &Record) -> Vec<Command<Rows>> {
         let Some(in_flight) = &mut self.in_flight else { return Vec::new() };
         let (class, statement) = (usize::from(record.class), record.statement.clone().unwrap_or_default());
         let Some(kind) = in_flight.classes.get(class).cloned() else { return Vec::new() };
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -2,7 +2,7 @@
 
 use super::InFlight;
 use crate::api::Micros;
-use crate::dispatch::{Answer, Request, Ticket};
+use crate::dispatch::{Answer, AttemptId, Request};
 use crate::net::Node;
 use crate::net::buffers::{Block, Pool};
 use crate::net::executors::{Job, Rows};
@@ -58,12 +58,12 @@
     }
 
     /// Whether an attempt may go out; one that may not is let go of.
-    pub(in crate::net) fn may_send(&mut self, now: Micros, ticket: Ticket, executor: u32) -> bool {
+    pub(in crate::net) fn may_send(&mut self, now: Micros, attempt_id: AttemptId, executor: u32) -> bool {
         let Some(in_flight) = &mut self.in_flight else { return true };
-        let may = in_flight.takeover.may_send(now, ticket.request);
+        let may = in_flight.takeover.may_send(now, attempt_id.request);
         match may {
-            true => in_flight.takeover.sent(now, ticket.request, executor),
-            false => in_flight.takeover.moves.push_back(Move::LetGo(ticket.request)),
+            true => in_flight.takeover.sent(now, attempt_id.request, executor),
+            false => in_flight.takeover.moves.push_back(Move::LetGo(attempt_id.request)),
         }
         may
     }
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -7,44 +7,58 @@
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
-use crate::dispatch::{Answer, End, Member, News, Order, Report, Standing, executor_id};
+use crate::dispatch::{
+    Answer, AttemptEnd, Command, ExecutorState, ListedExecutor, NetworkEvent, WatchEvent, executor_id,
+};
 use crate::operator::figures::Disposition;
 use std::collections::VecDeque;
 
 impl Node {
     /// Carries orders out, and hands on what comes of them, until nothing is left.
-    pub(super) fn settle(&mut self, orders: Vec<Order<Rows>>) {
+    pub(super) fn settle(&mut self, orders: Vec<Command<Rows>>) {
         let mut orders = VecDeque::from(orders);
         loop {
             let now = self.clock.now();
             if let Some(order) = orders.pop_front() {
                 self.carry_out(now, order);
             } else if let Some(report) = self.executors.reports.pop_front() {
-                orders.extend(self.dispatch.report(now, report));
+                orders.extend(self.dispatch.handle(now, report));
             } else {
                 break;
             }
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, order: Order<Rows>) {
+    pub(super) fn carry_out(&mut self, now: Micros, order: Command<Rows>) {
         match order {
-            Order::Start { ticket, executor, terms } => {
+            Command::StartAttempt { attempt_id, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
-                let Some(job) = self.open.get(&ticket.request).map(|o| o.job.clone()) else {
-                    return self.executors.reports.push_back(Report::Ended(ticket, End::NeverSent, None));
+                let Some(job) = self.open.get(&attempt_id.request).map(|o| o.job.clone()) else {
+                    return self.executors.reports.push_back(NetworkEvent::AttemptEnded(
+                        attempt_id,
+                        AttemptEnd::NeverSent,
+                        None,
+                    ));
                 };
-                if !self.may_send(now, ticket, executor) {
-                    return self.executors.reports.push_back(Report::Ended(ticket, End::NeverSent, None));
+                if !self.may_send(now, attempt_id, executor) {
+                    return self.executors.reports.push_back(NetworkEvent::AttemptEnded(
+                        attempt_id,
+                        AttemptEnd::NeverSent,
+                        None,
+                    ));
                 }
-                self.executors.start(ticket, executor, job, terms, now, &self.poll);
+                self.executors.start(attempt_id, executor, job, terms, now, &self.poll);
             }
-            Order::Stop(ticket) => self.executors.stop(ticket, now, &self.poll),
-            Order::Withdraw(ticket) => self.executors.withdraw(ticket, now, &self.poll),
-            Order::Boost(ticket, priority) => self.executors.boost(ticket, priority, now, &self.poll),
-            Order::Past(request, served, never_ran) => self.past(now, request, served, never_ran),
-            Order::Probe(executor) => self.executors.probe(executor, now, &self.poll),
-            Order::Answer(request, mut answer) => {
+            Command::StopAttempt(attempt_id) => self.executors.stop(attempt_id, now, &self.poll),
+            Command::WithdrawAttempt(attempt_id) => self.executors.withdraw(attempt_id, now, &self.poll),
+            Command::SetPriority(attempt_id, priority) => {
+                self.executors.boost(attempt_id, priority, now, &self.poll)
+            }
+            Command::ReportAbandoned { request, result, never_ran } => {
+                self.past(now, request, result, never_ran);
+            }
+            Command::Probe(executor) => self.executors.probe(executor, now, &self.poll),
+            Command::Answer(request, mut answer) => {
                 let Some(OpenRequest { client: key, job, .. }) = self.open.remove(&request) else { return };
                 self.end_in_flight(now, request, &answer);
                 self.figures.ended(
@@ -81,13 +95,13 @@
         if self.lists.is_some() {
             return self.with_lists(now, |lists, _| lists.feed(now, e.all, &e.targets));
         }
-        let news = if e.all { News::Whole } else { News::Changes };
+        let news = if e.all { WatchEvent::Replaced } else { WatchEvent::Changed };
         self.members(now, news, &e.targets);
     }
 
     pub(super) fn watch_storm(&mut self, now: Micros) {
         let Some(storm) = &mut self.storm else { return };
-        let fleet = self.dispatch.fleet(now);
+        let fleet = self.dispatch.fleet_capacity(now);
         if let Some((phase, was)) = storm.tick(now, fleet) {
             let (arrivals, baseline) = storm.arrivals();
             tracing::warn!(
@@ -110,7 +124,7 @@
         what(lists, &self.executors);
         let next = lists.take(lists::SLICE);
         if !next.is_empty() {
-            self.members(now, News::Changes, &next);
+            self.members(now, WatchEvent::Changed, &next);
         }
         let took = begun.elapsed().as_micros() as Micros;
         if let Some(lists) = &mut self.lists {
@@ -119,7 +133,7 @@
     }
 
     /// The list has news. Starts that it tells by the wall clock become times of this process's clock.
-    pub(super) fn members(&mut self, now: Micros, news: News, targets: &[Target]) {
+    pub(super) fn members(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
         self.wall.observe(now, clock::unix());
         let boots = &mut self.boots;
         let by_our_clock = |t: &Target| {
@@ -132,7 +146,7 @@
     }
 
     /// What the list says of executors now, with starts by this process's clock.
-    pub(super) fn relist(&mut self, now: Micros, news: News, targets: &[Target]) {
+    pub(super) fn relist(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
         let member = |t: &Target| {
             // Who is gone may be named by no more than that: it was where it was listed.
             let known = self.targets.get(&t.uid).filter(|_| t.state == State::Removed);
@@ -144,17 +158,19 @@
                 tracing::error!(executor = t.uid, "executor ignored: unknown zone or kind, or no address");
                 return None;
             }
-            Some(Member {
+            Some(ListedExecutor {
                 executor: executor_id(&t.uid),
                 zone: zone.copied().unwrap_or(0),
                 kind: kind.copied().unwrap_or(0),
                 cell: t.pod_group,
                 // An executor taken out by hand stays out, whatever the list says of it meanwhile.
-                standing: match t.state {
-                    State::Up if self.bans.banned(&t.uid) || self.held_back(&t.uid) => Standing::Draining,
-                    State::Up => Standing::Up,
-                    State::Draining => Standing::Draining,
-                    State::Removed => Standing::Gone,
+                state: match t.state {
+                    State::Up if self.bans.banned(&t.uid) || self.held_back(&t.uid) => {
+                        ExecutorState::Draining
+                    }
+                    State::Up => ExecutorState::Up,
+                    State::Draining => ExecutorState::Draining,
+                    State::Removed => ExecutorState::Removed,
                 },
                 size: t.capacity_hint.unwrap_or(1.0),
                 // One let back by hand was restarted meanwhile: it is cold from then, whatever the list knew.
@@ -166,9 +182,9 @@
                 weight: t.weight,
             })
         };
-        let restored = |t: &&Target| news != News::Restored || t.state != State::Removed;
-        let members: Vec<Member> = targets.iter().filter(restored).filter_map(member).collect();
-        if news != News::Changes {
+        let restored = |t: &&Target| news != WatchEvent::Restored || t.state != State::Removed;
+        let members: Vec<ListedExecutor> = targets.iter().filter(restored).filter_map(member).collect();
+        if news != WatchEvent::Changed {
             self.targets.clear();
         }
         for t in targets {
@@ -184,8 +200,8 @@
         if self.boots.len() > self.targets.len() {
             self.boots.retain(|uid| self.targets.contains_key(uid));
         }
-        self.executors.listed(targets, news != News::Changes, now, &self.poll);
-        let orders = self.dispatch.members(now, news, &members);
+        self.executors.listed(targets, news != WatchEvent::Changed, now, &self.poll);
+        let orders = self.dispatch.apply_watch_event(now, news, &members);
         self.settle(orders);
     }
 }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -5,7 +5,7 @@
 use super::executors::{Job, Rows};
 use super::rules::Held;
 use crate::api::Micros;
-use crate::dispatch::{Order, Request};
+use crate::dispatch::{Command, Request};
 use crate::settings::options::WithoutLease;
 use crate::takeover::{Gate, Reply};
 use fleet::policy::{Act, Gate as Door, Policies, PolicyRecord};
@@ -82,7 +82,7 @@
     }
 
     /// A request that is on the fleet's record goes to the decisions, unless a change is taking hold.
-    pub(super) fn admit_recorded(&mut self, now: Micros, rid: u64) -> Vec<Order<Rows>> {
+    pub(super) fn admit_recorded(&mut self, now: Micros, rid: u64) -> Vec<Command<Rows>> {
         match self.door() {
             Some(Door::Hold) => {
                 self.hold_for_policy(rid, None);
@@ -162,7 +162,7 @@
             in_flight.takeover.ruled = true;
         }
         if let Some(settings) = change
-            && let Err(e) = self.dispatch.take_on(settings)
+            && let Err(e) = self.dispatch.update_settings(settings)
         {
             tracing::error!(error = %e, "policy: can't be done here");
         }
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -112,7 +112,7 @@
         now: Micros,
     ) {
         self.open.remove(&request.id);
-        match self.dispatch.turn_away(request, reason) {
+        match self.dispatch.reject(request, reason) {
             Ok(()) => {
                 self.figures.ended(&job.kind, Disposition::Declined);
                 if let Some(s) = self.sessions.by_key.get_mut(&key) {
@@ -131,7 +131,7 @@
             return self.turn_away(key, &request, &job, wait, EndReason::Elsewhere, now);
         }
         let taken = match self.gate(now, &request, &job) {
-            Gate::Go => self.dispatch.pick(now, &request),
+            Gate::Go => self.dispatch.submit(now, &request),
             Gate::Hold => self.dispatch.hold(now, &request),
             Gate::Answer(reply) => {
                 let held = self.dispatch.hold(now, &request);
@@ -198,7 +198,7 @@
             waited_ms = progress.waited_ms,
             left_ms = progress.left_ms,
             attempts = progress.attempts,
-            out = progress.out,
+            outstanding = progress.outstanding,
             late_ms = arrival.map(Arrival::late_ms),
             new_connection = arrival.map(|a| a.on_new_connection),
             after_previous_ms = arrival.and_then(Arrival::after_previous_ms),
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -19,7 +19,7 @@
 use crate::api::Micros;
 use crate::arrivals::KeySpacing;
 use crate::clock::{BootTimes, Clock, WallClock};
-use crate::dispatch::{Dispatch, News};
+use crate::dispatch::{Dispatch, WatchEvent};
 use crate::membership::check::Catalog;
 use crate::operator::figures::Figures;
 use crate::settings::config::{Config, ConfigError};
@@ -87,7 +87,7 @@
         let now = clock.now();
         let in_flight = match (&options.peers, classes) {
             (Some(o), Some(classes)) => {
-                dispatch.follow_left();
+                dispatch.report_abandoned();
                 let in_flight = InFlight::start(o, classes, seed, now, &poll);
                 Some(in_flight.map_err(context(&format!("peers: listen on {}", o.listen)))?)
             }
@@ -163,7 +163,7 @@
         if let Some(h) = &node.in_flight {
             tracing::info!("peers' address {}", h.peers.address()?);
         }
-        node.members(now, News::Restored, &known);
+        node.members(now, WatchEvent::Restored, &known);
         Ok(node)
     }
 }
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn count(&self) {
-        let t = &self.dispatch.tally;
+        let t = &self.dispatch.counters;
         let w = &self.executors.wire;
         let feed = self.feed.as_ref();
         tracing::info!(
@@ -50,7 +50,7 @@
             refused = t.refused,
             failed = t.failed,
             left = t.left,
-            open = self.dispatch.waiting(),
+            open = self.dispatch.open_requests(),
             attempts = t.attempts,
             expired = t.expired,
             lost = t.lost,
@@ -134,9 +134,9 @@
     pub(super) fn stop(&mut self, came: Occurrence) {
         if self.stopping.is_none() {
             let late_ms = (came.latest - came.earliest) / 1_000;
-            tracing::info!(open = self.dispatch.waiting(), late_ms, "SIGTERM");
+            tracing::info!(open = self.dispatch.open_requests(), late_ms, "SIGTERM");
             self.stopping = Some(came);
-            self.dispatch.ends_at(came.earliest + self.limits.gives_up);
+            self.dispatch.set_shutdown_time(came.earliest + self.limits.gives_up);
         }
     }
 
@@ -168,7 +168,7 @@
     /// Answers all that is open, once; what still comes is refused as it comes.
     fn give_up(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.given_up, true) {
-            let orders = self.dispatch.give_up(now);
+            let orders = self.dispatch.end_all(now);
             self.settle(orders);
             self.refuse_arrived(now);
         }
--- a/src/net/turn.rs
+++ b/src/net/turn.rs
@@ -73,7 +73,7 @@
     /// Answers the requests whose time is over.
     pub(super) fn answer_due(&mut self) {
         let now = self.clock.now();
-        let orders = self.dispatch.expire_due(now);
+        let orders = self.dispatch.end_expired(now);
         if !orders.is_empty() {
             self.settle(orders);
         }
--- a/src/net/upkeep/calls.rs
+++ b/src/net/upkeep/calls.rs
@@ -59,7 +59,7 @@
         if let Some(why) = plan.stopped() {
             let _ = writeln!(text, "stopped: {why}");
         } else if let (Some(next), Some(in_flight)) = (plan.next(), &self.in_flight) {
-            let busy = self.dispatch.busy(now);
+            let busy = self.dispatch.busy_cores(now);
             if let Err(why) = plan::may_begin(plan, &self.machines(), busy, &in_flight.upkeep.budget) {
                 let _ = writeln!(text, "{next} is held up: {}", told(&why));
             }
--- a/src/net/upkeep/keep.rs
+++ b/src/net/upkeep/keep.rs
@@ -3,7 +3,7 @@
 use super::words::{kind, word};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
-use crate::dispatch::News;
+use crate::dispatch::WatchEvent;
 use crate::net::Node;
 use fleet::plan::{self, Command, Machine, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,7 +106,7 @@
         in_flight.upkeep.cold.retain(|uid, _| self.targets.contains_key(uid));
         let targets: Vec<_> = changed.iter().filter_map(|id| self.targets.get(id).cloned()).collect();
         if !targets.is_empty() {
-            self.relist(now, News::Changes, &targets);
+            self.relist(now, WatchEvent::Changed, &targets);
         }
     }
 
@@ -127,7 +127,7 @@
         if !self.in_flight.as_ref().is_some_and(|h| h.upkeep.active && h.takeover.fleet.leads()) {
             return;
         }
-        let (machines, busy) = (self.machines(), self.dispatch.busy(now));
+        let (machines, busy) = (self.machines(), self.dispatch.busy_cores(now));
         let Some(in_flight) = &mut self.in_flight else { return };
         let alive: BTreeSet<_> =
             in_flight.takeover.fleet.agreed().map(|a| a.alive().clone()).unwrap_or_default();
--- a/src/storm/mod.rs
+++ b/src/storm/mod.rs
@@ -12,7 +12,7 @@
 pub mod plan;
 
 use crate::api::Micros;
-use crate::dispatch::Fleet;
+use crate::dispatch::FleetCapacity;
 use lru::LruCache;
 use phase::{Detector, Phase, Seen};
 use plan::{Plan, Return, TOLERANCE};
@@ -76,7 +76,7 @@
     plan: Plan,
     told: LruCache<Asker, Return>,
     seen: Seen,
-    capacity: Fleet,
+    capacity: FleetCapacity,
     capacity_at: Micros,
     /// Requests a second that a warm core serves, learned while many are served.
     per_core: f64,
@@ -105,7 +105,7 @@
             plan: Plan::new(terms.longest_wait),
             told: LruCache::new(most),
             seen: Seen { usable: 1.0, ..Seen::default() },
-            capacity: Fleet::default(),
+            capacity: FleetCapacity::default(),
             capacity_at: 0,
             per_core: 0.0,
             pace: 1.0,
--- a/src/storm/pace.rs
+++ b/src/storm/pace.rs
@@ -3,7 +3,7 @@
 use super::Storm;
 use super::phase::{Phase, Seen};
 use crate::api::Micros;
-use crate::dispatch::Fleet;
+use crate::dispatch::FleetCapacity;
 
 /// Of the capacity, what is planned with: the rest is for what was not foreseen.
 const HEADROOM: f64 = 0.9;
@@ -23,7 +23,7 @@
 
     /// What is usable now warms on the known ramp.
     pub(super) fn forecast(&self) -> impl Fn(Micros) -> f64 + use<> {
-        let (Fleet { usable, warm, .. }, since) = (self.capacity, self.capacity_at);
+        let (FleetCapacity { usable, warm, .. }, since) = (self.capacity, self.capacity_at);
         let (ramp, per_core, pace) = (self.terms.ramp.max(1) as f64, self.per_core, self.pace);
         // Nothing learned: the baseline was served, by what was there.
         let baseline = self.detector.baseline().unwrap_or(0.0);
@@ -35,7 +35,7 @@
     }
 
     /// Lets time pass, ten times a second or so; the phase if it changed, and the one before.
-    pub fn tick(&mut self, now: Micros, capacity: Fleet) -> Option<(Phase, Phase)> {
+    pub fn tick(&mut self, now: Micros, capacity: FleetCapacity) -> Option<(Phase, Phase)> {
         (self.capacity, self.capacity_at) = (capacity, now);
         let share = if capacity.listed > 0.0 { capacity.usable / capacity.listed } else { 0.0 };
         let seen = std::mem::take(&mut self.seen);
--- a/src/storm/tests.rs
+++ b/src/storm/tests.rs
@@ -8,12 +8,19 @@
     Terms { longest_wait: S, repeats: 0.3, remembered: 500, ramp: 10 * S }
 }
 
-const ALL: Fleet = Fleet { listed: 64.0, usable: 64.0, warm: 64.0 };
-const NONE: Fleet = Fleet { listed: 64.0, usable: 0.0, warm: 0.0 };
+const ALL: FleetCapacity = FleetCapacity { listed: 64.0, usable: 64.0, warm: 64.0 };
+const NONE: FleetCapacity = FleetCapacity { listed: 64.0, usable: 0.0, warm: 0.0 };
 
 /// Plays so many seconds of fresh requests, `a_tick` in each tenth; of what passes, `can` are served and the rest is
 /// turned away by the decisions. How many passed.
-fn play(s: &mut Storm, now: &mut Micros, seconds: f64, a_tick: u64, capacity: Fleet, can: u64) -> u64 {
+fn play(
+    s: &mut Storm,
+    now: &mut Micros,
+    seconds: f64,
+    a_tick: u64,
+    capacity: FleetCapacity,
+    can: u64,
+) -> u64 {
     let mut passed = 0;
     for _ in 0..(seconds * 10.0) as u64 {
         let mut served = 0;
