--- a/src/bin/ottercroft-adapter/main.rs
+++ b/src/bin/ottercroft-adapter/main.rs
@@ -2,96 +2,116 @@
 
 mod wire;
 
-use ottercroft::settings::{Malformed, Names, body, micros};
+use ottercroft::settings::{Malformed, Names, body};
 use ottercroft::{Action, Balancer};
+use serde::Deserialize;
+use serde::de::IntoDeserializer;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use wire::Out;
+use wire::{DefineList, EndpointLists, MessageName, Recipient, Reply, SetClock, StartDispatcher};
 
-struct Instance {
+/// One simulated dispatcher: its decisions, and the names of its settings.
+struct Dispatcher {
     balancer: Balancer,
     names: Names,
 }
 
+/// All simulated dispatchers of this process.
 #[derive(Default)]
 struct Host {
+    /// The simulated time, in microseconds.
     now: u64,
-    instances: BTreeMap<String, Instance>,
-    lists: wire::Lists,
+    dispatchers: BTreeMap<String, Dispatcher>,
+    lists: EndpointLists,
+    /// Actions of the last event; kept for its memory.
     actions: Vec<Action>,
-    reply: Vec<u8>,
+    /// Replies of this batch, not yet written.
+    replies: Vec<u8>,
 }
 
-fn emit(reply: &mut Vec<u8>, out: &Out) {
-    serde_json::to_writer(&mut *reply, out).expect("a message is always JSON");
-    reply.push(b'\n');
+fn append(replies: &mut Vec<u8>, reply: &Reply) {
+    serde_json::to_writer(&mut *replies, reply).expect("a message is always JSON");
+    replies.push(b'\n');
+}
+
+/// The message that has this name on the wire.
+fn message_name(name: &str) -> MessageName {
+    let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> = name.into_deserializer();
+    MessageName::deserialize(name).unwrap_or(MessageName::Unknown)
 }
 
 impl Host {
+    /// Handles one line: an object whose one key is the message's name.
     fn line(&mut self, line: &str, stdout: &mut impl Write) -> Result<(), Malformed> {
-        let message: BTreeMap<&str, &RawValue> =
+        let object: BTreeMap<&str, &RawValue> =
             serde_json::from_str(line).map_err(|e| Malformed(format!("message: {e}")))?;
-        let mut parts = message.into_iter();
+        let mut parts = object.into_iter();
         let (Some((name, raw)), None) = (parts.next(), parts.next()) else {
             return Err(Malformed("message: not an object with one key".into()));
         };
         let text = raw.get();
-        match name {
-            "ROUND" => self.now = micros(name, "moment", body::<wire::Round>(name, text)?.moment)?,
-            "GO" => {
-                emit(&mut self.reply, &Out::Ack {});
-                stdout
-                    .write_all(&self.reply)
-                    .and_then(|()| stdout.flush())
-                    .map_err(|e| Malformed(format!("reply: {e}")))?;
-                self.reply.clear();
-            }
-            "DEFINE_LIST" => {
-                let list: wire::DefineList = body(name, text)?;
-                self.lists.insert(list.set_id, list.hosts);
-            }
-            "ENLIST" => self.enlist(body(name, text)?)?,
-            "STOP" => {
-                self.instances.remove(&body::<wire::Who>(name, text)?.who);
+        match message_name(name) {
+            MessageName::SetClock => self.now = body::<SetClock>(name, text)?.now(name)?,
+            MessageName::EndBatch => self.end_batch(stdout)?,
+            MessageName::DefineList => {
+                let list: DefineList = body(name, text)?;
+                self.lists.insert(list.list, list.endpoints);
             }
-            "FLEET" | "INBOUND" | "ACK_FIRST" | "NOTICE" | "REPLY" | "HANGUP" | "WAKEUP" | "CHECK_RESULT"
-            | "INBOX" => {
-                let who = body::<wire::Who>(name, text)?.who;
-                if let Some(instance) = self.instances.get_mut(&who)
-                    && let Some(event) = wire::event(name, text, &instance.names, &self.lists)?
-                {
-                    self.actions.clear();
-                    let (now, actions) = (self.now, &mut self.actions);
-                    let run =
-                        catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
-                    for action in &self.actions {
-                        emit(&mut self.reply, &wire::action(&who, action));
-                    }
-                    if run.is_err() {
-                        self.instances.remove(&who);
-                        emit(
-                            &mut self.reply,
-                            &Out::Exception { who: &who, what: "the decision module panicked" },
-                        );
-                    }
-                }
+            MessageName::StartDispatcher => self.start(body(name, text)?)?,
+            MessageName::StopDispatcher => {
+                self.dispatchers.remove(&body::<Recipient>(name, text)?.dispatcher);
             }
-            _ => {} // names that are not known
+            MessageName::Unknown => {}
+            message => self.event(message, name, text)?,
         }
         Ok(())
     }
 
-    fn enlist(&mut self, message: wire::Enlist) -> Result<(), Malformed> {
-        let (settings, names) = message.env.settings()?;
-        let who = message.who;
-        match Balancer::new(settings, message.entropy) {
+    /// Writes the replies of the batch.
+    fn end_batch(&mut self, stdout: &mut impl Write) -> Result<(), Malformed> {
+        append(&mut self.replies, &Reply::BatchDone {});
+        stdout
+            .write_all(&self.replies)
+            .and_then(|()| stdout.flush())
+            .map_err(|e| Malformed(format!("reply: {e}")))?;
+        self.replies.clear();
+        Ok(())
+    }
+
+    fn start(&mut self, message: StartDispatcher) -> Result<(), Malformed> {
+        let (settings, names) = message.settings.settings()?;
+        match Balancer::new(settings, message.seed) {
             Ok(balancer) => {
-                self.instances.insert(who, Instance { balancer, names });
+                self.dispatchers.insert(message.dispatcher, Dispatcher { balancer, names });
             }
-            Err(e) => emit(&mut self.reply, &Out::Exception { who: &who, what: &e.to_string() }),
+            Err(e) => {
+                let error = e.to_string();
+                append(&mut self.replies, &Reply::Error { dispatcher: &message.dispatcher, error: &error });
+            }
+        }
+        Ok(())
+    }
+
+    /// Hands an event to its dispatcher. A dispatcher that panics is removed, and the others go on.
+    fn event(&mut self, message: MessageName, name: &str, text: &str) -> Result<(), Malformed> {
+        let id = body::<Recipient>(name, text)?.dispatcher;
+        let Some(dispatcher) = self.dispatchers.get_mut(&id) else { return Ok(()) };
+        let Some(event) = wire::event(message, name, text, &dispatcher.names, &self.lists)? else {
+            return Ok(());
+        };
+        self.actions.clear();
+        let (now, actions) = (self.now, &mut self.actions);
+        let run = catch_unwind(AssertUnwindSafe(|| dispatcher.balancer.handle(now, event, actions)));
+        for action in &self.actions {
+            append(&mut self.replies, &wire::reply(&id, action));
+        }
+        if run.is_err() {
+            self.dispatchers.remove(&id);
+            let error = "the decision module panicked";
+            append(&mut self.replies, &Reply::Error { dispatcher: &id, error });
         }
         Ok(())
     }
@@ -106,8 +126,8 @@
             Ok(line) => host.line(&line, stdout),
             Err(e) => Err(Malformed(format!("message: {e}"))),
         };
-        if let Err(Malformed(what)) = result {
-            eprintln!("ottercroft-adapter: {what}");
+        if let Err(Malformed(error)) = result {
+            eprintln!("ottercroft-adapter: {error}");
             return ExitCode::FAILURE;
         }
     }
--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -1,167 +1,258 @@
-//! The wire: messages as they stand on it, and their translation to and from the library's interface.
+//! The simulator's wire: its messages under the terms that this project uses. Its own names appear here and in
+//! `wire/actions.rs`, in `serde` attributes, and nowhere else.
 
 mod actions;
 mod events;
 
-pub use actions::{Out, action};
+pub use actions::{Reply, reply};
 pub use events::event;
-use ottercroft::api::Report;
-use ottercroft::settings::Env;
+use ottercroft::api::{Micros, Report};
+use ottercroft::settings::{Env, Malformed, micros};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// A message to the process or to one of its dispatchers, by its name on the wire.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+pub enum MessageName {
+    /// Sets the clock.
+    #[serde(rename = "ROUND")]
+    SetClock,
+    /// Ends a batch of messages: the replies are due.
+    #[serde(rename = "GO")]
+    EndBatch,
+    /// Defines an endpoint list.
+    #[serde(rename = "DEFINE_LIST")]
+    DefineList,
+    /// Starts a dispatcher.
+    #[serde(rename = "ENLIST")]
+    StartDispatcher,
+    /// Stops a dispatcher.
+    #[serde(rename = "STOP")]
+    StopDispatcher,
+    /// An endpoint list for a dispatcher.
+    #[serde(rename = "FLEET")]
+    EndpointList,
+    /// A request arrives.
+    #[serde(rename = "INBOUND")]
+    Arrival,
+    /// The first byte of an attempt.
+    #[serde(rename = "ACK_FIRST")]
+    FirstByte,
+    /// Progress of an attempt.
+    #[serde(rename = "NOTICE")]
+    AttemptProgressed,
+    /// An attempt ended.
+    #[serde(rename = "REPLY")]
+    AttemptFinished,
+    /// A client disconnected.
+    #[serde(rename = "HANGUP")]
+    ClientDisconnected,
+    /// A timer is due.
+    #[serde(rename = "WAKEUP")]
+    Timer,
+    /// A probe ended.
+    #[serde(rename = "CHECK_RESULT")]
+    ProbeFinished,
+    /// Gossip of another dispatcher.
+    #[serde(rename = "INBOX")]
+    Gossip,
+    /// A message that is not known.
+    #[serde(other)]
+    Unknown,
+}
+
+/// A point in time.
 #[derive(Deserialize)]
-pub struct Round {
-    pub moment: f64,
+pub struct SetClock {
+    #[serde(rename = "moment")]
+    now_s: f64,
+}
+
+impl SetClock {
+    /// The point, in microseconds.
+    pub fn now(&self, message: &str) -> Result<Micros, Malformed> {
+        micros(message, "moment", self.now_s)
+    }
 }
 
+/// Which dispatcher a message is for.
 #[derive(Deserialize)]
-pub struct Who {
-    pub who: String,
+pub struct Recipient {
+    #[serde(rename = "who")]
+    pub dispatcher: String,
 }
 
+/// An endpoint list of the process.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct DefineList {
-    pub set_id: u64,
-    pub hosts: Vec<HostIn>,
+    #[serde(rename = "setId")]
+    pub list: u64,
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<EndpointMessage>,
 }
 
+/// An executor on a list.
 #[derive(Deserialize, Clone)]
-#[serde(rename_all = "camelCase")]
-pub struct HostIn {
-    node: u32,
-    az: String,
-    shape: String,
-    #[serde(default)]
-    unit_group: Option<u64>,
+pub struct EndpointMessage {
+    #[serde(rename = "node")]
+    executor: u32,
+    #[serde(rename = "az")]
+    zone: String,
+    #[serde(rename = "shape")]
+    kind: String,
+    #[serde(rename = "unitGroup", default)]
+    cell: Option<u64>,
     readiness: String,
     #[serde(default)]
     rating: Option<f64>,
-    #[serde(default)]
-    start_time: Option<f64>,
+    #[serde(rename = "startTime", default)]
+    started_s: Option<f64>,
 }
 
+/// An endpoint list for a dispatcher, by its number.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct FleetIn {
-    form: String,
-    #[serde(default)]
-    set_id: Option<u64>,
+struct EndpointListMessage {
+    #[serde(rename = "form")]
+    kind: String,
+    #[serde(rename = "setId", default)]
+    list: Option<u64>,
 }
 
+/// A dispatcher starts.
 #[derive(Deserialize)]
-pub struct Enlist {
-    pub who: String,
-    pub entropy: u64,
-    pub env: Env,
+pub struct StartDispatcher {
+    #[serde(rename = "who")]
+    pub dispatcher: String,
+    #[serde(rename = "entropy")]
+    pub seed: u64,
+    #[serde(rename = "env")]
+    pub settings: Env,
 }
 
+/// A tenant, by name; the number 0 stands for none.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Customer {
+enum Tenant {
     Name(String),
     Number(u64),
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Inbound {
-    call: String,
-    profile: String,
-    #[serde(default)]
-    customer: Option<Customer>,
-    #[serde(default)]
-    order_key: Option<u64>,
-    time_budget: f64,
-    #[serde(default)]
-    estimate: Option<f64>,
-    #[serde(default)]
-    est_memory_mb: Option<f64>,
-    #[serde(default)]
-    tables: Option<u64>,
-    #[serde(default)]
-    state_bits: Option<u64>,
+struct ArrivalMessage {
+    #[serde(rename = "call")]
+    request: String,
+    #[serde(rename = "profile")]
+    class: String,
+    #[serde(rename = "customer", default)]
+    tenant: Option<Tenant>,
+    #[serde(rename = "orderKey", default)]
+    key: Option<u64>,
+    #[serde(rename = "grace")]
+    time_budget_s: f64,
+    #[serde(rename = "estimate", default)]
+    estimate_s: Option<f64>,
+    #[serde(rename = "estMemoryMb", default)]
+    memory_mb: Option<f64>,
+    #[serde(rename = "tables", default)]
+    group: Option<u64>,
+    #[serde(rename = "stateBits", default)]
+    flags: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct AckFirst {
-    call: String,
-    go: u32,
+struct FirstByteMessage {
+    #[serde(rename = "call")]
+    request: String,
+    #[serde(rename = "go")]
+    attempt: u32,
 }
 
 #[derive(Deserialize)]
-struct NoticeIn {
-    call: String,
-    topic: u64,
-    node: u32,
-    go: u32,
+struct ProgressMessage {
+    #[serde(rename = "call")]
+    request: String,
+    #[serde(rename = "topic")]
+    kind: u64,
+    #[serde(rename = "node")]
+    executor: u32,
+    #[serde(rename = "go")]
+    attempt: u32,
     amount: f64,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct ReplyIn {
-    call: String,
-    node: u32,
-    go: u32,
-    done_flag: bool,
-    ending: u64,
-    wait_time: f64,
-    #[serde(default)]
-    reported_cost: Option<u64>,
-    #[serde(default)]
-    stats: Option<StatsIn>,
+struct AttemptFinishedMessage {
+    #[serde(rename = "call")]
+    request: String,
+    #[serde(rename = "node")]
+    executor: u32,
+    #[serde(rename = "go")]
+    attempt: u32,
+    #[serde(rename = "doneFlag")]
+    done: bool,
+    #[serde(rename = "ending")]
+    outcome: u64,
+    #[serde(rename = "waitTime")]
+    latency_s: f64,
+    #[serde(rename = "bill", default)]
+    packed_cost: Option<u64>,
+    #[serde(rename = "stats", default)]
+    report: Option<LoadReportMessage>,
 }
 
 #[derive(Deserialize)]
-struct Call {
-    call: String,
+struct RequestMessage {
+    #[serde(rename = "call")]
+    request: String,
 }
 
 #[derive(Deserialize)]
-struct Inbox {
+struct GossipMessage {
     from: u32,
     content: String,
 }
 
 #[derive(Deserialize)]
-struct Wakeup {
-    ctx: u64,
+struct TimerMessage {
+    #[serde(rename = "ctx")]
+    token: u64,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct CheckResult {
-    node: u32,
-    wait_time: f64,
-    ending: u64,
-    #[serde(default)]
-    stats: Option<StatsIn>,
+struct ProbeFinishedMessage {
+    #[serde(rename = "node")]
+    executor: u32,
+    #[serde(rename = "waitTime")]
+    latency_s: f64,
+    #[serde(rename = "ending")]
+    outcome: u64,
+    #[serde(rename = "stats", default)]
+    report: Option<LoadReportMessage>,
 }
 
 #[derive(Deserialize)]
-struct StatsIn {
-    #[serde(default)]
-    load_share: Option<f64>,
-    #[serde(default)]
-    concurrent: Option<f64>,
-    #[serde(default)]
-    depth: Option<f64>,
-    #[serde(default)]
-    x0: Option<f64>,
-    #[serde(default)]
-    x1: Option<f64>,
+struct LoadReportMessage {
+    #[serde(rename = "load_share", default)]
+    util: Option<f64>,
+    #[serde(rename = "concurrent", default)]
+    inflight: Option<f64>,
+    #[serde(rename = "depth", default)]
+    queue: Option<f64>,
+    #[serde(rename = "x0", default)]
+    memory: Option<f64>,
+    #[serde(rename = "x1", default)]
+    disks: Option<f64>,
 }
 
-impl From<StatsIn> for Report {
-    fn from(s: StatsIn) -> Report {
-        Report { util: s.load_share, inflight: s.concurrent, queue: s.depth, memory: s.x0, disks: s.x1 }
+impl From<LoadReportMessage> for Report {
+    fn from(message: LoadReportMessage) -> Report {
+        let LoadReportMessage { util, inflight, queue, memory, disks } = message;
+        Report { util, inflight, queue, memory, disks }
     }
 }
 
-/// The lists of the process, by number.
-pub type Lists = BTreeMap<u64, Vec<HostIn>>;
+/// The endpoint lists of the process, by number.
+pub type EndpointLists = BTreeMap<u64, Vec<EndpointMessage>>;
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/ottercroft-adapter/wire/actions.rs
+++ b/src/bin/ottercroft-adapter/wire/actions.rs
@@ -1,84 +1,156 @@
 //! Actions as they stand on the wire.
 
-use ottercroft::api::{Action, Micros, RequestId};
+use ottercroft::api::{Action, ExecutorId, Micros, RequestId};
 use serde::Serialize;
 
-fn seconds(t: Micros) -> f64 {
-    t as f64 / 1e6
+const MICROS_PER_SECOND: f64 = 1e6;
+
+fn seconds(span: Micros) -> f64 {
+    span as f64 / MICROS_PER_SECOND
+}
+
+fn hex(request: &RequestId) -> String {
+    format!("{request:016x}")
 }
 
-/// An action as it stands on the wire.
+/// A reply as it stands on the wire; `dispatcher` is the one whose action it is.
 #[derive(Serialize)]
-pub enum Out<'a> {
+pub enum Reply<'a> {
     #[serde(rename = "ASSIGN")]
-    Assign {
-        who: &'a str,
-        call: String,
-        node: u32,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        timeout: Option<f64>,
+    Send {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "node")]
+        executor: ExecutorId,
+        #[serde(rename = "timeout", skip_serializing_if = "Option::is_none")]
+        timeout_s: Option<f64>,
     },
     #[serde(rename = "RECALL")]
-    Recall { who: &'a str, call: String, go: u32 },
+    Cancel {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "call")]
+        request: String,
+        #[serde(rename = "go")]
+        attempt: u32,
+    },
     #[serde(rename = "REFUSE")]
-    Refuse {
-        who: &'a str,
-        call: String,
+    Reject {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "call")]
+        request: String,
         #[serde(rename = "holdOff", skip_serializing_if = "Option::is_none")]
-        hold_off: Option<f64>,
+        retry_after_s: Option<f64>,
     },
     #[serde(rename = "SURRENDER")]
-    Surrender { who: &'a str, call: String },
+    Fail {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "call")]
+        request: String,
+    },
     #[serde(rename = "RESOURCES")]
-    Resources {
-        who: &'a str,
-        call: String,
+    SetTerms {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "call")]
+        request: String,
         #[serde(rename = "memMb")]
-        mem_mb: f64,
-        prio: u8,
+        memory_mb: f64,
+        #[serde(rename = "prio")]
+        priority: u8,
     },
     #[serde(rename = "SOUND_OUT")]
-    Probe { who: &'a str, node: u32 },
+    Probe {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "node")]
+        executor: ExecutorId,
+    },
     #[serde(rename = "TRACK")]
-    Track { who: &'a str, enable: bool },
+    Watch {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        enable: bool,
+    },
     #[serde(rename = "READ_LIST")]
-    ReadList { who: &'a str },
+    FetchEndpointList {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+    },
     #[serde(rename = "CLOSE_IDLE")]
-    CloseIdle { who: &'a str, node: u32 },
+    CloseIdle {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "node")]
+        executor: ExecutorId,
+    },
     #[serde(rename = "TELL")]
-    Tell { who: &'a str, dest: Option<u32>, content: &'a str },
+    Gossip {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "dest")]
+        to: Option<u32>,
+        content: &'a str,
+    },
     #[serde(rename = "WAKE_AT")]
-    WakeAt { who: &'a str, ctx: u64, span: f64 },
+    SetTimer {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "ctx")]
+        token: u64,
+        #[serde(rename = "span")]
+        after_s: f64,
+    },
     #[serde(rename = "DEBUG")]
-    Debug { who: &'a str, what: &'a str },
+    Log {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "what")]
+        line: &'a str,
+    },
     #[serde(rename = "EXCEPTION")]
-    Exception { who: &'a str, what: &'a str },
+    Error {
+        #[serde(rename = "who")]
+        dispatcher: &'a str,
+        #[serde(rename = "what")]
+        error: &'a str,
+    },
     #[serde(rename = "ACK")]
-    Ack {},
+    BatchDone {},
 }
 
-/// Translates one action of the instance `who`.
-pub fn action<'a>(who: &'a str, action: &'a Action) -> Out<'a> {
-    let hex = |q: &RequestId| format!("{q:016x}");
+/// Translates one action of a dispatcher.
+pub fn reply<'a>(dispatcher: &'a str, action: &'a Action) -> Reply<'a> {
     match action {
         Action::SetTerms { request, memory_mb, priority } => {
-            Out::Resources { who, call: hex(request), mem_mb: *memory_mb, prio: *priority }
+            Reply::SetTerms { dispatcher, request: hex(request), memory_mb: *memory_mb, priority: *priority }
         }
-        Action::Send { request, executor, timeout } => {
-            Out::Assign { who, call: hex(request), node: *executor, timeout: timeout.map(seconds) }
+        Action::Send { request, executor, timeout } => Reply::Send {
+            dispatcher,
+            request: hex(request),
+            executor: *executor,
+            timeout_s: timeout.map(seconds),
+        },
+        Action::Cancel { request, attempt } => {
+            Reply::Cancel { dispatcher, request: hex(request), attempt: *attempt }
         }
-        Action::Cancel { request, attempt } => Out::Recall { who, call: hex(request), go: *attempt },
         Action::Reject { request, retry_after, .. } => {
-            Out::Refuse { who, call: hex(request), hold_off: retry_after.map(seconds) }
+            Reply::Reject { dispatcher, request: hex(request), retry_after_s: retry_after.map(seconds) }
+        }
+        Action::Fail { request, .. } => Reply::Fail { dispatcher, request: hex(request) },
+        Action::Probe { executor } => Reply::Probe { dispatcher, executor: *executor },
+        Action::Watch => Reply::Watch { dispatcher, enable: true },
+        Action::Unwatch => Reply::Watch { dispatcher, enable: false },
+        Action::FetchEndpointList => Reply::FetchEndpointList { dispatcher },
+        Action::CloseIdle { executor } => Reply::CloseIdle { dispatcher, executor: *executor },
+        Action::Gossip { to, content } => Reply::Gossip { dispatcher, to: *to, content },
+        Action::SetTimer { token, after } => {
+            Reply::SetTimer { dispatcher, token: *token, after_s: seconds(*after) }
         }
-        Action::Fail { request, .. } => Out::Surrender { who, call: hex(request) },
-        Action::Probe { executor } => Out::Probe { who, node: *executor },
-        Action::Watch => Out::Track { who, enable: true },
-        Action::Unwatch => Out::Track { who, enable: false },
-        Action::FetchEndpointList => Out::ReadList { who },
-        Action::CloseIdle { executor } => Out::CloseIdle { who, node: *executor },
-        Action::Gossip { to, content } => Out::Tell { who, dest: *to, content },
-        Action::SetTimer { token, after } => Out::WakeAt { who, ctx: *token, span: seconds(*after) },
-        Action::Log(what) => Out::Debug { who, what },
+        Action::Log(line) => Reply::Log { dispatcher, line },
     }
 }
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -1,13 +1,28 @@
-//! Events of an instance, from their messages.
+//! Events of a dispatcher, from their messages.
 
-use super::*;
-use ottercroft::api::*;
+use super::{
+    ArrivalMessage, AttemptFinishedMessage, EndpointListMessage, EndpointLists, EndpointMessage,
+    FirstByteMessage, GossipMessage, MessageName, ProbeFinishedMessage, ProgressMessage, RequestMessage,
+    Tenant, TimerMessage,
+};
+use ottercroft::api::{
+    Arrival, AttemptFinished, AttemptProgress, Endpoint, EndpointListKind, Event, Outcome, Readiness, Report,
+    ReportedCost, RequestId,
+};
 use ottercroft::settings::{Malformed, Names, bad, body, lookup, micros};
 
-fn request(name: &str, call: &str) -> Result<RequestId, Malformed> {
-    match call.len() {
-        16 => u64::from_str_radix(call, 16).map_err(|e| bad(name, "call", e)),
-        _ => Err(bad(name, "call", format_args!("{call:?} is not 16 hex digits"))),
+/// Bits of an arrival's flags.
+const ESTIMATE_IS_VALID: u64 = 1;
+const IS_RETRY: u64 = 2;
+/// A cost on the wire: thread milliseconds times this, plus memory in units of 4 MB.
+const COST_RADIX: u64 = 4096;
+const COST_MEMORY_UNIT_MB: f64 = 4.0;
+const MILLIS_PER_SECOND: f64 = 1e3;
+
+fn request_id(name: &str, text: &str) -> Result<RequestId, Malformed> {
+    match text.len() {
+        16 => u64::from_str_radix(text, 16).map_err(|e| bad(name, "call", e)),
+        _ => Err(bad(name, "call", format_args!("{text:?} is not 16 hex digits"))),
     }
 }
 
@@ -25,133 +40,152 @@
     })
 }
 
-fn endpoints(names: &Names, hosts: &[HostIn]) -> Result<Vec<Endpoint>, Malformed> {
-    const M: &str = "DEFINE_LIST";
-    hosts
-        .iter()
-        .map(|h| {
-            Ok(Endpoint {
-                executor: h.node,
-                zone: lookup(&names.zones, M, "az", &h.az)?,
-                kind: lookup(&names.kinds, M, "shape", &h.shape)?,
-                cell: h.unit_group.unwrap_or(0),
-                readiness: match h.readiness.as_str() {
-                    "active" => Readiness::Active,
-                    "leaving" => Readiness::Leaving,
-                    "left" => Readiness::Left,
-                    other => return Err(bad(M, "readiness", format_args!("unknown value {other:?}"))),
-                },
-                rating: h.rating.unwrap_or(1.0),
-                weight: None,
-                started: match h.start_time {
-                    None | Some(0.0) => None,
-                    Some(s) => Some(micros(M, "startTime", s)?),
-                },
-            })
-        })
-        .collect()
+/// A value that an estimate can have.
+fn positive(estimate: &f64) -> bool {
+    estimate.is_finite() && *estimate > 0.0
 }
 
-/// Translates one event of an instance. `None`: an event that this wire has and the library does not need,
-/// or one that is not known.
-pub fn event(name: &str, text: &str, names: &Names, lists: &Lists) -> Result<Option<Event>, Malformed> {
-    Ok(Some(match name {
-        "FLEET" => {
-            let f: FleetIn = body(name, text)?;
-            let kind = match f.form.as_str() {
-                "update" => EndpointListKind::Update,
-                "replace" => EndpointListKind::Replace,
-                "restored" => EndpointListKind::Restored,
-                "unavailable" => EndpointListKind::Unavailable,
-                other => return Err(bad(name, "form", format_args!("unknown value {other:?}"))),
-            };
-            let endpoints = match kind {
-                EndpointListKind::Unavailable => Vec::new(),
-                _ => {
-                    let id = f.set_id.ok_or_else(|| bad(name, "setId", "missing"))?;
-                    let hosts =
-                        lists.get(&id).ok_or_else(|| bad(name, "setId", format_args!("no list {id}")))?;
-                    endpoints(names, hosts)?
-                }
-            };
-            Event::EndpointList { kind, endpoints }
-        }
-        "INBOUND" => {
-            let m: Inbound = body(name, text)?;
-            let bits = m.state_bits.unwrap_or(0);
-            Event::Arrival(Arrival {
-                request: request(name, &m.call)?,
-                class: lookup(&names.classes, name, "profile", &m.profile)?,
-                tenant: match &m.customer {
-                    None => None,
-                    Some(Customer::Name(n)) => Some(lookup(&names.tenants, name, "customer", n)?),
-                    Some(Customer::Number(0)) => None,
-                    Some(Customer::Number(n)) => {
-                        return Err(bad(name, "customer", format_args!("unknown name {n}")));
-                    }
-                },
-                key: m.order_key,
-                time_budget: micros(name, "grace", m.time_budget)?,
-                estimate_s: m.estimate.filter(|e| bits & 1 != 0 && e.is_finite() && *e > 0.0),
-                memory_mb: m.est_memory_mb.filter(|e| e.is_finite() && *e > 0.0),
-                group: m.tables.unwrap_or(0),
-                repeated: bits & 2 != 0,
-                held_back: false,
-            })
-        }
-        "ACK_FIRST" => {
-            let m: AckFirst = body(name, text)?;
-            Event::FirstByte { request: request(name, &m.call)?, attempt: m.go }
-        }
-        "NOTICE" => {
-            let m: NoticeIn = body(name, text)?;
-            let progress_note = match m.topic {
-                1 => AttemptProgress::Progress(m.amount),
-                2 => AttemptProgress::Spill(m.amount),
-                3 => AttemptProgress::Waits,
-                _ => return Ok(None),
-            };
-            Event::AttemptProgressed {
-                request: request(name, &m.call)?,
-                attempt: m.go,
-                executor: m.node,
-                progress_note,
-            }
-        }
-        "REPLY" => {
-            let m: ReplyIn = body(name, text)?;
-            Event::AttemptFinished(AttemptFinished {
-                request: request(name, &m.call)?,
-                attempt: m.go,
-                executor: m.node,
-                done: m.done_flag,
-                outcome: outcome(name, m.ending)?,
-                latency: micros(name, "waitTime", m.wait_time)?,
-                reported_cost: m.reported_cost.filter(|b| *b > 0).map(|b| ReportedCost {
-                    thread_seconds: (b / 4096) as f64 / 1e3,
-                    memory_mb: (b % 4096) as f64 * 4.0,
-                }),
-                report: m.stats.map(Report::from),
-            })
+fn reported_cost(packed: u64) -> ReportedCost {
+    ReportedCost {
+        thread_seconds: (packed / COST_RADIX) as f64 / MILLIS_PER_SECOND,
+        memory_mb: (packed % COST_RADIX) as f64 * COST_MEMORY_UNIT_MB,
+    }
+}
+
+fn endpoint(names: &Names, message: &EndpointMessage) -> Result<Endpoint, Malformed> {
+    const NAME: &str = "DEFINE_LIST";
+    Ok(Endpoint {
+        executor: message.executor,
+        zone: lookup(&names.zones, NAME, "az", &message.zone)?,
+        kind: lookup(&names.kinds, NAME, "shape", &message.kind)?,
+        cell: message.cell.unwrap_or(0),
+        readiness: match message.readiness.as_str() {
+            "active" => Readiness::Active,
+            "leaving" => Readiness::Leaving,
+            "left" => Readiness::Left,
+            other => return Err(bad(NAME, "readiness", format_args!("unknown value {other:?}"))),
+        },
+        rating: message.rating.unwrap_or(1.0),
+        weight: None,
+        started: match message.started_s {
+            None | Some(0.0) => None,
+            Some(started_s) => Some(micros(NAME, "startTime", started_s)?),
+        },
+    })
+}
+
+fn endpoint_list(name: &str, text: &str, names: &Names, lists: &EndpointLists) -> Result<Event, Malformed> {
+    let message: EndpointListMessage = body(name, text)?;
+    let kind = match message.kind.as_str() {
+        "update" => EndpointListKind::Update,
+        "replace" => EndpointListKind::Replace,
+        "restored" => EndpointListKind::Restored,
+        "unavailable" => EndpointListKind::Unavailable,
+        other => return Err(bad(name, "form", format_args!("unknown value {other:?}"))),
+    };
+    if kind == EndpointListKind::Unavailable {
+        return Ok(Event::EndpointList { kind, endpoints: Vec::new() });
+    }
+    let id = message.list.ok_or_else(|| bad(name, "setId", "missing"))?;
+    let list = lists.get(&id).ok_or_else(|| bad(name, "setId", format_args!("no list {id}")))?;
+    let endpoints = list.iter().map(|message| endpoint(names, message)).collect::<Result<_, _>>()?;
+    Ok(Event::EndpointList { kind, endpoints })
+}
+
+fn arrival(name: &str, text: &str, names: &Names) -> Result<Event, Malformed> {
+    let message: ArrivalMessage = body(name, text)?;
+    let flags = message.flags.unwrap_or(0);
+    let tenant = match &message.tenant {
+        None | Some(Tenant::Number(0)) => None,
+        Some(Tenant::Name(tenant)) => Some(lookup(&names.tenants, name, "customer", tenant)?),
+        Some(Tenant::Number(number)) => {
+            return Err(bad(name, "customer", format_args!("unknown name {number}")));
         }
-        "INBOX" => {
-            let m: Inbox = body(name, text)?;
-            Event::Gossip { from: m.from, content: m.content }
+    };
+    Ok(Event::Arrival(Arrival {
+        request: request_id(name, &message.request)?,
+        class: lookup(&names.classes, name, "profile", &message.class)?,
+        tenant,
+        key: message.key,
+        time_budget: micros(name, "grace", message.time_budget_s)?,
+        estimate_s: message
+            .estimate_s
+            .filter(|estimate| flags & ESTIMATE_IS_VALID != 0 && positive(estimate)),
+        memory_mb: message.memory_mb.filter(positive),
+        group: message.group.unwrap_or(0),
+        repeated: flags & IS_RETRY != 0,
+        held_back: false,
+    }))
+}
+
+fn attempt_progressed(name: &str, text: &str) -> Result<Option<Event>, Malformed> {
+    let message: ProgressMessage = body(name, text)?;
+    let progress_note = match message.kind {
+        1 => AttemptProgress::Progress(message.amount),
+        2 => AttemptProgress::Spill(message.amount),
+        3 => AttemptProgress::Waits,
+        _ => return Ok(None),
+    };
+    Ok(Some(Event::AttemptProgressed {
+        request: request_id(name, &message.request)?,
+        attempt: message.attempt,
+        executor: message.executor,
+        progress_note,
+    }))
+}
+
+fn attempt_finished(name: &str, text: &str) -> Result<Event, Malformed> {
+    let message: AttemptFinishedMessage = body(name, text)?;
+    Ok(Event::AttemptFinished(AttemptFinished {
+        request: request_id(name, &message.request)?,
+        attempt: message.attempt,
+        executor: message.executor,
+        done: message.done,
+        outcome: outcome(name, message.outcome)?,
+        latency: micros(name, "waitTime", message.latency_s)?,
+        reported_cost: message.packed_cost.filter(|packed| *packed > 0).map(reported_cost),
+        report: message.report.map(Report::from),
+    }))
+}
+
+fn probe_finished(name: &str, text: &str) -> Result<Event, Malformed> {
+    let message: ProbeFinishedMessage = body(name, text)?;
+    Ok(Event::ProbeFinished {
+        executor: message.executor,
+        outcome: outcome(name, message.outcome)?,
+        latency: micros(name, "waitTime", message.latency_s)?,
+        report: message.report.map(Report::from),
+    })
+}
+
+/// Translates one event of a dispatcher; `name` is the message's on the wire. `None`: an event that this wire has and
+/// the library does not need.
+pub fn event(
+    message: MessageName,
+    name: &str,
+    text: &str,
+    names: &Names,
+    lists: &EndpointLists,
+) -> Result<Option<Event>, Malformed> {
+    Ok(Some(match message {
+        MessageName::EndpointList => endpoint_list(name, text, names, lists)?,
+        MessageName::Arrival => arrival(name, text, names)?,
+        MessageName::FirstByte => {
+            let message: FirstByteMessage = body(name, text)?;
+            Event::FirstByte { request: request_id(name, &message.request)?, attempt: message.attempt }
         }
-        "HANGUP" => {
-            let m: Call = body(name, text)?;
-            Event::ClientDisconnected { request: request(name, &m.call)? }
+        MessageName::AttemptProgressed => return attempt_progressed(name, text),
+        MessageName::AttemptFinished => attempt_finished(name, text)?,
+        MessageName::Gossip => {
+            let message: GossipMessage = body(name, text)?;
+            Event::Gossip { from: message.from, content: message.content }
         }
-        "WAKEUP" => Event::Timer { token: body::<Wakeup>(name, text)?.ctx },
-        "CHECK_RESULT" => {
-            let m: CheckResult = body(name, text)?;
-            Event::ProbeFinished {
-                executor: m.node,
-                outcome: outcome(name, m.ending)?,
-                latency: micros(name, "waitTime", m.wait_time)?,
-                report: m.stats.map(Report::from),
-            }
+        MessageName::ClientDisconnected => {
+            let message: RequestMessage = body(name, text)?;
+            Event::ClientDisconnected { request: request_id(name, &message.request)? }
         }
+        MessageName::Timer => Event::Timer { token: body::<TimerMessage>(name, text)?.token },
+        MessageName::ProbeFinished => probe_finished(name, text)?,
         _ => return Ok(None),
     }))
 }
--- a/src/dispatch/client_request.rs
+++ b/src/dispatch/client_request.rs
@@ -1,20 +1,20 @@
-//! What a client asked, and how the decisions get it.
+//! A request as its client sent it, and an attempt's id.
 
 use crate::api::{Arrival, Event, Micros};
 
-/// An answer has to be seen before the client leaves, also when this process or its machine stood still for a
-/// moment: all ends this much earlier_attempts, or this part of a shorter budget.
-const MARGIN: Micros = 250_000;
-const MARGIN_PART: Micros = 8;
+/// The client has to see the answer before it gives up, also when this process or its machine pauses for a moment: a
+/// request ends this much earlier, in microseconds, or by this fraction of a shorter budget.
+const ANSWER_MARGIN: Micros = 250_000;
+const ANSWER_MARGIN_FRACTION: Micros = 8;
 
-/// The largest work, in seconds, and memory, in MB, that an estimate is taken for: longer than any client waits,
+/// The largest work, in thread seconds, and memory, in MB, that an estimate counts for: longer than any client waits,
 /// larger than any machine.
-const MOST_WORK_S: f64 = 1e6;
-const MOST_MEMORY_MB: f64 = 1e9;
+const MAX_THREAD_SECONDS: f64 = 1e6;
+const MAX_MEMORY_MB: f64 = 1e9;
 
-/// What an estimate is worth to the decisions: nothing where it is no positive number.
-fn told(estimate: Option<f64>, most: f64) -> Option<f64> {
-    estimate.filter(|e| e.is_finite() && *e > 0.0).map(|e| e.min(most))
+/// An estimate as the decisions use it: none where it is no positive number.
+fn bounded(estimate: Option<f64>, max: f64) -> Option<f64> {
+    estimate.filter(|value| value.is_finite() && *value > 0.0).map(|value| value.min(max))
 }
 
 /// One attempt of one request.
@@ -31,17 +31,17 @@
 pub struct Request {
     /// Its id, never used twice.
     pub id: u64,
-    /// The name that its client keeps over all tries (`ask`); only heeded where there are peers.
+    /// The id that its client keeps over all its retries (`ask`); used only where there are peers.
     pub ask: Option<u64>,
     /// Its class, an index.
     pub class: usize,
-    /// Its tenant (`acct`), an index; `None` where none was told or the settings name no such one.
+    /// Its tenant (`acct`), an index; `None` where the client named none or the settings have no such one.
     pub tenant: Option<usize>,
     /// Its key, in classes that keep order.
     pub key: Option<u64>,
-    /// How long the client waits in all, as it told.
-    pub told: Micros,
-    /// How long the client still waits.
+    /// The span that the client waits in all, in microseconds, as it stated.
+    pub client_wait: Micros,
+    /// The span that the client still waits, in microseconds.
     pub budget: Micros,
     /// Estimated work of all threads, in seconds.
     pub thread_seconds: Option<f64>,
@@ -49,15 +49,16 @@
     pub memory_mb: Option<f64>,
     /// Its group of tables.
     pub group: u64,
-    /// The client says that it asked before.
+    /// Whether the client says that it is a retry.
     pub repeated: bool,
-    /// Its client may have held it back before it sent it, and its budget is reckoned at the worst.
+    /// Whether its client may have held it back before it sent it; its budget is computed for the worst case.
     pub held_back: bool,
 }
 
-/// How long a request may take here, so that its answer is seen before its client leaves.
+/// The span within which a request has to end here, in microseconds, so that its client sees the answer.
 pub(super) fn time_budget(request: &Request) -> Micros {
-    request.budget.saturating_sub(MARGIN.min(request.budget / MARGIN_PART)).max(1)
+    let margin = ANSWER_MARGIN.min(request.budget / ANSWER_MARGIN_FRACTION);
+    request.budget.saturating_sub(margin).max(1)
 }
 
 /// A request as the decisions get it.
@@ -68,8 +69,8 @@
         tenant: request.tenant,
         key: request.key,
         time_budget: time_budget(request),
-        estimate_s: told(request.thread_seconds, MOST_WORK_S),
-        memory_mb: told(request.memory_mb, MOST_MEMORY_MB),
+        estimate_s: bounded(request.thread_seconds, MAX_THREAD_SECONDS),
+        memory_mb: bounded(request.memory_mb, MAX_MEMORY_MB),
         group: request.group,
         repeated: request.repeated,
         held_back: request.held_back,
--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -1,112 +1,133 @@
-//! The decisions' actions become commands.
+//! The decisions' actions become commands for the network.
 
 use super::pending_request::Attempt;
 use super::{Answer, AttemptId, AttemptTerms, BACKOFF_MS, Command, Dispatch};
-use crate::api::{Action, AttemptFinished, Event, Micros, Outcome};
+use crate::api::{Action, AttemptFinished, EndReason, Event, ExecutorId, Micros, Outcome};
 use crate::must;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
 impl<R> Dispatch<R> {
-    /// Hands an event to the decisions, and on what they want done until nothing is left.
+    /// Hands an event to the decisions, and the events that their actions cause, until none is left.
     pub(super) fn run(&mut self, now: Micros, event: Event) -> Vec<Command<R>> {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
             self.balancer.handle(now, event, &mut actions);
             for action in actions {
-                self.act(now, action, &mut events);
+                events.extend(self.act(now, action));
             }
         }
         std::mem::take(&mut self.commands)
     }
 
-    fn act(&mut self, now: Micros, action: Action, events: &mut VecDeque<Event>) {
+    /// Carries an action out; the event that it causes at once, if any.
+    fn act(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
-            Action::SetTerms { request, memory_mb, priority } => {
-                let Some(open) = self.pending.get_mut(&request) else { return };
-                (open.memory_mb, open.priority) = (memory_mb, priority);
-                for (n, a) in (0..).zip(&mut open.attempts) {
-                    if a.outcome.is_none() && a.priority != priority {
-                        a.priority = priority;
-                        self.commands.push(Command::SetPriority(AttemptId { request, attempt: n }, priority));
-                    }
-                }
-            }
-            Action::Send { request, executor, timeout } => {
-                let Some(open) = self.pending.get_mut(&request).filter(|o| !o.closed) else {
-                    must!(false, "a send for a request that is over");
-                    return;
-                };
-                if open.earlier_attempts + open.attempts.len() >= self.max_attempts
-                    && open.earlier_attempts > 0
-                {
-                    // With those of the dispatcher that was lost there were enough.
-                    let (attempt, outcome) = (open.attempts.len() as u32, Some(Outcome::NotSent));
-                    let (begun, priority) = (false, open.priority);
-                    open.attempts.push(Attempt { executor, sent: now, begun, outcome, priority });
-                    let (done, latency, reported_cost, report) = (false, 0, None, None);
-                    let outcome = Outcome::NotSent;
-                    events.push_back(Event::AttemptFinished(AttemptFinished {
-                        request,
-                        attempt,
-                        executor,
-                        done,
-                        outcome,
-                        latency,
-                        reported_cost,
-                        report,
-                    }));
-                    return;
-                }
-                self.counters.attempts += 1;
-                let further = !open.attempts.is_empty();
-                let in_budget = self.retry_start_window.filter(|_| further).map(|slack| now + slack);
-                let begin_by =
-                    in_budget.into_iter().chain(open.repeats_known_until()).fold(open.deadline, Micros::min);
-                let attempt_id = AttemptId { request, attempt: open.attempts.len() as u32 };
-                let (begun, outcome, priority) = (false, None, open.priority);
-                open.attempts.push(Attempt { executor, sent: now, begun, outcome, priority });
-                self.commands.push(Command::StartAttempt {
-                    attempt_id,
-                    executor,
-                    terms: AttemptTerms {
-                        memory_mb: open.memory_mb,
-                        priority: open.priority,
-                        deadline: timeout.map_or(open.deadline, |t| open.deadline.min(now + t)),
-                        begin_by,
-                    },
-                });
-            }
-            Action::Cancel { request, attempt } => {
-                let attempt_id = AttemptId { request, attempt };
-                if let Some(event) = self.finish(now, attempt_id, Outcome::Cancelled, None) {
-                    self.commands.push(Command::StopAttempt(attempt_id));
-                    events.push_back(event);
-                    self.forget(request);
-                }
-            }
+            Action::SetTerms { request, memory_mb, priority } => self.set_terms(request, memory_mb, priority),
+            Action::Send { request, executor, timeout } => return self.send(now, request, executor, timeout),
+            Action::Cancel { request, attempt } => return self.cancel(now, AttemptId { request, attempt }),
             Action::Reject { request, retry_after, reason } => {
-                let backoff_ms = retry_after.map_or(BACKOFF_MS, |t| t.div_ceil(1000));
-                self.answer(now, request, Answer::Refused(backoff_ms), reason);
-                self.forget(request);
-            }
-            Action::Fail { request, reason } => {
-                self.answer(now, request, Answer::Failed, reason);
-                self.forget(request);
+                let backoff_ms = retry_after.map_or(BACKOFF_MS, |backoff| backoff.div_ceil(1000));
+                self.end_request(now, request, Answer::Refused(backoff_ms), reason);
             }
+            Action::Fail { request, reason } => self.end_request(now, request, Answer::Failed, reason),
             Action::Probe { executor } => {
                 self.counters.probes += 1;
                 self.commands.push(Command::Probe(executor));
             }
             Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
             Action::Log(line) => tracing::info!("{line}"),
-            // The list is pushed here, idle connections end by their own clock, and there are no peers.
+            // The endpoint list is pushed to us, idle connections are closed by the network, and there are no peers.
             Action::Watch
             | Action::Unwatch
             | Action::FetchEndpointList
             | Action::CloseIdle { .. }
             | Action::Gossip { .. } => {}
         }
+        None
     }
+
+    /// Sets the terms of a request's next attempts, and the priority of those that are outstanding.
+    fn set_terms(&mut self, request: u64, memory_mb: f64, priority: u8) {
+        let Some(pending) = self.pending.get_mut(&request) else { return };
+        pending.memory_mb = memory_mb;
+        pending.priority = priority;
+        for (number, attempt) in (0..).zip(&mut pending.attempts) {
+            if attempt.outcome.is_none() && attempt.priority != priority {
+                attempt.priority = priority;
+                let attempt_id = AttemptId { request, attempt: number };
+                self.commands.push(Command::SetPriority(attempt_id, priority));
+            }
+        }
+    }
+
+    /// Starts an attempt of a request; if it may have no more, the event that this one was not sent.
+    fn send(
+        &mut self,
+        now: Micros,
+        request: u64,
+        executor: ExecutorId,
+        timeout: Option<Micros>,
+    ) -> Option<Event> {
+        let Some(pending) = self.pending.get_mut(&request).filter(|pending| !pending.closed) else {
+            must!(false, "a send for a request that is over");
+            return None;
+        };
+        let attempt_id = AttemptId { request, attempt: pending.attempts.len() as u32 };
+        if pending.attempts_used_up(self.max_attempts) {
+            pending.attempts.push(Attempt {
+                executor,
+                sent_at: now,
+                begun: false,
+                outcome: Some(Outcome::NotSent),
+                priority: pending.priority,
+            });
+            return Some(not_sent(attempt_id, executor));
+        }
+        self.counters.attempts += 1;
+        let terms = AttemptTerms {
+            memory_mb: pending.memory_mb,
+            priority: pending.priority,
+            deadline: timeout.map_or(pending.deadline, |timeout| pending.deadline.min(now + timeout)),
+            begin_by: pending.begin_by(now, self.retry_start_window),
+        };
+        pending.attempts.push(Attempt {
+            executor,
+            sent_at: now,
+            begun: false,
+            outcome: None,
+            priority: pending.priority,
+        });
+        self.commands.push(Command::StartAttempt { attempt_id, executor, terms });
+        None
+    }
+
+    /// Cancels an attempt; the event that it ended, if it was outstanding.
+    fn cancel(&mut self, now: Micros, attempt_id: AttemptId) -> Option<Event> {
+        let event = self.finish(now, attempt_id, Outcome::Cancelled, None)?;
+        self.commands.push(Command::StopAttempt(attempt_id));
+        self.forget(attempt_id.request);
+        Some(event)
+    }
+
+    /// Gives a request its final answer.
+    fn end_request(&mut self, now: Micros, request: u64, answer: Answer<R>, reason: EndReason) {
+        self.answer(now, request, answer, reason);
+        self.forget(request);
+    }
+}
+
+/// An attempt that was decided on and never sent.
+fn not_sent(attempt_id: AttemptId, executor: ExecutorId) -> Event {
+    Event::AttemptFinished(AttemptFinished {
+        request: attempt_id.request,
+        attempt: attempt_id.attempt,
+        executor,
+        done: false,
+        outcome: Outcome::NotSent,
+        latency: 0,
+        reported_cost: None,
+        report: None,
+    })
 }
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -1,4 +1,4 @@
-//! Time that passes, the one final answer of a request, and what is forgotten after it.
+//! Timers and deadlines, the one final answer of a request, and what is forgotten after it.
 
 use super::pending_request::PendingRequest;
 use super::{Answer, AttemptId, BACKOFF_MS, Command, Dispatch, LoadReport};
@@ -7,56 +7,65 @@
 use std::cmp::Reverse;
 
 impl<R> Dispatch<R> {
-    /// Lets time pass: timers, and requests whose time is over.
+    /// Runs the timers that are due, and ends the requests whose deadline has passed.
     pub fn tick(&mut self, now: Micros) -> Vec<Command<R>> {
         let mut commands = Vec::new();
-        while let Some((_, token)) = self.timers.peek().map(|Reverse(w)| *w).filter(|(t, _)| *t <= now) {
-            self.timers.pop();
+        while let Some(token) = self.next_timer(now) {
             commands.append(&mut self.run(now, Event::Timer { token }));
         }
         commands.append(&mut self.end_expired(now));
         commands
     }
 
-    /// Answers the requests whose time is over; all else that is due waits for [`Dispatch::tick`].
+    /// Takes the token of the next timer that is due.
+    fn next_timer(&mut self, now: Micros) -> Option<u64> {
+        let (due_at, token) = self.timers.peek().map(|Reverse(timer)| *timer)?;
+        if due_at > now {
+            return None;
+        }
+        self.timers.pop();
+        Some(token)
+    }
+
+    /// Answers the requests whose deadline has passed; all else that is due waits for [`Dispatch::tick`].
     pub fn end_expired(&mut self, now: Micros) -> Vec<Command<R>> {
         let mut commands = Vec::new();
-        while let Some((at, id)) = self.deadlines.first().copied().filter(|(t, _)| *t <= now) {
-            self.deadlines.remove(&(at, id));
-            commands.append(&mut self.expire(now, id, EndReason::Deadline));
+        while let Some((deadline, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
+            self.deadlines.remove(&(deadline, id));
+            commands.append(&mut self.stop_and_close(now, id, EndReason::Deadline));
         }
         commands
     }
 
-    /// This dispatcher gives up at this time: what takes longer is not begun, but refused at once.
+    /// This dispatcher ends all requests at this point, in microseconds: what takes longer is not begun, but refused
+    /// at once.
     pub fn set_shutdown_time(&mut self, at: Micros) {
         self.balancer.ends_at(at);
     }
 
-    /// Gives every request that is open its answer now: refused where that is harmless, else failed.
+    /// Gives every pending request its answer now: refused where that is harmless, else failed.
     pub fn end_all(&mut self, now: Micros) -> Vec<Command<R>> {
-        let waiting: Vec<u64> = self.pending.iter().filter(|(_, o)| !o.closed).map(|(id, _)| *id).collect();
-        waiting.into_iter().flat_map(|id| self.close(now, id, EndReason::Stopping)).collect()
+        let unanswered = self.pending.iter().filter(|(_, pending)| !pending.closed);
+        let ids: Vec<u64> = unanswered.map(|(id, _)| *id).collect();
+        ids.into_iter().flat_map(|id| self.close(now, id, EndReason::Stopping)).collect()
     }
 
-    /// The right to act on a request is lost: what is out of it is called off, and its client told.
+    /// This dispatcher's lease on a request is lost: its attempts are stopped, and its client gets an answer.
     pub fn release(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
-        self.expire(now, id, EndReason::LeaseLost)
+        self.stop_and_close(now, id, EndReason::LeaseLost)
     }
 
-    /// What is out of a request is given up and has timed out. Where its own time is over, nothing of it begins again.
-    fn expire(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
-        let over = reason == EndReason::Deadline;
-        let Some(open) = self.pending.get(&id) else { return Vec::new() };
-        let outstanding: Vec<u32> = open.outstanding_attempts().collect();
+    /// Stops the outstanding attempts of a request, which have timed out, and answers it. Where its deadline has
+    /// passed, no further attempt of it begins.
+    fn stop_and_close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
+        let Some(pending) = self.pending.get(&id) else { return Vec::new() };
+        let outstanding: Vec<u32> = pending.outstanding_attempts().collect();
         let mut commands = Vec::new();
         for attempt in outstanding {
             let attempt_id = AttemptId { request: id, attempt };
             self.counters.expired += 1;
             self.commands.push(Command::StopAttempt(attempt_id));
-            // What was stopped before its first byte never ran.
-            let never = over && self.outstanding(attempt_id).is_some_and(|a| !a.begun);
-            let outcome = if never { Outcome::ConnectFailed } else { Outcome::Timeout };
+            let outcome = self.outcome_of_stopped(attempt_id, reason);
             if let Some(event) = self.finish(now, attempt_id, outcome, None) {
                 commands.append(&mut self.run(now, event));
             }
@@ -67,61 +76,67 @@
         commands
     }
 
+    /// How an attempt ended that is stopped: at the deadline, one that was stopped before its first byte never ran.
+    fn outcome_of_stopped(&mut self, attempt_id: AttemptId, reason: EndReason) -> Outcome {
+        let never_begun = self.outstanding(attempt_id).is_some_and(|attempt| !attempt.begun);
+        if reason == EndReason::Deadline && never_begun { Outcome::ConnectFailed } else { Outcome::Timeout }
+    }
+
     /// Ends a request whose answer the decisions did not give.
     fn close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
-        let Some(open) = self.pending.get(&id).filter(|o| !o.closed) else { return Vec::new() };
-        let harmless = open.idempotent || open.never_ran();
+        let Some(pending) = self.pending.get(&id).filter(|pending| !pending.closed) else {
+            return Vec::new();
+        };
+        let retry_is_harmless = pending.idempotent || pending.never_ran();
         self.held_requests.remove(&id);
-        let answer = if harmless { Answer::Refused(BACKOFF_MS) } else { Answer::Failed };
+        let answer = if retry_is_harmless { Answer::Refused(BACKOFF_MS) } else { Answer::Failed };
         self.answer(now, id, answer, reason);
         let commands = self.run(now, Event::ClientDisconnected { request: id });
         self.forget(id);
         commands
     }
 
-    /// A request is over, answered or left: of what waits to be written for it nothing may begin any more. Called
-    /// wherever a request is closed, whatever the decisions call off besides.
+    /// A request is over, answered or with its client gone: of its attempts that wait to be written none may begin
+    /// any more. Called wherever a request is closed, whatever the decisions cancel besides. Without it, an attempt
+    /// whose connection comes up later would run for a request that was refused or cancelled.
     pub(super) fn withdraw(&mut self, id: u64) {
         let outstanding = self.pending.get(&id).into_iter().flat_map(PendingRequest::outstanding_attempts);
-        let attempt_ids =
+        let withdrawals =
             outstanding.map(|attempt| Command::WithdrawAttempt(AttemptId { request: id, attempt }));
-        self.commands.extend(attempt_ids);
+        self.commands.extend(withdrawals);
     }
 
-    /// Notes an attempt's end; the event that tells of it.
+    /// Records the end of an attempt; the event that reports it to the decisions.
     pub(super) fn finish(
         &mut self,
         now: Micros,
-        t: AttemptId,
+        id: AttemptId,
         outcome: Outcome,
-        load: Option<LoadReport>,
+        report: Option<LoadReport>,
     ) -> Option<Event> {
-        let done = self.pending.get(&t.request)?.closed;
-        let attempt = self.outstanding(t)?;
+        let done = self.pending.get(&id.request)?.closed;
+        let attempt = self.outstanding(id)?;
         attempt.outcome = Some(outcome);
-        let latency = now.saturating_sub(attempt.sent);
-        let (request, attempt, executor) = (t.request, t.attempt, attempt.executor);
-        let finished = AttemptFinished {
-            request,
-            attempt,
-            executor,
+        Some(Event::AttemptFinished(AttemptFinished {
+            request: id.request,
+            attempt: id.attempt,
+            executor: attempt.executor,
             done,
             outcome,
-            latency,
+            latency: now.saturating_sub(attempt.sent_at),
             reported_cost: None,
-            report: load,
-        };
-        Some(Event::AttemptFinished(finished))
+            report,
+        }))
     }
 
     /// The one place that gives a final answer.
     pub(super) fn answer(&mut self, now: Micros, id: u64, answer: Answer<R>, reason: EndReason) {
-        let Some(open) = self.pending.get_mut(&id) else { return };
-        if !must!(!open.closed, "a second answer") {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        if !must!(!pending.closed, "a second answer") {
             return;
         }
-        open.closed = true;
-        open.log_end(now, id, &answer, reason);
+        pending.closed = true;
+        pending.log_answer(now, id, &answer, reason);
         self.counters.ends.add(reason);
         match &answer {
             Answer::Served(_) => self.counters.served += 1,
@@ -132,16 +147,17 @@
         self.commands.push(Command::Answer(id, answer));
     }
 
+    /// Forgets a request if it is over.
     pub(super) fn forget(&mut self, id: u64) {
-        if self.pending.get(&id).is_some_and(PendingRequest::over)
-            && let Some(open) = self.pending.remove(&id)
-        {
-            self.deadlines.remove(&(open.deadline, id));
-            if open.left && self.reports_abandoned {
-                let never_ran = open.never_ran();
-                let result = open.late_result;
-                self.commands.push(Command::ReportAbandoned { request: id, result, never_ran });
-            }
+        if !self.pending.get(&id).is_some_and(PendingRequest::is_over) {
+            return;
+        }
+        let Some(pending) = self.pending.remove(&id) else { return };
+        self.deadlines.remove(&(pending.deadline, id));
+        if pending.client_disconnected && self.reports_abandoned {
+            let never_ran = pending.never_ran();
+            let result = pending.late_result;
+            self.commands.push(Command::ReportAbandoned { request: id, result, never_ran });
         }
     }
 }
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -1,12 +1,12 @@
-//! The executors of the list, and news of them.
+//! The listed executors, and watch events on them.
 
 use super::{Command, Dispatch};
 use crate::api::{Endpoint, EndpointListKind, Event, ExecutorId, Micros, Readiness};
 
-/// An executor as the list has it.
+/// An executor as the endpoint list has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedExecutor {
-    /// Which executor.
+    /// Its id.
     pub executor: ExecutorId,
     /// Its zone, an index.
     pub zone: usize,
@@ -14,92 +14,99 @@
     pub kind: usize,
     /// Its cell.
     pub cell: u64,
-    /// What it does.
+    /// Whether it takes requests.
     pub state: ExecutorState,
-    /// Relative size.
+    /// Its size relative to others of its kind.
     pub size: f64,
-    /// Unix time of a late start.
+    /// The point at which its process started, in microseconds of this process's clock, if it started late.
     pub started: Option<Micros>,
-    /// Share of the work beside others of its kind; `None` is the usual, 1.
+    /// Its share of the work beside others of its kind; `None` is the usual, 1.
     pub weight: Option<f64>,
 }
 
-/// What an executor's process does.
+impl ListedExecutor {
+    /// The same as the decisions take it.
+    fn endpoint(&self) -> Endpoint {
+        Endpoint {
+            executor: self.executor,
+            zone: self.zone,
+            kind: self.kind,
+            cell: self.cell,
+            readiness: match self.state {
+                ExecutorState::Up => Readiness::Active,
+                ExecutorState::Draining => Readiness::Leaving,
+                ExecutorState::Removed => Readiness::Left,
+            },
+            rating: self.size,
+            started: self.started,
+            weight: self.weight,
+        }
+    }
+}
+
+/// Whether an executor takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutorState {
-    /// Takes requests.
+    /// It takes requests.
     Up,
-    /// Completes its work.
+    /// It takes no new requests and completes its work.
     Draining,
     /// Its process is gone.
     Removed,
 }
 
-/// Why a list comes.
+/// What an endpoint list is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// As last known before the start.
+    /// The list as it was last known before the start.
     Restored,
-    /// The whole list.
+    /// The whole list: who is not on it is gone.
     Replaced,
-    /// What changed.
+    /// The executors that changed.
     Changed,
 }
 
-/// The fleet as the decisions see it, in cores.
+/// The executors' capacity as the decisions see it, in cores.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct FleetCapacity {
-    /// Of all executors that the list has as up.
+    /// Of all executors that are listed as up.
     pub listed: f64,
     /// Of those that are healthy.
     pub usable: f64,
-    /// Of those, each counted by how warm it is.
+    /// Of those that are healthy, each reduced while it is warming up.
     pub warm: f64,
 }
 
 impl<R> Dispatch<R> {
-    /// The fleet now.
+    /// The executors' capacity now.
     pub fn fleet_capacity(&self, now: Micros) -> FleetCapacity {
         let [listed, usable, warm] = self.balancer.fleet(now);
         FleetCapacity { listed, usable, warm }
     }
 
-    /// Cores that work, of all executors on the list, as far as they were heard.
+    /// Busy cores of all listed executors, by their load reports.
     pub fn busy_cores(&self, now: Micros) -> f64 {
         self.balancer.occupancy * self.fleet_capacity(now).listed
     }
 
-    /// Executors on the list, and of these how many are avoided now: draining, silent or ejected.
+    /// The number of listed executors, and of those that are avoided now: draining, unresponsive or ejected.
     pub fn listed_and_avoided(&self, now: Micros) -> (usize, usize) {
         self.balancer.avoided(now)
     }
 
-    /// News of the executors.
+    /// Applies a watch event.
     pub fn apply_watch_event(
         &mut self,
         now: Micros,
-        news: WatchEvent,
-        members: &[ListedExecutor],
+        event: WatchEvent,
+        executors: &[ListedExecutor],
     ) -> Vec<Command<R>> {
-        let kind = match news {
+        let kind = match event {
             WatchEvent::Restored => EndpointListKind::Restored,
             WatchEvent::Replaced => EndpointListKind::Replace,
             WatchEvent::Changed => EndpointListKind::Update,
         };
-        let endpoint = |m: &ListedExecutor| Endpoint {
-            executor: m.executor,
-            zone: m.zone,
-            kind: m.kind,
-            cell: m.cell,
-            readiness: match m.state {
-                ExecutorState::Up => Readiness::Active,
-                ExecutorState::Draining => Readiness::Leaving,
-                ExecutorState::Removed => Readiness::Left,
-            },
-            rating: m.size,
-            started: m.started,
-            weight: m.weight,
-        };
-        self.run(now, Event::EndpointList { kind, endpoints: members.iter().map(endpoint).collect() })
+        let endpoints = executors.iter().map(ListedExecutor::endpoint).collect();
+        self.run(now, Event::EndpointList { kind, endpoints })
     }
 }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,149 +1,110 @@
-//! The facade over the decisions, in blocking style: [`Dispatch::submit`] takes a request in,
-//! [`Dispatch::handle`] tells what happened, [`Dispatch::tick`] lets time pass; each returns what is to be
-//! done, in order. It owns the dispatcher, its timers, and every open request with its attempts and deadline.
+//! The facade over the decisions: [`Dispatch::submit`] takes a request, [`Dispatch::handle`] an event of the network,
+//! [`Dispatch::tick`] lets time pass; each returns the commands that the network has to carry out, in order. It owns
+//! the decisions, their timers, and every pending request with its attempts and deadline.
 //!
-//! - `client_request`: a request as its client sent it.
+//! - `client_request`: a request as its client sent it, and an attempt's id.
 //! - `endpoints`: the listed executors, and watch events on them.
 //! - `interface`: what the network reports, and the commands that it gets.
 //! - `pending_request`: requests without an answer, and their attempts.
+//! - `request_class`: what has to be known of a class here.
 //! - `submission`: how a request is submitted, held or rejected.
-//! - `network_events`: what the network's reports lead to.
+//! - `network_events`: what the network's events lead to.
 //! - `commands`: the decisions' actions become commands.
 //! - `completion`: deadlines, the one final answer, and what is forgotten after it.
+//! - `counters`: counts since the start.
 //!
-//! The network's side sees the types of this module alone, never the dispatcher's events and actions.
+//! The network sees the types of this module alone, never the decisions' events and actions.
 
 mod client_request;
 mod commands;
 mod completion;
+mod counters;
 mod endpoints;
 mod interface;
 mod network_events;
 mod pending_request;
+mod request_class;
 mod submission;
 
 pub use crate::api::{AttemptProgress, ExecutorId, Report as LoadReport};
 pub use crate::codec::coordinator::executor_id;
 pub use client_request::{AttemptId, Request};
+pub use counters::Counters;
 pub use endpoints::{ExecutorState, FleetCapacity, ListedExecutor, WatchEvent};
 pub use interface::{Answer, AttemptEnd, AttemptTerms, Command, NetworkEvent, ProbeOutcome};
 pub use pending_request::Progress;
+pub use submission::SubmitError;
 
 use crate::Balancer;
-use crate::api::{self, EndCounts, Idempotency, KeyScope, Micros, Settings, SettingsError};
+use crate::api::{Micros, Settings, SettingsError};
 use lru::LruCache;
 use pending_request::PendingRequest;
+use request_class::RequestClass;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::num::NonZeroUsize;
 
-/// A key rests at least this long after an attempt that was stopped or lost: the KILL has to arrive before the
-/// next request of the key does, and they may go to different executors.
+/// The least span for which a key stays quiet after an attempt that was stopped or lost, in microseconds: the KILL has
+/// to arrive before the next request of the key does, and they may go to different executors.
 const KEY_QUIET_TIME: Micros = 100_000;
-/// A budget may be this much above the class's whole deadline, for rounding; more is no budget.
-const SLACK: Micros = 1_000_000;
-/// Ids remembered after their answer: some 15 s of the busiest traffic, far longer than anything is under way.
+/// Request ids remembered: some 15 s of the busiest traffic, far longer than any message of a request is under way.
 const RECENT_IDS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
-/// What a refusal tells a client to wait where the decisions name no time.
+/// The backoff of a refusal, in milliseconds, where the decisions name none.
 const BACKOFF_MS: u64 = 200;
+/// A retry may begin within this fraction of the retry budget's window after it was decided on: long beside the time
+/// that a connection takes to come up, short beside the window.
+const RETRY_START_WINDOW_FRACTION: Micros = 8;
 
-/// Counters since the start.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counters {
-    /// Requests taken.
-    pub taken: u64,
-    /// Answered with a result.
-    pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed.
-    pub failed: u64,
-    /// Clients that left before their answer.
-    pub left: u64,
-    /// Attempts sent.
-    pub attempts: u64,
-    /// Attempts that ran into their deadline.
-    pub expired: u64,
-    /// Attempts lost with their connection.
-    pub lost: u64,
-    /// Attempts that never reached an executor.
-    pub never_sent: u64,
-    /// Probes sent.
-    pub probes: u64,
-    /// Final answers by reason.
-    pub ends: EndCounts,
-}
-
-/// A further attempt may begin by this part of the budget's window after it was decided: long beside a connection
-/// that comes up, short beside the window.
-const RETRY_START_WINDOW_PART: Micros = 8;
-
-/// The settings as the decisions need them where attempts go out on sockets: the KILL of a stopped one takes a moment,
-/// and so does the connection of one that begins.
+/// The settings as the decisions need them where attempts go out on sockets: the KILL of a stopped attempt takes a
+/// moment to arrive, and so does the connection of one that begins.
 fn settings_for_sockets(mut settings: Settings) -> Settings {
     settings.key_quiet = Some(settings.key_quiet.unwrap_or(0).max(KEY_QUIET_TIME));
-    settings.budget.iter_mut().for_each(|b| b.slack = b.span / RETRY_START_WINDOW_PART);
+    if let Some(budget) = &mut settings.budget {
+        budget.slack = budget.span / RETRY_START_WINDOW_FRACTION;
+    }
     settings
 }
 
-/// What has to be known of a class here.
-#[derive(Debug, Clone, Copy)]
-struct Class {
-    /// Refusing is harmless whatever ran.
-    idempotent: bool,
-    /// Repeats are harmless for so long after a send, where anything makes them so.
-    window: Option<Micros>,
-    /// The longest budget that can be meant.
-    max_budget: Micros,
-    /// Requests of a key run in order, and their clients space them.
-    keeps_order: bool,
-}
-
-/// The dispatcher's decisions, and what is open.
+/// The decisions, and every pending request; `R` is a result as the network holds it.
 pub struct Dispatch<R> {
     balancer: Balancer,
-    classes: Vec<Class>,
+    /// By class index.
+    classes: Vec<RequestClass>,
+    /// Unanswered requests at the most; more are refused at once.
     max_open_requests: usize,
-    /// Ids of late, so that none is taken twice.
+    /// Ids of recent requests, so that none is accepted twice.
     recent_ids: LruCache<u64, ()>,
+    /// Requests that are unanswered or have an outstanding attempt, by id.
     pending: BTreeMap<u64, PendingRequest<R>>,
-    /// Requests that wait for word of the fleet before the decisions get them.
+    /// Requests that wait for the peers' agreement before the decisions get them, by id.
     held_requests: BTreeMap<u64, Request>,
-    /// What becomes of requests whose clients left is told.
+    /// Whether the end of requests whose clients disconnected is reported.
     reports_abandoned: bool,
+    /// Attempts that a request may have.
     max_attempts: usize,
-    /// A further attempt may begin so long after it was decided, where the settings ration them.
+    /// The span in which a retry has to begin after it was decided on, in microseconds, where there is a retry budget.
     retry_start_window: Option<Micros>,
+    /// The deadlines of pending requests, with their ids.
     deadlines: BTreeSet<(Micros, u64)>,
+    /// The points at which timers of the decisions are due, with their tokens.
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Commands not yet returned to the network.
     commands: Vec<Command<R>>,
-    /// Counters.
+    /// Counts since the start.
     pub counters: Counters,
 }
 
 impl<R> Dispatch<R> {
-    /// One that knows its settings and no executor.
+    /// Decisions by these settings that know no executor yet; `seed` determines their random numbers. Errors if the
+    /// settings can't be used.
     pub fn new(
-        mut settings: Settings,
+        settings: Settings,
         max_open_requests: usize,
         seed: u64,
     ) -> Result<Dispatch<R>, SettingsError> {
-        settings = settings_for_sockets(settings);
-        let retry_start_window = settings.budget.map(|b| b.slack);
-        let class = |c: &api::Class| Class {
-            idempotent: matches!(
-                c.idempotency,
-                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
-            ),
-            window: if let Idempotency::IdempotencyKey { window, .. } = c.idempotency {
-                Some(window)
-            } else {
-                None
-            },
-            max_budget: c.deadline + SLACK,
-            keeps_order: c.keep_order,
-        };
-        let classes = settings.classes.iter().map(class).collect();
+        let settings = settings_for_sockets(settings);
+        let retry_start_window = settings.budget.map(|budget| budget.slack);
+        let classes = settings.classes.iter().map(RequestClass::of).collect();
         let max_attempts = settings.max_attempts as usize;
         Ok(Dispatch {
             balancer: Balancer::new(settings, seed)?,
@@ -164,22 +125,22 @@
 
     /// Whether requests of a class run in the order of their key.
     pub fn keeps_order(&self, class: usize) -> bool {
-        self.classes.get(class).is_some_and(|c| c.keeps_order)
+        self.classes.get(class).is_some_and(|class| class.keeps_order)
     }
 
-    /// Requests whose clients still wait.
+    /// The number of requests whose clients still wait.
     pub fn open_requests(&self) -> usize {
-        self.pending.values().filter(|o| !o.closed).count()
+        self.pending.values().filter(|pending| !pending.closed).count()
     }
 
-    /// When [`Dispatch::tick`] has something to do next.
+    /// The point at which [`Dispatch::tick`] has something to do next, in microseconds.
     pub fn next_due(&self) -> Option<Micros> {
-        let wake = self.timers.peek().map(|Reverse((t, _))| *t);
-        let deadline = self.deadlines.first().map(|(t, _)| *t);
-        wake.into_iter().chain(deadline).min()
+        let timer = self.timers.peek().map(|Reverse((due_at, _))| *due_at);
+        let deadline = self.deadlines.first().map(|(due_at, _)| *due_at);
+        timer.into_iter().chain(deadline).min()
     }
 
-    /// From now on [`Command::ReportAbandoned`] tells what becomes of requests whose clients left.
+    /// From now on [`Command::ReportAbandoned`] reports the end of requests whose clients disconnected.
     pub fn report_abandoned(&mut self) {
         self.reports_abandoned = true;
     }
--- a/src/dispatch/network_events.rs
+++ b/src/dispatch/network_events.rs
@@ -1,80 +1,98 @@
-//! What the network's reports come to.
+//! What the network's events lead to.
 
 use super::{
     Answer, AttemptEnd, AttemptId, AttemptProgress, Command, Dispatch, LoadReport, NetworkEvent, ProbeOutcome,
 };
-use crate::api::{self, EndReason, Event, Micros, Outcome};
+use crate::api::{EndReason, Event, ExecutorId, Micros, Outcome};
 use crate::must;
 
 impl<R> Dispatch<R> {
-    /// What the network has to tell.
-    pub fn handle(&mut self, now: Micros, report: NetworkEvent<R>) -> Vec<Command<R>> {
-        match report {
-            NetworkEvent::AttemptEnded(attempt_id, end, load) => self.ended(now, attempt_id, end, load),
-            NetworkEvent::AttemptBegun(t) => {
-                self.outstanding(t).into_iter().for_each(|a| a.begun = true);
+    /// Handles an event of the network; what it has to do now.
+    pub fn handle(&mut self, now: Micros, event: NetworkEvent<R>) -> Vec<Command<R>> {
+        match event {
+            NetworkEvent::AttemptEnded(id, end, load) => self.attempt_ended(now, id, end, load),
+            NetworkEvent::AttemptBegun(id) => {
+                if let Some(attempt) = self.outstanding(id) {
+                    attempt.begun = true;
+                }
                 Vec::new()
             }
-            NetworkEvent::AttemptProgressed(t, word) => {
-                let Some(executor) = self.outstanding(t).map(|a| a.executor) else { return Vec::new() };
-                let progress_note = match word {
-                    AttemptProgress::Progress(x) => api::AttemptProgress::Progress(x),
-                    AttemptProgress::Spill(x) => api::AttemptProgress::Spill(x),
-                    AttemptProgress::Waits => api::AttemptProgress::Waits,
-                };
-                self.run(
-                    now,
-                    Event::AttemptProgressed {
-                        request: t.request,
-                        attempt: t.attempt,
-                        executor,
-                        progress_note,
-                    },
-                )
-            }
-            NetworkEvent::ProbeFinished(executor, echo, latency) => {
-                let (outcome, load) = match echo {
-                    ProbeOutcome::Up(load) => (Outcome::Ok, load),
-                    ProbeOutcome::Down => (Outcome::Error, None),
-                    ProbeOutcome::Unreachable => (Outcome::ConnectFailed, None),
-                    ProbeOutcome::Unknown => (Outcome::Cancelled, None),
-                    ProbeOutcome::TimedOut => (Outcome::Timeout, None),
-                };
-                self.run(now, Event::ProbeFinished { executor, outcome, latency, report: load })
+            NetworkEvent::AttemptProgressed(id, progress) => self.attempt_progressed(now, id, progress),
+            NetworkEvent::ProbeFinished(executor, outcome, latency) => {
+                self.probe_finished(now, executor, outcome, latency)
             }
-            NetworkEvent::ClientDisconnected(id) => match self.pending.get_mut(&id) {
-                Some(o) if !o.closed => {
-                    (o.closed, o.left) = (true, true);
-                    self.held_requests.remove(&id);
-                    self.counters.left += 1;
-                    self.withdraw(id);
-                    let mut commands = self.run(now, Event::ClientDisconnected { request: id });
-                    self.forget(id);
-                    commands.append(&mut self.commands);
-                    commands
-                }
-                _ => Vec::new(),
-            },
+            NetworkEvent::ClientDisconnected(request) => self.client_disconnected(now, request),
         }
     }
-    fn ended(
+
+    fn attempt_progressed(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        progress_note: AttemptProgress,
+    ) -> Vec<Command<R>> {
+        let Some(executor) = self.outstanding(id).map(|attempt| attempt.executor) else { return Vec::new() };
+        let AttemptId { request, attempt } = id;
+        self.run(now, Event::AttemptProgressed { request, attempt, executor, progress_note })
+    }
+
+    fn probe_finished(
         &mut self,
         now: Micros,
-        t: AttemptId,
+        executor: ExecutorId,
+        outcome: ProbeOutcome,
+        latency: Micros,
+    ) -> Vec<Command<R>> {
+        let (outcome, report) = match outcome {
+            ProbeOutcome::Up(load) => (Outcome::Ok, load),
+            ProbeOutcome::Down => (Outcome::Error, None),
+            ProbeOutcome::Unreachable => (Outcome::ConnectFailed, None),
+            ProbeOutcome::Unknown => (Outcome::Cancelled, None),
+            ProbeOutcome::TimedOut => (Outcome::Timeout, None),
+        };
+        self.run(now, Event::ProbeFinished { executor, outcome, latency, report })
+    }
+
+    fn client_disconnected(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
+        let Some(pending) = self.pending.get_mut(&id).filter(|pending| !pending.closed) else {
+            return Vec::new();
+        };
+        pending.closed = true;
+        pending.client_disconnected = true;
+        self.held_requests.remove(&id);
+        self.counters.left += 1;
+        self.withdraw(id);
+        let mut commands = self.run(now, Event::ClientDisconnected { request: id });
+        self.forget(id);
+        commands.append(&mut self.commands);
+        commands
+    }
+
+    fn attempt_ended(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
         end: AttemptEnd<R>,
         load: Option<LoadReport>,
     ) -> Vec<Command<R>> {
-        // An attempt may end while the order to stop it is on its way: the stop was told, and once is enough.
-        let Some(executor) = self.outstanding(t).map(|a| a.executor) else { return Vec::new() };
-        let outcome = match end {
+        // An attempt may end while the command to stop it is carried out: its end is known already.
+        let Some(executor) = self.outstanding(id).map(|attempt| attempt.executor) else { return Vec::new() };
+        let outcome = self.outcome_of(now, id, end);
+        let event = self.finish(now, id, outcome, load);
+        let is_its_end =
+            matches!(&event, Some(Event::AttemptFinished(finished)) if finished.executor == executor);
+        must!(is_its_end, "an attempt that was outstanding has no end to report");
+        let mut commands = event.map_or_else(Vec::new, |event| self.run(now, event));
+        self.forget(id.request);
+        commands.append(&mut self.commands);
+        commands
+    }
+
+    /// What the end of an attempt is to the decisions. A result becomes the answer.
+    fn outcome_of(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<R>) -> Outcome {
+        match end {
             AttemptEnd::Served(result) => {
-                match self.pending.get_mut(&t.request) {
-                    Some(o) if !o.closed => {
-                        self.answer(now, t.request, Answer::Served(result), EndReason::Served);
-                    }
-                    Some(o) if o.left && self.reports_abandoned => o.late_result = Some(result),
-                    _ => {}
-                }
+                self.served(now, id.request, result);
                 Outcome::Ok
             }
             AttemptEnd::Rejected => Outcome::Rejected,
@@ -84,23 +102,33 @@
                 self.counters.never_sent += 1;
                 Outcome::ConnectFailed
             }
-            AttemptEnd::ConnectionLost | AttemptEnd::ConnectionUnusable => {
-                self.counters.lost += 1;
-                tracing::info!(
-                    request = format_args!("{:016x}", t.request),
-                    attempt = t.attempt,
-                    "attempt lost with its connection"
-                );
-                // A time-out is what the decisions know that may have run and blames nobody.
-                if matches!(end, AttemptEnd::ConnectionLost) { Outcome::Reset } else { Outcome::Timeout }
+            AttemptEnd::ConnectionLost => {
+                self.count_lost(id);
+                Outcome::Reset
             }
-        };
-        let event = self.finish(now, t, outcome, load);
-        let whole = matches!(&event, Some(Event::AttemptFinished(f)) if f.executor == executor);
-        must!(whole, "an attempt that was outstanding has no end to tell");
-        let mut commands = event.map_or_else(Vec::new, |e| self.run(now, e));
-        self.forget(t.request);
-        commands.append(&mut self.commands);
-        commands
+            AttemptEnd::ConnectionUnusable => {
+                self.count_lost(id);
+                // To the decisions a time-out is what may have run and says nothing of the executor's health.
+                Outcome::Timeout
+            }
+        }
+    }
+
+    fn served(&mut self, now: Micros, id: u64, result: R) {
+        match self.pending.get_mut(&id) {
+            Some(pending) if !pending.closed => {
+                self.answer(now, id, Answer::Served(result), EndReason::Served);
+            }
+            Some(pending) if pending.client_disconnected && self.reports_abandoned => {
+                pending.late_result = Some(result);
+            }
+            _ => {}
+        }
+    }
+
+    fn count_lost(&mut self, id: AttemptId) {
+        self.counters.lost += 1;
+        let request = format_args!("{:016x}", id.request);
+        tracing::info!(request, attempt = id.attempt, "attempt lost with its connection");
     }
 }
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -1,30 +1,66 @@
-//! How a request is taken in, held or turned away.
+//! How a request is submitted, held or rejected.
 
 use super::client_request::{arrival, time_budget};
 use super::pending_request::PendingRequest;
-use super::{Answer, BACKOFF_MS, Class, Command, Dispatch, Request, settings_for_sockets};
+use super::request_class::RequestClass;
+use super::{Answer, BACKOFF_MS, Command, Dispatch, Request, settings_for_sockets};
 use crate::api::{EndReason, Event, Micros, Settings, SettingsError};
 use crate::must;
+use std::error::Error;
+use std::fmt::{self, Display, Formatter};
+
+/// The priority of attempts for which the decisions set no other.
+const DEFAULT_PRIORITY: u8 = 1;
+
+/// Why a request can't be accepted at all: its client's mistake, which is answered with this text.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SubmitError {
+    /// The settings have no such class.
+    UnknownClass,
+    /// The budget is zero, or longer than the class allows.
+    InvalidBudget,
+    /// The id was used before.
+    ReusedId,
+}
+
+impl SubmitError {
+    /// The text for the client.
+    pub fn text(self) -> &'static str {
+        match self {
+            SubmitError::UnknownClass => "unknown class",
+            SubmitError::InvalidBudget => "a budget that no client of this class has",
+            SubmitError::ReusedId => "this id was used before",
+        }
+    }
+}
+
+impl Display for SubmitError {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.text())
+    }
+}
+
+impl Error for SubmitError {}
 
 impl<R> Dispatch<R> {
-    /// Whether a request can be taken at all: its class, its budget, and an id that was not used.
-    fn acceptable(&mut self, request: &Request) -> Result<Class, &'static str> {
-        let class = *self.classes.get(request.class).ok_or("unknown class")?;
-        if request.told == 0 || request.told > class.max_budget {
-            return Err("a budget that no client of this class has");
+    /// Checks whether a request can be accepted at all: its class, its budget, and an id that was not used.
+    fn validate(&mut self, request: &Request) -> Result<RequestClass, SubmitError> {
+        let class = *self.classes.get(request.class).ok_or(SubmitError::UnknownClass)?;
+        if request.client_wait == 0 || request.client_wait > class.max_budget {
+            return Err(SubmitError::InvalidBudget);
         }
-        // Ids are new with every request. One that comes again, open or not, is nobody's retry: it could run
-        // what must not run twice, and its answer could be taken for the other's.
+        // Ids are new with every request, retries too. One that comes again, pending or not, would run what must not
+        // run twice, and its answer would be taken for the other's: so it is an error.
         if self.recent_ids.put(request.id, ()).is_some() || self.pending.contains_key(&request.id) {
-            return Err("this id was used before");
+            return Err(SubmitError::ReusedId);
         }
         Ok(class)
     }
 
-    /// Takes a request in and refuses it in the same breath, before any decision: it never ran, so that refusing
-    /// is harmless. Errors are those of [`Dispatch::submit`].
-    pub fn reject(&mut self, request: &Request, reason: EndReason) -> Result<(), &'static str> {
-        self.acceptable(request)?;
+    /// Counts a request as refused before any decision: it never ran, so a retry is harmless. Errors if it is not
+    /// valid.
+    pub fn reject(&mut self, request: &Request, reason: EndReason) -> Result<(), SubmitError> {
+        self.validate(request)?;
         self.counters.taken += 1;
         self.counters.refused += 1;
         self.counters.ends.add(reason);
@@ -32,120 +68,123 @@
         Ok(())
     }
 
-    /// Takes a request in: it is sent, held or answered by what is returned here or later. An id that is
-    /// still open is an error, as its answer could not be told from the other's.
-    pub fn submit(&mut self, now: Micros, request: &Request) -> Result<Vec<Command<R>>, &'static str> {
+    /// Submits a request: it is sent, queued or answered by the commands that this returns or that come later. Errors
+    /// if it is not valid.
+    pub fn submit(&mut self, now: Micros, request: &Request) -> Result<Vec<Command<R>>, SubmitError> {
         self.adopt(now, request, 0, None)
     }
 
-    /// The same for a request that a lost dispatcher had in hand and tried so often already, and had admitted under
-    /// these settings, if they were others.
+    /// Submits a request that a lost dispatcher held, which made `earlier_attempts` of it and had admitted it under
+    /// `admitted_under`, if those settings were others. Errors if it is not valid.
     pub fn adopt(
         &mut self,
         now: Micros,
         request: &Request,
         earlier_attempts: usize,
-        under: Option<&Settings>,
-    ) -> Result<Vec<Command<R>>, &'static str> {
-        if self.take(now, request, earlier_attempts)? {
+        admitted_under: Option<&Settings>,
+    ) -> Result<Vec<Command<R>>, SubmitError> {
+        if self.accept(now, request, earlier_attempts)? {
             return Ok(std::mem::take(&mut self.commands));
         }
-        let own = under.and_then(|s| self.balancer.take_on(settings_for_sockets(s.clone())).ok());
+        let own_settings = admitted_under
+            .and_then(|settings| self.balancer.take_on(settings_for_sockets(settings.clone())).ok());
         let commands = self.run(now, arrival(request));
-        if let Some(own) = own {
-            let back = self.balancer.take_on(own);
-            must!(back.is_ok(), "own settings were in use");
+        if let Some(settings) = own_settings {
+            let restored = self.balancer.take_on(settings);
+            must!(restored.is_ok(), "own settings were in use");
         }
         Ok(commands)
     }
 
-    /// Admits by other settings of the same classes, tenants and machines from now on; what is open ends as it was
-    /// admitted. An error changes nothing.
+    /// Decides by other settings of the same classes, tenants and executor kinds from now on; what is pending ends as
+    /// it was admitted. An error changes nothing.
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = settings_for_sockets(settings);
-        let slack = settings.budget.map(|b| b.slack);
+        let retry_start_window = settings.budget.map(|budget| budget.slack);
         self.balancer.take_on(settings).map(drop)?;
-        self.retry_start_window = slack;
+        self.retry_start_window = retry_start_window;
         Ok(())
     }
 
-    /// Takes a request in that the decisions get later, once there is word of the fleet. It is open from now on:
-    /// it counts among those that wait, its id is used up, and its deadline is that of a request picked now. Errors
-    /// are those of [`Dispatch::submit`], and too many open requests refuse it at once, so that it is not held.
+    /// Submits a request that the decisions get later, once the peers agree. It is pending from now on: it counts
+    /// among the open requests, its id is used up, and its deadline is that of a request submitted now. Errors are
+    /// those of [`Dispatch::submit`]. Where too many requests are open it is refused at once, and not held.
     ///
     /// Whoever holds a request owes it one call, of [`Dispatch::admit`] or of [`Dispatch::answer_held`]; nobody
-    /// else may call either for its id. The call may come in the same breath or later, and none has to come:
+    /// else may call either for its id. The call may come at once or later, and none has to come:
     ///
-    /// - at its deadline, [`Dispatch::tick`] refuses it with a time to come back, which is harmless, as no
-    ///   attempt of it was made; so do [`Dispatch::release`] and [`Dispatch::end_all`] before that;
-    /// - once its client has left ([`NetworkEvent::ClientDisconnected`](super::NetworkEvent::ClientDisconnected)) it is over, with no answer.
+    /// - at its deadline, [`Dispatch::tick`] refuses it with a backoff, which is harmless, as no attempt of it was
+    ///   made; so do [`Dispatch::release`] and [`Dispatch::end_all`] before that;
+    /// - once its client has disconnected it is over, with no answer.
     ///
     /// After any of these it is held no more, and either call does nothing.
-    pub fn hold(&mut self, now: Micros, request: &Request) -> Result<Vec<Command<R>>, &'static str> {
-        if !self.take(now, request, 0)? {
+    pub fn hold(&mut self, now: Micros, request: &Request) -> Result<Vec<Command<R>>, SubmitError> {
+        if !self.accept(now, request, 0)? {
             self.held_requests.insert(request.id, request.clone());
         }
         Ok(std::mem::take(&mut self.commands))
     }
 
-    /// A request that is held goes to the decisions, with what is left until its deadline; from here on it is as
-    /// one that was picked. For whoever held it alone, and once: for an id that is not held it does nothing. At
-    /// its deadline or later it does not go there any more, and [`Dispatch::tick`] refuses it.
+    /// Submits a held request to the decisions, with what is left until its deadline. For whoever held it alone, and
+    /// once: for an id that is not held it does nothing. At its deadline or later it is not submitted any more, and
+    /// [`Dispatch::tick`] refuses it.
     pub fn admit(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
         let Some(request) = self.held_requests.remove(&id) else { return Vec::new() };
-        match self.pending.get(&id).filter(|o| !o.closed).map(|o| o.deadline) {
-            Some(deadline) if now < deadline => {
-                let mut event = arrival(&request);
-                if let Event::Arrival(a) = &mut event {
-                    a.time_budget = deadline - now;
-                }
-                self.run(now, event)
-            }
-            _ => Vec::new(),
+        let Some(pending) = self.pending.get(&id).filter(|pending| !pending.closed) else {
+            return Vec::new();
+        };
+        let time_left = pending.deadline.saturating_sub(now);
+        if time_left == 0 {
+            return Vec::new();
+        }
+        let mut event = arrival(&request);
+        if let Event::Arrival(arrival) = &mut event {
+            arrival.time_budget = time_left;
         }
+        self.run(now, event)
     }
 
-    /// A request that is held has its answer, which the decisions neither gave nor hear of. For whoever held it
-    /// alone, and once: for an id that is not held it does nothing. The answer has to be true by itself: refused
-    /// only where it never ran or may run twice. What is given to a request past its deadline still counts if
-    /// [`Dispatch::tick`] has not refused it yet.
+    /// Answers a held request without the decisions. For whoever held it alone, and once: for an id that is not held
+    /// it does nothing. The answer has to be true by itself: refused only where it never ran or may run twice. An
+    /// answer past the deadline still counts if [`Dispatch::tick`] has not refused the request yet.
     pub fn answer_held(&mut self, now: Micros, id: u64, answer: Answer<R>) -> Vec<Command<R>> {
-        if self.held_requests.remove(&id).is_some() && self.pending.get(&id).is_some_and(|o| !o.closed) {
+        let held = self.held_requests.remove(&id).is_some();
+        if held && self.pending.get(&id).is_some_and(|pending| !pending.closed) {
             self.answer(now, id, answer, EndReason::Elsewhere);
             self.forget(id);
         }
         std::mem::take(&mut self.commands)
     }
 
-    /// Takes a request in; whether it was refused at once, as too many are open.
-    fn take(
+    /// Makes a valid request pending; whether it was refused at once, as too many are open.
+    fn accept(
         &mut self,
         now: Micros,
         request: &Request,
         earlier_attempts: usize,
-    ) -> Result<bool, &'static str> {
-        let Class { idempotent, window, .. } = self.acceptable(request)?;
+    ) -> Result<bool, SubmitError> {
+        let class = self.validate(request)?;
         self.counters.taken += 1;
-        let open = PendingRequest {
-            arrived: now,
+        let pending = PendingRequest {
+            submitted_at: now,
             deadline: now + time_budget(request),
-            idempotent,
-            window,
+            idempotent: class.idempotent,
+            repeat_window: class.repeat_window,
             closed: false,
-            left: false,
+            client_disconnected: false,
             late_result: None,
             earlier_attempts,
             memory_mb: 0.0,
-            priority: 1,
+            priority: DEFAULT_PRIORITY,
             attempts: Vec::new(),
         };
-        let full = self.open_requests() >= self.max_open_requests;
-        self.deadlines.insert((open.deadline, request.id));
-        self.pending.insert(request.id, open);
-        if full {
+        let too_many = self.open_requests() >= self.max_open_requests;
+        self.deadlines.insert((pending.deadline, request.id));
+        self.pending.insert(request.id, pending);
+        if too_many {
             self.answer(now, request.id, Answer::Refused(BACKOFF_MS), EndReason::TooManyOpen);
             self.forget(request.id);
         }
-        Ok(full)
+        Ok(too_many)
     }
 }
--- a/src/dispatch/tests/completion.rs
+++ b/src/dispatch/tests/completion.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 // A day was lost to one answer that came after its client had left: the end has to come well before the
-// client's, and with it one answer, the right one, and the word to stop what is out. What was begun may have run; what
-// was not has not, and its client may be told so.
+// client's, and with it one answer, the right one, and the command to stop what is outstanding. What was begun may
+// have run; what was not has not, and its client may retry.
 #[test]
 fn a_request_ends_once_and_well_before_its_client_leaves() {
     for (begun, answer) in [(true, Answer::Failed), (false, Answer::Refused(BACKOFF_MS))] {
--- a/src/dispatch/tests/endpoints.rs
+++ b/src/dispatch/tests/endpoints.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-// Homes of table groups are drawn by the executor's number: it has to be alike everywhere and for good.
+// Preferred executors of a table group are drawn by the executor's number: every dispatcher has to compute the same
+// one, at any time.
 #[test]
 fn an_executors_number_comes_from_its_uid_alone() {
     assert_eq!(executor_id("s-00c41f7a"), 0x00c4_1f7a);
@@ -9,10 +10,10 @@
     assert_ne!(executor_id("s-00c41f7a9"), 0x00c4_1f7a);
 }
 
-// Executors of a list are told without a time of start: one that appears is cold from then on, one that only
-// changes its weight or comes back in the middle of its drain is what it was.
+// Listed executors may come without a time of start: one that appears warms up from then on, one that only changes
+// its weight or comes back in the middle of its drain does not.
 #[test]
-fn a_new_member_is_cold_and_a_changed_one_is_not() {
+fn a_new_executor_warms_up_and_a_changed_one_does_not() {
     let mut d = dispatch();
     let with_weight = |executor, state, weight| ListedExecutor { weight, ..listed(executor, state) };
     for (at, state, weight) in [
@@ -31,7 +32,7 @@
 }
 
 // Executors are replaced all day. Those that went were counted for ever, which skewed the draw, and their table
-// grew; an attempt that is still out on one keeps its place.
+// grew; an attempt that is still outstanding on one keeps its place.
 #[test]
 fn executors_that_went_are_forgotten_once_nothing_is_out_on_them() {
     let mut d = dispatch();
--- a/src/dispatch/tests/held_requests.rs
+++ b/src/dispatch/tests/held_requests.rs
@@ -8,8 +8,8 @@
     due
 }
 
-// Word of the fleet may never come. A request that waits for it has to be told in time to come back, as it never
-// ran, and word that comes after that must neither run it nor answer it a second time.
+// Agreement of the peers may never come. A request that waits for it has to be refused in time, as it never ran, and
+// agreement that comes after that must neither run it nor answer it a second time.
 #[test]
 fn a_held_request_is_refused_once_at_its_deadline() {
     let mut d = dispatch();
@@ -23,7 +23,7 @@
     assert!(d.pending.is_empty() && d.held_requests.is_empty() && d.deadlines.is_empty());
 }
 
-// AttemptProgress that comes at the deadline itself, ahead of the tick, must not start what is over in the same moment, nor
+// Agreement that comes at the deadline itself, ahead of the tick, must not start what is over in the same moment, nor
 // take its answer away. Before that the request goes on as any other, once.
 #[test]
 fn a_request_admitted_at_its_deadline_is_refused_all_the_same() {
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -32,7 +32,7 @@
         class: 0,
         tenant: None,
         key: None,
-        told: budget,
+        client_wait: budget,
         budget,
         thread_seconds: None,
         memory_mb: None,
--- a/src/dispatch/tests/submission.rs
+++ b/src/dispatch/tests/submission.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-// What the machine allows to be held is refused beyond that, and an id that is open is not taken twice.
+// More requests than memory allows were once accepted. Beyond the limit they have to be refused before any decision,
+// and an id that is pending must not be accepted twice.
 #[test]
 fn what_is_too_much_is_refused_before_a_decision() {
     let mut d = dispatch();
@@ -9,11 +10,11 @@
     assert_eq!(answers(&submit(&mut d, 2_000, 3)), [&Answer::Refused(BACKOFF_MS)]);
     let again = request(1, 1);
     assert!(d.submit(2_000, &again).is_err());
-    // A client that left is owed nothing, also when an answer or the end comes later.
+    // A client that disconnected is owed nothing, also when a result comes later.
     assert!(answers(&d.handle(3_000, NetworkEvent::ClientDisconnected(1))).is_empty());
     let end = NetworkEvent::AttemptEnded(AttemptId { request: 1, attempt: 0 }, AttemptEnd::Served(()), None);
     assert!(answers(&d.handle(4_000, end)).is_empty() && !d.pending.contains_key(&1));
-    // A connection may be lost with an attempt whose stop is being carried outstanding: told twice is told once.
+    // A connection may be lost with an attempt whose stop is being carried out: a second end is ignored.
     assert!(
         d.handle(
             4_000,
@@ -25,7 +26,7 @@
         )
         .is_empty()
     );
-    // One that was begun may have run, one that was not never did.
+    // An attempt that was begun may have run, one that was not never did.
     assert!(d.handle(4_500, NetworkEvent::AttemptBegun(AttemptId { request: 2, attempt: 0 })).is_empty());
     assert_eq!(answers(&d.end_all(5_000)), [&Answer::Failed]);
     submit(&mut d, 6_000, 4);
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -65,7 +65,7 @@
             class,
             tenant: record.tenant.map(usize::from),
             key: record.key,
-            told: budget.max(1),
+            client_wait: budget.max(1),
             budget,
             thread_seconds: record.work_s,
             memory_mb: record.memory_mb,
@@ -82,7 +82,7 @@
             Err(e) => {
                 tracing::warn!(
                     request = format_args!("{:016x}", record.rid),
-                    error = e,
+                    error = %e,
                     "fleet: not taken over"
                 );
                 self.open.remove(&record.rid);
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -119,7 +119,7 @@
                     s.answer(&Answer::Refused(wait.div_ceil(1_000)));
                 }
             }
-            Err(e) => self.not_taken(key, e, now),
+            Err(e) => self.not_taken(key, e.text(), now),
         }
         self.advance(key, now);
     }
@@ -146,7 +146,7 @@
             Err(e) => {
                 self.open.remove(&id);
                 self.end_in_flight_unasked(now, id);
-                self.not_taken(key, e, now);
+                self.not_taken(key, e.text(), now);
                 self.advance(key, now);
             }
         }
--- a/src/net/session/statements.rs
+++ b/src/net/session/statements.rs
@@ -114,7 +114,7 @@
         // A tenant the settings do not name is counted as none: its shares are not known.
         tenant: get("acct").and_then(|t| names.tenants.get(t).copied()),
         key: get("obj").map(|t| hex("obj", t)).transpose()?,
-        told: (budget_ms * 1e3) as Micros,
+        client_wait: (budget_ms * 1e3) as Micros,
         budget: (budget_ms * 1e3) as Micros,
         thread_seconds: number("est")?.map(|ms| ms / 1e3),
         memory_mb: number("space")?,
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -43,7 +43,7 @@
                 Command::WithdrawAttempt(_) => {}
                 Command::StopAttempt(t) if self.withdrawn.remove(&t) => {}
                 Command::StopAttempt(t) => {
-                    // Nothing more is told of it. It is called off, or its time-out is over, which ends before
+                    // Nothing more is reported of it. It is called off, or its time-out is over, which ends before
                     // the client's so that the answer is seen.
                     let (id, n) = (t.request, t.attempt as usize);
                     let (due, never) = (self.due(id), self.never_begins(t));
@@ -66,7 +66,7 @@
                 }
                 Command::Answer(id, Answer::Refused(_)) => self.world.referee.refuse(now, id),
                 Command::Answer(id, Answer::Failed) => self.world.referee.fail(now, id),
-                Command::ReportAbandoned { .. } => panic!("told what nobody follows"),
+                Command::ReportAbandoned { .. } => panic!("reported what nobody asked for"),
             }
         }
     }
@@ -170,7 +170,7 @@
                 class: r.class,
                 tenant: r.tenant,
                 key: r.key,
-                told: r.time_budget,
+                client_wait: r.time_budget,
                 budget: r.time_budget,
                 thread_seconds: wild.or(r.estimate_s),
                 memory_mb: wild.or(r.memory_mb),
