--- a/src/dispatch/tests/endpoints.rs
+++ b/src/dispatch/tests/endpoints.rs
@@ -27,7 +27,7 @@
             &[with_weight(5, state, weight), with_weight(6, ExecutorState::Up, weight)],
         );
     }
-    let cold: Vec<_> = d.balancer.executors.iter().map(|e| (e.endpoint.executor, e.cold_since)).collect();
+    let cold: Vec<_> = d.balancer.executors.iter().map(|e| (e.endpoint.executor, e.warming_since)).collect();
     assert_eq!(cold, [(5, None), (6, Some(2_000))]);
 }
 
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,13 +1,14 @@
 //! What operators ask, and the bans that are handed from one process to the next.
 
-use super::poll::Key;
-use super::{LEAVE_PATIENCE, Node, listen};
+use super::DispatcherServer;
+use super::limits::LEAVE_PATIENCE;
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
 use crate::dispatch::WatchEvent;
+use crate::net::event_loop::poll::Key;
 use std::io;
 
-impl Node {
+impl DispatcherServer {
     /// Carries out an operator's call; the answer to write.
     /// Some wait for the fleet's word, and are answered later.
     pub(super) fn call(&mut self, caller: Key, now: Micros, line: Result<Call, Fault>) -> Option<String> {
@@ -37,21 +38,25 @@
             Call::Dump => format!("+OK figures\n{}.", self.dump(now)),
             Call::Leave => {
                 if self.leaving.is_none() {
-                    tracing::warn!(clients = self.sessions.by_key.len(), open = self.open.len(), "LEAVE");
+                    tracing::warn!(
+                        clients = self.sessions.by_key.len(),
+                        open = self.requests.open.len(),
+                        "LEAVE"
+                    );
                     self.leaving = Some(now);
                     // A front that asks the client port is told no.
                     self.stop_accepting(now);
                 }
-                self.send_all_away(now);
+                self.close_idle_clients_while_leaving(now);
                 "+OK leaving".into()
             }
             Call::Join => {
                 if self.leaving.take().is_some() {
                     tracing::warn!("JOIN");
                 }
-                match self.accept_anew(now) {
+                match self.listen_again(now) {
                     Ok(()) => "+OK joined".into(),
-                    Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.address),
+                    Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.listener.address()),
                 }
             }
             Call::Offline(id) => match self.bans.offline(&id, self.targets.contains_key(&id)) {
@@ -79,24 +84,20 @@
     }
 
     /// Listens for clients again, beside any other process on the port.
-    pub(super) fn accept_anew(&mut self, now: Micros) -> io::Result<()> {
-        if self.listener.is_some() || self.paused.is_some() || self.stopping.is_some() {
+    pub(super) fn listen_again(&mut self, now: Micros) -> io::Result<()> {
+        if !self.listener.is_closed() || self.shutdown.is_requested() {
             return Ok(());
         }
-        let listener = listen::bind_shared(self.address).inspect_err(|e| {
-            tracing::error!(address = %self.address, error = %e, "JOIN: can't listen");
-        })?;
-        let key = self.poll.add(&listener, false)?;
-        self.listener = Some((key, listener));
-        self.accept(now);
+        self.listener.reopen(&self.poll)?;
+        self.accept_clients(now);
         Ok(())
     }
 
     pub(super) fn readiness(&self) -> Readiness {
-        match (self.stopping, self.leaving) {
-            (Some(_), _) => Readiness::Stopping,
-            (None, Some(_)) => Readiness::Leaving,
-            (None, None) => Readiness::Ready,
+        match (self.shutdown.is_requested(), self.leaving) {
+            (true, _) => Readiness::Stopping,
+            (false, Some(_)) => Readiness::Leaving,
+            (false, None) => Readiness::Ready,
         }
     }
 
@@ -111,7 +112,7 @@
     pub(super) fn dump(&self, now: Micros) -> String {
         let f = &self.figures;
         f.forwards.inc_by(self.executors.wire.forwards.saturating_sub(f.forwards.get()));
-        f.outstanding.set(self.open.len() as i64);
+        f.outstanding.set(self.requests.open.len() as i64);
         let (listed, avoided) = self.dispatch.listed_and_avoided(now);
         f.discovered.set(listed as i64);
         f.ejected.set(avoided as i64);
@@ -120,22 +121,22 @@
 
     /// After `LEAVE`: a client that has nothing open and nothing in part is taken nothing more from; it closes
     /// once its last answer is written, so that it connects again elsewhere.
-    pub(super) fn send_away(&mut self, key: Key, now: Micros) {
+    pub(super) fn close_if_idle_while_leaving(&mut self, key: Key, now: Micros) {
         if self.leaving.is_none() {
             return;
         }
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
-        if s.done_with(now, LEAVE_PATIENCE) && !s.unread() {
-            self.finish(key, now);
+        if s.may_close(now, LEAVE_PATIENCE) && !s.has_unread() {
+            self.finish_client(key, now);
         }
     }
 
-    pub(super) fn send_all_away(&mut self, now: Micros) {
+    pub(super) fn close_idle_clients_while_leaving(&mut self, now: Micros) {
         // Looked at ten times a second: nothing to collect unless a drain holds.
         if self.leaving.is_none() {
             return;
         }
         let keys: Vec<Key> = self.sessions.by_key.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.send_away(key, now));
+        keys.into_iter().for_each(|key| self.close_if_idle_while_leaving(key, now));
     }
 }
--- a/src/net/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -1,19 +1,31 @@
 //! All clients' connections.
 
 use super::Session;
-use crate::net::poll::Key;
+use crate::net::event_loop::poll::Key;
 use std::collections::BTreeMap;
 
 /// The clients' connections, by key and by the id that greetings tell.
-#[derive(Default)]
 pub struct Sessions {
     /// By key at the poller.
     pub by_key: BTreeMap<Key, Session>,
     /// Keys by connection id.
     pub by_id: BTreeMap<u32, Key>,
+    next_connection_id: u32,
 }
 
 impl Sessions {
+    /// None yet. Connection ids count up from `first_connection_id`.
+    pub fn new(first_connection_id: u32) -> Sessions {
+        Sessions { by_key: BTreeMap::new(), by_id: BTreeMap::new(), next_connection_id: first_connection_id }
+    }
+
+    /// The id of the next connection.
+    pub fn take_connection_id(&mut self) -> u32 {
+        let id = self.next_connection_id;
+        self.next_connection_id = id.wrapping_add(1);
+        id
+    }
+
     /// Takes one in.
     pub fn insert(&mut self, s: Session) -> Key {
         let key = s.key;
@@ -24,7 +36,7 @@
 
     /// Those that were told to go, and only read their last bytes.
     pub fn lingering(&self) -> usize {
-        self.by_key.values().filter(|s| s.dismissed()).count()
+        self.by_key.values().filter(|s| s.is_closing()).count()
     }
 
     /// The others.
@@ -34,7 +46,7 @@
 
     /// Whether nothing came from a client that was not read yet.
     pub fn has_nothing_unread(&self, key: Key) -> bool {
-        self.by_key.get(&key).is_some_and(|s| s.dismissed() || !s.unread())
+        self.by_key.get(&key).is_some_and(|s| s.is_closing() || !s.has_unread())
     }
 
     /// Takes one out.
--- /dev/null
+++ b/src/net/event_loop/mod.rs
@@ -0,0 +1,183 @@
+//! The event loop: one thread polls all sockets and processes what came in a fixed order.
+//!
+//! Everything that came is processed before any request begins. Signals and the clients' side go first, so that clients
+//! that have gone are known; then executors, endpoint lists and operators, so that ended attempts and draining executors
+//! are known. Then the requests begin that came in this turn, then what the clock makes due. No attempt begins by an old
+//! look at the clients (`executors::look`).
+//!
+//! - `poll`: readiness of sockets.
+//! - `poll_times`: when the sockets were polled.
+//! - `events`: what happens on one event.
+//! - `schedule`, `timers`: what is due when.
+//! - `event_source`: what the loop has to know of a side with sockets and timers of its own.
+
+pub mod event_source;
+mod events;
+pub mod poll;
+pub(in crate::net) mod poll_times;
+pub(in crate::net) mod schedule;
+pub mod timers;
+
+use crate::api::Micros;
+use crate::clock;
+use crate::net::DispatcherServer;
+use crate::net::control_plane::ControlLink;
+use crate::net::lists::Lists;
+use crate::net::setup::context;
+use crate::net::shutdown;
+use event_source::EventSource;
+use std::io;
+use std::time::Duration;
+
+/// A turn that works for longer than this, or whose poll oversleeps by more, is logged.
+const SLOW_TURN: Micros = 20_000;
+
+impl DispatcherServer {
+    /// Serves until SIGTERM, and then until all requests that were taken have their answer.
+    pub fn run(&mut self) -> io::Result<()> {
+        // One poll shows all sockets that are ready, however many there are.
+        let mut events = polling::Events::with_capacity(self.descriptors.most());
+        loop {
+            let now = self.clock.now();
+            if self.advance_shutdown(now) {
+                break;
+            }
+            self.run_turn(&mut events)?;
+        }
+        self.leave_fleet(self.clock.last());
+        self.leave_control(self.clock.last());
+        self.log_counters();
+        tracing::info!("stopped");
+        Ok(())
+    }
+
+    /// Polls once and processes what came and what is due.
+    fn run_turn(&mut self, events: &mut polling::Events) -> io::Result<()> {
+        let before = self.clock.now();
+        let wait = self.next_due().saturating_sub(before);
+        self.poll.wait(events, Duration::from_micros(wait)).map_err(context("poller"))?;
+        let polled_at = self.clock.now();
+        let overslept = self.poll_times.polled(before, wait, polled_at);
+        self.process_events(events, before);
+        self.begin_arrived_requests();
+        self.process_timers();
+        self.begin_arrived_requests();
+        let worked = self.clock.now() - polled_at;
+        if worked > SLOW_TURN || overslept > SLOW_TURN {
+            tracing::warn!(slept_us = polled_at - before, wanted_us = wait, worked_us = worked, "slow turn");
+        }
+        Ok(())
+    }
+
+    /// Processes all events of a poll that began at `before`. Signals and clients come first: after them everything is
+    /// known that clients did up to that moment.
+    fn process_events(&mut self, events: &polling::Events, before: Micros) {
+        self.tick_in_flight(self.poll_times.polled_at());
+        self.tick_control(self.poll_times.polled_at());
+        let listener = self.listener.key();
+        if listener.is_some_and(|key| events.iter().all(|event| event.key != key)) {
+            self.listener.backlog_is_empty();
+        }
+        let (clients, others): (Vec<_>, Vec<_>) =
+            events.iter().partition(|event| self.is_client_side(event.key));
+        // Known connections before new ones: of two requests of a key the one on a new connection is the later one, as the
+        // next after such a one comes no sooner than 250 ms (protocol).
+        let (new, known): (Vec<_>, Vec<_>) =
+            clients.into_iter().partition(|event| Some(event.key) == listener);
+        known.into_iter().chain(new).for_each(|event| self.process_event(event));
+        self.executors.looked(before);
+        // At once: with little processor time the other events would take so long that the look were too old again.
+        self.executors.begin_waiting(&self.poll);
+        others.into_iter().for_each(|event| self.process_event(event));
+        self.poll_times.processed_until = before;
+    }
+
+    /// Processes one event. Answers that are due wait for this one at most, not for all events of the turn.
+    fn process_event(&mut self, event: polling::Event) {
+        self.dispatch_event(event);
+        self.expire_due_requests();
+    }
+
+    /// Answers the requests whose time is over.
+    pub(in crate::net) fn expire_due_requests(&mut self) {
+        let now = self.clock.now();
+        let orders = self.dispatch.end_expired(now);
+        if !orders.is_empty() {
+            self.settle(orders);
+        }
+    }
+
+    /// The sides that have sockets and timers of their own.
+    fn event_sources(&self) -> impl Iterator<Item = &dyn EventSource> {
+        let feed = self.feed.as_ref().map(|f| f as &dyn EventSource);
+        let in_flight = self.in_flight.as_ref().map(|h| h as &dyn EventSource);
+        let operators = self.operators.as_ref().map(|o| o as &dyn EventSource);
+        std::iter::once(&self.executors as &dyn EventSource).chain(feed).chain(operators).chain(in_flight)
+    }
+
+    /// When the next turn has something to do without any event.
+    fn next_due(&self) -> Micros {
+        if self.executors.waits_for_look() || !self.requests.arrived.is_empty() {
+            return self.clock.last();
+        }
+        let lists = self.lists.as_ref().filter(|lists| lists.pending()).map(|_| self.clock.last());
+        let event_sources = self.event_sources().map(EventSource::next_due);
+        let control = self.control.as_ref().map(ControlLink::next_due);
+        let due = [self.dispatch.next_due(), self.listener.resume_at(), lists, control];
+        let longest_sleep = if self.shutdown.is_requested() {
+            self.clock.last() + shutdown::POLL_INTERVAL
+        } else {
+            self.schedule.clients.due_at()
+        };
+        due.into_iter().chain(event_sources).flatten().fold(longest_sleep, Micros::min)
+    }
+
+    /// Does what the clock makes due.
+    fn process_timers(&mut self) {
+        let now = self.clock.now();
+        let orders = self.dispatch.tick(now);
+        self.settle(orders);
+        let processed_until = self.poll_times.processed_until;
+        self.executors.tick(processed_until, &self.poll);
+        self.settle(Vec::new());
+        if let Some(feed) = &mut self.feed {
+            feed.tick(processed_until, &self.poll);
+        }
+        self.free_descriptors(now);
+        if self.lists.as_ref().is_some_and(Lists::pending) {
+            self.with_lists(now, |_, _| ());
+        }
+        if self.listener.resume_at().is_some_and(|at| at <= now) {
+            self.resume_accepting(now);
+        }
+        if let Some(operators) = &mut self.operators {
+            operators.tick(now, &self.poll);
+        }
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.tick(now, &self.poll);
+        }
+        self.tick_in_flight(now);
+        self.keep_plan(now);
+        self.tick_control(now);
+        self.tick_policy(now);
+        self.run_periodic_work(now);
+    }
+
+    /// Does what the schedule has due.
+    fn run_periodic_work(&mut self, now: Micros) {
+        if self.schedule.clients.take_due(now) {
+            self.wall.observe(now, clock::unix());
+            self.bans_file.try_again(&self.bans);
+            self.process_client_timers(now);
+            self.close_idle_clients_while_leaving(now);
+            self.watch_storm(now);
+            self.with_lists(now, |lists, executors| lists.tick(now, &|uid| executors.busy(uid)));
+        }
+        if self.schedule.sweep.take_due(now) {
+            self.executors.sweep(now, &self.poll);
+        }
+        if self.schedule.counters.take_due(now) {
+            self.log_counters();
+        }
+    }
+}
--- a/src/net/orders.rs
+++ b/src/net/orders.rs
@@ -1,19 +1,20 @@
 //! What the decisions want, carried out; and what they are told of executors.
 
+use super::DispatcherServer;
+use super::clients::request_intake::OpenRequest;
 use super::executors::{Executors, Rows};
 use super::lists::{self, Lists};
-use super::requests::asker;
-use super::{Node, OpenRequest};
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
 use crate::dispatch::{
     Answer, AttemptEnd, Command, ExecutorState, ListedExecutor, NetworkEvent, WatchEvent, executor_id,
 };
+use crate::net::clients::request_intake::asker;
 use crate::operator::figures::Disposition;
 use std::collections::VecDeque;
 
-impl Node {
+impl DispatcherServer {
     /// Carries orders out, and hands on what comes of them, until nothing is left.
     pub(super) fn settle(&mut self, orders: Vec<Command<Rows>>) {
         let mut orders = VecDeque::from(orders);
@@ -33,7 +34,7 @@
         match order {
             Command::StartAttempt { attempt_id, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
-                let Some(job) = self.open.get(&attempt_id.request).map(|o| o.job.clone()) else {
+                let Some(job) = self.requests.open.get(&attempt_id.request).map(|o| o.job.clone()) else {
                     return self.executors.reports.push_back(NetworkEvent::AttemptEnded(
                         attempt_id,
                         AttemptEnd::NeverSent,
@@ -59,7 +60,9 @@
             }
             Command::Probe(executor) => self.executors.probe(executor, now, &self.poll),
             Command::Answer(request, mut answer) => {
-                let Some(OpenRequest { client: key, job, .. }) = self.open.remove(&request) else { return };
+                let Some(OpenRequest { client: key, job, .. }) = self.requests.open.remove(&request) else {
+                    return;
+                };
                 self.end_in_flight(now, request, &answer);
                 self.figures.ended(
                     &job.kind,
@@ -81,10 +84,10 @@
                 }
                 if let Some(s) = self.sessions.by_key.get_mut(&key).filter(|s| s.open == Some(request)) {
                     s.answer(&answer);
-                    s.touched = now;
-                    self.flush(key);
-                    self.advance(key, now);
-                    self.send_away(key, now);
+                    s.active_at = now;
+                    self.flush_client(key);
+                    self.process_commands(key, now);
+                    self.close_if_idle_while_leaving(key, now);
                 }
             }
         }
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -5,17 +5,19 @@
 
 use super::signals::Signals;
 use super::*;
+use crate::net::sockets::system_calls;
 use crate::settings::options::Options;
 use standins::executor::Executor;
 use standins::feed::Feed;
 use standins::scripted::{Client, Got, Launch, Quiet, target};
 use std::io::Write;
+use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::channel;
 use std::thread::JoinHandle;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Classes by effect.
 const CLASSES: [&str; 3] = ["read", "load", "keyed"];
@@ -45,11 +47,11 @@
         let thread = std::thread::spawn(move || {
             let load = || Config::parse("");
             let config = Config::parse(&config).unwrap();
-            let mut node = Node::new(config, Options::default(), signals, load).unwrap();
-            tell.send(node.address).unwrap();
+            let mut server = DispatcherServer::new(config, Options::default(), signals, load).unwrap();
+            tell.send(server.listener.address()).unwrap();
             before();
-            node.run().unwrap();
-            sys::tests::failed()
+            server.run().unwrap();
+            system_calls::tests::failed()
         });
         let address = told.recv().unwrap();
         Served { address, stop, wake, thread: Some(thread), _feed: feed, executors }
