--- a/src/net/bans_file.rs
+++ b/src/net/admin/bans_file.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// Where this dispatcher's bans are kept. Writes to the folder may fail for a while: they are owed until they succeed.
-pub(super) struct BansFile {
+pub(in crate::net) struct BansFile {
     path: PathBuf,
     name: String,
     /// Whether the file is behind the bans in force.
@@ -15,13 +15,13 @@
 
 impl BansFile {
     /// The file of the dispatcher of this name in a folder.
-    pub(super) fn of(folder: &Path, name: &str) -> BansFile {
+    pub(in crate::net) fn of(folder: &Path, name: &str) -> BansFile {
         let path = folder.join(format!("ottercroft-{}.bans", in_file_name(name)));
         BansFile { path, name: name.to_string(), owed: false }
     }
 
     /// The bans that the process before this one handed over, if its file is there and can be used.
-    pub(super) fn handed_over(&self) -> Bans {
+    pub(in crate::net) fn handed_over(&self) -> Bans {
         let file = self.path.display();
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
@@ -47,7 +47,7 @@
     }
 
     /// Writes the bans for the next process: whole or not at all, and to the disk.
-    pub(super) fn save(&mut self, bans: &Bans) {
+    pub(in crate::net) fn save(&mut self, bans: &Bans) {
         let written = keep::replace(&self.path, bans.encode(&self.name).as_bytes());
         match &written {
             Err(e) if !self.owed => {
@@ -61,7 +61,7 @@
     }
 
     /// Writes them again if they could not be written.
-    pub(super) fn try_again(&mut self, bans: &Bans) {
+    pub(in crate::net) fn retry_now(&mut self, bans: &Bans) {
         if self.owed {
             self.save(bans);
         }
--- a/src/net/bans_file/tests.rs
+++ b/src/net/admin/bans_file/tests.rs
@@ -22,11 +22,11 @@
     let mut file = BansFile::of(&folder, "n 1");
     let bans = banned("e1");
     file.save(&bans);
-    file.try_again(&bans);
+    file.retry_now(&bans);
     assert!(file.owed);
     std::fs::remove_file(&folder).unwrap();
     std::fs::create_dir(&folder).unwrap();
-    file.try_again(&bans);
+    file.retry_now(&bans);
     assert!(!file.owed);
     assert_eq!(BansFile::of(&folder, "n 1").handed_over(), bans);
     std::fs::remove_dir_all(&folder).unwrap();
--- a/src/net/calls.rs
+++ b/src/net/admin/calls.rs
@@ -1,17 +1,22 @@
 //! What operators ask, and the bans that are handed from one process to the next.
 
-use super::DispatcherServer;
-use super::limits::LEAVE_PATIENCE;
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
 use crate::dispatch::WatchEvent;
+use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
+use crate::net::limits::LEAVE_PATIENCE;
 use std::io;
 
 impl DispatcherServer {
     /// Carries out an operator's call; the answer to write.
     /// Some wait for the fleet's word, and are answered later.
-    pub(super) fn call(&mut self, caller: Key, now: Micros, line: Result<Call, Fault>) -> Option<String> {
+    pub(in crate::net) fn answer_call(
+        &mut self,
+        caller: Key,
+        now: Micros,
+        line: Result<Call, Fault>,
+    ) -> Option<String> {
         // Without peers there are no plans, and no such call.
         let unknown = || Some(ops::refusal(&Fault::Unknown("DRAIN".into())));
         let call = match line {
@@ -59,22 +64,22 @@
                     Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.listener.address()),
                 }
             }
-            Call::Offline(id) => match self.bans.offline(&id, self.targets.contains_key(&id)) {
+            Call::Offline(id) => match self.bans.offline(&id, self.endpoints.contains_key(&id)) {
                 Ok(new) => {
                     if new {
                         tracing::warn!(executor = id, "OFFLINE: no new work for it until ONLINE");
-                        self.banned(now, &id);
+                        self.ban_changed(now, &id);
                     }
                     format!("+OK offline {id}")
                 }
                 Err(e) => format!("-ERR {e}"),
             },
-            Call::Online(id) => match self.bans.online(&id, self.targets.contains_key(&id)) {
+            Call::Online(id) => match self.bans.online(&id, self.endpoints.contains_key(&id)) {
                 Ok(was) => {
                     if was {
                         tracing::warn!(executor = id, "ONLINE: it serves again, cold");
-                        self.onlined.insert(id.clone(), now / 1000);
-                        self.banned(now, &id);
+                        self.onlined_at_ms.insert(id.clone(), now / 1000);
+                        self.ban_changed(now, &id);
                     }
                     format!("+OK online {id}")
                 }
@@ -84,7 +89,7 @@
     }
 
     /// Listens for clients again, beside any other process on the port.
-    pub(super) fn listen_again(&mut self, now: Micros) -> io::Result<()> {
+    pub(in crate::net) fn listen_again(&mut self, now: Micros) -> io::Result<()> {
         if !self.listener.is_closed() || self.shutdown.is_requested() {
             return Ok(());
         }
@@ -93,7 +98,7 @@
         Ok(())
     }
 
-    pub(super) fn readiness(&self) -> Readiness {
+    pub(in crate::net) fn readiness(&self) -> Readiness {
         match (self.shutdown.is_requested(), self.leaving) {
             (true, _) => Readiness::Stopping,
             (false, Some(_)) => Readiness::Leaving,
@@ -102,14 +107,14 @@
     }
 
     /// A ban was put on or lifted: the module hears of the executor anew, and the next process of it.
-    pub(super) fn banned(&mut self, now: Micros, id: &str) {
-        if let Some(target) = self.targets.get(id).cloned() {
-            self.relist(now, WatchEvent::Changed, &[target]);
+    pub(in crate::net) fn ban_changed(&mut self, now: Micros, id: &str) {
+        if let Some(target) = self.endpoints.get(id).cloned() {
+            self.update_endpoints(now, WatchEvent::Changed, &[target]);
         }
         self.bans_file.save(&self.bans);
     }
 
-    pub(super) fn dump(&self, now: Micros) -> String {
+    pub(in crate::net) fn dump(&self, now: Micros) -> String {
         let f = &self.figures;
         f.forwards.inc_by(self.executors.wire.forwards.saturating_sub(f.forwards.get()));
         f.outstanding.set(self.requests.open.len() as i64);
@@ -121,7 +126,7 @@
 
     /// After `LEAVE`: a client that has nothing open and nothing in part is taken nothing more from; it closes
     /// once its last answer is written, so that it connects again elsewhere.
-    pub(super) fn close_if_idle_while_leaving(&mut self, key: Key, now: Micros) {
+    pub(in crate::net) fn close_if_idle_while_leaving(&mut self, key: Key, now: Micros) {
         if self.leaving.is_none() {
             return;
         }
@@ -131,7 +136,7 @@
         }
     }
 
-    pub(super) fn close_idle_clients_while_leaving(&mut self, now: Micros) {
+    pub(in crate::net) fn close_idle_clients_while_leaving(&mut self, now: Micros) {
         // Looked at ten times a second: nothing to collect unless a drain holds.
         if self.leaving.is_none() {
             return;
--- a/src/net/operator.rs
+++ b/src/net/admin/listener.rs
@@ -30,7 +30,7 @@
 }
 
 /// The operators' listener and its callers.
-pub struct Operators {
+pub struct AdminListener {
     listener: TcpListener,
     key: Key,
     pool: Pool,
@@ -41,12 +41,12 @@
     pub dropped: u64,
 }
 
-impl Operators {
+impl AdminListener {
     /// Listens on `address`, for so many callers at once.
-    pub fn bind(address: SocketAddr, most: usize, poll: &Poll, pool: &Pool) -> io::Result<Operators> {
+    pub fn bind(address: SocketAddr, most: usize, poll: &Poll, pool: &Pool) -> io::Result<AdminListener> {
         let listener = crate::net::sockets::listen::bind(address)?;
         let key = poll.add(&listener, false)?;
-        Ok(Operators { listener, key, pool: pool.clone(), callers: BTreeMap::new(), most, dropped: 0 })
+        Ok(AdminListener { listener, key, pool: pool.clone(), callers: BTreeMap::new(), most, dropped: 0 })
     }
 
     /// Where it listens.
@@ -150,7 +150,7 @@
     }
 }
 
-impl EventSource for Operators {
+impl EventSource for AdminListener {
     fn owns(&self, key: Key) -> bool {
         key == self.key || self.callers.contains_key(&key)
     }
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -131,14 +131,14 @@
 
     /// Where the feed or an attempt found no descriptor, an idle client goes for it.
     pub(in crate::net) fn free_descriptors(&mut self, now: Micros) {
-        if std::mem::take(&mut self.executors.starved) {
+        if std::mem::take(&mut self.executors.out_of_descriptors) {
             self.shed_idle_client(now);
         }
-        if self.feed.as_ref().is_some_and(|f| f.starved)
+        if self.coordinator_watch.as_ref().is_some_and(|f| f.out_of_descriptors)
             && self.shed_idle_client(now)
-            && let Some(feed) = &mut self.feed
+            && let Some(feed) = &mut self.coordinator_watch
         {
-            feed.try_again(now, &self.poll);
+            feed.retry_now(now, &self.poll);
         }
     }
 
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -93,7 +93,7 @@
             self.log_abandoned(request, &open, now);
         }
         let orders = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
-        self.settle(orders);
+        self.execute(orders);
         self.client_left(now, request);
     }
 
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -145,7 +145,7 @@
             }
         };
         match taken {
-            Ok(orders) => self.settle(orders),
+            Ok(orders) => self.execute(orders),
             Err(e) => {
                 self.requests.open.remove(&id);
                 self.end_in_flight_unasked(now, id);
--- a/src/net/orders.rs
+++ b/src/net/commands.rs
@@ -2,8 +2,8 @@
 
 use super::DispatcherServer;
 use super::clients::request_intake::OpenRequest;
+use super::endpoint_lists::{self, EndpointLists};
 use super::executors::{Executors, Rows};
-use super::lists::{self, Lists};
 use crate::api::Micros;
 use crate::clock;
 use crate::codec::coordinator::{State, Target, Update};
@@ -16,12 +16,12 @@
 
 impl DispatcherServer {
     /// Carries orders out, and hands on what comes of them, until nothing is left.
-    pub(super) fn settle(&mut self, orders: Vec<Command<Rows>>) {
+    pub(super) fn execute(&mut self, orders: Vec<Command<Rows>>) {
         let mut orders = VecDeque::from(orders);
         loop {
             let now = self.clock.now();
             if let Some(order) = orders.pop_front() {
-                self.carry_out(now, order);
+                self.execute_command(now, order);
             } else if let Some(report) = self.executors.reports.pop_front() {
                 orders.extend(self.dispatch.handle(now, report));
             } else {
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, order: Command<Rows>) {
+    pub(super) fn execute_command(&mut self, now: Micros, order: Command<Rows>) {
         match order {
             Command::StartAttempt { attempt_id, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
@@ -95,11 +95,11 @@
 
     pub(super) fn update(&mut self, now: Micros, update: Update) {
         let Some(e) = update.endpoints else { return };
-        if self.lists.is_some() {
-            return self.with_lists(now, |lists, _| lists.feed(now, e.all, &e.targets));
+        if self.endpoint_lists.is_some() {
+            return self.with_endpoint_lists(now, |lists, _| lists.feed(now, e.all, &e.targets));
         }
         let news = if e.all { WatchEvent::Replaced } else { WatchEvent::Changed };
-        self.members(now, news, &e.targets);
+        self.apply_endpoint_list(now, news, &e.targets);
     }
 
     pub(super) fn watch_storm(&mut self, now: Micros) {
@@ -121,38 +121,42 @@
     }
 
     /// Has the lists do something, and hands some of the entries on that wait.
-    pub(super) fn with_lists(&mut self, now: Micros, what: impl FnOnce(&mut Lists, &Executors)) {
-        let Some(lists) = &mut self.lists else { return };
+    pub(super) fn with_endpoint_lists(
+        &mut self,
+        now: Micros,
+        what: impl FnOnce(&mut EndpointLists, &Executors),
+    ) {
+        let Some(lists) = &mut self.endpoint_lists else { return };
         let begun = std::time::Instant::now();
         what(lists, &self.executors);
-        let next = lists.take(lists::SLICE);
+        let next = lists.take(endpoint_lists::SLICE);
         if !next.is_empty() {
-            self.members(now, WatchEvent::Changed, &next);
+            self.apply_endpoint_list(now, WatchEvent::Changed, &next);
         }
         let took = begun.elapsed().as_micros() as Micros;
-        if let Some(lists) = &mut self.lists {
+        if let Some(lists) = &mut self.endpoint_lists {
             lists.tally.slowest = lists.tally.slowest.max(took);
         }
     }
 
     /// The list has news. Starts that it tells by the wall clock become times of this process's clock.
-    pub(super) fn members(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
+    pub(super) fn apply_endpoint_list(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
         self.wall.observe(now, clock::unix());
-        let boots = &mut self.boots;
+        let boots = &mut self.start_times;
         let by_our_clock = |t: &Target| {
             let started = boots.started(&t.uid, t.boot_ms, now, &self.wall);
             // To the nearest millisecond, which is how it is told.
             Target { boot_ms: started.map_or(0, |at| (at + 500) / 1_000), ..t.clone() }
         };
         let targets: Vec<Target> = targets.iter().map(by_our_clock).collect();
-        self.relist(now, news, &targets);
+        self.update_endpoints(now, news, &targets);
     }
 
     /// What the list says of executors now, with starts by this process's clock.
-    pub(super) fn relist(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
+    pub(super) fn update_endpoints(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
         let member = |t: &Target| {
             // Who is gone may be named by no more than that: it was where it was listed.
-            let known = self.targets.get(&t.uid).filter(|_| t.state == State::Removed);
+            let known = self.endpoints.get(&t.uid).filter(|_| t.state == State::Removed);
             let listed = known.map(|k| Target { state: t.state, ..k.clone() });
             let t = listed.as_ref().unwrap_or(t);
             let (zone, kind) = (self.names.zones.get(&t.az), self.names.kinds.get(&t.model));
@@ -178,7 +182,9 @@
                 size: t.capacity_hint.unwrap_or(1.0),
                 // One let back by hand was restarted meanwhile: it is cold from then, whatever the list knew.
                 started: Some(
-                    t.boot_ms.max(self.onlined.get(&t.uid).copied().unwrap_or(0)).max(self.cold_ms(&t.uid)),
+                    t.boot_ms
+                        .max(self.onlined_at_ms.get(&t.uid).copied().unwrap_or(0))
+                        .max(self.cold_ms(&t.uid)),
                 )
                 .filter(|ms| *ms > 0)
                 .map(|ms| ms * 1000),
@@ -188,23 +194,23 @@
         let restored = |t: &&Target| news != WatchEvent::Restored || t.state != State::Removed;
         let members: Vec<ListedExecutor> = targets.iter().filter(restored).filter_map(member).collect();
         if news != WatchEvent::Changed {
-            self.targets.clear();
+            self.endpoints.clear();
         }
         for t in targets {
             match t.state {
                 State::Removed => {
-                    self.onlined.remove(&t.uid);
-                    self.targets.remove(&t.uid)
+                    self.onlined_at_ms.remove(&t.uid);
+                    self.endpoints.remove(&t.uid)
                 }
-                _ => self.targets.insert(t.uid.clone(), t.clone()),
+                _ => self.endpoints.insert(t.uid.clone(), t.clone()),
             };
         }
-        self.onlined.retain(|uid, _| self.targets.contains_key(uid));
-        if self.boots.len() > self.targets.len() {
-            self.boots.retain(|uid| self.targets.contains_key(uid));
+        self.onlined_at_ms.retain(|uid, _| self.endpoints.contains_key(uid));
+        if self.start_times.len() > self.endpoints.len() {
+            self.start_times.retain(|uid| self.endpoints.contains_key(uid));
         }
         self.executors.listed(targets, news != WatchEvent::Changed, now, &self.poll);
         let orders = self.dispatch.apply_watch_event(now, news, &members);
-        self.settle(orders);
+        self.execute(orders);
     }
 }
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -3,9 +3,9 @@
 use super::server::{FollowerServer, Heard};
 use crate::api::{Micros, Settings};
 use crate::clock::Clock;
+use crate::net::admin::listener::AdminListener;
 use crate::net::event_loop::event_source::EventSource;
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::operator::Operators;
 use crate::net::peers::Peers;
 use crate::net::policy_calls::PolicyCalls;
 use crate::net::setup::context;
@@ -42,7 +42,7 @@
     pub(super) peers: Peers,
     pub(super) member: Member,
     pub(super) server: FollowerServer,
-    pub(super) operators: Option<Operators>,
+    pub(super) operators: Option<AdminListener>,
     pub(super) policy: MemberPolicy,
     /// When followers' leases are over, once it was told to end.
     pub(super) stopping: Option<Micros>,
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -3,8 +3,8 @@
 use super::member::{ControlMember, MemberPolicy};
 use super::server::FollowerServer;
 use crate::clock::Clock;
+use crate::net::admin::listener::AdminListener;
 use crate::net::event_loop::poll::Poll;
-use crate::net::operator::Operators;
 use crate::net::peers::Peers;
 use crate::net::policy_calls::PolicyCalls;
 use crate::net::setup::context;
@@ -64,7 +64,7 @@
         let server = FollowerServer::bind(at_followers, connections, &poll)
             .map_err(context(&format!("control: listen on {at_followers}")))?;
         let callers = CALLERS.max(Descriptors::of(config.limits.sockets).callers);
-        let bind = |at| Operators::bind(at, callers, &poll, &Pool::new(0));
+        let bind = |at| AdminListener::bind(at, callers, &poll, &Pool::new(0));
         let operators =
             operator.map(|at| bind(at).map_err(context(&format!("listen on {at}")))).transpose()?;
         let name_of = |(p, _): &(Peer, SocketAddr)| settings.members[usize::from(*p) - 1].name.clone();
--- a/src/net/feed.rs
+++ b/src/net/coordinator_watch.rs
@@ -41,7 +41,7 @@
 }
 
 /// The feed of the coordinator; it comes back by itself.
-pub struct Feed {
+pub struct CoordinatorWatch {
     address: SocketAddr,
     /// The last event that was taken.
     held: u64,
@@ -52,24 +52,24 @@
     previous: Option<Watch>,
     retry_at: Micros,
     /// Whether the last dial found no descriptor.
-    pub starved: bool,
+    pub out_of_descriptors: bool,
     /// Connections begun.
     pub dials: u64,
     /// Lines that could not be used.
     pub bad_lines: u64,
 }
 
-impl Feed {
+impl CoordinatorWatch {
     /// Not connected yet; `held` is the last event of the start.
-    pub fn new(address: SocketAddr, held: u64) -> Feed {
-        Feed {
+    pub fn new(address: SocketAddr, held: u64) -> CoordinatorWatch {
+        CoordinatorWatch {
             address,
             held,
             refused: None,
             watch: None,
             previous: None,
             retry_at: 0,
-            starved: false,
+            out_of_descriptors: false,
             dials: 0,
             bad_lines: 0,
         }
@@ -95,8 +95,8 @@
     }
 
     /// Dials again at once, as there is a descriptor now.
-    pub fn try_again(&mut self, now: Micros, poll: &Poll) {
-        (self.starved, self.retry_at) = (false, now);
+    pub fn retry_now(&mut self, now: Micros, poll: &Poll) {
+        (self.out_of_descriptors, self.retry_at) = (false, now);
         self.tick(now, poll);
     }
 
@@ -199,7 +199,7 @@
     }
 }
 
-impl EventSource for Feed {
+impl EventSource for CoordinatorWatch {
     fn owns(&self, key: Key) -> bool {
         self.watch.iter().chain(&self.previous).any(|w| w.key == key)
     }
@@ -229,7 +229,7 @@
                 self.watch = Some(Watch { key, stream, up: false, told: false, heard: now, line, searched });
             }
             Err(e) => {
-                self.starved = dial::out_of_descriptors(&e);
+                self.out_of_descriptors = dial::out_of_descriptors(&e);
                 self.lose(now, poll, &e.to_string());
             }
         }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -8,7 +8,7 @@
     pub(in crate::net) fn log_counters(&self) {
         let tally = &self.dispatch.counters;
         let wire = &self.executors.wire;
-        let feed = self.feed.as_ref();
+        let feed = self.coordinator_watch.as_ref();
         tracing::info!(
             taken = tally.taken,
             served = tally.served,
@@ -59,7 +59,7 @@
     }
 
     fn log_list_counters(&self) {
-        if let Some(tally) = self.lists.as_ref().map(|lists| &lists.tally) {
+        if let Some(tally) = self.endpoint_lists.as_ref().map(|lists| &lists.tally) {
             tracing::info!(
                 taken = tally.taken,
                 refused = tally.refused,
--- a/src/net/lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -1,7 +1,7 @@
 //! Executor lists beside the loop: words of their thread and of the feed go to [`Members`], what comes of them is
 //! logged and handed on as entries, a bounded number a turn. `words` has what each word and its outcome do.
 
-mod words;
+mod outcomes;
 
 use crate::api::Micros;
 use crate::codec::coordinator::Target;
@@ -20,11 +20,11 @@
 /// Counters of the lists.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// Lists that came into force.
+    /// EndpointLists that came into force.
     pub taken: u64,
-    /// Lists with faults, and those that went back.
+    /// EndpointLists with faults, and those that went back.
     pub refused: u64,
-    /// Lists held back.
+    /// EndpointLists held back.
     pub held: u64,
     /// Words that a list can't be read.
     pub unreadable: u64,
@@ -33,7 +33,7 @@
 }
 
 /// The lists that are followed.
-pub struct Lists {
+pub struct EndpointLists {
     members: Members,
     watcher: Watcher,
     key: Key,
@@ -45,7 +45,7 @@
     pub tally: Tally,
 }
 
-impl Lists {
+impl EndpointLists {
     /// Reads all lists once, falls back to the last good ones, and follows them from here on. `known` is the
     /// coordinator's list. An error if there is no list and the settings say to end then.
     pub fn start(
@@ -54,7 +54,7 @@
         known: &[Target],
         now: Micros,
         poll: &Poll,
-    ) -> io::Result<Lists> {
+    ) -> io::Result<EndpointLists> {
         let rules = Rules::new(&o, Some(catalog));
         let cores = rules.catalog.iter().flat_map(|c| c.kinds.clone()).collect();
         let (precedence, guard, drain_limit) = (o.precedence.clone(), o.guard.clone(), o.drain_limit);
@@ -96,7 +96,7 @@
         let key = poll.add(&watcher.wake, false)?;
         let accepts = o.sources.iter().map(|s| (s.name.as_str().into(), accepts(s))).collect();
         let (pending, tally) = (VecDeque::new(), Tally::default());
-        let mut lists = Lists { members, watcher, key, accepts, pending, tally };
+        let mut lists = EndpointLists { members, watcher, key, accepts, pending, tally };
         lists.enact(now, acts);
         words.into_iter().for_each(|w| lists.heard(now, w));
         if let (Some(name), Empty::Exit) = (empty.first(), o.empty) {
@@ -119,7 +119,7 @@
     }
 
     /// Whether the coordinator's feed is a source.
-    pub fn follows_feed(&self) -> bool {
+    pub fn follows_coordinator(&self) -> bool {
         self.members.follows_feed()
     }
 
--- a/src/net/lists/words.rs
+++ b/src/net/endpoint_lists/outcomes.rs
@@ -1,6 +1,6 @@
 //! What the lists' thread says, and what comes of it.
 
-use super::Lists;
+use super::EndpointLists;
 use crate::api::Micros;
 use crate::membership::Act;
 use crate::membership::members::Change;
@@ -10,7 +10,7 @@
 /// Faults of one list that are logged; `ottercroft lists check` shows them all.
 const LOGGED_FAULTS: usize = 20;
 
-impl Lists {
+impl EndpointLists {
     pub(super) fn heard(&mut self, now: Micros, Handed { source, word, looked }: Handed) {
         let name = &*source;
         match word {
--- a/src/net/event_loop/events.rs
+++ b/src/net/event_loop/events.rs
@@ -19,13 +19,13 @@
             self.accept_clients(now);
         } else if key == self.signals.0 {
             self.process_signals(now);
-        } else if self.operators.as_ref().is_some_and(|operators| operators.owns(key)) {
+        } else if self.admin_listener.as_ref().is_some_and(|operators| operators.owns(key)) {
             self.process_operator_calls(key, now);
-        } else if self.feed.as_ref().is_some_and(|feed| feed.owns(key)) {
-            let updates = self.feed.as_mut().map(|feed| feed.ready(key, now, &self.poll));
+        } else if self.coordinator_watch.as_ref().is_some_and(|feed| feed.owns(key)) {
+            let updates = self.coordinator_watch.as_mut().map(|feed| feed.ready(key, now, &self.poll));
             updates.into_iter().flatten().for_each(|update| self.update(now, update));
-        } else if self.lists.as_ref().is_some_and(|lists| lists.owns(key)) {
-            self.with_lists(now, |lists, _| lists.ready(now));
+        } else if self.endpoint_lists.as_ref().is_some_and(|lists| lists.owns(key)) {
+            self.with_endpoint_lists(now, |lists, _| lists.ready(now));
         } else if self.in_flight.as_ref().is_some_and(|in_flight| in_flight.owns(key)) {
             if let Some(in_flight) = &mut self.in_flight {
                 in_flight.peers.ready(key, now, &self.poll);
@@ -35,7 +35,7 @@
             self.control_ready(now);
         } else if self.executors.owns(key) {
             self.executors.ready(key, event.readable, event.writable, now, &self.poll);
-            self.settle(Vec::new());
+            self.execute(Vec::new());
         } else if self.sessions.by_key.contains_key(&key) {
             if event.readable {
                 self.read_client(key, now);
@@ -58,15 +58,15 @@
     }
 
     fn process_operator_calls(&mut self, key: Key, now: Micros) {
-        let Some(operators) = &mut self.operators else { return };
+        let Some(operators) = &mut self.admin_listener else { return };
         for (caller, line) in operators.ready(key, now, &self.poll) {
             let asked = tracing::enabled!(tracing::Level::DEBUG).then(|| format!("{line:?}"));
-            let answer = self.call(caller, now, line);
+            let answer = self.answer_call(caller, now, line);
             if let Some(asked) = asked {
                 let answer = answer.as_ref().and_then(|a| a.lines().next());
                 tracing::debug!(asked, answer, "operator call");
             }
-            if let (Some(operators), Some(answer)) = (&mut self.operators, answer) {
+            if let (Some(operators), Some(answer)) = (&mut self.admin_listener, answer) {
                 operators.answer(caller, &answer, &self.poll);
             }
         }
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::net::DispatcherServer;
 use crate::net::control_plane::ControlLink;
-use crate::net::lists::Lists;
+use crate::net::endpoint_lists::EndpointLists;
 use crate::net::setup::context;
 use crate::net::shutdown;
 use event_source::EventSource;
@@ -85,9 +85,9 @@
         let (new, known): (Vec<_>, Vec<_>) =
             clients.into_iter().partition(|event| Some(event.key) == listener);
         known.into_iter().chain(new).for_each(|event| self.process_event(event));
-        self.executors.looked(before);
+        self.executors.clients_polled(before);
         // At once: with little processor time the other events would take so long that the look were too old again.
-        self.executors.begin_waiting(&self.poll);
+        self.executors.begin_after_poll(&self.poll);
         others.into_iter().for_each(|event| self.process_event(event));
         self.poll_times.processed_until = before;
     }
@@ -103,24 +103,24 @@
         let now = self.clock.now();
         let orders = self.dispatch.end_expired(now);
         if !orders.is_empty() {
-            self.settle(orders);
+            self.execute(orders);
         }
     }
 
     /// The sides that have sockets and timers of their own.
     fn event_sources(&self) -> impl Iterator<Item = &dyn EventSource> {
-        let feed = self.feed.as_ref().map(|f| f as &dyn EventSource);
+        let feed = self.coordinator_watch.as_ref().map(|f| f as &dyn EventSource);
         let in_flight = self.in_flight.as_ref().map(|h| h as &dyn EventSource);
-        let operators = self.operators.as_ref().map(|o| o as &dyn EventSource);
+        let operators = self.admin_listener.as_ref().map(|o| o as &dyn EventSource);
         std::iter::once(&self.executors as &dyn EventSource).chain(feed).chain(operators).chain(in_flight)
     }
 
     /// When the next turn has something to do without any event.
     fn next_due(&self) -> Micros {
-        if self.executors.waits_for_look() || !self.requests.arrived.is_empty() {
+        if self.executors.awaits_client_poll() || !self.requests.arrived.is_empty() {
             return self.clock.last();
         }
-        let lists = self.lists.as_ref().filter(|lists| lists.pending()).map(|_| self.clock.last());
+        let lists = self.endpoint_lists.as_ref().filter(|lists| lists.pending()).map(|_| self.clock.last());
         let event_sources = self.event_sources().map(EventSource::next_due);
         let control = self.control.as_ref().map(ControlLink::next_due);
         let due = [self.dispatch.next_due(), self.listener.resume_at(), lists, control];
@@ -136,21 +136,21 @@
     fn process_timers(&mut self) {
         let now = self.clock.now();
         let orders = self.dispatch.tick(now);
-        self.settle(orders);
+        self.execute(orders);
         let processed_until = self.poll_times.processed_until;
         self.executors.tick(processed_until, &self.poll);
-        self.settle(Vec::new());
-        if let Some(feed) = &mut self.feed {
+        self.execute(Vec::new());
+        if let Some(feed) = &mut self.coordinator_watch {
             feed.tick(processed_until, &self.poll);
         }
         self.free_descriptors(now);
-        if self.lists.as_ref().is_some_and(Lists::pending) {
-            self.with_lists(now, |_, _| ());
+        if self.endpoint_lists.as_ref().is_some_and(EndpointLists::pending) {
+            self.with_endpoint_lists(now, |_, _| ());
         }
         if self.listener.resume_at().is_some_and(|at| at <= now) {
             self.resume_accepting(now);
         }
-        if let Some(operators) = &mut self.operators {
+        if let Some(operators) = &mut self.admin_listener {
             operators.tick(now, &self.poll);
         }
         if let Some(in_flight) = &mut self.in_flight {
@@ -167,11 +167,11 @@
     fn run_periodic_work(&mut self, now: Micros) {
         if self.schedule.clients.take_due(now) {
             self.wall.observe(now, clock::unix());
-            self.bans_file.try_again(&self.bans);
+            self.bans_file.retry_now(&self.bans);
             self.process_client_timers(now);
             self.close_idle_clients_while_leaving(now);
             self.watch_storm(now);
-            self.with_lists(now, |lists, executors| lists.tick(now, &|uid| executors.busy(uid)));
+            self.with_endpoint_lists(now, |lists, executors| lists.tick(now, &|uid| executors.busy(uid)));
         }
         if self.schedule.sweep.take_due(now) {
             self.executors.sweep(now, &self.poll);
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -70,7 +70,7 @@
     /// Waits for events, at most so long.
     pub fn wait(&self, events: &mut Events, most: Duration) -> io::Result<()> {
         events.clear();
-        self.try_again();
+        self.retry_now();
         let most = if self.pending.borrow().is_empty() { most } else { most.min(RETRY) };
         match self.poller.wait(events, Some(most)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
@@ -92,7 +92,7 @@
         }
     }
 
-    fn try_again(&self) {
+    fn retry_now(&self) {
         let pending = std::mem::take(&mut *self.pending.borrow_mut());
         for (fd, (change, event)) in pending {
             if let Err(e) = self.change(fd, change, event) {
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -1,6 +1,6 @@
 //! The dispatcher's orders: attempts and probes.
 
-use super::pool::Lack;
+use super::connection_pool::Lack;
 use super::{Due, Executors, Job, PROBE_SLACK};
 use crate::api::Micros;
 use crate::dispatch::{AttemptEnd, AttemptId, AttemptTerms, ExecutorId, NetworkEvent, ProbeOutcome};
--- a/src/net/executors/look.rs
+++ b/src/net/executors/client_poll.rs
@@ -41,13 +41,13 @@
 
 impl Executors {
     /// All that clients did up to this moment has been heeded.
-    pub fn looked(&mut self, at: Micros) {
+    pub fn clients_polled(&mut self, at: Micros) {
         self.look.at = Some(at);
         self.look.grant = !self.look.waiting.is_empty();
     }
 
     /// Whether attempts wait for a look.
-    pub fn waits_for_look(&self) -> bool {
+    pub fn awaits_client_poll(&self) -> bool {
         !self.look.waiting.is_empty()
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Begins what waited for the look that has just been taken.
-    pub fn begin_waiting(&mut self, poll: &Poll) {
+    pub fn begin_after_poll(&mut self, poll: &Poll) {
         let now = self.clock.now();
         for key in std::mem::take(&mut self.look.waiting) {
             self.write(key, now, poll);
--- a/src/net/executors/pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -73,7 +73,7 @@
             Err(err) => {
                 tracing::warn!(%address, error = %err, "can't dial");
                 let ours = system_calls::of_our_side(&err);
-                self.starved |= dial::out_of_descriptors(&err);
+                self.out_of_descriptors |= dial::out_of_descriptors(&err);
                 return shared.ok_or(if ours { Lack::Ours } else { Lack::Theirs });
             }
         };
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -13,12 +13,12 @@
 //! - `silence`: what falls due when nothing comes.
 
 mod attempts;
+mod client_poll;
 pub(super) mod connection;
-mod listing;
-mod look;
-mod pool;
-mod silence;
-mod traffic;
+mod connection_pool;
+mod endpoint_updates;
+mod messages;
+mod unresponsive;
 
 use crate::api::Micros;
 use crate::clock::Clock;
@@ -30,7 +30,7 @@
 pub use crate::net::executors::connection::{Job, Rows};
 use crate::net::sockets::buffers::Pool;
 use crate::settings::Transport;
-use look::Look;
+use client_poll::Look;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -100,7 +100,7 @@
     /// What the dispatcher has to be told, in order.
     pub reports: VecDeque<NetworkEvent<Rows>>,
     /// Whether a dial found no descriptor.
-    pub starved: bool,
+    pub out_of_descriptors: bool,
     /// Counters.
     pub wire: Wire,
 }
@@ -124,7 +124,7 @@
             tags: Pcg64Mcg::seed_from_u64(!seed),
             scratch: Vec::new(),
             reports: VecDeque::new(),
-            starved: false,
+            out_of_descriptors: false,
             wire: Wire::default(),
         }
     }
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -6,8 +6,8 @@
 mod moves;
 mod requests;
 
+use super::maintenance::Maintenance;
 use super::peers::Peers;
-use super::upkeep::Upkeep;
 use crate::api::{Idempotency, Micros, Settings};
 use crate::net::event_loop::event_source::EventSource;
 use crate::net::event_loop::poll::{Key, Poll};
@@ -31,7 +31,7 @@
     /// Cores of each kind, by index.
     cores: Vec<f64>,
     /// Machines that are taken out for work.
-    pub(super) upkeep: Upkeep,
+    pub(super) maintenance: Maintenance,
 }
 
 /// What the settings know of the classes: names and whether they may repeat, by index.
@@ -113,9 +113,9 @@
             out_limit: micros(o.out_limit),
             ramp: classes.ramp,
         };
-        let (upkeep, Classes { names, repeats, cores, .. }) =
-            (Upkeep::new(budget, 2 * micros(o.lease), now), classes);
-        Ok(InFlight { takeover, peers, classes: names, repeats, cores, upkeep })
+        let (maintenance, Classes { names, repeats, cores, .. }) =
+            (Maintenance::new(budget, 2 * micros(o.lease), now), classes);
+        Ok(InFlight { takeover, peers, classes: names, repeats, cores, maintenance })
     }
 
     /// Cores of a machine of a kind; those of the smallest where its kind is not known.
@@ -132,7 +132,7 @@
 
     fn next_due(&self) -> Option<Micros> {
         let own = self.takeover.next_due();
-        [self.peers.next_due(), self.upkeep.next_due(), Some(own)].into_iter().flatten().min()
+        [self.peers.next_due(), self.maintenance.next_due(), Some(own)].into_iter().flatten().min()
     }
 
     fn tick(&mut self, now: Micros, poll: &Poll) {
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -49,7 +49,7 @@
                 Move::Adopt(record) => self.adopt(now, &record),
                 Move::LetGo(rid) => self.dispatch.release(now, rid),
             };
-            self.settle(orders);
+            self.execute(orders);
         }
     }
 
@@ -94,12 +94,12 @@
 
     /// Whether a machine gets nothing new, as the plan has it out for work.
     pub(in crate::net) fn held_back(&self, uid: &str) -> bool {
-        self.in_flight.as_ref().is_some_and(|h| h.upkeep.holds_back(uid))
+        self.in_flight.as_ref().is_some_and(|h| h.maintenance.holds_back(uid))
     }
 
     /// Since when a machine is back from work that it was out for, in milliseconds; 0 if it was not.
     pub(in crate::net) fn cold_ms(&self, uid: &str) -> u64 {
-        self.in_flight.as_ref().map_or(0, |h| h.upkeep.cold_ms(uid))
+        self.in_flight.as_ref().map_or(0, |h| h.maintenance.cold_ms(uid))
     }
 
     /// At the end: what is still owned is given back at once.
--- a/src/net/upkeep/calls.rs
+++ b/src/net/maintenance/calls.rs
@@ -1,6 +1,6 @@
-//! Operators' calls on the plan.
+//! AdminListener' calls on the plan.
 
-use super::words::{told, word};
+use super::format::{told, word};
 use crate::api::Micros;
 use crate::codec::operator::Call;
 use crate::net::DispatcherServer;
@@ -24,7 +24,7 @@
         let command = match &call {
             Call::PlanStatus => return Some(self.plan_status(now)),
             Call::Plan(ids) => {
-                if let Some(unknown) = ids.iter().find(|id| !self.targets.contains_key(*id)) {
+                if let Some(unknown) = ids.iter().find(|id| !self.endpoints.contains_key(*id)) {
                     return Some(format!("-ERR no executor {unknown}"));
                 }
                 match self.plan().map(|p| p.accepts(ids)) {
@@ -43,8 +43,8 @@
         if !in_flight.takeover.fleet.agree(now, fleet::agreed::Command::Plan(command)) {
             return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
         }
-        in_flight.upkeep.waiting.push(Waiting { caller, call, until: now + AGREED });
-        in_flight.upkeep.look_at = now;
+        in_flight.maintenance.waiting.push(Waiting { caller, call, until: now + AGREED });
+        in_flight.maintenance.look_at = now;
         None
     }
 
@@ -60,7 +60,7 @@
             let _ = writeln!(text, "stopped: {why}");
         } else if let (Some(next), Some(in_flight)) = (plan.next(), &self.in_flight) {
             let busy = self.dispatch.busy_cores(now);
-            if let Err(why) = plan::may_begin(plan, &self.machines(), busy, &in_flight.upkeep.budget) {
+            if let Err(why) = plan::may_begin(plan, &self.machines(), busy, &in_flight.maintenance.budget) {
                 let _ = writeln!(text, "{next} is held up: {}", told(&why));
             }
         }
@@ -75,8 +75,8 @@
             _ => plan.next().is_none() && !plan.steps().any(|(_, s)| matches!(s, Step::Drains(..))),
         };
         let (over, waiting): (Vec<Waiting>, Vec<Waiting>) =
-            in_flight.upkeep.waiting.drain(..).partition(|w| done(&w.call) || w.until <= now);
-        in_flight.upkeep.waiting = waiting;
+            in_flight.maintenance.waiting.drain(..).partition(|w| done(&w.call) || w.until <= now);
+        in_flight.maintenance.waiting = waiting;
         for w in over {
             let answer = match (done(&w.call), &w.call) {
                 (false, _) => "-ERR not agreed in time; DRAIN STATUS tells what came of it".into(),
@@ -84,7 +84,7 @@
                 (true, Call::PlanMend(id)) => format!("+OK {id} comes back cold"),
                 (true, _) => "+OK aborted; what is out stays out until it is back".into(),
             };
-            if let Some(o) = &mut self.operators {
+            if let Some(o) = &mut self.admin_listener {
                 o.answer(w.caller, &answer, &self.poll);
             }
         }
--- a/src/net/upkeep/mod.rs
+++ b/src/net/maintenance/mod.rs
@@ -4,8 +4,8 @@
 //! `calls` are the operators', `keep` is the plan's course here, `words` how it is told.
 
 mod calls;
-mod keep;
-mod words;
+mod format;
+mod plan;
 
 use crate::api::Micros;
 use calls::Waiting;
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What this dispatcher makes of the plan.
-pub struct Upkeep {
+pub struct Maintenance {
     /// What must stay in service.
     budget: Budget,
     look_at: Micros,
@@ -32,10 +32,10 @@
     logged: BTreeMap<String, String>,
 }
 
-impl Upkeep {
+impl Maintenance {
     /// No plan yet, and none is known for so long.
-    pub fn new(budget: Budget, untold: Micros, now: Micros) -> Upkeep {
-        Upkeep {
+    pub fn new(budget: Budget, untold: Micros, now: Micros) -> Maintenance {
+        Maintenance {
             budget,
             look_at: now,
             begun: now,
--- a/src/net/upkeep/keep.rs
+++ b/src/net/maintenance/plan.rs
@@ -1,6 +1,6 @@
 //! The plan's course: what it holds back here, what is idle, and, as leader, what comes next.
 
-use super::words::{kind, word};
+use super::format::{kind, word};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::dispatch::WatchEvent;
@@ -24,7 +24,7 @@
             up: t.state == State::Up && !self.bans.banned(&t.uid),
             started: t.boot_ms.saturating_mul(1_000),
         };
-        self.targets.iter().map(|(uid, t)| (uid.clone(), machine(t))).collect()
+        self.endpoints.iter().map(|(uid, t)| (uid.clone(), machine(t))).collect()
     }
 
     /// Looks at the plan: what it holds back here, what is idle, who waits for an answer, and as leader what comes
@@ -32,18 +32,18 @@
     pub(in crate::net) fn keep_plan(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let changed = std::mem::take(&mut in_flight.takeover.planned);
-        if !changed && now < in_flight.upkeep.look_at {
+        if !changed && now < in_flight.maintenance.look_at {
             return;
         }
-        in_flight.upkeep.look_at = now + LOOK;
+        in_flight.maintenance.look_at = now + LOOK;
         let Some(plan) = in_flight.takeover.fleet.agreed().map(fleet::Agreed::plan) else {
             return self.not_yet_told(now);
         };
-        if plan.steps().next().is_none() && in_flight.upkeep.held_back.is_empty() {
-            in_flight.upkeep.told = true;
+        if plan.steps().next().is_none() && in_flight.maintenance.held_back.is_empty() {
+            in_flight.maintenance.told = true;
             return;
         }
-        in_flight.upkeep.active = plan.steps().any(|(_, s)| !s.over());
+        in_flight.maintenance.active = plan.steps().any(|(_, s)| !s.over());
         let plan = plan.clone();
         self.log_plan(&plan, now);
         self.hold_back(&plan, now);
@@ -56,14 +56,14 @@
     /// anything for two leases.
     fn not_yet_told(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
-        if now >= in_flight.upkeep.begun + in_flight.upkeep.untold {
-            if !in_flight.upkeep.told {
-                in_flight.upkeep.told = true;
+        if now >= in_flight.maintenance.begun + in_flight.maintenance.untold {
+            if !in_flight.maintenance.told {
+                in_flight.maintenance.told = true;
                 tracing::warn!("maintenance: no word of the fleet, motores are used as listed");
                 self.hold_back(&Plan::default(), now);
             }
         } else {
-            let all: BTreeSet<String> = self.targets.keys().cloned().collect();
+            let all: BTreeSet<String> = self.endpoints.keys().cloned().collect();
             self.hold(all, BTreeMap::new(), now);
         }
     }
@@ -72,19 +72,19 @@
         let Some(in_flight) = &mut self.in_flight else { return };
         let steps: BTreeMap<String, String> = plan.steps().map(|(id, s)| (id.into(), kind(s))).collect();
         for (id, step) in plan.steps() {
-            if in_flight.upkeep.logged.get(id) != steps.get(id) {
+            if in_flight.maintenance.logged.get(id) != steps.get(id) {
                 tracing::info!(executor = id, step = word(step, now), "maintenance");
             }
         }
-        in_flight.upkeep.logged = steps;
+        in_flight.maintenance.logged = steps;
     }
 
     /// What the plan holds back and what it has brought back, told to the decisions where it changed.
     fn hold_back(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
-        in_flight.upkeep.told = true;
+        in_flight.maintenance.told = true;
         let without_word = in_flight.takeover.fleet.without_word(now);
-        let held = plan.held_back(&in_flight.upkeep.budget, without_word);
+        let held = plan.held_back(&in_flight.maintenance.budget, without_word);
         let held: BTreeSet<String> = held.into_iter().map(String::from).collect();
         let cold: BTreeMap<String, Micros> = plan
             .steps()
@@ -96,17 +96,17 @@
     fn hold(&mut self, held: BTreeSet<String>, cold: BTreeMap<String, Micros>, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let mut changed: BTreeSet<String> =
-            held.symmetric_difference(&in_flight.upkeep.held_back).cloned().collect();
+            held.symmetric_difference(&in_flight.maintenance.held_back).cloned().collect();
         for (id, at) in cold {
-            if in_flight.upkeep.cold.insert(id.clone(), at) != Some(at) {
+            if in_flight.maintenance.cold.insert(id.clone(), at) != Some(at) {
                 changed.insert(id);
             }
         }
-        in_flight.upkeep.held_back = held;
-        in_flight.upkeep.cold.retain(|uid, _| self.targets.contains_key(uid));
-        let targets: Vec<_> = changed.iter().filter_map(|id| self.targets.get(id).cloned()).collect();
+        in_flight.maintenance.held_back = held;
+        in_flight.maintenance.cold.retain(|uid, _| self.endpoints.contains_key(uid));
+        let targets: Vec<_> = changed.iter().filter_map(|id| self.endpoints.get(id).cloned()).collect();
         if !targets.is_empty() {
-            self.relist(now, WatchEvent::Changed, &targets);
+            self.update_endpoints(now, WatchEvent::Changed, &targets);
         }
     }
 
@@ -115,7 +115,9 @@
         let Some(holder) = in_flight.takeover.fleet.holds(now) else { return };
         for (id, step) in plan.steps() {
             let Step::Drains(_, idle) = step else { continue };
-            if !idle.contains(&holder) && in_flight.upkeep.held_back.contains(id) && !self.executors.busy(id)
+            if !idle.contains(&holder)
+                && in_flight.maintenance.held_back.contains(id)
+                && !self.executors.busy(id)
             {
                 let idle = Command::Idle(holder, id.into());
                 in_flight.takeover.fleet.agree(now, fleet::agreed::Command::Plan(idle));
@@ -124,14 +126,14 @@
     }
 
     fn lead_plan(&mut self, plan: &Plan, now: Micros) {
-        if !self.in_flight.as_ref().is_some_and(|h| h.upkeep.active && h.takeover.fleet.leads()) {
+        if !self.in_flight.as_ref().is_some_and(|h| h.maintenance.active && h.takeover.fleet.leads()) {
             return;
         }
         let (machines, busy) = (self.machines(), self.dispatch.busy_cores(now));
         let Some(in_flight) = &mut self.in_flight else { return };
         let alive: BTreeSet<_> =
             in_flight.takeover.fleet.agreed().map(|a| a.alive().clone()).unwrap_or_default();
-        for command in plan::lead(plan, &machines, busy, &alive, &in_flight.upkeep.budget, now) {
+        for command in plan::lead(plan, &machines, busy, &alive, &in_flight.maintenance.budget, now) {
             in_flight.takeover.fleet.agree(now, fleet::agreed::Command::Plan(command));
         }
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,24 +6,23 @@
 //! - `executors`: connections to executors, and the attempts on them.
 //! - `feed`, `lists`: where the endpoint list comes from.
 //! - `orders`: what the decisions want, carried out.
-//! - `operator`, `calls`, `bans_file`, `upkeep`: operators' calls and what they change.
+//! - `operator`, `calls`, `bans_file`, `maintenance`: operators' calls and what they change.
 //! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: dispatchers that know each other, and the control group.
 //! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
 //! - `sockets`: what all sides need of sockets.
 
-mod bans_file;
-mod calls;
+mod admin;
 mod clients;
+mod commands;
 pub mod control_plane;
+mod coordinator_watch;
 mod counters;
+mod endpoint_lists;
 pub mod event_loop;
 mod executors;
-mod feed;
 mod in_flight;
 mod limits;
-mod lists;
-mod operator;
-mod orders;
+mod maintenance;
 mod peers;
 mod policy;
 mod policy_calls;
@@ -34,7 +33,6 @@
 mod shutdown;
 pub mod signals;
 mod sockets;
-mod upkeep;
 
 #[cfg(test)]
 mod tests;
@@ -48,20 +46,20 @@
 use crate::settings::Names;
 use crate::settings::config::{Config, ConfigError};
 use crate::storm::Storm;
-use bans_file::BansFile;
+use admin::bans_file::BansFile;
+use admin::listener::AdminListener;
 use clients::ClientCounters;
 use clients::listener::ClientListener;
 use clients::request_intake::Requests;
 use clients::session::Sessions;
 use control_plane::ControlLink;
+use coordinator_watch::CoordinatorWatch;
+use endpoint_lists::EndpointLists;
 use event_loop::poll::{Key, Poll};
 use event_loop::poll_times::PollTimes;
 use event_loop::schedule::Schedule;
 use executors::{Executors, Rows};
-use feed::Feed;
 use in_flight::InFlight;
-use lists::Lists;
-use operator::Operators;
 use rules::Rules;
 use shutdown::Shutdown;
 use signals::Signals;
@@ -80,7 +78,7 @@
     clock: Clock,
     wall: WallClock,
     /// When executors started, as the endpoint list says, by this process's clock.
-    boots: BootTimes,
+    start_times: BootTimes,
     pool: Pool,
     descriptors: Descriptors,
     names: Names,
@@ -92,8 +90,8 @@
     requests: Requests,
     executors: Executors,
     /// The connection to the coordinator, unless endpoint lists from files stand instead of it.
-    feed: Option<Feed>,
-    lists: Option<Lists>,
+    coordinator_watch: Option<CoordinatorWatch>,
+    endpoint_lists: Option<EndpointLists>,
     storm: Option<Storm>,
     /// Replicated requests of a fleet, where our settings name peers.
     in_flight: Option<InFlight>,
@@ -105,7 +103,7 @@
     load_config: LoadConfig,
     shutdown: Shutdown,
     /// The operators' address, where the configuration names one.
-    operators: Option<Operators>,
+    admin_listener: Option<AdminListener>,
     /// Since when `LEAVE` holds, until `JOIN`.
     leaving: Option<Micros>,
     figures: Figures,
@@ -113,7 +111,7 @@
     /// The file that hands bans to the next process.
     bans_file: BansFile,
     /// The last entry of each executor on the endpoint list, by uid.
-    targets: BTreeMap<String, Target>,
+    endpoints: BTreeMap<String, Target>,
     /// When executors on the list were let back by `ONLINE`, by uid, in milliseconds.
-    onlined: BTreeMap<String, u64>,
+    onlined_at_ms: BTreeMap<String, u64>,
 }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -195,7 +195,7 @@
                     }
                 },
             };
-            self.settle(orders);
+            self.execute(orders);
         }
     }
 }
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -207,7 +207,7 @@
         let Some(rules) = &mut self.rules else { return };
         let me = rules.me();
         for (caller, text) in rules.calls.answers(now, &policies, me) {
-            if let Some(o) = &mut self.operators {
+            if let Some(o) = &mut self.admin_listener {
                 o.answer(caller, &text, &self.poll);
             }
         }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -21,10 +21,10 @@
                     let number = rules.part.number();
                     tracing::warn!(number, "SIGHUP: the file's settings differ; the fleet's policy holds");
                 }
-                if let Some(feed) = &mut self.feed {
+                if let Some(feed) = &mut self.coordinator_watch {
                     feed.move_to(coordinator, now, &self.poll);
                 }
-                if let Some(lists) = &self.lists {
+                if let Some(lists) = &self.endpoint_lists {
                     lists.look();
                 }
             }
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -1,19 +1,19 @@
 //! How a dispatcher is set up, from its configuration to a listener that takes connections.
 
-use super::bans_file::BansFile;
+use super::admin::bans_file::BansFile;
+use super::admin::listener::AdminListener;
 use super::clients::ClientCounters;
 use super::clients::listener::ClientListener;
 use super::clients::request_intake::Requests;
 use super::clients::session::Sessions;
 use super::control_plane::ControlLink;
+use super::coordinator_watch::CoordinatorWatch;
+use super::endpoint_lists::EndpointLists;
 use super::event_loop::poll::Poll;
 use super::event_loop::poll_times::PollTimes;
 use super::event_loop::schedule::Schedule;
 use super::executors::Executors;
-use super::feed::Feed;
 use super::in_flight::{Classes, InFlight};
-use super::lists::Lists;
-use super::operator::Operators;
 use super::rules::Rules;
 use super::shutdown::{Shutdown, ShutdownDeadlines};
 use super::signals::Signals;
@@ -73,7 +73,7 @@
         let signal_key = poll.add(&signals.stream, false)?;
         let pool = Pool::new((config.limits.memory_mb / BUFFER_MEMORY_DIVISOR * 1024.0 * 1024.0) as usize);
         let descriptors = Descriptors::of(config.limits.sockets);
-        let operators = bind_operators(operator_address, &descriptors, &poll, &pool)?;
+        let admin_listener = bind_operators(operator_address, &descriptors, &poll, &pool)?;
         let figures = Figures::new();
         names.classes.keys().for_each(|class| figures.class(class));
         let bans_file = BansFile::of(&std::env::temp_dir(), &config.name);
@@ -100,8 +100,8 @@
             client_counters: ClientCounters::default(),
             requests: Requests::default(),
             executors: Executors::new(transport, descriptors.executors, seed, &pool, clock.clone()),
-            feed: Some(Feed::new(config.coordinator, config.known.index)),
-            lists: None,
+            coordinator_watch: Some(CoordinatorWatch::new(config.coordinator, config.known.index)),
+            endpoint_lists: None,
             storm,
             in_flight,
             control,
@@ -110,21 +110,21 @@
             load_config,
             descriptors,
             shutdown,
-            operators,
+            admin_listener,
             leaving: None,
             figures,
             bans,
             bans_file,
-            targets: BTreeMap::new(),
-            onlined: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            onlined_at_ms: BTreeMap::new(),
             pool,
             clock,
             wall: WallClock::default(),
-            boots: BootTimes::default(),
+            start_times: BootTimes::default(),
         };
         let known = server.start_lists(options.lists, catalog, config.known.targets(), now)?;
         server.log_addresses(&config.name, known.len())?;
-        server.members(now, WatchEvent::Restored, &known);
+        server.apply_endpoint_list(now, WatchEvent::Restored, &known);
         Ok(server)
     }
 
@@ -138,18 +138,18 @@
         now: Micros,
     ) -> io::Result<Vec<Target>> {
         let Some(lists) = lists else { return Ok(known) };
-        let mut lists = Lists::start(lists, catalog, &known, now, &self.poll)?;
+        let mut lists = EndpointLists::start(lists, catalog, &known, now, &self.poll)?;
         let known = lists.take(usize::MAX);
-        if !lists.follows_feed() {
-            self.feed = None;
+        if !lists.follows_coordinator() {
+            self.coordinator_watch = None;
         }
-        self.lists = Some(lists);
+        self.endpoint_lists = Some(lists);
         Ok(known)
     }
 
     fn log_addresses(&self, name: &str, executors: usize) -> io::Result<()> {
         tracing::info!(name, executors, "{name} listens on {}", self.listener.address());
-        if let Some(operators) = &self.operators {
+        if let Some(operators) = &self.admin_listener {
             tracing::info!("operators' address {}", operators.address()?);
         }
         if let Some(in_flight) = &self.in_flight {
@@ -189,9 +189,9 @@
     descriptors: &Descriptors,
     poll: &Poll,
     pool: &Pool,
-) -> io::Result<Option<Operators>> {
+) -> io::Result<Option<AdminListener>> {
     let Some(address) = address else { return Ok(None) };
-    Operators::bind(address, descriptors.callers, poll, pool)
+    AdminListener::bind(address, descriptors.callers, poll, pool)
         .map(Some)
         .map_err(context(&format!("listen on {address}")))
 }
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -134,7 +134,7 @@
             return;
         }
         let orders = self.dispatch.end_all(now);
-        self.settle(orders);
+        self.execute(orders);
         self.reject_arrived_requests(now);
     }
 
