--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -22,7 +22,7 @@
             let now = self.clock.now();
             if let Some(order) = orders.pop_front() {
                 self.execute_command(now, order);
-            } else if let Some(report) = self.executors.reports.pop_front() {
+            } else if let Some(report) = self.executors.events.pop_front() {
                 orders.extend(self.dispatch.handle(now, report));
             } else {
                 break;
@@ -35,14 +35,14 @@
             Command::StartAttempt { attempt_id, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
                 let Some(job) = self.requests.open.get(&attempt_id.request).map(|o| o.job.clone()) else {
-                    return self.executors.reports.push_back(NetworkEvent::AttemptEnded(
+                    return self.executors.events.push_back(NetworkEvent::AttemptEnded(
                         attempt_id,
                         AttemptEnd::NeverSent,
                         None,
                     ));
                 };
                 if !self.may_send(now, attempt_id, executor) {
-                    return self.executors.reports.push_back(NetworkEvent::AttemptEnded(
+                    return self.executors.events.push_back(NetworkEvent::AttemptEnded(
                         attempt_id,
                         AttemptEnd::NeverSent,
                         None,
@@ -53,7 +53,7 @@
             Command::StopAttempt(attempt_id) => self.executors.stop(attempt_id, now, &self.poll),
             Command::WithdrawAttempt(attempt_id) => self.executors.withdraw(attempt_id, now, &self.poll),
             Command::SetPriority(attempt_id, priority) => {
-                self.executors.boost(attempt_id, priority, now, &self.poll)
+                self.executors.set_priority(attempt_id, priority, now, &self.poll)
             }
             Command::ReportAbandoned { request, result, never_ran } => {
                 self.past(now, request, result, never_ran);
@@ -209,7 +209,7 @@
         if self.start_times.len() > self.endpoints.len() {
             self.start_times.retain(|uid| self.endpoints.contains_key(uid));
         }
-        self.executors.listed(targets, news != WatchEvent::Changed, now, &self.poll);
+        self.executors.apply_endpoints(targets, news != WatchEvent::Changed, now, &self.poll);
         let orders = self.dispatch.apply_watch_event(now, news, &members);
         self.execute(orders);
     }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -7,7 +7,7 @@
     /// Logs the counters of all sides, each since the start.
     pub(in crate::net) fn log_counters(&self) {
         let tally = &self.dispatch.counters;
-        let wire = &self.executors.wire;
+        let wire = &self.executors.counters;
         let feed = self.coordinator_watch.as_ref();
         tracing::info!(
             taken = tally.taken,
@@ -29,7 +29,7 @@
             shed = self.client_counters.shed,
             stray = wire.stray,
             bad_lines = wire.bad_lines,
-            mute = wire.mute,
+            unresponsive = wire.unresponsive,
             feed_dials = feed.map_or(0, |f| f.dials),
             feed_bad_lines = feed.map_or(0, |f| f.bad_lines),
             free_buffers = self.pool.free(),
--- a/src/net/executors/client_poll.rs
+++ b/src/net/executors/client_poll.rs
@@ -12,7 +12,7 @@
 
 /// The last look, and what waits for the next one.
 #[derive(Debug, Default)]
-pub(super) struct Look {
+pub(super) struct ClientPoll {
     /// A moment up to which everything that clients did is known; `None` where nobody looks.
     at: Option<Micros>,
     /// Connections on which an attempt waits for the next look.
@@ -22,7 +22,7 @@
     grant: bool,
 }
 
-impl Look {
+impl ClientPoll {
     /// Whether what clients did is known well enough for an attempt to begin now.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
         self.at.is_none_or(|at| self.grant || now <= at + LOOK_VALID)
@@ -42,25 +42,25 @@
 impl Executors {
     /// All that clients did up to this moment has been heeded.
     pub fn clients_polled(&mut self, at: Micros) {
-        self.look.at = Some(at);
-        self.look.grant = !self.look.waiting.is_empty();
+        self.client_poll.at = Some(at);
+        self.client_poll.grant = !self.client_poll.waiting.is_empty();
     }
 
     /// Whether attempts wait for a look.
     pub fn awaits_client_poll(&self) -> bool {
-        !self.look.waiting.is_empty()
+        !self.client_poll.waiting.is_empty()
     }
 
     /// Whether an attempt may begin now.
     pub fn may_begin(&mut self) -> bool {
         let now = self.clock.now();
-        self.look.is_fresh(now)
+        self.client_poll.is_fresh(now)
     }
 
     /// Begins what waited for the look that has just been taken.
     pub fn begin_after_poll(&mut self, poll: &Poll) {
         let now = self.clock.now();
-        for key in std::mem::take(&mut self.look.waiting) {
+        for key in std::mem::take(&mut self.client_poll.waiting) {
             self.write(key, now, poll);
         }
     }
--- a/src/net/executors/connection_pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -5,7 +5,7 @@
 use crate::codec::coordinator::State;
 use crate::dispatch::{AttemptEnd, ExecutorId, NetworkEvent, ProbeOutcome};
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::executors::connection::Conn;
+use crate::net::executors::connection::Connection;
 use crate::net::sockets::buffers::{Inbox, Outbox};
 use crate::net::sockets::dial;
 use crate::net::sockets::system_calls;
@@ -13,15 +13,15 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// An id that ended is remembered on its connection for this long, longer than an answer can be under way.
-const REMEMBERED: Micros = 60_000_000;
+const ENDED_IDS_KEPT: Micros = 60_000_000;
 
 /// Why there is no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Lack {
+pub(super) enum NoConnection {
     /// The executor is not there, or does not listen.
-    Theirs,
+    ExecutorUnreachable,
     /// All that this dispatcher may have are busy, which says nothing of the executor.
-    Ours,
+    OwnLimit,
 }
 
 impl Executors {
@@ -31,18 +31,21 @@
         to: ExecutorId,
         now: Micros,
         poll: &Poll,
-        fits: impl Fn(&Conn) -> bool,
-    ) -> Result<Key, Lack> {
+        fits: impl Fn(&Connection) -> bool,
+    ) -> Result<Key, NoConnection> {
         let best = loop {
-            let conns = self.list.get(&to).ok_or(Lack::Theirs)?.conns.iter();
-            let usable = conns.filter_map(|k| self.conns.get(k).map(|c| (*k, c))).filter(|(_, c)| fits(c));
+            let connections =
+                self.executors.get(&to).ok_or(NoConnection::ExecutorUnreachable)?.connections.iter();
+            let usable =
+                connections.filter_map(|k| self.connections.get(k).map(|c| (*k, c))).filter(|(_, c)| fits(c));
             // The least shared one; among those the one heard last, so that the others can go.
-            let best = usable.min_by_key(|(_, c)| (c.streams.len(), !c.up, Reverse(c.heard)));
+            let best =
+                usable.min_by_key(|(_, c)| (c.streams.len(), !c.connected, Reverse(c.last_message_at)));
             let Some((key, c)) = best else { break None };
             // What is written to one that its executor has closed is lost, and may have run for all that is known:
             // an end that is here already is heeded before.
-            if c.over() {
-                self.lose(key, poll, "closed by the executor");
+            if c.closed_by_executor() {
+                self.close(key, poll, "closed by the executor");
                 continue;
             }
             break Some((key, c.streams.is_empty()));
@@ -51,21 +54,22 @@
             return Ok(key);
         }
         let shared = best.map(|(key, _)| key);
-        let e = self.list.get(&to).ok_or(Lack::Theirs)?;
-        let share = (self.most_conns / self.up.max(1)).max(2);
-        let full = self.conns.len() >= self.most_conns;
-        if let Some(key) = shared.filter(|_| full || e.conns.len() >= share) {
+        let e = self.executors.get(&to).ok_or(NoConnection::ExecutorUnreachable)?;
+        let share = (self.max_connections / self.up.max(1)).max(2);
+        let full = self.connections.len() >= self.max_connections;
+        if let Some(key) = shared.filter(|_| full || e.connections.len() >= share) {
             return Ok(key);
         }
-        let Some(address) = e.address else { return shared.ok_or(Lack::Theirs) };
+        let Some(address) = e.address else { return shared.ok_or(NoConnection::ExecutorUnreachable) };
         if full {
             // Another executor may keep more than it needs just now.
-            let idle = self.conns.iter().filter(|(_, c)| c.idle()).min_by_key(|(_, c)| c.touched);
+            let idle =
+                self.connections.iter().filter(|(_, c)| c.is_idle()).min_by_key(|(_, c)| c.last_used_at);
             let Some(key) = idle.map(|(key, _)| *key) else {
-                tracing::warn!(executor = e.uid, most = self.most_conns, "no connection left");
-                return Err(Lack::Ours);
+                tracing::warn!(executor = e.uid, most = self.max_connections, "no connection left");
+                return Err(NoConnection::OwnLimit);
             };
-            self.lose(key, poll, "its place is needed");
+            self.close(key, poll, "its place is needed");
         }
         let dialed = dial::dial(address).and_then(|s| poll.add(&s, true).map(|key| (s, key)));
         let (stream, key) = match dialed {
@@ -74,50 +78,54 @@
                 tracing::warn!(%address, error = %err, "can't dial");
                 let ours = system_calls::of_our_side(&err);
                 self.out_of_descriptors |= dial::out_of_descriptors(&err);
-                return shared.ok_or(if ours { Lack::Ours } else { Lack::Theirs });
+                return shared.ok_or(if ours {
+                    NoConnection::OwnLimit
+                } else {
+                    NoConnection::ExecutorUnreachable
+                });
             }
         };
-        self.wire.dials += 1;
+        self.counters.dials += 1;
         self.timers.set(now + self.transport.dial_timeout, Due::Dial(key));
-        self.conns.insert(
+        self.connections.insert(
             key,
-            Conn {
+            Connection {
                 executor: to,
                 stream,
-                up: false,
-                opened: now,
-                word_within: self.transport.word_within(),
-                heard: now,
-                touched: now,
-                retired: false,
+                connected: false,
+                connected_at: now,
+                message_interval: self.transport.word_within(),
+                last_message_at: now,
+                last_used_at: now,
+                draining: false,
                 inbox: Inbox::new(&self.pool),
                 outbox: Outbox::new(&self.pool),
                 writing: None,
                 queue: VecDeque::new(),
                 streams: BTreeMap::new(),
-                spent: BTreeMap::new(),
-                part_since: None,
-                mute: false,
-                doomed_at: None,
-                word_at: None,
+                ended_ids: BTreeMap::new(),
+                partial_since: None,
+                unresponsive: false,
+                close_at: None,
+                next_check_at: None,
                 probes: BTreeMap::new(),
-                watched: true,
+                watches_writable: true,
             },
         );
-        if let Some(e) = self.list.get_mut(&to) {
-            e.conns.push(key);
+        if let Some(e) = self.executors.get_mut(&to) {
+            e.connections.push(key);
         }
         Ok(key)
     }
 
     /// Closes a connection; all that was open on it is over.
-    pub(super) fn lose(&mut self, key: Key, poll: &Poll, why: &str) {
-        let Some(conn) = self.conns.remove(&key) else { return };
-        poll.remove(&conn.stream);
-        if let Some(e) = self.list.get_mut(&conn.executor) {
-            e.conns.retain(|k| *k != key);
-            if !conn.idle() {
-                let (streams, probes) = (conn.streams.len(), conn.probes.len());
+    pub(super) fn close(&mut self, key: Key, poll: &Poll, why: &str) {
+        let Some(connection) = self.connections.remove(&key) else { return };
+        poll.remove(&connection.stream);
+        if let Some(e) = self.executors.get_mut(&connection.executor) {
+            e.connections.retain(|k| *k != key);
+            if !connection.is_idle() {
+                let (streams, probes) = (connection.streams.len(), connection.probes.len());
                 tracing::info!(
                     executor = e.uid,
                     attempts = streams,
@@ -127,39 +135,41 @@
                 );
             }
         }
-        let spoke = conn.heard > conn.opened;
-        for s in conn.streams.into_values() {
-            self.places.remove(&s.attempt_id);
-            let end = match (s.written, conn.up) {
+        let spoke = connection.last_message_at > connection.connected_at;
+        for s in connection.streams.into_values() {
+            self.attempt_connections.remove(&s.attempt_id);
+            let end = match (s.written, connection.connected) {
                 (true, _) if spoke => AttemptEnd::ConnectionUnusable,
                 (true, _) => AttemptEnd::ConnectionLost,
                 // The connection came up, so its executor is there: that it never ran is all this tells.
                 (false, true) => AttemptEnd::NotRun,
                 (false, false) => AttemptEnd::NeverSent,
             };
-            self.reports.push_back(NetworkEvent::AttemptEnded(s.attempt_id, end, None));
+            self.events.push_back(NetworkEvent::AttemptEnded(s.attempt_id, end, None));
         }
-        let echo = if conn.up { ProbeOutcome::Unknown } else { ProbeOutcome::Unreachable };
-        for _ in conn.probes {
-            self.reports.push_back(NetworkEvent::ProbeFinished(conn.executor, echo, 0));
+        let echo = if connection.connected { ProbeOutcome::Unknown } else { ProbeOutcome::Unreachable };
+        for _ in connection.probes {
+            self.events.push_back(NetworkEvent::ProbeFinished(connection.executor, echo, 0));
         }
     }
 
     /// Closes what has been idle nearly as long as executors allow, and forgets old ids.
     pub fn sweep(&mut self, now: Micros, poll: &Poll) {
         let idle = self.transport.conn_idle - (self.transport.conn_idle / 4).min(2_000_000);
-        let over = |c: &Conn| c.idle() && (c.retired || now > c.touched + idle);
-        let closed: Vec<Key> = self.conns.iter().filter(|(_, c)| over(c)).map(|(k, _)| *k).collect();
-        closed.into_iter().for_each(|key| self.lose(key, poll, "idle"));
-        self.conns.values_mut().for_each(|c| c.spent.retain(|_, t| now < *t + REMEMBERED));
+        let over = |c: &Connection| c.is_idle() && (c.draining || now > c.last_used_at + idle);
+        let closed: Vec<Key> = self.connections.iter().filter(|(_, c)| over(c)).map(|(k, _)| *k).collect();
+        closed.into_iter().for_each(|key| self.close(key, poll, "idle"));
+        self.connections.values_mut().for_each(|c| c.ended_ids.retain(|_, t| now < *t + ENDED_IDS_KEPT));
         if !std::mem::take(&mut self.gone) {
             return;
         }
-        let conns = &self.conns;
-        self.list.retain(|_, e| e.state != State::Removed || e.conns.iter().any(|k| conns.contains_key(k)));
-        let list = &self.list;
+        let connections = &self.connections;
+        self.executors.retain(|_, e| {
+            e.state != State::Removed || e.connections.iter().any(|k| connections.contains_key(k))
+        });
+        let list = &self.executors;
         self.addresses.retain(|a, id| list.get(id).is_some_and(|e| e.address == Some(*a)));
         // One that still has connections stays until they are over.
-        self.gone = self.list.values().any(|e| e.state == State::Removed);
+        self.gone = self.executors.values().any(|e| e.state == State::Removed);
     }
 }
--- a/src/net/executors/messages.rs
+++ b/src/net/executors/messages.rs
@@ -1,36 +1,44 @@
 //! What is read from executors and written to them.
 
-use super::{Due, Executors, PART};
+use super::{Due, Executors, PARTIAL_ANSWER_TIMEOUT};
 use crate::api::Micros;
 use crate::codec::executor::{self, Answer, Gauges, Terms};
 use crate::dispatch::{self as attempt, AttemptEnd, LoadReport, NetworkEvent, ProbeOutcome};
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::executors::connection::{Outgoing, Step, advance};
+use crate::net::executors::connection::{AnswerEffect, Outgoing, apply_answer};
 use crate::net::sockets::dial;
 use std::io;
 
 impl Executors {
     /// A socket is ready.
     pub fn ready(&mut self, key: Key, readable: bool, writable: bool, now: Micros, poll: &Poll) {
-        let Some(conn) = self.conns.get_mut(&key) else { return };
-        if !conn.up {
-            match dial::up(&conn.stream) {
-                Ok(()) => (conn.up, conn.heard, conn.opened) = (true, now, now),
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        if !connection.connected {
+            match dial::up(&connection.stream) {
+                Ok(()) => {
+                    (connection.connected, connection.last_message_at, connection.connected_at) =
+                        (true, now, now)
+                }
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(e) => return self.lose(key, poll, &e.to_string()),
+                Err(e) => return self.close(key, poll, &e.to_string()),
             }
         }
         if readable {
-            match conn.inbox.fill(&mut conn.stream) {
-                Ok(0) => return self.lose(key, poll, "closed by the executor"),
+            match connection.inbox.fill(&mut connection.stream) {
+                Ok(0) => return self.close(key, poll, "closed by the executor"),
                 Ok(_) => {
-                    (conn.heard, conn.touched, conn.mute, conn.doomed_at) = (now, now, false, None);
-                    let executor = conn.executor;
-                    self.list.get_mut(&executor).into_iter().for_each(|e| e.heard = now);
+                    (
+                        connection.last_message_at,
+                        connection.last_used_at,
+                        connection.unresponsive,
+                        connection.close_at,
+                    ) = (now, now, false, None);
+                    let executor = connection.executor;
+                    self.executors.get_mut(&executor).into_iter().for_each(|e| e.last_message_at = now);
                     self.read(key, now, poll);
                 }
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
-                Err(e) => return self.lose(key, poll, &e.to_string()),
+                Err(e) => return self.close(key, poll, &e.to_string()),
             }
         }
         if writable || readable {
@@ -40,8 +48,8 @@
 
     /// Reads what a connection that is over has still brought.
     fn read_rest(&mut self, key: Key, now: Micros, poll: &Poll) {
-        while let Some(conn) = self.conns.get_mut(&key) {
-            match conn.inbox.fill(&mut conn.stream) {
+        while let Some(connection) = self.connections.get_mut(&key) {
+            match connection.inbox.fill(&mut connection.stream) {
                 Ok(n) if n > 0 => self.read(key, now, poll),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 _ => return,
@@ -52,64 +60,64 @@
     fn read(&mut self, key: Key, now: Micros, poll: &Poll) {
         let mut consumed = 0;
         loop {
-            let Some(conn) = self.conns.get_mut(&key) else { return };
-            let parsed = executor::next(&conn.inbox.bytes()[consumed..]);
+            let Some(connection) = self.connections.get_mut(&key) else { return };
+            let parsed = executor::next(&connection.inbox.bytes()[consumed..]);
             let (n, answer) = match parsed {
                 Ok(Some(found)) => found,
                 Ok(None) => break,
                 Err(e) => {
-                    self.wire.bad_lines += 1;
-                    return self.lose(key, poll, &format!("bad line: {}", e.0));
+                    self.counters.bad_lines += 1;
+                    return self.close(key, poll, &format!("bad line: {}", e.0));
                 }
             };
             consumed += n;
             match answer {
                 Answer::Probe { tag, up, gauges } => {
-                    if let Some(sent) = conn.probes.remove(&tag) {
+                    if let Some(sent) = connection.probes.remove(&tag) {
                         let echo = if up { ProbeOutcome::Up(gauges.map(load)) } else { ProbeOutcome::Down };
-                        self.reports.push_back(NetworkEvent::ProbeFinished(
-                            conn.executor,
+                        self.events.push_back(NetworkEvent::ProbeFinished(
+                            connection.executor,
                             echo,
                             now.saturating_sub(sent),
                         ));
                     }
                 }
                 Answer::Request { id, word, body, gauges } => {
-                    let ended = match conn.streams.get_mut(&id) {
+                    let ended = match connection.streams.get_mut(&id) {
                         None => {
-                            self.wire.stray += 1;
+                            self.counters.stray += 1;
                             None
                         }
-                        Some(s) => match advance(s, word, body, &self.pool) {
-                            Step::Goes => None,
-                            Step::Copy => {
-                                self.wire.stray += 1;
+                        Some(s) => match apply_answer(s, word, body, &self.pool) {
+                            AnswerEffect::Continues => None,
+                            AnswerEffect::Duplicate => {
+                                self.counters.stray += 1;
                                 None
                             }
-                            Step::Noted(word) => {
-                                self.reports.push_back(NetworkEvent::AttemptProgressed(s.attempt_id, word));
+                            AnswerEffect::Progressed(word) => {
+                                self.events.push_back(NetworkEvent::AttemptProgressed(s.attempt_id, word));
                                 None
                             }
-                            Step::Pages(pages) => {
-                                conn.queue.extend((1..pages).map(|page| Outgoing::Scroll(id, page)));
+                            AnswerEffect::Pages(pages) => {
+                                connection.queue.extend((1..pages).map(|page| Outgoing::Scroll(id, page)));
                                 None
                             }
-                            Step::Ended(end) => Some(end),
-                            Step::Broken(what) => {
-                                self.wire.bad_lines += 1;
-                                return self.lose(key, poll, what);
+                            AnswerEffect::Ended(end) => Some(end),
+                            AnswerEffect::Malformed(what) => {
+                                self.counters.bad_lines += 1;
+                                return self.close(key, poll, what);
                             }
                         },
                     };
                     if let Some(end) = ended
-                        && let Some(s) = conn.streams.remove(&id)
+                        && let Some(s) = connection.streams.remove(&id)
                     {
-                        self.places.remove(&s.attempt_id);
+                        self.attempt_connections.remove(&s.attempt_id);
                         // One that was served never comes again, all else may be tried again.
                         if !matches!(end, AttemptEnd::Served(_)) {
-                            conn.spent.insert(id, now);
+                            connection.ended_ids.insert(id, now);
                         }
-                        self.reports.push_back(NetworkEvent::AttemptEnded(
+                        self.events.push_back(NetworkEvent::AttemptEnded(
                             s.attempt_id,
                             end,
                             gauges.map(load),
@@ -118,68 +126,68 @@
                 }
             }
         }
-        if let Some(conn) = self.conns.get_mut(&key) {
-            conn.inbox.consume(consumed);
-            if conn.inbox.bytes().is_empty() {
-                conn.part_since = None;
-            } else if conn.part_since.is_none() || consumed > 0 {
-                conn.part_since = Some(now);
-                self.timers.set(now + PART, Due::Part(key));
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.inbox.consume(consumed);
+            if connection.inbox.bytes().is_empty() {
+                connection.partial_since = None;
+            } else if connection.partial_since.is_none() || consumed > 0 {
+                connection.partial_since = Some(now);
+                self.timers.set(now + PARTIAL_ANSWER_TIMEOUT, Due::PartialAnswer(key));
             }
         }
     }
 
     /// Writes what waits, one message after the other, so that what was not begun can be taken back.
     pub(super) fn write(&mut self, key: Key, now: Micros, poll: &Poll) {
-        let Some(conn) = self.conns.get_mut(&key).filter(|c| c.up) else { return };
+        let Some(connection) = self.connections.get_mut(&key).filter(|c| c.connected) else { return };
         let failed = loop {
-            let flushed = conn.outbox.flush(&mut conn.stream);
-            let writing = conn.writing.and_then(|id| conn.streams.get_mut(&id));
+            let flushed = connection.outbox.flush(&mut connection.stream);
+            let writing = connection.writing.and_then(|id| connection.streams.get_mut(&id));
             if let Some(s) =
-                writing.filter(|s| !s.begun && (conn.outbox.begun() || matches!(flushed, Ok(true))))
+                writing.filter(|s| !s.begun && (connection.outbox.begun() || matches!(flushed, Ok(true))))
             {
                 s.begun = true;
-                self.reports.push_back(NetworkEvent::AttemptBegun(s.attempt_id));
+                self.events.push_back(NetworkEvent::AttemptBegun(s.attempt_id));
             }
             match flushed {
                 Ok(true) => {}
                 Ok(false) => break None,
                 Err(e) => break Some(e),
             }
-            if let Some(s) = conn.writing.take().and_then(|id| conn.streams.get_mut(&id)) {
-                (s.written, s.since) = (true, now);
-                self.wire.forwards += 1;
-                if conn.word_at.is_none() {
-                    let due = now + conn.word_within + 1;
-                    conn.word_at = Some(due);
-                    self.timers.set(due, Due::Progress(key));
+            if let Some(s) = connection.writing.take().and_then(|id| connection.streams.get_mut(&id)) {
+                (s.written, s.written_at) = (true, now);
+                self.counters.forwards += 1;
+                if connection.next_check_at.is_none() {
+                    let due = now + connection.message_interval + 1;
+                    connection.next_check_at = Some(due);
+                    self.timers.set(due, Due::ResponsivenessCheck(key));
                 }
             }
-            let Some(next) = conn.queue.pop_front() else { break None };
+            let Some(next) = connection.queue.pop_front() else { break None };
             let now = self.clock.now().max(now);
-            conn.touched = now;
+            connection.last_used_at = now;
             self.scratch.clear();
             let out = &mut self.scratch;
             match next {
                 Outgoing::Pull { id, job, terms } => {
                     let attempt::AttemptTerms { memory_mb, priority, deadline, begin_by } = terms;
                     if now > begin_by
-                        && let Some(s) = conn.streams.remove(&id)
+                        && let Some(s) = connection.streams.remove(&id)
                     {
-                        self.places.remove(&s.attempt_id);
-                        self.reports.push_back(NetworkEvent::AttemptEnded(
+                        self.attempt_connections.remove(&s.attempt_id);
+                        self.events.push_back(NetworkEvent::AttemptEnded(
                             s.attempt_id,
                             AttemptEnd::NeverSent,
                             None,
                         ));
                         continue;
                     }
-                    if !self.look.is_fresh(now) {
-                        self.look.wait(key);
-                        conn.queue.push_front(Outgoing::Pull { id, job, terms });
+                    if !self.client_poll.is_fresh(now) {
+                        self.client_poll.wait(key);
+                        connection.queue.push_front(Outgoing::Pull { id, job, terms });
                         break None;
                     }
-                    self.look.begins();
+                    self.client_poll.begins();
                     let wait_ms = (deadline.saturating_sub(now) / 1000).max(1);
                     executor::pull(
                         out,
@@ -187,26 +195,26 @@
                         &Terms { kind: &job.kind, wait_ms, memory_mb, priority, token: job.token.as_deref() },
                         &job.statement,
                     );
-                    conn.writing = Some(id);
+                    connection.writing = Some(id);
                 }
                 Outgoing::Kill(id) => executor::kill(out, id),
-                Outgoing::Boost(id, priority) => executor::boost(out, id, priority),
+                Outgoing::SetPriority(id, priority) => executor::boost(out, id, priority),
                 Outgoing::Scroll(id, page) => executor::scroll(out, id, page),
                 Outgoing::Discard(id) => executor::discard(out, id),
                 Outgoing::Meter(tag) => executor::meter(out, tag),
             }
-            conn.outbox.append(&self.scratch);
+            connection.outbox.append(&self.scratch);
         };
         if let Some(e) = failed {
             // A reset ends both ways, and what came before it is still here to be read.
             self.read_rest(key, now, poll);
-            return self.lose(key, poll, &e.to_string());
+            return self.close(key, poll, &e.to_string());
         }
-        let waits = !conn.outbox.is_empty();
-        if waits != conn.watched {
-            conn.watched = waits;
-            if let Err(e) = poll.writable(key, &conn.stream, waits) {
-                self.lose(key, poll, &e.to_string());
+        let waits = !connection.outbox.is_empty();
+        if waits != connection.watches_writable {
+            connection.watches_writable = waits;
+            if let Err(e) = poll.writable(key, &connection.stream, waits) {
+                self.close(key, poll, &e.to_string());
             }
         }
     }
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -26,18 +26,18 @@
 use crate::dispatch::{AttemptId, ExecutorId, NetworkEvent, executor_id};
 use crate::net::event_loop::poll::Key;
 use crate::net::event_loop::timers::Timers;
-use crate::net::executors::connection::Conn;
+use crate::net::executors::connection::Connection;
 pub use crate::net::executors::connection::{Job, Rows};
 use crate::net::sockets::buffers::Pool;
 use crate::settings::Transport;
-use client_poll::Look;
+use client_poll::ClientPoll;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
 /// An answer that has begun has to be here whole within this time.
-const PART: Micros = 700_000;
+const PARTIAL_ANSWER_TIMEOUT: Micros = 700_000;
 /// A probe may take this much longer than a dial.
 const PROBE_SLACK: Micros = 50_000;
 
@@ -45,9 +45,9 @@
     uid: String,
     address: Option<SocketAddr>,
     state: State,
-    conns: Vec<Key>,
+    connections: Vec<Key>,
     /// When anything came from it, on any connection.
-    heard: Micros,
+    last_message_at: Micros,
 }
 
 /// What falls due here.
@@ -56,16 +56,16 @@
     Dial(Key),
     Probe(Key, u64),
     /// An answer in part.
-    Part(Key),
+    PartialAnswer(Key),
     /// Word on what was written.
-    Progress(Key),
+    ResponsivenessCheck(Key),
     /// An attempt that may not begin later.
-    Begin(AttemptId),
+    BeginBy(AttemptId),
 }
 
 /// Counters of the connections.
 #[derive(Debug, Default)]
-pub struct Wire {
+pub struct ConnectionCounters {
     /// Dials begun.
     pub dials: u64,
     /// Lines that could not be used.
@@ -73,7 +73,7 @@
     /// Answers to what is not open, and second copies.
     pub stray: u64,
     /// Connections that fell silent while their executor did not.
-    pub mute: u64,
+    pub unresponsive: u64,
     /// Attempts written whole.
     pub forwards: u64,
 }
@@ -81,63 +81,69 @@
 /// All executors, and the connections to them.
 pub struct Executors {
     transport: Transport,
-    most_conns: usize,
+    max_connections: usize,
     pool: Pool,
-    list: BTreeMap<ExecutorId, Executor>,
+    executors: BTreeMap<ExecutorId, Executor>,
     /// How many of the list take work, and whether any has gone since the last sweep.
     up: usize,
     gone: bool,
     /// Whose each address is; it may have moved on, which its entry in the list tells.
     addresses: HashMap<SocketAddr, ExecutorId>,
-    conns: BTreeMap<Key, Conn>,
+    connections: BTreeMap<Key, Connection>,
     /// Where each attempt is.
-    places: BTreeMap<AttemptId, Key>,
+    attempt_connections: BTreeMap<AttemptId, Key>,
     timers: Timers<Due>,
     clock: Clock,
-    look: Look,
-    tags: Pcg64Mcg,
+    client_poll: ClientPoll,
+    probe_tags: Pcg64Mcg,
     scratch: Vec<u8>,
     /// What the dispatcher has to be told, in order.
-    pub reports: VecDeque<NetworkEvent<Rows>>,
+    pub events: VecDeque<NetworkEvent<Rows>>,
     /// Whether a dial found no descriptor.
     pub out_of_descriptors: bool,
     /// Counters.
-    pub wire: Wire,
+    pub counters: ConnectionCounters,
 }
 
 impl Executors {
-    /// None yet; `most_conns` bounds the connections in all, `seed` makes tags that nobody can know ahead.
-    pub fn new(transport: Transport, most_conns: usize, seed: u64, pool: &Pool, clock: Clock) -> Executors {
+    /// None yet; `max_connections` bounds the connections in all, `seed` makes tags that nobody can know ahead.
+    pub fn new(
+        transport: Transport,
+        max_connections: usize,
+        seed: u64,
+        pool: &Pool,
+        clock: Clock,
+    ) -> Executors {
         Executors {
             transport,
-            most_conns,
+            max_connections,
             pool: pool.clone(),
-            list: BTreeMap::new(),
+            executors: BTreeMap::new(),
             up: 0,
             gone: false,
             addresses: HashMap::new(),
-            conns: BTreeMap::new(),
-            places: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            attempt_connections: BTreeMap::new(),
             timers: Timers::default(),
             clock,
-            look: Look::default(),
-            tags: Pcg64Mcg::seed_from_u64(!seed),
+            client_poll: ClientPoll::default(),
+            probe_tags: Pcg64Mcg::seed_from_u64(!seed),
             scratch: Vec::new(),
-            reports: VecDeque::new(),
+            events: VecDeque::new(),
             out_of_descriptors: false,
-            wire: Wire::default(),
+            counters: ConnectionCounters::default(),
         }
     }
 
     /// Whether work is out on an executor, or waits for a connection to it.
     pub fn busy(&self, uid: &str) -> bool {
-        let conns = self.list.get(&executor_id(uid)).into_iter().flat_map(|e| &e.conns);
-        conns.filter_map(|k| self.conns.get(k)).any(|c| !c.streams.is_empty())
+        let connections = self.executors.get(&executor_id(uid)).into_iter().flat_map(|e| &e.connections);
+        connections.filter_map(|k| self.connections.get(k)).any(|c| !c.streams.is_empty())
     }
 
     /// Open connections.
     pub fn connections(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 }
 
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -20,7 +20,7 @@
     let (uid, az, model) = ("e1".to_string(), String::new(), String::new());
     let target =
         Target { uid, endpoint, az, model, pod_group: 0, state, capacity_hint: None, boot_ms, weight: None };
-    e.listed(&[target], false, now, poll);
+    e.apply_endpoints(&[target], false, now, poll);
 }
 
 fn start(e: &mut Executors, request: u64, now: Micros, poll: &Poll) -> AttemptId {
@@ -41,14 +41,14 @@
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
     listed(&mut e, &at, State::Up, 0, 1, &poll);
     let attempt_id = start(&mut e, 7, 2, &poll);
-    assert!(e.reports.is_empty());
+    assert!(e.events.is_empty());
     listed(&mut e, &at, State::Draining, 0, 3, &poll);
     assert!(
-        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
+        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
     );
-    let key = *e.conns.keys().next().unwrap();
+    let key = *e.connections.keys().next().unwrap();
     e.ready(key, false, true, 4, &poll);
-    assert!(e.conns[&key].queue.is_empty() && e.conns[&key].outbox.is_empty());
+    assert!(e.connections[&key].queue.is_empty() && e.connections[&key].outbox.is_empty());
 }
 
 // The same where it moves to another address: what waits for a connection to the old one would reach whoever is there.
@@ -61,7 +61,7 @@
     let attempt_id = start(&mut e, 7, 2, &poll);
     listed(&mut e, &new, State::Up, 0, 3, &poll);
     assert!(
-        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
+        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
     );
 }
 
@@ -74,25 +74,25 @@
     let mut e = Executors::new(TRANSPORT, 2, 7, &pool, Clock::manual(Default::default()));
     listed(&mut e, &at, State::Up, 0, 1, &poll);
     let old = start(&mut e, 7, 1_000, &poll);
-    let old_key = *e.conns.keys().next().unwrap();
-    while !e.conns[&old_key].up {
+    let old_key = *e.connections.keys().next().unwrap();
+    while !e.connections[&old_key].connected {
         e.ready(old_key, false, true, 1_001, &poll);
     }
-    assert!(matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == old));
+    assert!(matches!(e.events.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == old));
     let new = start(&mut e, 8, 9_000, &poll);
     let over = start(&mut e, 9, 9_000, &poll);
     // All connections are busy: that is no fault of the executor's, which was left out for it.
     assert!(
-        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NotRun, _)) if t == over)
+        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NotRun, _)) if t == over)
     );
     listed(&mut e, &at, State::Up, 5, 10_000, &poll);
     assert!(
-        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::ConnectionLost, _)) if t == old)
+        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::ConnectionLost, _)) if t == old)
     );
-    assert!(e.reports.is_empty() && e.places.contains_key(&new));
+    assert!(e.events.is_empty() && e.attempt_connections.contains_key(&new));
     e.tick(9_000 + TRANSPORT.dial_timeout, &poll);
     assert!(
-        matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == new)
+        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == new)
     );
 }
 
@@ -106,7 +106,7 @@
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
     listed(&mut e, &at, State::Up, 0, 1, &poll);
     let attempt_id = start(&mut e, 0x2a, 2, &poll);
-    let key = *e.conns.keys().next().unwrap();
+    let key = *e.connections.keys().next().unwrap();
     let (mut executor, _) = at.accept().unwrap();
     let mut seen = Vec::new();
     while !seen.windows(4).any(|w| w == b"PULL") {
@@ -117,13 +117,13 @@
             seen.extend_from_slice(&chunk[..n]);
         }
     }
-    assert!(matches!(e.reports.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == attempt_id));
+    assert!(matches!(e.events.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == attempt_id));
     executor.write_all(b"2a BUSY gauges=inflight:7;util:0.61 0\r\n\r\n").unwrap();
-    while e.reports.is_empty() {
+    while e.events.is_empty() {
         e.ready(key, true, false, 4, &poll);
     }
     let load = LoadReport { inflight: Some(7.0), util: Some(0.61), ..LoadReport::default() };
-    let found = e.reports.pop_front();
+    let found = e.events.pop_front();
     assert!(
         matches!(found, Some(NetworkEvent::AttemptEnded(t, AttemptEnd::Rejected, Some(l))) if t == attempt_id && l == load)
     );
--- a/src/net/executors/unresponsive.rs
+++ b/src/net/executors/unresponsive.rs
@@ -1,6 +1,6 @@
 //! What falls due when nothing comes: dials, probes, answers in part, and word that is owed.
 
-use super::{Due, Executors, PART, PROBE_SLACK};
+use super::{Due, Executors, PARTIAL_ANSWER_TIMEOUT, PROBE_SLACK};
 use crate::api::Micros;
 use crate::dispatch::{NetworkEvent, ProbeOutcome};
 use crate::net::event_loop::event_source::EventSource;
@@ -8,42 +8,45 @@
 use crate::settings::Transport;
 
 /// A mute connection whose executor is heard elsewhere has this long to be heard too.
-const GRACE: Micros = 400_000;
+const CLOSE_DELAY: Micros = 400_000;
 
 impl Executors {
     /// Looks after a connection that owes word: it is probed, and one that answers no probe is over once its
     /// executor has been heard elsewhere since. If nothing is heard there either, the machine is gone or cut
     /// off, and what is out may yet be answered.
-    fn ask_for_word(&mut self, key: Key, now: Micros, poll: &Poll) {
-        let Some(conn) = self.conns.get_mut(&key) else { return };
-        conn.word_at = None;
-        let Some(since) = conn.streams.values().filter(|s| s.written).map(|s| s.since).min() else { return };
-        let owes = conn.heard.max(since);
-        let heard = self.list.get(&conn.executor).map_or(0, |e| e.heard);
+    fn check_responsiveness(&mut self, key: Key, now: Micros, poll: &Poll) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        connection.next_check_at = None;
+        let Some(since) = connection.streams.values().filter(|s| s.written).map(|s| s.written_at).min()
+        else {
+            return;
+        };
+        let owes = connection.last_message_at.max(since);
+        let heard = self.executors.get(&connection.executor).map_or(0, |e| e.last_message_at);
         // Where nothing may be probed, word that the settings promise and that does not come tells the same.
         let Transport { probes, progress, .. } = self.transport;
-        let mute = conn.mute || (!probes && progress.is_some());
-        if mute && heard > owes + conn.word_within {
+        let unresponsive = connection.unresponsive || (!probes && progress.is_some());
+        if unresponsive && heard > owes + connection.message_interval {
             // After a cut both come back, and what was held up may come a moment later.
-            conn.doomed_at.get_or_insert(now + GRACE);
+            connection.close_at.get_or_insert(now + CLOSE_DELAY);
         }
-        if conn.doomed_at.is_some_and(|t| t <= now) {
-            self.wire.mute += 1;
-            return self.lose(key, poll, "mute while its executor answers elsewhere");
+        if connection.close_at.is_some_and(|t| t <= now) {
+            self.counters.unresponsive += 1;
+            return self.close(key, poll, "mute while its executor answers elsewhere");
         }
-        let due = owes + conn.word_within + 1;
-        let asks = probes && now >= due && !conn.mute && conn.probes.is_empty();
+        let due = owes + connection.message_interval + 1;
+        let asks = probes && now >= due && !connection.unresponsive && connection.probes.is_empty();
         let next = due.max(now + 2 * PROBE_SLACK);
-        conn.word_at = Some(next);
-        self.timers.set(next, Due::Progress(key));
+        connection.next_check_at = Some(next);
+        self.timers.set(next, Due::ResponsivenessCheck(key));
         if asks {
-            self.meter(key, now, poll);
+            self.send_probe(key, now, poll);
         }
     }
 }
 impl EventSource for Executors {
     fn owns(&self, key: Key) -> bool {
-        self.conns.contains_key(&key)
+        self.connections.contains_key(&key)
     }
 
     fn next_due(&self) -> Option<Micros> {
@@ -54,35 +57,35 @@
         while let Some(due) = self.timers.due(now) {
             match due {
                 Due::Dial(key) => {
-                    if self.conns.get(&key).is_some_and(|c| !c.up) {
-                        self.lose(key, poll, "no connection in time");
+                    if self.connections.get(&key).is_some_and(|c| !c.connected) {
+                        self.close(key, poll, "no connection in time");
                     }
                 }
                 Due::Probe(key, tag) => {
-                    let Some(conn) = self.conns.get_mut(&key) else { continue };
-                    if let Some(sent) = conn.probes.remove(&tag) {
+                    let Some(connection) = self.connections.get_mut(&key) else { continue };
+                    if let Some(sent) = connection.probes.remove(&tag) {
                         // Nothing new goes where a probe met silence; a new dial proves what runs.
-                        conn.mute = conn.heard < sent;
-                        conn.retired |= conn.mute;
-                        let executor = conn.executor;
-                        let lives = self.list.get(&executor).is_some_and(|e| e.heard > sent);
+                        connection.unresponsive = connection.last_message_at < sent;
+                        connection.draining |= connection.unresponsive;
+                        let executor = connection.executor;
+                        let lives = self.executors.get(&executor).is_some_and(|e| e.last_message_at > sent);
                         let echo = if lives { ProbeOutcome::Unknown } else { ProbeOutcome::TimedOut };
-                        self.reports.push_back(NetworkEvent::ProbeFinished(
+                        self.events.push_back(NetworkEvent::ProbeFinished(
                             executor,
                             echo,
                             now.saturating_sub(sent),
                         ));
                     }
                 }
-                Due::Part(key) => {
-                    let since = self.conns.get(&key).and_then(|c| c.part_since);
-                    if since.is_some_and(|t| t + PART <= now) {
-                        self.wire.bad_lines += 1;
-                        self.lose(key, poll, "an answer stopped half way");
+                Due::PartialAnswer(key) => {
+                    let since = self.connections.get(&key).and_then(|c| c.partial_since);
+                    if since.is_some_and(|t| t + PARTIAL_ANSWER_TIMEOUT <= now) {
+                        self.counters.bad_lines += 1;
+                        self.close(key, poll, "an answer stopped half way");
                     }
                 }
-                Due::Progress(key) => self.ask_for_word(key, now, poll),
-                Due::Begin(attempt_id) => self.withdraw(attempt_id, now, poll),
+                Due::ResponsivenessCheck(key) => self.check_responsiveness(key, now, poll),
+                Due::BeginBy(attempt_id) => self.withdraw(attempt_id, now, poll),
             }
         }
     }
