--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -6,7 +6,7 @@
 impl Balancer {
     /// Whether requests of a class may go to the executor, by its zone and kind of machine.
     pub(super) fn placement_allows(&self, class: ClassId, executor: &Executor) -> bool {
-        let class = &self.s.classes[class];
+        let class = &self.settings.classes[class];
         executor.is_within(&class.only_zones, &class.only_kinds)
     }
 
@@ -26,7 +26,7 @@
     /// lost. A request that is not idempotent is sent again only if no attempt can have run; one with an
     /// idempotency key only where and while the executors drop its repeats.
     fn idempotency_allows(&self, request: &Request, executor: &Executor) -> bool {
-        match self.s.classes[request.class].idempotency {
+        match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => request.never_ran(),
             Idempotency::IdempotencyKey { scope, window } => {
@@ -40,6 +40,6 @@
     /// Whether the executor would drop a repeat of the attempt now.
     fn drops_repeat(&self, attempt: &Attempt, executor: &Executor, scope: KeyScope, window: Micros) -> bool {
         let tried = &self.executors[attempt.executor].endpoint;
-        self.now < attempt.sent + window && scope.holds(tried, &executor.endpoint)
+        self.now < attempt.sent_at + window && scope.holds(tried, &executor.endpoint)
     }
 }
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -49,9 +49,9 @@
     /// one that would be lost there.
     fn healthy_of(&self, id: RequestId, executors: &[usize]) -> Vec<usize> {
         let class = self.requests[&id].class;
-        let may_be_trial = self.s.classes[class].idempotency != Idempotency::NotIdempotent;
+        let may_be_trial = self.settings.classes[class].idempotency != Idempotency::NotIdempotent;
         let is_usable = |executor: &Executor| {
-            self.healthy(executor) && (may_be_trial || executor.ejected_until.is_none())
+            self.healthy(executor) && (may_be_trial || executor.health.ejected_until.is_none())
         };
         executors.iter().copied().filter(|&i| is_usable(&self.executors[i])).collect()
     }
@@ -113,13 +113,13 @@
 
     /// How many executors this dispatcher's subset has, of so many.
     fn subset_size(&self, executors: usize) -> usize {
-        let covered = SUBSET_OVERLAP * executors / (self.s.dispatchers as usize).max(1);
+        let covered = SUBSET_OVERLAP * executors / (self.settings.dispatchers as usize).max(1);
         covered.max(SAMPLE_SIZE)
     }
 
     /// Tells of a pool whether its executors are open to a request.
     fn open_to<'a>(&self, request: &'a Request) -> impl Fn(u64) -> bool + use<'a> {
-        let class = &self.s.classes[request.class];
+        let class = &self.settings.classes[request.class];
         // A request goes by the placement that it was admitted with, also if the settings have changed since.
         let is_current = request.only_zones == class.only_zones && request.only_kinds == class.only_kinds;
         let class = request.class;
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -64,7 +64,7 @@
             self.choose_probes(id, choices, &mut candidates);
             if self.send_probes(id, &candidates.to_probe) {
                 let wait_until = self.now + PROBE_WAIT;
-                self.request(id).probe_wait_until.get_or_insert(wait_until);
+                self.request_mut(id).probe_wait_until.get_or_insert(wait_until);
                 return None;
             }
         }
@@ -82,7 +82,7 @@
             |i: &usize| !probes_help || self.now < self.executors[*i].report_received_at + REPORT_FRESHNESS;
         let (known, unknown): (Vec<usize>, Vec<usize>) = warm.into_iter().partition(is_known);
         let request = &self.requests[&id];
-        let seeks_affinity = !self.s.classes[request.class].yields_to_loads;
+        let seeks_affinity = !self.settings.classes[request.class].yields_to_loads;
         let is_wanted = |i: &usize| {
             let executor = &self.executors[*i];
             seeks_affinity && request.prefers(executor) || self.awaits_probe(executor)
@@ -93,8 +93,8 @@
 
     /// Whether a probe can improve a draw: only where reports tell of load, and there is a choice.
     fn probes_help(&self) -> bool {
-        let reports_load = self.s.reports != Reports::Off && self.tells_load != Some(false);
-        reports_load && self.s.probes && self.executors.len() > 1
+        let reports_load = self.settings.reports != Reports::Off && self.reports_tell_load != Some(false);
+        reports_load && self.settings.probes && self.executors.len() > 1
     }
 
     /// A probe was sent lately and its answer is still expected.
@@ -106,7 +106,7 @@
     /// table groups would never leave theirs.
     fn count_choices(&self, id: RequestId, known: &[usize]) -> usize {
         let request = &self.requests[&id];
-        let is_full = |executor: &Executor| request.prefers(executor) && self.load(executor) > ROOM;
+        let is_full = |executor: &Executor| request.prefers(executor) && self.executor_load(executor) > ROOM;
         known.iter().filter(|&&i| !is_full(&self.executors[i])).count()
     }
 
@@ -126,8 +126,8 @@
 
     /// Probes executors as far as the probe budget goes; whether any answer is awaited now.
     fn send_probes(&mut self, id: RequestId, to_probe: &[usize]) -> bool {
-        let is_expensive = self.requests[&id].cost > self.overall.value;
-        let reserve = if is_expensive { 0.0 } else { ProbeBudget::reserve(self.s.probe_price) };
+        let is_expensive = self.requests[&id].cost > self.mean_cost.value;
+        let reserve = if is_expensive { 0.0 } else { ProbeBudget::reserve(self.settings.probe_price) };
         let mut awaited = false;
         for &i in to_probe {
             if !self.awaits_probe(&self.executors[i]) {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -32,7 +32,7 @@
 impl WarmingBuckets {
     /// Empty buckets of an executor that has started.
     pub(crate) fn new(now: Micros) -> WarmingBuckets {
-        let empty = TokenBucket { at: now, ..TokenBucket::default() };
+        let empty = TokenBucket { updated_at: now, ..TokenBucket::default() };
         WarmingBuckets { share: empty.clone(), admission: empty }
     }
 }
@@ -98,7 +98,7 @@
     }
 
     fn admission(&self, request: &Request, executor: &Executor, rate: f64) -> Admission {
-        let slow_start = &self.s.slow_start;
+        let slow_start = &self.settings.slow_start;
         let capacity_fraction = self.capacity_fraction(executor).max(LEAST_CAPACITY_FRACTION);
         let work = self.slow_start_work(request);
         Admission {
@@ -107,7 +107,7 @@
             rate,
             initial_rate: rate * slow_start.initial_fraction / capacity_fraction,
             total_rate: self.total_warming_rate(),
-            mean_work: self.overall.value,
+            mean_work: self.mean_cost.value,
             window_s: slow_start.overload_window as f64 / 1e6,
         }
     }
@@ -120,14 +120,14 @@
     /// An executor in slow start takes no request that would alone be a large part of its budget.
     pub(super) fn slow_start_allows(&self, request: &Request, executor: &Executor) -> bool {
         let Some((rate, _)) = self.warming_rate(executor) else { return true };
-        let largest = LARGEST_REQUEST * rate * self.s.slow_start.overload_window as f64 / 1e6;
+        let largest = LARGEST_REQUEST * rate * self.settings.slow_start.overload_window as f64 / 1e6;
         self.slow_start_work(request) <= largest
     }
 
     /// Work that an executor in slow start may get from all dispatchers and from this one, in thread-seconds
     /// a second; `None` for a warm executor.
     pub(super) fn warming_rate(&self, executor: &Executor) -> Option<(f64, f64)> {
-        let slow_start = &self.s.slow_start;
+        let slow_start = &self.settings.slow_start;
         let started = executor.warming_since?;
         if slow_start.overload_window == 0 || self.now >= started + slow_start.ramp {
             return None;
@@ -140,8 +140,8 @@
     /// Work that all executors in slow start may get from this dispatcher, in thread-seconds a second: the
     /// sum of what `warming_rate` has for each.
     fn total_warming_rate(&self) -> f64 {
-        let slow_start = &self.s.slow_start;
-        let (cores, core_seconds) = self.executor_index.warming_cores(&self.s.kinds, self.now);
+        let slow_start = &self.settings.slow_start;
+        let (cores, core_seconds) = self.executor_index.warming_cores(&self.settings.kinds, self.now);
         let ramp_s = slow_start.ramp.max(1) as f64 / 1e6;
         let initial = slow_start.initial_fraction;
         let present_cores = initial * cores + (1.0 - initial) * core_seconds / ramp_s;
@@ -151,14 +151,14 @@
     /// This dispatcher's share of the budget: that of the traffic, but an equal part at most, as shares are
     /// misjudged.
     fn slow_start_share(&self) -> f64 {
-        let equal_share = 1.0 / f64::from(self.s.dispatchers);
-        self.share.min(equal_share)
+        let equal_share = 1.0 / f64::from(self.settings.dispatchers);
+        self.traffic_share.min(equal_share)
     }
 
     /// Share of its capacity that an executor has: it grows from `initial_fraction` to 1 over the ramp.
     pub(crate) fn capacity_fraction(&self, executor: &Executor) -> f64 {
         let Some(started) = executor.warming_since else { return 1.0 };
-        let slow_start = &self.s.slow_start;
+        let slow_start = &self.settings.slow_start;
         let done = self.now.saturating_sub(started) as f64 / slow_start.ramp.max(1) as f64;
         if done >= 1.0 {
             return 1.0;
@@ -168,7 +168,7 @@
 
     /// Executors whose ramp is over are warm from now on.
     pub(super) fn finish_slow_starts(&mut self) {
-        let latest_start = self.now.saturating_sub(self.s.slow_start.ramp);
+        let latest_start = self.now.saturating_sub(self.settings.slow_start.ramp);
         while let Some(i) = self.executor_index.started_by(latest_start) {
             self.update_index(i);
         }
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -40,7 +40,7 @@
     /// This dispatcher ends all requests at this point, in microseconds: what takes longer is not begun, but refused
     /// at once.
     pub fn set_shutdown_time(&mut self, at: Micros) {
-        self.balancer.ends_at(at);
+        self.balancer.set_shutdown_deadline(at);
     }
 
     /// Gives every pending request its answer now: refused where that is harmless, else failed.
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -86,7 +86,7 @@
 
     /// Busy cores of all listed executors, by their load reports.
     pub fn busy_cores(&self, now: Micros) -> f64 {
-        self.balancer.occupancy * self.fleet_capacity(now).listed
+        self.balancer.mean_load * self.fleet_capacity(now).listed
     }
 
     /// The number of listed executors, and of those that are avoided now: draining, unresponsive or ejected.
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -87,10 +87,10 @@
             return Ok(std::mem::take(&mut self.commands));
         }
         let own_settings = admitted_under
-            .and_then(|settings| self.balancer.take_on(settings_for_sockets(settings.clone())).ok());
+            .and_then(|settings| self.balancer.update_settings(settings_for_sockets(settings.clone())).ok());
         let commands = self.run(now, arrival(request));
         if let Some(settings) = own_settings {
-            let restored = self.balancer.take_on(settings);
+            let restored = self.balancer.update_settings(settings);
             must!(restored.is_ok(), "own settings were in use");
         }
         Ok(commands)
@@ -101,7 +101,7 @@
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = settings_for_sockets(settings);
         let retry_start_window = settings.budget.map(|budget| budget.slack);
-        self.balancer.take_on(settings).map(drop)?;
+        self.balancer.update_settings(settings).map(drop)?;
         self.retry_start_window = retry_start_window;
         Ok(())
     }
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -141,10 +141,10 @@
 
     /// The list has news. Starts that it tells by the wall clock become times of this process's clock.
     pub(super) fn apply_endpoint_list(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
-        self.wall.observe(now, clock::unix());
-        let boots = &mut self.start_times;
+        self.wall_clock.observe(now, clock::unix());
+        let start_times = &mut self.start_times;
         let by_our_clock = |t: &Target| {
-            let started = boots.started(&t.uid, t.boot_ms, now, &self.wall);
+            let started = start_times.started_at(&t.uid, t.boot_ms, now, &self.wall_clock);
             // To the nearest millisecond, which is how it is told.
             Target { boot_ms: started.map_or(0, |at| (at + 500) / 1_000), ..t.clone() }
         };
--- a/src/net/executors/connection_pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -76,7 +76,7 @@
             Ok(dialed) => dialed,
             Err(err) => {
                 tracing::warn!(%address, error = %err, "can't dial");
-                let ours = system_calls::of_our_side(&err);
+                let ours = system_calls::is_local_failure(&err);
                 self.out_of_descriptors |= dial::out_of_descriptors(&err);
                 return shared.ok_or(if ours {
                     NoConnection::OwnLimit
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -38,7 +38,7 @@
 mod tests;
 
 use crate::api::Micros;
-use crate::clock::{BootTimes, Clock, WallClock};
+use crate::clock::{Clock, ExecutorStartTimes, WallClock};
 use crate::codec::coordinator::Target;
 use crate::dispatch::Dispatch;
 use crate::operator::bans::Bans;
@@ -64,23 +64,24 @@
 use shutdown::Shutdown;
 use signals::Signals;
 use sockets::buffers::Pool;
-use sockets::descriptors::Descriptors;
+use sockets::descriptors::DescriptorShares;
 use std::collections::BTreeMap;
 
 /// Reads the configuration, when SIGHUP asks for it again.
 pub type LoadConfig = fn() -> Result<Config, ConfigError>;
 
-/// A dispatcher: its listener takes connections from [`DispatcherServer::new`] on, and [`DispatcherServer::run`] serves.
+/// A dispatcher: its listener takes connections from [`DispatcherServer::new`] on, and [`DispatcherServer::run`]
+/// serves.
 pub struct DispatcherServer {
     poll: Poll,
     poll_times: PollTimes,
     schedule: Schedule,
     clock: Clock,
-    wall: WallClock,
+    wall_clock: WallClock,
     /// When executors started, as the endpoint list says, by this process's clock.
-    start_times: BootTimes,
+    start_times: ExecutorStartTimes,
     pool: Pool,
-    descriptors: Descriptors,
+    descriptors: DescriptorShares,
     names: Names,
     dispatch: Dispatch<Rows>,
     listener: ClientListener,
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -18,10 +18,10 @@
 use super::shutdown::{Shutdown, ShutdownDeadlines};
 use super::signals::Signals;
 use super::sockets::buffers::Pool;
-use super::sockets::descriptors::Descriptors;
+use super::sockets::descriptors::DescriptorShares;
 use super::{DispatcherServer, LoadConfig};
 use crate::api::{Micros, Settings};
-use crate::clock::{BootTimes, Clock, WallClock};
+use crate::clock::{Clock, ExecutorStartTimes, WallClock};
 use crate::codec::coordinator::Target;
 use crate::dispatch::{Dispatch, WatchEvent};
 use crate::membership::check::Catalog;
@@ -45,8 +45,8 @@
 }
 
 impl DispatcherServer {
-    /// Sets a dispatcher up: from here on its address takes connections. `load_config` reads the configuration again when
-    /// SIGHUP asks for it.
+    /// Sets a dispatcher up: from here on its address takes connections. `load_config` reads the configuration again
+    /// when SIGHUP asks for it.
     pub fn new(
         config: Config,
         options: Options,
@@ -72,7 +72,7 @@
             .map_err(context(&format!("listen on {}", config.listen)))?;
         let signal_key = poll.add(&signals.stream, false)?;
         let pool = Pool::new((config.limits.memory_mb / BUFFER_MEMORY_DIVISOR * 1024.0 * 1024.0) as usize);
-        let descriptors = Descriptors::of(config.limits.sockets);
+        let descriptors = DescriptorShares::new(config.limits.sockets);
         let admin_listener = bind_operators(operator_address, &descriptors, &poll, &pool)?;
         let figures = Figures::new();
         names.classes.keys().for_each(|class| figures.class(class));
@@ -119,8 +119,8 @@
             onlined_at_ms: BTreeMap::new(),
             pool,
             clock,
-            wall: WallClock::default(),
-            start_times: BootTimes::default(),
+            wall_clock: WallClock::default(),
+            start_times: ExecutorStartTimes::default(),
         };
         let known = server.start_lists(options.lists, catalog, config.known.targets(), now)?;
         server.log_addresses(&config.name, known.len())?;
@@ -128,8 +128,8 @@
         Ok(server)
     }
 
-    /// Starts the endpoint lists from files, where the settings name some. Returns the endpoints to begin with: those of
-    /// the lists, or else `known` of the coordinator.
+    /// Starts the endpoint lists from files, where the settings name some. Returns the endpoints to begin with: those
+    /// of the lists, or else `known` of the coordinator.
     fn start_lists(
         &mut self,
         lists: Option<options::Lists>,
@@ -174,8 +174,9 @@
     ShutdownDeadlines::new(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
 }
 
-/// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in milliseconds:
-/// the time that a lease takes to run out. A control group goes before peers; `None` where nothing is agreed on.
+/// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in
+/// milliseconds: the time that a lease takes to run out. A control group goes before peers; `None` where nothing is
+/// agreed on.
 fn agreed_policy(options: &Options) -> Option<(options::PolicyTerms, u64)> {
     if let Some(control) = &options.control {
         return Some((control.policy, control.timing.follower_lease / 1_000));
@@ -186,7 +187,7 @@
 
 fn bind_operators(
     address: Option<SocketAddr>,
-    descriptors: &Descriptors,
+    descriptors: &DescriptorShares,
     poll: &Poll,
     pool: &Pool,
 ) -> io::Result<Option<AdminListener>> {
