--- a/src/net/clients/session/request.rs
+++ b/src/net/clients/session/request.rs
@@ -29,7 +29,7 @@
         // A tenant that the settings do not name is counted as none: its shares are not known.
         tenant: fields.get("acct").and_then(|name| names.tenants.get(name).copied()),
         key: fields.get("obj").map(|text| parse_id("obj", text)).transpose()?,
-        told: budget,
+        client_wait: budget,
         budget,
         thread_seconds: fields.number("est")?.map(|ms| ms / 1e3),
         memory_mb: fields.number("space")?,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -25,10 +25,10 @@
                         "settings of the file ignored"
                     );
                 }
-                if let Some(feed) = &mut self.feed {
+                if let Some(feed) = &mut self.coordinator_watch {
                     feed.move_to(coordinator, now, &self.poll);
                 }
-                if let Some(lists) = &self.lists {
+                if let Some(lists) = &self.endpoint_lists {
                     lists.look();
                 }
             }
