--- /dev/null
+++ b/src/dispatch/completion.rs
@@ -0,0 +1,163 @@
+//! Timers and deadlines, the one final answer of a request, and what is forgotten after it.
+
+use super::pending_request::PendingRequest;
+use super::{Answer, AttemptId, BACKOFF_MS, Command, Dispatch, LoadReport};
+use crate::api::{AttemptFinished, EndReason, Event, Micros, Outcome};
+use crate::must;
+use std::cmp::Reverse;
+
+impl<R> Dispatch<R> {
+    /// Runs the timers that are due, and ends the requests whose deadline has passed.
+    pub fn tick(&mut self, now: Micros) -> Vec<Command<R>> {
+        let mut commands = Vec::new();
+        while let Some(token) = self.next_timer(now) {
+            commands.append(&mut self.run(now, Event::Timer { token }));
+        }
+        commands.append(&mut self.end_expired(now));
+        commands
+    }
+
+    /// Takes the token of the next timer that is due.
+    fn next_timer(&mut self, now: Micros) -> Option<u64> {
+        let (due_at, token) = self.timers.peek().map(|Reverse(timer)| *timer)?;
+        if due_at > now {
+            return None;
+        }
+        self.timers.pop();
+        Some(token)
+    }
+
+    /// Answers the requests whose deadline has passed; all else that is due waits for [`Dispatch::tick`].
+    pub fn end_expired(&mut self, now: Micros) -> Vec<Command<R>> {
+        let mut commands = Vec::new();
+        while let Some((deadline, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
+            self.deadlines.remove(&(deadline, id));
+            commands.append(&mut self.stop_and_close(now, id, EndReason::Deadline));
+        }
+        commands
+    }
+
+    /// This dispatcher ends all requests at this point, in microseconds: what takes longer is not begun, but refused
+    /// at once.
+    pub fn set_shutdown_time(&mut self, at: Micros) {
+        self.balancer.set_shutdown_deadline(at);
+    }
+
+    /// Gives every pending request its answer now: refused where that is harmless, else failed.
+    pub fn end_all(&mut self, now: Micros) -> Vec<Command<R>> {
+        let unanswered = self.pending.iter().filter(|(_, pending)| !pending.closed);
+        let ids: Vec<u64> = unanswered.map(|(id, _)| *id).collect();
+        ids.into_iter().flat_map(|id| self.close(now, id, EndReason::Stopping)).collect()
+    }
+
+    /// This dispatcher's lease on a request is lost: its attempts are stopped, and its client gets an answer.
+    pub fn release(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
+        self.stop_and_close(now, id, EndReason::LeaseLost)
+    }
+
+    /// Stops the outstanding attempts of a request, which have timed out, and answers it. Where its deadline has
+    /// passed, no further attempt of it begins.
+    fn stop_and_close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
+        let Some(pending) = self.pending.get(&id) else { return Vec::new() };
+        let outstanding: Vec<u32> = pending.outstanding_attempts().collect();
+        let mut commands = Vec::new();
+        for attempt in outstanding {
+            let attempt_id = AttemptId { request: id, attempt };
+            self.counters.expired += 1;
+            self.commands.push(Command::StopAttempt(attempt_id));
+            let outcome = self.outcome_of_stopped(attempt_id, reason);
+            if let Some(event) = self.finish(now, attempt_id, outcome, None) {
+                commands.append(&mut self.run(now, event));
+            }
+        }
+        commands.append(&mut self.close(now, id, reason));
+        self.forget(id);
+        commands.append(&mut self.commands);
+        commands
+    }
+
+    /// How an attempt ended that is stopped: at the deadline, one that was stopped before its first byte never ran.
+    fn outcome_of_stopped(&mut self, attempt_id: AttemptId, reason: EndReason) -> Outcome {
+        let never_begun = self.outstanding(attempt_id).is_some_and(|attempt| !attempt.begun);
+        if reason == EndReason::Deadline && never_begun { Outcome::ConnectFailed } else { Outcome::Timeout }
+    }
+
+    /// Ends a request whose answer the decisions did not give.
+    fn close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
+        let Some(pending) = self.pending.get(&id).filter(|pending| !pending.closed) else {
+            return Vec::new();
+        };
+        let retry_is_harmless = pending.idempotent || pending.never_ran();
+        self.held_requests.remove(&id);
+        let answer = if retry_is_harmless { Answer::Refused(BACKOFF_MS) } else { Answer::Failed };
+        self.answer(now, id, answer, reason);
+        let commands = self.run(now, Event::ClientDisconnected { request: id });
+        self.forget(id);
+        commands
+    }
+
+    /// A request is over, answered or with its client gone: of its attempts that wait to be written none may begin
+    /// any more. Called wherever a request is closed, whatever the decisions cancel besides. Without it, an attempt
+    /// whose connection comes up later would run for a request that was refused or cancelled.
+    pub(super) fn withdraw(&mut self, id: u64) {
+        let outstanding = self.pending.get(&id).into_iter().flat_map(PendingRequest::outstanding_attempts);
+        let withdrawals =
+            outstanding.map(|attempt| Command::WithdrawAttempt(AttemptId { request: id, attempt }));
+        self.commands.extend(withdrawals);
+    }
+
+    /// Records the end of an attempt; the event that reports it to the decisions.
+    pub(super) fn finish(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) -> Option<Event> {
+        let done = self.pending.get(&id.request)?.closed;
+        let attempt = self.outstanding(id)?;
+        attempt.outcome = Some(outcome);
+        Some(Event::AttemptFinished(AttemptFinished {
+            request: id.request,
+            attempt: id.attempt,
+            executor: attempt.executor,
+            done,
+            outcome,
+            latency: now.saturating_sub(attempt.sent_at),
+            reported_cost: None,
+            report,
+        }))
+    }
+
+    /// The one place that gives a final answer.
+    pub(super) fn answer(&mut self, now: Micros, id: u64, answer: Answer<R>, reason: EndReason) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        if !must!(!pending.closed, "a second answer") {
+            return;
+        }
+        pending.closed = true;
+        pending.log_answer(now, id, &answer, reason);
+        self.counters.ends.add(reason);
+        match &answer {
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Refused(_) => self.counters.refused += 1,
+            Answer::Failed => self.counters.failed += 1,
+        }
+        self.withdraw(id);
+        self.commands.push(Command::Answer(id, answer));
+    }
+
+    /// Forgets a request if it is over.
+    pub(super) fn forget(&mut self, id: u64) {
+        if !self.pending.get(&id).is_some_and(PendingRequest::is_over) {
+            return;
+        }
+        let Some(pending) = self.pending.remove(&id) else { return };
+        self.deadlines.remove(&(pending.deadline, id));
+        if pending.client_disconnected && self.reports_abandoned {
+            let never_ran = pending.never_ran();
+            let result = pending.late_result;
+            self.commands.push(Command::ReportAbandoned { request: id, result, never_ran });
+        }
+    }
+}
--- /dev/null
+++ b/src/net/executors/endpoint_updates.rs
@@ -0,0 +1,127 @@
+//! News of the list, and what it ends.
+
+use super::{Executor, Executors};
+use crate::api::Micros;
+use crate::codec::coordinator::{State, Target};
+use crate::dispatch::{AttemptEnd, ExecutorId, NetworkEvent, executor_id};
+use crate::net::event_loop::poll::{Key, Poll};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+impl Executors {
+    /// News of the list: an address that moved or a process that started anew ends what was open before it,
+    /// and what still waits for an executor that drains or is gone is taken back.
+    pub fn apply_endpoints(&mut self, targets: &[Target], whole: bool, now: Micros, poll: &Poll) {
+        for t in targets {
+            self.apply_endpoint(t, now, poll);
+        }
+        if whole {
+            let names: BTreeSet<&str> = targets.iter().map(|t| t.uid.as_str()).collect();
+            let named = |e: &Executor| names.contains(e.uid.as_str());
+            let gone: Vec<ExecutorId> =
+                self.executors.iter().filter(|(_, e)| !named(e)).map(|(i, _)| *i).collect();
+            gone.into_iter().for_each(|id| self.drain_connections(id, State::Removed, poll));
+        }
+    }
+
+    fn apply_endpoint(&mut self, t: &Target, now: Micros, poll: &Poll) {
+        let id = executor_id(&t.uid);
+        let up = &mut self.up;
+        let e = self.executors.entry(id).or_insert_with(|| {
+            *up += usize::from(t.state == State::Up);
+            Executor {
+                uid: t.uid.clone(),
+                address: t.endpoint,
+                state: t.state,
+                connections: Vec::new(),
+                last_message_at: now,
+            }
+        });
+        if e.uid != t.uid {
+            tracing::error!(
+                executor = t.uid,
+                other = e.uid,
+                number = id,
+                "executor ignored: its number is another's"
+            );
+            return;
+        }
+        let moved = t.endpoint.is_some() && e.address != t.endpoint;
+        e.address = t.endpoint.or(e.address);
+        if e.state != t.state {
+            tracing::info!(executor = t.uid, state = ?t.state, was = ?e.state, "executor listed anew");
+        }
+        if t.state != State::Removed {
+            self.reassign_address(id, t.endpoint, poll);
+        }
+        let Some(e) = self.executors.get(&id) else { return };
+        let booted = t.boot_ms.saturating_mul(1000);
+        for key in e.connections.clone() {
+            if moved {
+                self.withdraw_unwritten(key);
+            }
+            let Some(connection) = self.connections.get_mut(&key) else { continue };
+            connection.draining |= moved;
+            if connection.connected_at < booted && booted <= now {
+                self.close(key, poll, "its executor started anew");
+            }
+        }
+        if t.state != State::Up {
+            self.drain_connections(id, t.state, poll);
+        } else {
+            self.set_state(id, State::Up);
+        }
+    }
+
+    /// An address that is this executor's now is no other's any more: what is open there was the other's.
+    fn reassign_address(&mut self, id: ExecutorId, address: Option<SocketAddr>, poll: &Poll) {
+        let Some(address) = address else { return };
+        let other = self.addresses.insert(address, id).filter(|other| *other != id);
+        let Some(e) = other.and_then(|other| self.executors.get_mut(&other)) else { return };
+        if e.address != Some(address) {
+            return;
+        }
+        e.address = None;
+        for key in e.connections.clone() {
+            self.withdraw_unwritten(key);
+            let Some(connection) = self.connections.get_mut(&key) else { continue };
+            connection.draining = true;
+            if connection.is_idle() || !connection.connected {
+                self.close(key, poll, "its address is another executor's");
+            }
+        }
+    }
+
+    fn drain_connections(&mut self, id: ExecutorId, state: State, poll: &Poll) {
+        self.set_state(id, state);
+        let Some(e) = self.executors.get(&id) else { return };
+        for key in e.connections.clone() {
+            self.withdraw_unwritten(key);
+            let Some(connection) = self.connections.get_mut(&key) else { continue };
+            connection.draining |= state == State::Removed;
+            if connection.draining && connection.is_idle() {
+                self.close(key, poll, "its executor is gone");
+            }
+        }
+    }
+
+    fn set_state(&mut self, id: ExecutorId, state: State) {
+        let Some(e) = self.executors.get_mut(&id) else { return };
+        let was = std::mem::replace(&mut e.state, state);
+        self.up = self.up + usize::from(state == State::Up) - usize::from(was == State::Up);
+        self.gone |= state == State::Removed;
+    }
+
+    /// Takes back every pull of which no byte was written.
+    fn withdraw_unwritten(&mut self, key: Key) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        for id in connection.streams.keys().copied().collect::<Vec<u64>>() {
+            if connection.withdraw_unwritten(id)
+                && let Some(s) = connection.streams.remove(&id)
+            {
+                self.attempt_connections.remove(&s.attempt_id);
+                self.events.push_back(NetworkEvent::AttemptEnded(s.attempt_id, AttemptEnd::NeverSent, None));
+            }
+        }
+    }
+}
