--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -3,7 +3,7 @@
 //! Everything that came is processed before any request begins. Signals and the clients' side go first, so that
 //! clients that have gone are known; then executors, endpoint lists and operators, so that ended attempts and
 //! draining executors are known. Then the requests begin that came in this turn, then what the clock makes due. No
-//! attempt begins by an old look at the clients (`executors::look`).
+//! attempt begins by an old look at the clients (`executors::client_poll`).
 //!
 //! - `poll`: readiness of sockets.
 //! - `poll_times`: when the sockets were polled.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,11 +4,12 @@
 //! - `event_loop`: the order in which everything is done.
 //! - `clients`: clients' connections, and what becomes of a request until the decisions have it.
 //! - `executors`: connections to executors, and the attempts on them.
-//! - `feed`, `lists`: where the endpoint list comes from.
-//! - `orders`: what the decisions want, carried out.
-//! - `operator`, `calls`, `bans_file`, `maintenance`: operators' calls and what they change.
+//! - `coordinator_watch`, `endpoint_lists`: where the endpoint list comes from.
+//! - `commands`: what the decisions want, carried out.
+//! - `admin`, `maintenance`: operators' calls and what they change.
 //! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: dispatchers that know each other, and the control group.
 //! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
+//! - `counters`: what is logged every 10 s.
 //! - `sockets`: what all sides need of sockets.
 
 mod admin;
