--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -2,12 +2,14 @@
 //!
 //! - `statements`: what a client's statement means.
 //! - `request`: a request, as a statement's comment describes it.
+//! - `reading`: what is read from it.
 //! - `answers`: what is written to it.
 //! - `lifecycle`: its time limits, and how it ends.
 //! - `sessions`: all of them.
 
 mod answers;
 mod lifecycle;
+mod reading;
 mod request;
 mod sessions;
 mod statements;
@@ -19,15 +21,12 @@
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::executors::connection::Job;
 use crate::net::sockets::buffers::{Inbox, Outbox, Pool};
-use crate::net::sockets::system_calls;
 use crate::settings::Names;
 pub use sessions::Sessions;
 use statements::{Interpretation, interpret};
 use std::io;
 use std::net::TcpStream;
 
-/// Bytes that a client may send after its connection was closed for it, while it reads the last answer.
-const MOST_DISCARDED: usize = 256 * 1024;
 /// After a mistake a client is not read for this long, in microseconds, and twice as long after each further one.
 const MISTAKE_PAUSE: Micros = 10_000;
 /// After so many mistakes in a row its connection closes.
@@ -132,52 +131,6 @@
         self.received
     }
 
-    /// Reads once; `noticed` is when the bytes came that a watched socket holds. False once the client has gone.
-    pub fn read(&mut self, noticed: Occurrence) -> bool {
-        if self.closing_since.is_some() {
-            return self.discard();
-        }
-        if self.paused_until.is_some() {
-            return true;
-        }
-        self.active_at = noticed.latest;
-        self.received = self.unread_since.take().map_or(noticed, |since| noticed.since(since));
-        if self.inbox.full() {
-            return false;
-        }
-        match self.inbox.fill(&mut self.stream) {
-            Ok(n) => n > 0,
-            Err(e) => may_read_later(&e),
-        }
-    }
-
-    /// Reads once from a connection that closes, and drops what came. False once the client has gone, or has sent too
-    /// much.
-    fn discard(&mut self) -> bool {
-        let mut bytes = [0; 4096];
-        match system_calls::read(&mut self.stream, &mut bytes) {
-            Ok(n) => {
-                self.discarded_bytes += n;
-                n > 0 && self.discarded_bytes < MOST_DISCARDED
-            }
-            Err(e) => may_read_later(&e),
-        }
-    }
-
-    /// Reads until nothing more is there. False if the client has closed its connection or its write side: a request
-    /// that it sent before that is not begun.
-    pub fn read_to_end(&mut self) -> bool {
-        while self.closing_since.is_none() && self.paused_until.is_none() && !self.inbox.full() {
-            match self.inbox.fill(&mut self.stream) {
-                Ok(0) => return false,
-                Ok(_) => {}
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return e.kind() == io::ErrorKind::WouldBlock,
-            }
-        }
-        true
-    }
-
     /// Notes that a request was taken. Returns whether it is the first of this connection.
     pub fn take_first_request(&mut self) -> bool {
         !std::mem::replace(&mut self.sent_request, true)
@@ -247,10 +200,5 @@
     matches!(bytes, [1, 0, 0, _, 1])
 }
 
-/// Whether a read found nothing now and may find something later.
-fn may_read_later(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/net/clients/session/reading.rs
@@ -0,0 +1,62 @@
+//! What is read from a client.
+
+use super::Session;
+use crate::arrivals::Occurrence;
+use crate::net::sockets::system_calls;
+use std::io;
+
+/// Bytes that a client may send after its connection was closed for it, while it reads the last answer.
+const MOST_DISCARDED: usize = 256 * 1024;
+
+impl Session {
+    /// Reads once; `noticed` is when the bytes came that a watched socket holds. False once the client has gone.
+    pub fn read(&mut self, noticed: Occurrence) -> bool {
+        if self.closing_since.is_some() {
+            return self.discard();
+        }
+        if self.paused_until.is_some() {
+            return true;
+        }
+        self.active_at = noticed.latest;
+        self.received = self.unread_since.take().map_or(noticed, |since| noticed.since(since));
+        if self.inbox.full() {
+            return false;
+        }
+        match self.inbox.fill(&mut self.stream) {
+            Ok(n) => n > 0,
+            Err(e) => may_read_later(&e),
+        }
+    }
+
+    /// Reads once from a connection that closes, and drops what came. False once the client has gone, or has sent too
+    /// much.
+    fn discard(&mut self) -> bool {
+        let mut bytes = [0; 4096];
+        match system_calls::read(&mut self.stream, &mut bytes) {
+            Ok(n) => {
+                self.discarded_bytes += n;
+                n > 0 && self.discarded_bytes < MOST_DISCARDED
+            }
+            Err(e) => may_read_later(&e),
+        }
+    }
+
+    /// Reads until nothing more is there. False if the client has closed its connection or its write side: a request
+    /// that it sent before that is not begun.
+    pub fn read_to_end(&mut self) -> bool {
+        while self.closing_since.is_none() && self.paused_until.is_none() && !self.inbox.full() {
+            match self.inbox.fill(&mut self.stream) {
+                Ok(0) => return false,
+                Ok(_) => {}
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => return e.kind() == io::ErrorKind::WouldBlock,
+            }
+        }
+        true
+    }
+}
+
+/// Whether a read found nothing now and may find something later.
+fn may_read_later(error: &io::Error) -> bool {
+    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,7 +7,7 @@
 //! - `coordinator_watch`, `endpoint_lists`: where the endpoint list comes from.
 //! - `commands`: what the decisions want, carried out.
 //! - `admin`, `maintenance`: operators' calls and what they change.
-//! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: dispatchers that know each other, and the control group.
+//! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: other dispatchers, and the control group.
 //! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
 //! - `counters`: what is logged every 10 s.
 //! - `sockets`: what all sides need of sockets.
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -5,7 +5,7 @@
 //! | at once | new ones are still taken, their budget is cut to what is left until the give-up |
 //! | [`ACCEPT_REQUESTS_FOR`] | the backlog is accepted and read once more, the listener is closed |
 //! | from then on | a client connection that is idle is closed |
-//! | [`ShutdownDeadlines::give_up_after`] | whatever is open gets its final answer: refused if it never ran, else failed |
+//! | [`ShutdownDeadlines::give_up_after`] | what is open gets its answer: refused if it never ran, else failed |
 //! | [`ShutdownDeadlines::end_after`], or once no client is left | the process ends |
 
 use crate::api::Micros;
