--- a/src/net/executors/connection.rs
+++ b/src/net/executors/connection.rs
@@ -87,6 +87,21 @@
 }
 
 impl Connection {
+    /// The connection came up.
+    pub(super) fn connection_established(&mut self, now: Micros) {
+        self.connected = true;
+        self.connected_at = now;
+        self.last_message_at = now;
+    }
+
+    /// Bytes were received: the executor answers on this connection.
+    pub(super) fn message_received(&mut self, now: Micros) {
+        self.last_message_at = now;
+        self.last_used_at = now;
+        self.unresponsive = false;
+        self.close_at = None;
+    }
+
     /// Whether word is owed for too long.
     pub(super) fn is_overdue(&self, now: Micros) -> bool {
         let streams = self.streams.values().filter(|s| s.written).map(|s| s.written_at);
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -17,8 +17,9 @@
 pub(super) mod connection;
 mod connection_pool;
 mod endpoint_updates;
-mod messages;
+mod reading;
 mod unresponsive;
+mod writing;
 
 use crate::api::Micros;
 use crate::clock::Clock;
--- /dev/null
+++ b/src/net/executors/writing.rs
@@ -0,0 +1,143 @@
+//! What is written to executors.
+
+use super::connection::{Job, Outgoing};
+use super::{Due, Executors};
+use crate::api::Micros;
+use crate::codec::executor::{self, Terms};
+use crate::dispatch::{AttemptEnd, AttemptTerms, NetworkEvent};
+use crate::net::event_loop::poll::{Key, Poll};
+use std::io;
+
+/// What becomes of a queued message.
+enum Prepared {
+    /// It is in the outbox.
+    Written,
+    /// It is dropped: its attempt may not begin any more.
+    Dropped,
+    /// It is queued again, until the clients were polled.
+    AwaitsClientPoll,
+}
+
+impl Executors {
+    /// Writes what is queued on a connection, one message after the other, so that an attempt that was not begun can be
+    /// withdrawn.
+    pub(super) fn write(&mut self, key: Key, now: Micros, poll: &Poll) {
+        if !self.connections.get(&key).is_some_and(|connection| connection.connected) {
+            return;
+        }
+        if let Err(e) = self.write_queue(key, now) {
+            self.read_rest(key, now, poll);
+            return self.close(key, poll, &e.to_string());
+        }
+        self.watch_writable(key, poll);
+    }
+
+    /// Writes until the queue is empty, the socket takes no more, or an attempt has to wait.
+    fn write_queue(&mut self, key: Key, now: Micros) -> io::Result<()> {
+        while self.flush(key, now)? {
+            let Some(connection) = self.connections.get_mut(&key) else { break };
+            let Some(message) = connection.queue.pop_front() else { break };
+            let now = self.clock.now().max(now);
+            connection.last_used_at = now;
+            if matches!(self.prepare(key, message, now), Prepared::AwaitsClientPoll) {
+                break;
+            }
+        }
+        Ok(())
+    }
+
+    /// Writes the outbox; whether all of it was written. Records the first byte and the last of an attempt.
+    fn flush(&mut self, key: Key, now: Micros) -> io::Result<bool> {
+        let Some(connection) = self.connections.get_mut(&key) else { return Ok(false) };
+        let flushed = connection.outbox.flush(&mut connection.stream);
+        let all_written = matches!(flushed, Ok(true));
+        let writing = connection.writing.and_then(|id| connection.streams.get_mut(&id));
+        if let Some(stream) =
+            writing.filter(|stream| !stream.begun && (connection.outbox.begun() || all_written))
+        {
+            stream.begun = true;
+            self.events.push_back(NetworkEvent::AttemptBegun(stream.attempt_id));
+        }
+        if all_written {
+            self.attempt_written(key, now);
+        }
+        flushed
+    }
+
+    /// The attempt in the outbox, if there is one, was written whole: from now on its executor has to answer.
+    fn attempt_written(&mut self, key: Key, now: Micros) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        let written = connection.writing.take();
+        let Some(stream) = written.and_then(|id| connection.streams.get_mut(&id)) else { return };
+        stream.written = true;
+        stream.written_at = now;
+        self.counters.forwards += 1;
+        if connection.next_check_at.is_none() {
+            let check_at = now + connection.message_interval + 1;
+            connection.next_check_at = Some(check_at);
+            self.timers.set(check_at, Due::ResponsivenessCheck(key));
+        }
+    }
+
+    /// Puts a queued message into the outbox.
+    fn prepare(&mut self, key: Key, message: Outgoing, now: Micros) -> Prepared {
+        self.scratch.clear();
+        let out = &mut self.scratch;
+        match message {
+            Outgoing::Pull { id, job, terms } => return self.prepare_attempt(key, id, job, terms, now),
+            Outgoing::Kill(id) => executor::kill(out, id),
+            Outgoing::SetPriority(id, priority) => executor::boost(out, id, priority),
+            Outgoing::Scroll(id, page) => executor::scroll(out, id, page),
+            Outgoing::Discard(id) => executor::discard(out, id),
+            Outgoing::Meter(tag) => executor::meter(out, tag),
+        }
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.outbox.append(&self.scratch);
+        }
+        Prepared::Written
+    }
+
+    /// The one place where an attempt begins. One that is past its time to begin ends as never sent; one for which what
+    /// the clients did is not known well enough waits for the next poll of them.
+    fn prepare_attempt(&mut self, key: Key, id: u64, job: Job, terms: AttemptTerms, now: Micros) -> Prepared {
+        let Some(connection) = self.connections.get_mut(&key) else { return Prepared::Dropped };
+        if now > terms.begin_by
+            && let Some(stream) = connection.streams.remove(&id)
+        {
+            self.attempt_connections.remove(&stream.attempt_id);
+            let end = AttemptEnd::NeverSent;
+            self.events.push_back(NetworkEvent::AttemptEnded(stream.attempt_id, end, None));
+            return Prepared::Dropped;
+        }
+        if !self.client_poll.is_fresh(now) {
+            self.client_poll.wait(key);
+            connection.queue.push_front(Outgoing::Pull { id, job, terms });
+            return Prepared::AwaitsClientPoll;
+        }
+        self.client_poll.begins();
+        let wire_terms = Terms {
+            kind: &job.kind,
+            wait_ms: (terms.deadline.saturating_sub(now) / 1000).max(1),
+            memory_mb: terms.memory_mb,
+            priority: terms.priority,
+            token: job.token.as_deref(),
+        };
+        executor::pull(&mut self.scratch, id, &wire_terms, &job.statement);
+        connection.writing = Some(id);
+        connection.outbox.append(&self.scratch);
+        Prepared::Written
+    }
+
+    /// Watches for room to write only while something is unwritten: a writable socket would wake the loop all the time.
+    fn watch_writable(&mut self, key: Key, poll: &Poll) {
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        let unwritten = !connection.outbox.is_empty();
+        if unwritten == connection.watches_writable {
+            return;
+        }
+        connection.watches_writable = unwritten;
+        if let Err(e) = poll.writable(key, &connection.stream, unwritten) {
+            self.close(key, poll, &e.to_string());
+        }
+    }
+}
