--- a/src/net/admin/calls.rs
+++ b/src/net/admin/calls.rs
@@ -1,4 +1,4 @@
-//! What operators ask, and the bans that are handed from one process to the next.
+//! What each operator's call does, and its answer.
 
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
@@ -9,28 +9,15 @@
 use std::io;
 
 impl DispatcherServer {
-    /// Carries out an operator's call; the answer to write.
-    /// Some wait for the fleet's word, and are answered later.
+    /// Carries an operator's call out; the answer to write. `None`: the fleet has to agree first, and the answer comes
+    /// later.
     pub(in crate::net) fn answer_call(
         &mut self,
         caller: Key,
         now: Micros,
         line: Result<Call, Fault>,
     ) -> Option<String> {
-        // Without peers there are no plans, and no such call.
-        let unknown = || Some(ops::refusal(&Fault::Unknown("DRAIN".into())));
-        let call = match line {
-            Ok(Call::Plan(_) | Call::PlanStatus | Call::PlanAbort | Call::PlanMend(_))
-            | Err(Fault::Missing("DRAIN" | "DRAIN PLAN" | "DRAIN MEND") | Fault::Extra("DRAIN"))
-                if self.in_flight.is_none() =>
-            {
-                return unknown();
-            }
-            Ok(Call::Policy(_)) | Err(Fault::Missing("POLICY") | Fault::Extra("POLICY"))
-                if self.rules.is_none() =>
-            {
-                return Some(ops::refusal(&Fault::Unknown("POLICY".into())));
-            }
+        let call = match self.known_call(line) {
             Ok(call) => call,
             Err(fault) => return Some(ops::refusal(&fault)),
         };
@@ -38,54 +25,85 @@
             Call::Plan(_) | Call::PlanStatus | Call::PlanAbort | Call::PlanMend(_) => {
                 return self.plan_call(caller, now, call);
             }
-            Call::Policy(ask) => return self.policy_call(caller, now, &ask),
+            Call::Policy(policy_call) => return self.policy_call(caller, now, &policy_call),
             Call::Health => self.readiness().answer(),
             Call::Dump => format!("+OK figures\n{}.", self.dump(now)),
-            Call::Leave => {
-                if self.leaving.is_none() {
-                    tracing::warn!(
-                        clients = self.sessions.by_key.len(),
-                        open = self.requests.open.len(),
-                        "LEAVE"
-                    );
-                    self.leaving = Some(now);
-                    // A front that asks the client port is told no.
-                    self.stop_accepting(now);
+            Call::Leave => self.leave(now),
+            Call::Join => self.join(now),
+            Call::Offline(id) => self.take_offline(now, &id),
+            Call::Online(id) => self.bring_online(now, &id),
+        })
+    }
+
+    /// The call, if this dispatcher has it: without peers there are no plans, and without an agreed policy no calls on
+    /// it.
+    fn known_call(&self, line: Result<Call, Fault>) -> Result<Call, Fault> {
+        let is_plan_call = matches!(
+            line,
+            Ok(Call::Plan(_) | Call::PlanStatus | Call::PlanAbort | Call::PlanMend(_))
+                | Err(Fault::Missing("DRAIN" | "DRAIN PLAN" | "DRAIN MEND") | Fault::Extra("DRAIN"))
+        );
+        let is_policy_call =
+            matches!(line, Ok(Call::Policy(_)) | Err(Fault::Missing("POLICY") | Fault::Extra("POLICY")));
+        if is_plan_call && self.in_flight.is_none() {
+            return Err(Fault::Unknown("DRAIN".into()));
+        }
+        if is_policy_call && self.rules.is_none() {
+            return Err(Fault::Unknown("POLICY".into()));
+        }
+        line
+    }
+
+    /// `LEAVE`: accepts no clients, and closes those that are idle.
+    fn leave(&mut self, now: Micros) -> String {
+        if self.leaving.is_none() {
+            tracing::warn!(clients = self.sessions.by_key.len(), open = self.requests.open.len(), "LEAVE");
+            self.leaving = Some(now);
+            // A load balancer that probes the clients' port has to see it closed.
+            self.stop_accepting(now);
+        }
+        self.close_idle_clients_while_leaving(now);
+        "+OK leaving".into()
+    }
+
+    /// `JOIN`: accepts clients again.
+    fn join(&mut self, now: Micros) -> String {
+        if self.leaving.take().is_some() {
+            tracing::warn!("JOIN");
+        }
+        match self.listen_again(now) {
+            Ok(()) => "+OK joined".into(),
+            Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.listener.address()),
+        }
+    }
+
+    /// `OFFLINE`: bans an executor, so that it gets no new work.
+    fn take_offline(&mut self, now: Micros, id: &str) -> String {
+        match self.bans.offline(id, self.endpoints.contains_key(id)) {
+            Ok(is_new) => {
+                if is_new {
+                    tracing::warn!(executor = id, "OFFLINE: no new work for it until ONLINE");
+                    self.ban_changed(now, id);
                 }
-                self.close_idle_clients_while_leaving(now);
-                "+OK leaving".into()
+                format!("+OK offline {id}")
             }
-            Call::Join => {
-                if self.leaving.take().is_some() {
-                    tracing::warn!("JOIN");
-                }
-                match self.listen_again(now) {
-                    Ok(()) => "+OK joined".into(),
-                    Err(e) => format!("-ERR joined, but can't listen on {}: {e}", self.listener.address()),
+            Err(e) => format!("-ERR {e}"),
+        }
+    }
+
+    /// `ONLINE`: lifts a ban. The executor was restarted meanwhile: it warms up from now on.
+    fn bring_online(&mut self, now: Micros, id: &str) -> String {
+        match self.bans.online(id, self.endpoints.contains_key(id)) {
+            Ok(was_banned) => {
+                if was_banned {
+                    tracing::warn!(executor = id, "ONLINE: it serves again, cold");
+                    self.onlined_at_ms.insert(id.to_string(), now / 1000);
+                    self.ban_changed(now, id);
                 }
+                format!("+OK online {id}")
             }
-            Call::Offline(id) => match self.bans.offline(&id, self.endpoints.contains_key(&id)) {
-                Ok(new) => {
-                    if new {
-                        tracing::warn!(executor = id, "OFFLINE: no new work for it until ONLINE");
-                        self.ban_changed(now, &id);
-                    }
-                    format!("+OK offline {id}")
-                }
-                Err(e) => format!("-ERR {e}"),
-            },
-            Call::Online(id) => match self.bans.online(&id, self.endpoints.contains_key(&id)) {
-                Ok(was) => {
-                    if was {
-                        tracing::warn!(executor = id, "ONLINE: it serves again, cold");
-                        self.onlined_at_ms.insert(id.clone(), now / 1000);
-                        self.ban_changed(now, &id);
-                    }
-                    format!("+OK online {id}")
-                }
-                Err(e) => format!("-ERR {e}"),
-            },
-        })
+            Err(e) => format!("-ERR {e}"),
+        }
     }
 
     /// Listens for clients again, beside any other process on the port.
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -6,7 +6,8 @@
 use crate::dispatch::{AttemptEnd, AttemptId, AttemptTerms, ExecutorId, NetworkEvent, ProbeOutcome};
 use crate::must;
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::executors::connection::{Outgoing, Stream};
+use crate::net::executors::answers::Stream;
+use crate::net::executors::connection::Outgoing;
 use rand_core::RngCore;
 
 /// From this attempt on a request that lost all before shares no connection: it may be why they were lost.
--- a/src/net/executors/connection.rs
+++ b/src/net/executors/connection.rs
@@ -1,21 +1,14 @@
-//! One connection to an executor, and what an answer does to an attempt on it.
+//! One connection to an executor.
 
+use super::answers::Stream;
 use crate::api::Micros;
-use crate::codec::executor::{self, Note};
-use crate::dispatch::{AttemptEnd, AttemptId, AttemptProgress, AttemptTerms, ExecutorId};
-use crate::must;
-use crate::net::sockets::buffers::{Block, Inbox, Outbox, Pool};
+use crate::dispatch::{AttemptTerms, ExecutorId};
+use crate::net::sockets::buffers::{Inbox, Outbox, Pool};
 use crate::net::sockets::system_calls;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// A result: its pages in order.
-pub type Rows = Vec<Block>;
-
-/// The most pages and bytes that a result may have: 48,000 bytes come to 8 pages of the usual size.
-const MAX_PAGES: u32 = 256;
-const MAX_BYTES: usize = 48_000;
 /// What an attempt needs to go out.
 #[derive(Debug, Clone)]
 pub struct Job {
@@ -27,23 +20,7 @@
     pub token: Option<Rc<str>>,
 }
 
-/// An attempt on its way.
-pub(super) struct Stream {
-    pub(super) attempt_id: AttemptId,
-    /// A byte of it was written, and that was told.
-    pub(super) begun: bool,
-    /// Written whole.
-    pub(super) written: bool,
-    /// All pages; 0 until the executor said OK.
-    pub(super) pages: u32,
-    pub(super) rows: Rows,
-    /// Bytes of the rows.
-    pub(super) bytes: usize,
-    /// When the pull was written.
-    pub(super) written_at: Micros,
-}
-
-/// What waits to be written.
+/// A message that is queued.
 pub(super) enum Outgoing {
     Pull { id: u64, job: Job, terms: AttemptTerms },
     Kill(u64),
@@ -53,40 +30,84 @@
     Meter(u64),
 }
 
-/// One connection.
+/// One connection to an executor. Points and spans are in microseconds.
 pub(super) struct Connection {
+    /// The executor, by its id: its address may have changed since.
     pub(super) executor: ExecutorId,
+    /// The socket.
     pub(super) stream: TcpStream,
+    /// Whether it came up.
     pub(super) connected: bool,
+    /// The point at which it was begun, and from when it is up, the point at which it came up.
     pub(super) connected_at: Micros,
-    /// One that owes word for longer than this gets nothing new, and is probed.
+    /// The span within which a message has to come while something is outstanding; after that it gets no new attempt,
+    /// and is probed.
     pub(super) message_interval: Micros,
+    /// The point of the last bytes received, or at which it came up.
     pub(super) last_message_at: Micros,
+    /// The point of the last bytes received or message queued to the socket.
     pub(super) last_used_at: Micros,
-    /// Takes nothing new.
+    /// Whether it gets no new attempts.
     pub(super) draining: bool,
+    /// Bytes received and not yet handled.
     pub(super) inbox: Inbox,
+    /// Bytes not yet written.
     pub(super) outbox: Outbox,
-    /// The pull that is in the outbox.
+    /// The request whose attempt is in the outbox.
     pub(super) writing: Option<u64>,
+    /// Messages not yet in the outbox.
     pub(super) queue: VecDeque<Outgoing>,
+    /// Outstanding attempts, by request id.
     pub(super) streams: BTreeMap<u64, Stream>,
-    /// Ids that ended here in any way but served, and when.
+    /// Ids of requests that ended here in any way but served, and when.
     pub(super) ended_ids: BTreeMap<u64, Micros>,
-    /// Since when an answer has been here in part.
+    /// Since when a partial message is in the inbox.
     pub(super) partial_since: Option<Micros>,
-    /// Met a silent probe, and nothing was heard on it since.
+    /// Whether a probe timed out and nothing was received since.
     pub(super) unresponsive: bool,
-    /// Mute while its executor was heard elsewhere: over by then.
+    /// When it is closed, as it was unresponsive while its executor answered elsewhere.
     pub(super) close_at: Option<Micros>,
-    /// When it is looked at next for word that it owes.
+    /// When it is checked next for messages that are overdue.
     pub(super) next_check_at: Option<Micros>,
-    /// Probes that are out, and when they were asked for.
+    /// Outstanding probes by tag, and when they were sent.
     pub(super) probes: BTreeMap<u64, Micros>,
+    /// Whether the poller reports when it can be written to.
     pub(super) watches_writable: bool,
 }
 
 impl Connection {
+    /// A connection that was begun and is not up yet.
+    pub(super) fn new(
+        executor: ExecutorId,
+        stream: TcpStream,
+        message_interval: Micros,
+        now: Micros,
+        pool: &Pool,
+    ) -> Connection {
+        Connection {
+            executor,
+            stream,
+            connected: false,
+            connected_at: now,
+            message_interval,
+            last_message_at: now,
+            last_used_at: now,
+            draining: false,
+            inbox: Inbox::new(pool),
+            outbox: Outbox::new(pool),
+            writing: None,
+            queue: VecDeque::new(),
+            streams: BTreeMap::new(),
+            ended_ids: BTreeMap::new(),
+            partial_since: None,
+            unresponsive: false,
+            close_at: None,
+            next_check_at: None,
+            probes: BTreeMap::new(),
+            watches_writable: true,
+        }
+    }
+
     /// The connection came up.
     pub(super) fn connection_established(&mut self, now: Micros) {
         self.connected = true;
@@ -102,13 +123,19 @@
         self.close_at = None;
     }
 
-    /// Whether word is owed for too long.
+    /// The point at which the oldest of the attempts that were written whole was written.
+    pub(super) fn oldest_written_at(&self) -> Option<Micros> {
+        self.streams.values().filter(|stream| stream.written).map(|stream| stream.written_at).min()
+    }
+
+    /// Whether a message is overdue.
     pub(super) fn is_overdue(&self, now: Micros) -> bool {
-        let streams = self.streams.values().filter(|s| s.written).map(|s| s.written_at);
-        let oldest = streams.chain(self.probes.values().copied()).min();
-        self.connected && oldest.is_some_and(|t| now > t.max(self.last_message_at) + self.message_interval)
+        let oldest = self.oldest_written_at().into_iter().chain(self.probes.values().copied()).min();
+        let due = oldest.map(|at| at.max(self.last_message_at) + self.message_interval);
+        self.connected && due.is_some_and(|due| now > due)
     }
 
+    /// Whether it can take an attempt of this request, and has fewer than so many.
     pub(super) fn accepts(&self, id: u64, most: usize, now: Micros) -> bool {
         let fresh = !self.streams.contains_key(&id) && !self.ended_ids.contains_key(&id);
         !self.draining && self.streams.len() < most && fresh && !self.is_overdue(now)
@@ -123,7 +150,7 @@
             }
     }
 
-    /// Takes a pull back of which no byte was written; false if there is none such.
+    /// Removes an attempt of which no byte was written; false if there is none such.
     pub(super) fn withdraw_unwritten(&mut self, id: u64) -> bool {
         let waiting = |o: &Outgoing| matches!(o, Outgoing::Pull { id: i, .. } if *i == id);
         if let Some(at) = self.queue.iter().position(waiting) {
@@ -138,75 +165,8 @@
         whole
     }
 
+    /// Whether nothing is outstanding or unwritten.
     pub(super) fn is_idle(&self) -> bool {
         self.streams.is_empty() && self.probes.is_empty() && self.queue.is_empty() && self.outbox.is_empty()
     }
 }
-
-/// What an answer does to its attempt.
-pub(super) enum AnswerEffect {
-    Continues,
-    /// Said before: dropped.
-    Duplicate,
-    Progressed(AttemptProgress),
-    Pages(u32),
-    Ended(AttemptEnd<Rows>),
-    Malformed(&'static str),
-}
-
-pub(super) fn apply_answer(s: &mut Stream, word: executor::Word, body: &[u8], pool: &Pool) -> AnswerEffect {
-    match word {
-        executor::Word::Note(None) => AnswerEffect::Continues,
-        executor::Word::Note(Some(Note::Done(x))) => AnswerEffect::Progressed(AttemptProgress::Progress(x)),
-        executor::Word::Note(Some(Note::Spills(x))) => AnswerEffect::Progressed(AttemptProgress::Spill(x)),
-        executor::Word::Note(Some(Note::Waits)) => AnswerEffect::Progressed(AttemptProgress::Waits),
-        executor::Word::Busy => AnswerEffect::Ended(AttemptEnd::Rejected),
-        executor::Word::Void => AnswerEffect::Ended(AttemptEnd::NotRun),
-        executor::Word::Err => AnswerEffect::Ended(AttemptEnd::Error),
-        executor::Word::Ok { pages } => {
-            if s.pages > 0 {
-                return AnswerEffect::Duplicate;
-            }
-            let Some(pages) = pages.filter(|n| *n <= MAX_PAGES) else {
-                return AnswerEffect::Malformed("no number of pages, or too many");
-            };
-            if !keep(s, body, pool) {
-                return AnswerEffect::Malformed("rows that can't be read, or too many");
-            }
-            s.pages = pages;
-            match pages {
-                1 => AnswerEffect::Ended(AttemptEnd::Served(std::mem::take(&mut s.rows))),
-                n => AnswerEffect::Pages(n),
-            }
-        }
-        executor::Word::Rows { page } => {
-            // Pages were asked for in order on one connection.
-            let due = s.rows.len();
-            let Some(page) = page.map(|n| n as usize).filter(|n| s.pages > 0 && *n <= due) else {
-                return AnswerEffect::Malformed("a page out of turn");
-            };
-            if page < due {
-                return AnswerEffect::Duplicate;
-            }
-            if !keep(s, body, pool) {
-                return AnswerEffect::Malformed("rows that can't be read, or too many");
-            }
-            match s.rows.len() == s.pages as usize {
-                true => AnswerEffect::Ended(AttemptEnd::Served(std::mem::take(&mut s.rows))),
-                false => AnswerEffect::Continues,
-            }
-        }
-    }
-}
-
-/// Keeps a page; false if it can't be used.
-fn keep(s: &mut Stream, page: &[u8], pool: &Pool) -> bool {
-    s.bytes += page.len();
-    if s.bytes > MAX_BYTES || !executor::whole_rows(page) {
-        return false;
-    }
-    let mut block = pool.block();
-    must!(block.append(page) == page.len(), "a page is larger than a buffer");
-    s.rows.push(block);
-    true
-}
--- a/src/net/executors/connection_pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -6,13 +6,19 @@
 use crate::dispatch::{AttemptEnd, ExecutorId, NetworkEvent, ProbeOutcome};
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::executors::connection::Connection;
-use crate::net::sockets::buffers::{Inbox, Outbox};
 use crate::net::sockets::dial;
 use crate::net::sockets::system_calls;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
 
-/// An id that ended is remembered on its connection for this long, longer than an answer can be under way.
+/// Connections that an executor may have at least, however many executors there are.
+const MIN_CONNECTIONS_PER_EXECUTOR: usize = 2;
+/// An idle connection is closed this much before executors would close it, in microseconds, or by this fraction of the
+/// time that they allow, if that is less.
+const IDLE_MARGIN: Micros = 2_000_000;
+const IDLE_MARGIN_FRACTION: Micros = 4;
+/// The span for which an id that ended is remembered on its connection, in microseconds: longer than an answer can be
+/// under way. Without it a late answer would be taken for that of a new attempt of the same request.
 const ENDED_IDS_KEPT: Micros = 60_000_000;
 
 /// Why there is no connection.
@@ -25,95 +31,104 @@
 }
 
 impl Executors {
-    /// A connection that will do, or a new one.
+    /// A connection to an executor that `fits`: an unused one, a new one, or, as long as no more may be opened, one that
+    /// others use too.
     pub(super) fn connection(
         &mut self,
-        to: ExecutorId,
+        executor: ExecutorId,
         now: Micros,
         poll: &Poll,
         fits: impl Fn(&Connection) -> bool,
     ) -> Result<Key, NoConnection> {
-        let best = loop {
-            let connections =
-                self.executors.get(&to).ok_or(NoConnection::ExecutorUnreachable)?.connections.iter();
-            let usable =
-                connections.filter_map(|k| self.connections.get(k).map(|c| (*k, c))).filter(|(_, c)| fits(c));
-            // The least shared one; among those the one heard last, so that the others can go.
-            let best =
-                usable.min_by_key(|(_, c)| (c.streams.len(), !c.connected, Reverse(c.last_message_at)));
-            let Some((key, c)) = best else { break None };
-            // What is written to one that its executor has closed is lost, and may have run for all that is known:
-            // an end that is here already is heeded before.
-            if c.closed_by_executor() {
-                self.close(key, poll, "closed by the executor");
-                continue;
-            }
-            break Some((key, c.streams.is_empty()));
+        let best = self.least_used(executor, poll, fits)?;
+        let shared = match best {
+            Some((key, 0)) => return Ok(key),
+            Some((key, _)) => Some(key),
+            None => None,
         };
-        if let Some((key, true)) = best {
+        let listed = self.executors.get(&executor).ok_or(NoConnection::ExecutorUnreachable)?;
+        let at_limit = self.connections.len() >= self.max_connections;
+        if let Some(key) = shared
+            && (at_limit || listed.connections.len() >= self.connections_per_executor())
+        {
             return Ok(key);
         }
-        let shared = best.map(|(key, _)| key);
-        let e = self.executors.get(&to).ok_or(NoConnection::ExecutorUnreachable)?;
-        let share = (self.max_connections / self.up.max(1)).max(2);
-        let full = self.connections.len() >= self.max_connections;
-        if let Some(key) = shared.filter(|_| full || e.connections.len() >= share) {
-            return Ok(key);
+        let Some(address) = listed.address else { return shared.ok_or(NoConnection::ExecutorUnreachable) };
+        if at_limit {
+            self.close_idle_connection(executor, poll)?;
         }
-        let Some(address) = e.address else { return shared.ok_or(NoConnection::ExecutorUnreachable) };
-        if full {
-            // Another executor may keep more than it needs just now.
-            let idle =
-                self.connections.iter().filter(|(_, c)| c.is_idle()).min_by_key(|(_, c)| c.last_used_at);
-            let Some(key) = idle.map(|(key, _)| *key) else {
-                tracing::warn!(executor = e.uid, most = self.max_connections, "no connection left");
-                return Err(NoConnection::OwnLimit);
-            };
-            self.close(key, poll, "its place is needed");
+        match self.dial(executor, address, now, poll) {
+            Ok(key) => Ok(key),
+            Err(no_connection) => shared.ok_or(no_connection),
         }
-        let dialed = dial::dial(address).and_then(|s| poll.add(&s, true).map(|key| (s, key)));
-        let (stream, key) = match dialed {
-            Ok(dialed) => dialed,
-            Err(err) => {
-                tracing::warn!(%address, error = %err, "can't dial");
-                let ours = system_calls::is_local_failure(&err);
-                self.out_of_descriptors |= dial::out_of_descriptors(&err);
-                return shared.ok_or(if ours {
-                    NoConnection::OwnLimit
-                } else {
-                    NoConnection::ExecutorUnreachable
-                });
+    }
+
+    /// The connection to an executor that fits and has the fewest attempts, with their number; among those the one that
+    /// received a message last, so that the others become idle and are closed.
+    fn least_used(
+        &mut self,
+        executor: ExecutorId,
+        poll: &Poll,
+        fits: impl Fn(&Connection) -> bool,
+    ) -> Result<Option<(Key, usize)>, NoConnection> {
+        loop {
+            let listed = self.executors.get(&executor).ok_or(NoConnection::ExecutorUnreachable)?;
+            let open = listed.connections.iter().filter_map(|key| Some((*key, self.connections.get(key)?)));
+            let best = open
+                .filter(|(_, connection)| fits(connection))
+                .min_by_key(|(_, c)| (c.streams.len(), !c.connected, Reverse(c.last_message_at)));
+            let Some((key, connection)) = best else { return Ok(None) };
+            // An attempt that is written to a connection that its executor has closed is lost, and nobody knows that it
+            // did not run. So the end of the connection is read first.
+            if !connection.closed_by_executor() {
+                return Ok(Some((key, connection.streams.len())));
             }
+            self.close(key, poll, "closed by the executor");
+        }
+    }
+
+    /// How many connections an executor may have while others need some too.
+    fn connections_per_executor(&self) -> usize {
+        (self.max_connections / self.up.max(1)).max(MIN_CONNECTIONS_PER_EXECUTOR)
+    }
+
+    /// Closes the connection that was idle longest, whosever it is, to make room for one to this executor.
+    fn close_idle_connection(&mut self, executor: ExecutorId, poll: &Poll) -> Result<(), NoConnection> {
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        let longest_idle = idle.min_by_key(|(_, connection)| connection.last_used_at).map(|(key, _)| *key);
+        let Some(key) = longest_idle else {
+            let uid = self.executors.get(&executor).map_or("", |listed| &listed.uid);
+            tracing::warn!(executor = uid, most = self.max_connections, "no connection left");
+            return Err(NoConnection::OwnLimit);
         };
+        self.close(key, poll, "its place is needed");
+        Ok(())
+    }
+
+    /// Begins a connection to an executor.
+    fn dial(
+        &mut self,
+        executor: ExecutorId,
+        address: SocketAddr,
+        now: Micros,
+        poll: &Poll,
+    ) -> Result<Key, NoConnection> {
+        let dialed = dial::dial(address).and_then(|stream| poll.add(&stream, true).map(|key| (stream, key)));
+        let (stream, key) = dialed.map_err(|error| {
+            tracing::warn!(%address, %error, "can't dial");
+            self.out_of_descriptors |= dial::out_of_descriptors(&error);
+            if system_calls::is_local_failure(&error) {
+                NoConnection::OwnLimit
+            } else {
+                NoConnection::ExecutorUnreachable
+            }
+        })?;
         self.counters.dials += 1;
         self.timers.set(now + self.transport.dial_timeout, Due::Dial(key));
-        self.connections.insert(
-            key,
-            Connection {
-                executor: to,
-                stream,
-                connected: false,
-                connected_at: now,
-                message_interval: self.transport.word_within(),
-                last_message_at: now,
-                last_used_at: now,
-                draining: false,
-                inbox: Inbox::new(&self.pool),
-                outbox: Outbox::new(&self.pool),
-                writing: None,
-                queue: VecDeque::new(),
-                streams: BTreeMap::new(),
-                ended_ids: BTreeMap::new(),
-                partial_since: None,
-                unresponsive: false,
-                close_at: None,
-                next_check_at: None,
-                probes: BTreeMap::new(),
-                watches_writable: true,
-            },
-        );
-        if let Some(e) = self.executors.get_mut(&to) {
-            e.connections.push(key);
+        let message_interval = self.transport.word_within();
+        self.connections.insert(key, Connection::new(executor, stream, message_interval, now, &self.pool));
+        if let Some(listed) = self.executors.get_mut(&executor) {
+            listed.connections.push(key);
         }
         Ok(key)
     }
@@ -155,8 +170,9 @@
 
     /// Closes what has been idle nearly as long as executors allow, and forgets old ids.
     pub fn sweep(&mut self, now: Micros, poll: &Poll) {
-        let idle = self.transport.conn_idle - (self.transport.conn_idle / 4).min(2_000_000);
-        let over = |c: &Connection| c.is_idle() && (c.draining || now > c.last_used_at + idle);
+        let idle_timeout = self.transport.conn_idle;
+        let idle_limit = idle_timeout - (idle_timeout / IDLE_MARGIN_FRACTION).min(IDLE_MARGIN);
+        let over = |c: &Connection| c.is_idle() && (c.draining || now > c.last_used_at + idle_limit);
         let closed: Vec<Key> = self.connections.iter().filter(|(_, c)| over(c)).map(|(k, _)| *k).collect();
         closed.into_iter().for_each(|key| self.close(key, poll, "idle"));
         self.connections.values_mut().for_each(|c| c.ended_ids.retain(|_, t| now < *t + ENDED_IDS_KEPT));
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -1,17 +1,20 @@
 //! Executors and the connections to them.
 //!
-//! A connection belongs to one executor by its uid, whatever its address becomes. It carries one attempt as
-//! long as descriptors last: a spoilt answer ends its connection with all that is open there. A request that
-//! ended in any way on a connection never goes out on that one again, so that a late answer or a second copy
-//! can't be taken for a new one.
+//! A connection belongs to one executor by its uid, whatever its address becomes. It carries one attempt as long as
+//! descriptors last: a malformed answer ends its connection with all that is outstanding there. A request that ended in
+//! any way but served on a connection never goes out on that one again, so that a late answer or a duplicate can't be
+//! taken for that of a new attempt.
 //!
-//! - `listing`: news of the list, and what it ends.
-//! - `attempts`: the dispatcher's orders.
-//! - `pool`: which connection is used, dialed or closed.
-//! - `traffic`: what is read and written.
-//! - `look`: the look at clients that has to come before an attempt begins.
-//! - `silence`: what falls due when nothing comes.
+//! - `endpoint_updates`: changes of the endpoint list, and what they end.
+//! - `attempts`: attempts and probes that the decisions ask for.
+//! - `connection_pool`: which connection is used, opened or closed.
+//! - `connection`: one connection.
+//! - `reading`, `answers`: what is read from executors, and what it does to an attempt.
+//! - `writing`: what is written to them; the one place where an attempt begins.
+//! - `client_poll`: the poll of clients that has to come before an attempt begins.
+//! - `unresponsive`: what falls due when nothing comes.
 
+mod answers;
 mod attempts;
 mod client_poll;
 pub(super) mod connection;
@@ -28,10 +31,11 @@
 use crate::net::event_loop::poll::Key;
 use crate::net::event_loop::timers::Timers;
 use crate::net::executors::connection::Connection;
-pub use crate::net::executors::connection::{Job, Rows};
 use crate::net::sockets::buffers::Pool;
 use crate::settings::Transport;
+pub use answers::Rows;
 use client_poll::ClientPoll;
+pub use connection::Job;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/src/net/executors/reading.rs
+++ b/src/net/executors/reading.rs
@@ -1,6 +1,7 @@
 //! What is read from executors.
 
-use super::connection::{AnswerEffect, Outgoing, apply_answer};
+use super::answers::{AnswerEffect, apply_answer};
+use super::connection::Outgoing;
 use super::{Due, Executors, PARTIAL_ANSWER_TIMEOUT};
 use crate::api::Micros;
 use crate::codec::executor::{self, Answer, Gauges};
