--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -43,7 +43,7 @@
     /// ends.
     pub(super) fn handle_attempt_finished(&mut self, finished: AttemptFinished) {
         let (id, outcome) = (finished.request, finished.outcome);
-        self.reported(finished.executor, finished.report);
+        self.record_report(finished.executor, finished.report);
         let Some(index) = self.record_attempt_outcome(id, finished.attempt, outcome) else { return };
         self.keep_key_quiet_after(id, outcome);
         self.record_executor_outcome(index, outcome);
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -13,7 +13,7 @@
         let is_first_list = !std::mem::replace(&mut self.endpoint_list_loaded, true);
         let is_complete = kind != EndpointListKind::Update;
         if is_complete {
-            self.mark_absent_except(&endpoints);
+            self.executors.mark_absent_except(&endpoints);
         }
         for endpoint in endpoints {
             let index = self.apply_endpoint(endpoint, is_first_list);
@@ -29,7 +29,7 @@
     /// Enters an executor or what has changed of it; its index in the table.
     fn apply_endpoint(&mut self, endpoint: Endpoint, is_first_list: bool) -> usize {
         let warming_since = self.new_slow_start(&endpoint, is_first_list);
-        let index = self.enter(endpoint, warming_since);
+        let index = self.update_executor(endpoint, warming_since);
         self.executors[index].pool = self.pool_of(&self.executors[index]);
         index
     }
@@ -38,7 +38,7 @@
     /// its ramp is not over. One that appears or comes back without a time of start begins now; in the first
     /// list that is no news.
     fn new_slow_start(&self, endpoint: &Endpoint, is_first_list: bool) -> Option<TimestampUs> {
-        let known = self.index.get(&endpoint.executor).map(|&index| &self.executors[index]);
+        let known = self.executors.position(endpoint.executor).map(|index| &self.executors[index]);
         let is_new = match known {
             Some(executor) => !executor.present || executor.endpoint.readiness == Readiness::Left,
             None => !is_first_list,
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -45,7 +45,7 @@
     /// Attempts that a tick looks at: all that are in flight, or a bounded number, from where the tick before
     /// ended.
     fn attempts_to_check(&mut self) -> Vec<(RequestId, u32)> {
-        let active = self.executor_index.active.iter();
+        let active = self.executors.active.iter();
         let in_flight = active.flat_map(|index| self.executors[*index].attempts_in_flight.iter());
         let mut attempts: Vec<(RequestId, u32)> = in_flight.copied().collect();
         if attempts.len() > CHECKED_PER_TICK {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -97,9 +97,7 @@
             return;
         }
         self.resumed_at = now;
-        for &index in &self.executor_index.active {
-            self.executors[index].last_message_at = now;
-        }
+        self.executors.for_each_active(|executor| executor.last_message_at = now);
     }
 
     /// With the first event the periodic checks and the watch of the endpoint list begin.
@@ -147,8 +145,8 @@
             self.check_attempts();
         }
         self.check_key_queues();
-        for &index in &self.executor_index.active {
-            self.executors[index].in_flight_threads_at_tick = self.executors[index].in_flight_threads;
-        }
+        self.executors.for_each_active(|executor| {
+            executor.in_flight_threads_at_tick = executor.in_flight_threads;
+        });
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -174,8 +174,8 @@
         outcome: Outcome,
         report: Option<Report>,
     ) {
-        self.reported(executor, report);
-        let Some(&index) = self.index.get(&executor) else { return };
+        self.record_report(executor, report);
+        let Some(index) = self.executors.position(executor) else { return };
         self.executors[index].probe_sent = None;
         self.mark_active(index);
         match outcome {
--- a/src/balancer/pressure.rs
+++ b/src/balancer/pressure.rs
@@ -57,10 +57,10 @@
         self.tally(LEARN);
         let mut pools = std::collections::BTreeMap::<u64, Pool>::new();
         // A dispatcher hears of few executors at a time: what is known of those stands for all, by age.
-        let listed = self.executor_index.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
+        let listed = self.executors.active.iter().map(|i| &self.executors[*i]).filter(|e| e.listed());
         let ejected: f64 = listed.clone().filter(|e| e.health.ejected_until.is_some()).map(|e| e.cores).sum();
         fleet += self.executor_index.cores(&self.settings.kinds, |_| true) - ejected;
-        self.count_examined(self.executor_index.active.len());
+        self.count_examined(self.executors.active.len());
         for e in listed.filter(|e| e.health.ejected_until.is_none()) {
             own += e.in_flight_threads;
             let Some(r) = self.held(e) else { continue };
--- a/src/balancer/selection/affinity.rs
+++ b/src/balancer/selection/affinity.rs
@@ -4,7 +4,7 @@
 
 use super::candidates::SAMPLE_SIZE;
 use crate::api::{Class, ClassId, ExecutorId};
-use crate::state::{Balancer, Executor, Part, Request, hashed, mixed};
+use crate::state::{Balancer, Executor, Part, Request, mix, rendezvous_hash};
 
 /// Preferred executors of a table group; two, as one can be busy.
 const PREFERRED_EXECUTORS: usize = 2;
@@ -54,7 +54,7 @@
 
     /// Weighted rendezvous score of an executor for a table group; the least score is preferred.
     fn affinity_score(&self, class: ClassId, group: u64, executor: &Executor) -> f64 {
-        let uniform = hashed(group, executor.endpoint.executor);
+        let uniform = rendezvous_hash(group, executor.endpoint.executor);
         -uniform.ln() / executor.cores * self.zone_distance(executor)
             / self.reserved_capacity_factor(class, executor)
     }
@@ -65,7 +65,7 @@
         if self.executor_index.count(Part::All, is_open) <= SAMPLE_SIZE {
             return self.executor_index.all(is_open);
         }
-        self.executor_index.window(Part::All, is_open, mixed(group), SAMPLE_SIZE)
+        self.executor_index.window(Part::All, is_open, mix(group), SAMPLE_SIZE)
     }
 
     /// Factor of an executor's weight: a class that may go anywhere leaves the executors of bound classes to
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -95,7 +95,7 @@
         warming_chance: f64,
     ) -> Vec<usize> {
         let is_open = self.open_to(request);
-        let preferred = request.preferred_executors.iter().filter_map(|e| self.index.get(e).copied());
+        let preferred = request.preferred_executors.iter().filter_map(|e| self.executors.position(*e));
         let tried = request.attempts.iter().map(|attempt| attempt.executor);
         let mut chosen: Vec<usize> = preferred.chain(tried).collect();
 
@@ -107,7 +107,7 @@
         chosen.extend(subset);
 
         let from = (warming_chance * u64::MAX as f64) as u64;
-        chosen.extend(self.executor_index.window(Part::Cold, &is_open, from, SAMPLE_SIZE));
+        chosen.extend(self.executor_index.window(Part::Warming, &is_open, from, SAMPLE_SIZE));
         chosen
     }
 
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -1,4 +1,5 @@
-//! Which executor an attempt goes to: a weighted random draw among the usable executors whose load is known.
+//! Which executor an attempt goes to: a draw_weighted random draw among the usable executors whose load is
+//! known.
 //!
 //! The steps of a draw: find the usable executors, set apart those whose load report is old, probe some of
 //! these if the probe budget allows it, and draw one of the rest by weight.
@@ -12,7 +13,7 @@
 
 use super::constants::ROOM;
 use crate::api::{Action, Micros, Reports, RequestId};
-use crate::state::{Balancer, Executor, weighted};
+use crate::state::{Balancer, Executor, draw_weighted};
 
 /// A load report is fresh for this long, in microseconds.
 const REPORT_FRESHNESS: Micros = 800_000;
@@ -118,7 +119,7 @@
         }
         let mut weights = self.weights(id, &candidates.unknown);
         while candidates.to_probe.len() + choices < CANDIDATES_WANTED {
-            let Some(drawn) = weighted(&weights, self.chance()) else { break };
+            let Some(drawn) = draw_weighted(&weights, self.chance()) else { break };
             weights.remove(drawn);
             candidates.to_probe.push(candidates.unknown.remove(drawn));
         }
@@ -152,7 +153,7 @@
     /// Draws by weight until an executor takes the request: one in slow start may not.
     fn draw_by_weight(&mut self, id: RequestId, mut drawn_from: Vec<usize>) -> Option<usize> {
         let mut weights = self.weights(id, &drawn_from);
-        while let Some(drawn) = weighted(&weights, self.chance()) {
+        while let Some(drawn) = draw_weighted(&weights, self.chance()) {
             if self.admit_to_warming(id, drawn_from[drawn]) {
                 return Some(drawn_from[drawn]);
             }
--- a/src/balancer/unresponsive.rs
+++ b/src/balancer/unresponsive.rs
@@ -40,8 +40,8 @@
     /// Ejects executors that have become unresponsive, and retries what is in flight there: beside the
     /// attempt if hedging is allowed, else in its place.
     pub(super) fn check_responsiveness(&mut self) {
-        self.count_examined(self.executor_index.active.len());
-        for index in Vec::from_iter(self.executor_index.active.iter().copied()) {
+        self.count_examined(self.executors.active.len());
+        for index in Vec::from_iter(self.executors.active.iter().copied()) {
             if self.is_unresponsive(&self.executors[index]) {
                 self.executors[index].health.unresponsive = true;
                 self.eject(index, EjectionReason::Unresponsive);
--- a/src/state/executor_index.rs
+++ b/src/state/executor_index.rs
@@ -1,176 +1,192 @@
-//! Indexes over the table of executors, kept as the list changes: what a decision needs of the whole list without walking
-//! it, and places from which a part of the list is taken.
+//! The index over the table of executors, kept as the list changes: what a decision needs of the whole list
+//! without walking it, and hash rings that a part of the list is taken from.
 
-use super::*;
-use std::collections::BTreeSet;
+use super::Balancer;
+use super::executor::Executor;
+use super::hash_ring::{HashRing, Part, PoolRings, RingEntry};
+use crate::api::{ExecutorId, Kind, KindId, SlowStart, TimestampUs};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an executor stands in the rings.
+/// What the index holds of a listed executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct IndexEntry {
+    /// The classes that it is open to, a bit each.
     pool: u64,
+    /// Its kind of machine.
     kind: KindId,
-    /// When it started, while it is cold.
-    warming_since: Option<Micros>,
+    /// When it started, while it is in slow start.
+    warming_since: Option<TimestampUs>,
 }
 
-/// The cold executors of one kind: how many, and their starts added up.
+impl IndexEntry {
+    /// The entry that an executor should have now; `None` for one that takes no requests.
+    fn of(executor: &Executor, slow_start: &SlowStart, now: TimestampUs) -> Option<IndexEntry> {
+        let began = executor.slow_start_began(slow_start.ramp, now);
+        let warming_since = began.filter(|_| slow_start.overload_window > 0);
+        let kind = executor.endpoint.kind;
+        executor.listed().then_some(IndexEntry { pool: executor.pool, kind, warming_since })
+    }
+}
+
+/// The executors of one kind that are in slow start.
 #[derive(Debug, Default)]
-struct ColdKind {
+struct WarmingKind {
+    /// How many there are.
     executors: u64,
+    /// Sum of their times of start, in microseconds.
     starts: u128,
 }
 
-/// The indexes.
+/// The index. Executors are given by their positions in the executor table.
 #[derive(Debug, Default)]
 pub(crate) struct ExecutorIndex {
+    /// Listed executors by the classes that they are open to.
     pools: BTreeMap<u64, PoolRings>,
-    /// Cold executors by their start, and what they come to.
-    starts: BTreeSet<(Micros, usize)>,
-    cold: BTreeMap<KindId, ColdKind>,
-    /// Listed executors.
+    /// Executors in slow start, by their start.
+    starts: BTreeSet<(TimestampUs, usize)>,
+    /// Sums over the executors in slow start.
+    warming: BTreeMap<KindId, WarmingKind>,
+    /// How many executors are listed.
     listed: usize,
-    /// Executors that anything was sent to or heard of; all others are as the list has them.
-    pub(crate) active: BTreeSet<usize>,
 }
 
 impl ExecutorIndex {
-    /// An executor stands elsewhere now, or nowhere.
-    pub(crate) fn moves(&mut self, i: usize, executor: ExecutorId, from: Option<Place>, to: Option<Place>) {
-        if let Some(place) = from {
-            self.leaves(i, executor, place);
+    /// Replaces the entry of an executor, which is at `index` in the table; `None` stands for no entry.
+    pub(crate) fn replace(
+        &mut self,
+        index: usize,
+        executor: ExecutorId,
+        before: Option<IndexEntry>,
+        after: Option<IndexEntry>,
+    ) {
+        let on_ring = RingEntry::new(executor, index);
+        if let Some(entry) = before {
+            self.remove(on_ring, entry);
         }
-        if let Some(place) = to {
-            self.adds(i, place).insert((ring_position(executor), i));
+        if let Some(entry) = after {
+            self.count_in(index, entry).insert(on_ring);
         }
-        self.pools.retain(|_, p| p.warm.len() + p.cold.len() > 0);
+        self.pools.retain(|_, pool| !pool.is_empty());
     }
 
-    fn leaves(&mut self, i: usize, executor: ExecutorId, from: Place) {
-        let Some(pool) = self.pools.get_mut(&from.pool) else { return };
-        pool.ring(from.warming_since.is_some()).remove((ring_position(executor), i));
-        *pool.kinds.entry(from.kind).or_default() -= 1;
+    fn remove(&mut self, on_ring: RingEntry, entry: IndexEntry) {
+        let Some(pool) = self.pools.get_mut(&entry.pool) else { return };
+        pool.ring_mut(entry.warming_since.is_some()).remove(on_ring);
+        *pool.kinds.entry(entry.kind).or_default() -= 1;
         self.listed -= 1;
-        if let Some(since) = from.warming_since {
-            self.starts.remove(&(since, i));
-            let cold = self.cold.entry(from.kind).or_default();
-            (cold.executors, cold.starts) = (cold.executors - 1, cold.starts - u128::from(since));
+        if let Some(since) = entry.warming_since {
+            self.starts.remove(&(since, on_ring.executor));
+            let warming = self.warming.entry(entry.kind).or_default();
+            warming.executors -= 1;
+            warming.starts -= u128::from(since);
         }
     }
 
-    /// Counts an executor in; the ring that it belongs on.
-    fn adds(&mut self, i: usize, to: Place) -> &mut Ring {
+    /// Counts an executor in and returns the ring that it belongs on.
+    fn count_in(&mut self, index: usize, entry: IndexEntry) -> &mut HashRing {
         self.listed += 1;
-        if let Some(since) = to.warming_since {
-            self.starts.insert((since, i));
-            let cold = self.cold.entry(to.kind).or_default();
-            (cold.executors, cold.starts) = (cold.executors + 1, cold.starts + u128::from(since));
+        if let Some(since) = entry.warming_since {
+            self.starts.insert((since, index));
+            let warming = self.warming.entry(entry.kind).or_default();
+            warming.executors += 1;
+            warming.starts += u128::from(since);
         }
-        let pool = self.pools.entry(to.pool).or_default();
-        *pool.kinds.entry(to.kind).or_default() += 1;
-        pool.ring(to.warming_since.is_some())
+        let pool = self.pools.entry(entry.pool).or_default();
+        *pool.kinds.entry(entry.kind).or_default() += 1;
+        pool.ring_mut(entry.warming_since.is_some())
     }
 
     fn sort(&mut self) {
-        let rings = self.pools.values_mut().flat_map(|p| [&mut p.warm, &mut p.cold]);
-        rings.for_each(|ring| ring.places.sort_unstable());
+        for pool in self.pools.values_mut() {
+            pool.warm.sort();
+            pool.warming.sort();
+        }
     }
 
-    /// Listed executors.
+    /// How many executors are listed.
     pub(crate) fn listed(&self) -> usize {
         self.listed
     }
 
-    /// A cold executor that started at this time or before.
-    pub(crate) fn started_by(&self, time: Micros) -> Option<usize> {
-        self.starts.first().filter(|(since, _)| *since <= time).map(|(_, i)| *i)
+    /// An executor in slow start that started at this time or before.
+    pub(crate) fn started_by(&self, time: TimestampUs) -> Option<usize> {
+        self.starts.first().filter(|(since, _)| *since <= time).map(|(_, index)| *index)
     }
 
-    /// Cores of all cold executors, and these cores times the seconds since each one's start.
-    pub(crate) fn warming_cores(&self, kinds: &[Kind], now: Micros) -> (f64, f64) {
-        self.cold.iter().fold((0.0, 0.0), |(all, aged), (kind, cold)| {
-            let age = (u128::from(now) * u128::from(cold.executors)).saturating_sub(cold.starts);
+    /// Cores of all executors in slow start, and the sum of these cores times the seconds since each one's
+    /// start.
+    pub(crate) fn warming_cores(&self, kinds: &[Kind], now: TimestampUs) -> (f64, f64) {
+        self.warming.iter().fold((0.0, 0.0), |(all_cores, core_seconds), (kind, warming)| {
+            let age_us = (u128::from(now) * u128::from(warming.executors)).saturating_sub(warming.starts);
             let cores = kinds[*kind].cores;
-            (all + cores * cold.executors as f64, aged + cores * age as f64 / 1e6)
+            (all_cores + cores * warming.executors as f64, core_seconds + cores * age_us as f64 / 1e6)
         })
     }
 
-    /// The pools that fit, of those there are.
-    fn open(&self, fits: impl Fn(u64) -> bool) -> impl Iterator<Item = &PoolRings> {
+    /// The pools that fit.
+    fn pools(&self, fits: impl Fn(u64) -> bool) -> impl Iterator<Item = &PoolRings> {
         self.pools.iter().filter(move |(pool, _)| fits(**pool)).map(|(_, rings)| rings)
     }
 
     /// How many executors a part of the pools that fit has.
     pub(crate) fn count(&self, part: Part, fits: impl Fn(u64) -> bool) -> usize {
-        self.open(fits).flat_map(|p| p.rings(part)).map(Ring::len).sum()
+        self.pools(fits).flat_map(|pool| pool.rings(part)).map(HashRing::len).sum()
     }
 
     /// Cores of the listed executors in the pools that fit.
     pub(crate) fn cores(&self, kinds: &[Kind], fits: impl Fn(u64) -> bool) -> f64 {
-        let of = |(kind, n): (&KindId, &usize)| *n as f64 * kinds[*kind].cores;
-        self.open(fits).flat_map(|p| &p.kinds).map(of).sum()
+        let cores = |(kind, count): (&KindId, &usize)| *count as f64 * kinds[*kind].cores;
+        self.pools(fits).flat_map(|pool| &pool.kinds).map(cores).sum()
     }
 
     /// All executors of the pools that fit, in no order.
     pub(crate) fn all(&self, fits: impl Fn(u64) -> bool) -> Vec<usize> {
-        let rings = self.open(fits).flat_map(|p| p.rings(Part::All));
-        rings.flat_map(|ring| ring.places.iter().map(|(_, i)| *i)).collect()
+        let rings = self.pools(fits).flat_map(|pool| pool.rings(Part::All));
+        rings.flat_map(HashRing::executors).collect()
     }
 
-    /// So many executors of a part of the pools that fit, the nearest from a point on.
+    /// At most so many executors of a part of the pools that fit, the nearest from a ring position on.
     pub(crate) fn window(
         &self,
         part: Part,
         fits: impl Fn(u64) -> bool,
-        point: u64,
+        from: u64,
         most: usize,
     ) -> Vec<usize> {
-        let rings = self.open(fits).flat_map(|p| p.rings(part));
-        let mut near: Vec<(u64, usize)> = rings.flat_map(|ring| ring.window(point, most)).collect();
-        near.sort_unstable();
-        near.truncate(most);
-        near.into_iter().map(|(_, i)| i).collect()
+        let rings = self.pools(fits).flat_map(|pool| pool.rings(part));
+        let mut nearest: Vec<RingEntry> = rings.flat_map(|ring| ring.window(from, most)).collect();
+        nearest.sort_unstable();
+        nearest.truncate(most);
+        nearest.into_iter().map(|entry| entry.executor).collect()
     }
 }
 
 impl Balancer {
-    fn place_of(&self, e: &Executor) -> Option<Place> {
-        let cold = e.warming_since.filter(|t| {
-            self.settings.slow_start.overload_window > 0 && self.now < t + self.settings.slow_start.ramp
-        });
-        // A start that lies ahead is one that is just now.
-        let warming_since = cold.map(|t| t.min(self.now));
-        e.listed().then_some(Place { pool: e.pool, kind: e.endpoint.kind, warming_since })
-    }
-
-    /// Puts an executor where it belongs now: called wherever its entry, its presence or its start changes.
-    pub(crate) fn update_index(&mut self, i: usize) {
-        let to = self.place_of(&self.executors[i]);
-        let from = std::mem::replace(&mut self.executors[i].place, to);
-        if from != to {
-            self.executor_index.moves(i, self.executors[i].endpoint.executor, from, to);
+    /// Updates the index wherever an executor's list entry, presence or slow start has changed.
+    pub(crate) fn update_index(&mut self, index: usize) {
+        let executor = &mut self.executors[index];
+        let after = IndexEntry::of(executor, &self.settings.slow_start, self.now);
+        let before = std::mem::replace(&mut executor.index_entry, after);
+        if before != after {
+            let id = executor.endpoint.executor;
+            self.executor_index.replace(index, id, before, after);
         }
     }
 
-    /// Puts all executors where they belong, from nothing.
+    /// Builds the index anew, as a complete list or a sweep asks for.
     pub(crate) fn rebuild_index(&mut self) {
-        let active = std::mem::take(&mut self.executor_index).active;
-        self.executor_index.active = active;
-        for i in 0..self.executors.len() {
-            let to = self.place_of(&self.executors[i]);
-            self.executors[i].place = to;
-            if let Some(place) = to {
-                let point = ring_position(self.executors[i].endpoint.executor);
-                self.executor_index.adds(i, place).places.push((point, i));
+        self.executor_index = ExecutorIndex::default();
+        for index in 0..self.executors.len() {
+            let executor = &mut self.executors[index];
+            executor.index_entry = IndexEntry::of(executor, &self.settings.slow_start, self.now);
+            if let Some(entry) = executor.index_entry {
+                let on_ring = RingEntry::new(executor.endpoint.executor, index);
+                self.executor_index.count_in(index, entry).push_unsorted(on_ring);
             }
         }
         self.executor_index.sort();
     }
 
-    /// Something was sent to an executor or heard of it.
-    pub(crate) fn mark_active(&mut self, i: usize) {
-        self.executor_index.active.insert(i);
-    }
-
     /// Counts executors that a decision looked at.
     pub(crate) fn count_examined(&self, executors: usize) {
         self.examined.set(self.examined.get() + executors as u64);
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -46,7 +46,7 @@
     /// Running means of own threads, requests and memory in flight.
     pub(crate) fn tally(&mut self, weight: f64) {
         let requests = self.requests.len() as f64;
-        let active = self.executor_index.active.iter().map(|i| &self.executors[*i]);
+        let active = self.executors.active.iter().map(|i| &self.executors[*i]);
         let (mb, out) = active.fold((0.0, 0.0), |(m, t), e| (m + e.granted_mb, t + e.in_flight_threads));
         if out > 0.0 {
             self.thread_mb.add(mb / out, weight);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,28 +1,29 @@
 //! What a dispatcher remembers, and the arithmetic of its parts. It decides nothing: every decision and every
 //! constant stands in `src/balancer/`.
 
-mod chance;
 mod executor;
 mod executor_index;
+mod executor_table;
 mod figures;
+mod hash_ring;
 mod learned;
+mod random;
 mod request;
-mod ring;
 mod rule;
-mod table;
 
-pub(crate) use chance::*;
-pub(crate) use executor::*;
-pub(crate) use executor_index::*;
+pub(crate) use executor::Executor;
+pub(crate) use executor_index::ExecutorIndex;
+pub(crate) use executor_table::ExecutorTable;
+pub(crate) use hash_ring::{Part, mix};
 pub(crate) use learned::*;
+pub(crate) use random::{draw_weighted, rendezvous_hash};
 pub(crate) use request::*;
-pub(crate) use ring::*;
 pub(crate) use rule::*;
 
 use crate::api::*;
 use crate::balancer::selection::ProbeBudget;
-use crate::balancer::slow_start::{SlowStartAdmission, WarmingBuckets};
-use crate::balancer::{ExecutorHealth, KeyQueues, RetryLimiter};
+use crate::balancer::slow_start::SlowStartAdmission;
+use crate::balancer::{KeyQueues, RetryLimiter};
 use lru::LruCache;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -43,15 +44,12 @@
     pub(crate) tenants: Vec<f64>,
     pub(crate) probe_budget: ProbeBudget,
     pub(crate) slow_start: SlowStartAdmission,
-    /// When executors that are gone were looked for last.
-    pub(crate) last_sweep: Micros,
-    pub(crate) executors: Vec<Executor>,
+    pub(crate) executors: ExecutorTable,
     pub(crate) executor_index: ExecutorIndex,
     /// Where its subset of the executors begins.
     pub(crate) ring_position: u64,
     /// Executors that decisions have looked at.
     pub(crate) examined: Cell<u64>,
-    pub(crate) index: BTreeMap<ExecutorId, usize>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// Requests of a key, which run one at a time.
     pub(crate) key_queues: KeyQueues,
@@ -100,12 +98,10 @@
             tenants: vec![0.0; settings.tenants.len()],
             probe_budget: ProbeBudget::default(),
             slow_start: SlowStartAdmission::default(),
-            executors: Vec::new(),
+            executors: ExecutorTable::default(),
             executor_index: ExecutorIndex::default(),
-            ring_position: mixed(seed),
+            ring_position: mix(seed),
             examined: Cell::new(0),
-            last_sweep: Micros::MAX,
-            index: BTreeMap::new(),
             requests: BTreeMap::new(),
             key_queues: KeyQueues::default(),
             attempts_checked: 0,
