--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -50,8 +50,8 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         check(&settings)?;
         // The executors' own choice of grant is a quarter over the estimate.
-        let pace = Mean { value: 1.0, n: TRUSTED };
-        let bias = ClassModel { memory_bias: 0.25f64.ln_1p(), pace, ..ClassModel::default() };
+        let latency_ratio = Mean { value: 1.0, count: TRUSTED };
+        let bias = ClassModel { memory_bias: 0.25f64.ln_1p(), latency_ratio, ..ClassModel::default() };
         let (rules, models) = (rules::build_rules(&settings), vec![bias; settings.classes.len()]);
         Ok(Balancer::empty(settings, seed, rules, CACHE_SIZE, models))
     }
@@ -134,12 +134,12 @@
     fn tick(&mut self) {
         self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK_US });
         let tick_s = TICK_US as f64 / 1e6;
-        self.models.iter_mut().for_each(|model| model.count(tick_s, RATE_SPAN_S));
-        self.tenants.iter_mut().for_each(|requests| *requests *= 1.0 - tick_s / TENANT_SPAN_S);
+        self.class_models.iter_mut().for_each(|model| model.count(tick_s, RATE_SPAN_S));
+        self.tenant_arrivals.iter_mut().for_each(|requests| *requests *= 1.0 - tick_s / TENANT_SPAN_S);
         self.trim_retry_history();
         self.finish_slow_starts();
-        self.measure();
-        self.set_rates();
+        self.update_pressure();
+        self.update_rule_rates();
         if self.now > self.resumed_at {
             self.check_responsiveness();
             self.check_attempts();
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -1,4 +1,4 @@
-//! Which executor an attempt goes to: a draw_weighted random draw among the usable executors whose load is
+//! Which executor an attempt goes to: a weighted random draw among the usable executors whose load is
 //! known.
 //!
 //! The steps of a draw: find the usable executors, set apart those whose load report is old, probe some of
@@ -94,7 +94,7 @@
 
     /// Whether a probe can improve a draw: only where reports tell of load, and there is a choice.
     fn probes_help(&self) -> bool {
-        let reports_load = self.settings.reports != Reports::Off && self.tells_load != Some(false);
+        let reports_load = self.settings.reports != Reports::Off && self.reports_tell_load != Some(false);
         reports_load && self.settings.probes && self.executors.len() > 1
     }
 
@@ -107,7 +107,7 @@
     /// table groups would never leave theirs.
     fn count_choices(&self, id: RequestId, known: &[usize]) -> usize {
         let request = &self.requests[&id];
-        let is_full = |executor: &Executor| request.prefers(executor) && self.load(executor) > ROOM;
+        let is_full = |executor: &Executor| request.prefers(executor) && self.executor_load(executor) > ROOM;
         known.iter().filter(|&&i| !is_full(&self.executors[i])).count()
     }
 
@@ -127,7 +127,7 @@
 
     /// Probes executors as far as the probe budget goes; whether any answer is awaited now.
     fn send_probes(&mut self, id: RequestId, to_probe: &[usize]) -> bool {
-        let is_expensive = self.requests[&id].cost > self.overall.value;
+        let is_expensive = self.requests[&id].cost > self.mean_cost.value;
         let reserve = if is_expensive { 0.0 } else { ProbeBudget::reserve(self.settings.probe_price) };
         let mut awaited = false;
         for &i in to_probe {
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -144,7 +144,7 @@
     pub(crate) fn record_report(&mut self, executor: ExecutorId, report: Option<Report>) {
         let Some((position, report)) = self.executors.position(executor).zip(report) else { return };
         let load = report.util.or(report.inflight).or(report.memory).or(report.disks);
-        self.tells_load = Some(load.is_some());
+        self.reports_tell_load = Some(load.is_some());
         self.executors[position].record_report(report.sane(), self.now);
         self.mark_active(position);
     }
@@ -183,7 +183,7 @@
         }
         attempt.outcome = Some(outcome);
         let (index, memory_grant_mb) = (attempt.executor, attempt.memory_grant_mb);
-        self.models[request.class].settled += 1;
+        self.class_models[request.class].finished_attempts += 1;
         self.executors[index].finish_attempt((id, number), threads, memory_grant_mb);
         Some(index)
     }
