--- a/tests/balancer/main.rs
+++ b/tests/balancer/main.rs
@@ -4,10 +4,10 @@
 mod attempts;
 #[path = "../common/mod.rs"]
 mod common;
-mod draw;
 mod health;
 mod policy;
 mod requests;
+mod selection;
 
 use common::*;
 use ottercroft::api::*;
--- a/tests/balancer/draw.rs
+++ b/tests/balancer/selection.rs
@@ -47,7 +47,7 @@
         // Executor 1 repeats the same old report after each send.
         rig.event(Event::ProbeFinished { executor: 1, outcome: Outcome::Ok, latency: MS, report: idle });
     }
-    assert!(on_one <= 28, "{on_one} of 40 went to the engine with the old report");
+    assert!(on_one <= 28, "{on_one} of 40 went to the executor with the old report");
 }
 
 // Weights are set by hand in a list from files: without effect on the draw they would be a comment.
@@ -84,10 +84,10 @@
         rig.pass(20 * MS);
         rig.finish(q, 0, e, Outcome::Ok, 0.02);
     }
-    assert!(on_one <= 12, "{on_one} of 60 to the fuller engine");
+    assert!(on_one <= 12, "{on_one} of 60 to the fuller executor");
 }
 
-/// Found on the bench (main-dc): loads and the requests that stand still meanwhile shared the homes of their group.
+/// Found on the bench (main-dc): loads and the requests that stand still meanwhile shared the preferred executors of their group.
 #[test]
 fn loads_and_those_that_stand_still_meanwhile_go_apart() {
     let mut s = Settings { reports: Reports::Off, ..settings() };
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -24,12 +24,12 @@
     let mut rig = Rig::new(priced(), 30);
     for i in 0..300 {
         let (q, actions) = rig.arrive(usize::from(i % 5 == 0), 0.2);
-        let e = sent_to(&actions).expect("a query without a fresh report is sent all the same");
+        let e = sent_to(&actions).expect("a request without a fresh report is sent all the same");
         rig.pass(200 * MS);
         rig.finish(q, 0, e, Outcome::Ok, 0.2);
     }
-    // A tenth of a probe for each request, and what the purse holds.
-    assert!(probes(&rig) <= 40, "{} probes for 300 queries", probes(&rig));
+    // A tenth of a probe for each request, and what the probe budget has saved up.
+    assert!(probes(&rig) <= 40, "{} probes for 300 requests", probes(&rig));
     assert!(probes(&rig) >= 15, "what is paid for is used: {}", probes(&rig));
 }
 
@@ -56,7 +56,7 @@
     }
     let before = probes(&rig);
     rig.arrive(1, 6.0);
-    assert!(probes(&rig) >= before + 2, "{} probes for a dear query", probes(&rig) - before);
+    assert!(probes(&rig) >= before + 2, "{} probes for an expensive request", probes(&rig) - before);
 }
 
 /// A fleet of dispatchers that share nothing, each with a request every 200 ms, four of five light. Eighteen of thirty
@@ -139,7 +139,7 @@
 fn two_errors_that_another_executor_does_not_make_are_proof() {
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..priced() }, 4);
     let met = (0..40).filter(|_| met_the_bad_one(&mut rig, 0)).count();
-    assert!(met <= 2, "{met} queries sent to it within a second");
+    assert!(met <= 2, "{met} requests sent to it within a second");
 }
 
 /// A statement that fails everywhere is no executor's fault: nobody is left out for it.
@@ -188,10 +188,10 @@
         sent.collect::<std::collections::BTreeSet<_>>()
     };
     let (few, many) = (reached(0.08, 1), reached(0.0, 1));
-    assert!((2..=15).contains(&few.len()), "{} engines for a hundred queries", few.len());
+    assert!((2..=15).contains(&few.len()), "{} executors for a hundred requests", few.len());
     assert!(many.len() >= 25, "{}", many.len());
     let all: std::collections::BTreeSet<_> = (0..20).flat_map(|seed| reached(0.08, seed)).collect();
-    assert!(all.len() >= 28, "all gateways together reach {}", all.len());
+    assert!(all.len() >= 28, "all dispatchers together reach {}", all.len());
 }
 
 /// Found on the days at size: a thin dispatcher hears of two or three executors at a time, and when these happened to
@@ -210,7 +210,7 @@
         }
         (0..40).filter(|_| refused(&rig.arrive(0, 0.5).1).is_some()).count()
     };
-    assert!(refusals(2) > 20, "two engines that are the fleet: {}", refusals(2));
+    assert!(refusals(2) > 20, "two executors that are the fleet: {}", refusals(2));
     assert!(refusals(30) <= 4, "two of thirty: {}", refusals(30));
 }
 
--- a/tests/large_lists/choice.rs
+++ b/tests/large_lists/choice.rs
@@ -42,7 +42,7 @@
 
 // All dispatchers send a table group to the same few executors more often than chance would.
 #[test]
-fn dispatchers_agree_on_the_homes_of_a_table_group() {
+fn dispatchers_agree_on_the_preferred_executors_of_a_table_group() {
     let mut all = Vec::new();
     for seed in 0..40 {
         let mut rig = Rig::seeded(settings(), 3_200, seed);
--- a/tests/cold_sum/count.rs
+++ b/tests/slow_start_budget/count.rs
@@ -11,8 +11,8 @@
     pub executor: ExecutorId,
     /// Thread-seconds.
     pub work: f64,
-    /// By a dispatcher that had been told of the start.
-    pub told: bool,
+    /// By a dispatcher that had been notified of the start.
+    pub notified: bool,
 }
 
 /// What the budget of an executor follows from.
@@ -21,7 +21,7 @@
     pub slow_start: SlowStart,
     pub cores: f64,
     pub mean_work: f64,
-    pub cold_executors: u32,
+    pub warming_executors: u32,
 }
 
 impl Rule {
@@ -49,9 +49,9 @@
     /// What was sent as a share of N, for windows that begin every 100 ms.
     shares: Vec<f64>,
     pub windows: usize,
-    /// The most, over windows that begin with any send, by which those told passed the bound.
+    /// The most, over windows that begin with any send, by which those notified passed the bound.
     pub excess: f64,
-    /// All together passed it, and over two thirds of that came from those told.
+    /// All together passed it, and over two thirds of that came from those notified.
     pub broken: bool,
     /// The same as `excess` for all together.
     all_excess: f64,
@@ -68,22 +68,22 @@
     /// Counts a play of so long in: windows end within it.
     pub fn add(&mut self, rule: &Rule, played: Micros, sent: &[Sent]) {
         let last = played - rule.slow_start.overload_window;
-        for executor in 1..=rule.cold_executors {
+        for executor in 1..=rule.warming_executors {
             let mut here: Vec<Sent> = sent.iter().filter(|s| s.executor == executor).copied().collect();
             here.sort_by_key(|s| s.at);
             let begin = |from: Micros| here.partition_point(|s| s.at < from);
             let within = |from: Micros| &here[begin(from)..begin(from + rule.slow_start.overload_window)];
-            let work = |some: &[Sent], told: bool| {
-                some.iter().filter(|s| s.told || !told).map(|s| s.work).sum::<f64>() / rule.mean_work
+            let work = |some: &[Sent], notified: bool| {
+                some.iter().filter(|s| s.notified || !notified).map(|s| s.work).sum::<f64>() / rule.mean_work
             };
             for from in (0..=last).step_by(100 * MS as usize) {
                 self.shares.push(work(within(from), false) / rule.budget(from));
             }
             for from in here.iter().map(|s| s.at).filter(|at| *at <= last) {
-                let (all, told) = (work(within(from), false), work(within(from), true));
-                self.excess = self.excess.max(told - rule.most(from));
+                let (all, notified) = (work(within(from), false), work(within(from), true));
+                self.excess = self.excess.max(notified - rule.most(from));
                 self.all_excess = self.all_excess.max(all - rule.most(from));
-                self.broken |= all > rule.most(from) && told > all * 2.0 / 3.0;
+                self.broken |= all > rule.most(from) && notified > all * 2.0 / 3.0;
             }
         }
         self.windows = self.shares.len();
--- a/tests/cold_sum/module.rs
+++ b/tests/slow_start_budget/dispatcher.rs
@@ -30,13 +30,13 @@
     attempts: Vec<(ExecutorId, Micros, bool)>,
 }
 
-struct Module<'a> {
+struct DispatcherRun<'a> {
     scene: &'a Scene,
-    dispatcher: Balancer,
+    balancer: Balancer,
     rng: Pcg64Mcg,
     now: Micros,
     rate: f64,
-    told: bool,
+    notified: bool,
     next: BTreeMap<(Micros, u64), Next>,
     planned: u64,
     open: BTreeMap<RequestId, Open>,
@@ -46,36 +46,36 @@
 /// What one dispatcher sends to cold executors within the ramp.
 pub fn play(scene: &Scene, seed: u64) -> Vec<Sent> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xC01D);
-    let dispatcher = Balancer::new(scene.settings(), rng.next_u64()).expect("good settings");
-    let mut m = Module {
+    let balancer = Balancer::new(scene.settings(), rng.next_u64()).expect("good settings");
+    let mut run = DispatcherRun {
         scene,
-        dispatcher,
+        balancer,
         rng,
         now: BEGIN,
         rate: 0.0,
-        told: false,
+        notified: false,
         next: BTreeMap::new(),
         planned: 0,
         open: BTreeMap::new(),
         sent: vec![],
     };
-    m.rate = scene.rate * if m.chance() < 0.1 { 4.0 } else { 2.0 / 3.0 };
-    let late = if m.chance() < scene.late { (m.chance() * 1e6) as Micros } else { 0 };
-    m.plan(START - BEGIN + late, Next::Gossip);
-    if m.chance() < scene.restarted {
-        let after = m.chance() * scene.played as f64 / 2.0;
-        m.plan(START - BEGIN + late + after as Micros, Next::Restart);
+    run.rate = scene.rate * if run.chance() < 0.1 { 4.0 } else { 2.0 / 3.0 };
+    let late = if run.chance() < scene.late { (run.chance() * 1e6) as Micros } else { 0 };
+    run.plan(START - BEGIN + late, Next::Gossip);
+    if run.chance() < scene.restarted {
+        let after = run.chance() * scene.played as f64 / 2.0;
+        run.plan(START - BEGIN + late + after as Micros, Next::Restart);
     }
-    m.list(EndpointListKind::Restored);
-    m.plan_arrival();
-    while let Some(((at, _), next)) = m.next.pop_first().filter(|((at, _), _)| *at < START + scene.played) {
-        m.now = at;
-        m.step(next);
+    run.list(EndpointListKind::Restored);
+    run.plan_arrival();
+    while let Some(((at, _), next)) = run.next.pop_first().filter(|((at, _), _)| *at < START + scene.played) {
+        run.now = at;
+        run.step(next);
     }
-    m.sent
+    run.sent
 }
 
-impl Module<'_> {
+impl DispatcherRun<'_> {
     fn chance(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -97,24 +97,24 @@
 
     /// Tells the whole list, or of those that started anew.
     fn list(&mut self, kind: EndpointListKind) {
-        let (rule, told) = (self.scene.rule, self.told);
-        let cold = |e: ExecutorId| e <= rule.cold_executors;
-        let all = (1..=rule.cold_executors + self.scene.warm_executors)
+        let (rule, notified) = (self.scene.rule, self.notified);
+        let cold = |e: ExecutorId| e <= rule.warming_executors;
+        let all = (1..=rule.warming_executors + self.scene.warm_executors)
             .filter(|e| cold(*e) || kind != EndpointListKind::Update)
-            .map(|e| Endpoint { started: (told && cold(e)).then_some(START), ..endpoint(e) });
+            .map(|e| Endpoint { started: (notified && cold(e)).then_some(START), ..endpoint(e) });
         self.handle(Event::EndpointList { kind, endpoints: all.collect() });
     }
 
     fn step(&mut self, next: Next) {
         match next {
             Next::Gossip => {
-                self.told = true;
+                self.notified = true;
                 self.list(EndpointListKind::Update);
             }
             Next::Restart => {
                 // Another process in its place: nothing of it is known, and what it had out is its clients' loss.
                 let seed = self.rng.next_u64();
-                self.dispatcher = Balancer::new(self.scene.settings(), seed).expect("good settings");
+                self.balancer = Balancer::new(self.scene.settings(), seed).expect("good settings");
                 self.next.retain(|_, n| matches!(n, Next::Arrival));
                 self.open.clear();
                 self.list(EndpointListKind::Restored);
@@ -123,7 +123,7 @@
             Next::Arrival => self.arrive(),
             Next::ProbeFinished(executor) => {
                 // Cold executors look idle, warm ones well used.
-                let inflight = Some(if executor <= self.scene.rule.cold_executors { 0.0 } else { 8.0 });
+                let inflight = Some(if executor <= self.scene.rule.warming_executors { 0.0 } else { 8.0 });
                 let report = Some(Report { inflight, ..Report::default() });
                 self.handle(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
             }
@@ -167,7 +167,7 @@
 
     fn handle(&mut self, event: Event) {
         let mut actions = vec![];
-        self.dispatcher.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for a in actions {
             match a {
                 Action::Send { request, executor, .. } => self.send(request, executor),
@@ -197,8 +197,8 @@
 
     /// Counts what reaches a cold executor; a probe as a request of mean work.
     fn reach(&mut self, executor: ExecutorId, work: f64) {
-        if executor <= self.scene.rule.cold_executors && self.now >= START {
-            self.sent.push(Sent { at: self.now - START, executor, work, told: self.told });
+        if executor <= self.scene.rule.warming_executors && self.now >= START {
+            self.sent.push(Sent { at: self.now - START, executor, work, notified: self.notified });
         }
     }
 }
--- a/tests/cold_sum/main.rs
+++ b/tests/slow_start_budget/main.rs
@@ -8,7 +8,7 @@
 #[path = "../common/mod.rs"]
 mod common;
 mod count;
-mod module;
+mod dispatcher;
 mod scene;
 mod settings_drawn;
 
@@ -25,7 +25,7 @@
     println!("{}", all.row(name, scene.dispatchers));
     assert!(all.mean() >= least, "{name}: {} of N in the mean, the executor stands idle", all.mean());
     assert!(all.excess <= 0.0, "{name}: {:.1} requests beyond N + 2 root N + 2", all.excess);
-    assert!(!all.broken, "{name}: pushed over, two thirds of it by those that were told");
+    assert!(!all.broken, "{name}: pushed over, two thirds of it by those that were notified");
 }
 
 /// One size of fleet, in each scene: how often it is played, and how much of the ramp.
@@ -34,7 +34,7 @@
     holds("busy", &busy, seeds, 0.1);
     // Dispatchers that have just started know a cold executor from the first list that they get.
     holds("started anew", &Scene { restarted: 1.0, ..busy }, seeds, 0.1);
-    holds("told late", &Scene::late(dispatchers), seeds, 0.01);
+    holds("notified late", &Scene::late(dispatchers), seeds, 0.01);
     holds("woken", &Scene::woken(dispatchers), seeds.min(4), 0.01);
 }
 
@@ -80,7 +80,7 @@
 #[test]
 fn three_hundred_with_a_long_list() {
     let scene = Scene::busy(300);
-    let rule = count::Rule { cold_executors: 200, ..scene.rule };
+    let rule = count::Rule { warming_executors: 200, ..scene.rule };
     let long = Scene { rule, warm_executors: 200, played: 4_500 * MS, rate: 50.0, ..scene };
     holds("long list", &long, 1, 0.05);
 }
--- a/tests/cold_sum/scene.rs
+++ b/tests/slow_start_budget/scene.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::count::{Rule, Sent};
-use crate::module;
+use crate::dispatcher;
 use ottercroft::api::*;
 
 /// How long the fleet serves before the executors start anew.
@@ -20,7 +20,7 @@
     /// One in how many requests is dear, and the work of a cheap one and a dear one.
     pub dear: f64,
     pub work: [f64; 2],
-    /// The part that is told late, up to a second; that starts anew within the ramp; attempts that fail.
+    /// The part that is notified late, up to a second; that starts anew within the ramp; attempts that fail.
     pub late: f64,
     pub restarted: f64,
     pub failing: f64,
@@ -41,7 +41,7 @@
                 slow_start,
                 cores: 8.0,
                 mean_work: work[0] + dear * (work[1] - work[0]),
-                cold_executors: 2,
+                warming_executors: 2,
             },
             played: slow_start.ramp,
             rate: 10.0 + 300.0 / f64::from(dispatchers),
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Requests for six tenths of what the six can do, over all dispatchers, a tenth of which is told up to a second
-    /// late. What these send before counts too; the rule is broken only if two thirds are of those told.
+    /// Requests for six tenths of what the six can do, over all dispatchers, a tenth of which is notified up to a second
+    /// late. What these send before counts too; the rule is broken only if two thirds are of those notified.
     pub fn late(dispatchers: u32) -> Scene {
         let s = Scene::busy(dispatchers);
         let all = 0.6 * 6.0 * s.rule.cores / s.rule.mean_work;
@@ -79,6 +79,6 @@
 
     /// All that the fleet sends to cold executors.
     pub fn play(&self, seed: u64) -> Vec<Sent> {
-        (0..self.dispatchers).flat_map(|d| module::play(self, seed << 32 | u64::from(d))).collect()
+        (0..self.dispatchers).flat_map(|d| dispatcher::play(self, seed << 32 | u64::from(d))).collect()
     }
 }
--- a/tests/cold_sum/settings_drawn.rs
+++ b/tests/slow_start_budget/settings_drawn.rs
@@ -16,7 +16,7 @@
             |(
                 (initial_fraction, ramp, overload_factor, window_ms),
                 (dear, cheap, times),
-                (dispatchers, cold_executors, warm, rate),
+                (dispatchers, warming_executors, warm, rate),
                 cores,
                 quiet,
             )| {
@@ -29,7 +29,7 @@
                 let work = [cheap, cheap * times];
                 let mean_work = work[0] + dear * (work[1] - work[0]);
                 Scene {
-                    rule: Rule { slow_start, cores, mean_work, cold_executors },
+                    rule: Rule { slow_start, cores, mean_work, warming_executors },
                     quiet,
                     played: (quiet + 3) * slow_start.overload_window,
                     warm_executors: warm,
--- a/tests/sliver/main.rs
+++ b/tests/small_share/main.rs
@@ -1,10 +1,10 @@
-//! Fleets of hundreds of dispatchers, each of which sees a sliver: what one does, and what all do together.
+//! Fleets of hundreds of dispatchers, each of which sees a small share of the traffic: what one does, and what all do together.
 
 mod admission;
+mod affinity;
 #[path = "../common/mod.rs"]
 mod common;
 mod grants;
-mod homes;
 mod mute;
 mod probes;
 
