--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -1,7 +1,7 @@
 //! An executor, as far as this dispatcher knows it.
 
 use super::executor_index::IndexEntry;
-use super::learned::Mean;
+use super::mean::Mean;
 use crate::api::{DurationUs, Endpoint, KindId, Readiness, Report, RequestId, TimestampUs, ZoneId};
 use crate::balancer::ExecutorHealth;
 use crate::balancer::slow_start::WarmingBuckets;
