--- a/tests/sliver/main.rs
+++ b/tests/small_share/main.rs
@@ -1,10 +1,11 @@
-//! Fleets of hundreds of dispatchers, each of which sees a sliver: what one does, and what all do together.
+//! Fleets of hundreds of dispatchers, each of which sees a small share of the traffic: what one does, and what
+//! all do together.
 
 mod admission;
+mod affinity;
 #[path = "../common/mod.rs"]
 mod common;
 mod grants;
-mod homes;
 mod probes;
 mod reports_without_load;
 
