--- a/src/net/coordinator_watch.rs
+++ b/src/net/coordinator_watch.rs
@@ -1,57 +1,51 @@
-//! The connection to the coordinator.
+//! The watch of the coordinator's endpoint list: one connection, which is made anew when it is lost.
 
+mod connection;
+
+use super::event_loop::event_source::EventSource;
+use super::event_loop::poll::{Key, Poll};
+use super::sockets::dial;
 use crate::api::Micros;
 use crate::codec::coordinator::{self, Line, Update};
-use crate::net::event_loop::event_source::EventSource;
-use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::sockets::{dial, system_calls};
+use connection::{Watch, WatchError};
 use std::io::{self, Write};
-use std::net::{SocketAddr, TcpStream};
-
-/// The protocol has the coordinator write a line a second at least.
-const PACE: Micros = 1_000_000;
-/// What it has to tell counts as told so long after it fell silent on an open connection, or as soon as it is asked
-/// again, if that is sooner.
-const TOLD: Micros = 4_000_000;
-/// After this long without a line the coordinator has stopped, and is asked again: one line is missing, and the next
-/// is nearly due.
-const SILENCE: Micros = 2 * PACE - PACE / 10;
-/// A dial that is not up by then is begun again.
-const DIAL: Micros = PACE / 2;
-/// Pause before a new try, once one has brought nothing.
-const PAUSE: Micros = PACE / 5;
-/// The longest line: a whole list of some ten thousand executors.
-const LONGEST: usize = 4 * 1024 * 1024;
-
-// The list is here before it counts as told, also where the first dial comes to nothing: so no grace for drains is too
-// short, however little the settings leave.
-const _: () = assert!(SILENCE + DIAL + PAUSE + DIAL < TOLD);
-
-/// One connection to a coordinator.
-struct Watch {
-    key: Key,
-    stream: TcpStream,
-    up: bool,
-    /// Whether it brought a whole line: then a new one is worth a try at once.
-    told: bool,
-    heard: Micros,
-    /// What is here of the next line, and how far it was searched for its end: a whole list comes in many pieces.
-    line: Vec<u8>,
-    searched: usize,
-}
+use std::net::SocketAddr;
+
+/// The coordinator writes a line in this span at least, in microseconds: the protocol has it so.
+const LINE_INTERVAL: Micros = 1_000_000;
+/// A drain counts as announced this long after the coordinator became unresponsive on an open connection, in
+/// microseconds, or as soon as it is asked again, if that is sooner.
+const DRAIN_ANNOUNCED_AFTER: Micros = 4_000_000;
+/// The span without a line after which the coordinator is unresponsive, in microseconds: one line is missing, and the
+/// next is nearly due.
+const UNRESPONSIVE_AFTER: Micros = 2 * LINE_INTERVAL - LINE_INTERVAL / 10;
+/// The span in which a connection has to come up, in microseconds.
+const CONNECT_TIMEOUT: Micros = LINE_INTERVAL / 2;
+/// The backoff after a connection that brought nothing, in microseconds.
+const RECONNECT_BACKOFF: Micros = LINE_INTERVAL / 5;
+/// The longest line, in bytes: a whole list of some ten thousand executors.
+const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
+
+// The list is here before a drain counts as announced, also where the first new connection fails: so a drain is known
+// within its grace, however short the settings make that.
+const _: () = assert!(
+    UNRESPONSIVE_AFTER + CONNECT_TIMEOUT + RECONNECT_BACKOFF + CONNECT_TIMEOUT < DRAIN_ANNOUNCED_AFTER
+);
 
-/// The feed of the coordinator; it comes back by itself.
+/// The watch of the coordinator's endpoint list; it reconnects by itself.
 pub struct CoordinatorWatch {
     address: SocketAddr,
-    /// The last event that was taken.
-    held: u64,
-    /// An event that can't be read is skipped once it came twice, or nothing after it would ever come.
-    refused: Option<u64>,
+    /// The index of the last event that was applied.
+    applied: u64,
+    /// The event applied before one that can't be read. If it can't be read a second time it is skipped, or nothing
+    /// after it would ever come.
+    unreadable_after: Option<u64>,
     watch: Option<Watch>,
-    /// The coordinator before, followed until the new one has told anything.
+    /// The connection to the coordinator before, read until the new one has brought a line.
     previous: Option<Watch>,
+    /// The point of the next connection, in microseconds, while there is none.
     retry_at: Micros,
-    /// Whether the last dial found no descriptor.
+    /// Whether the last connection found no descriptor.
     pub out_of_descriptors: bool,
     /// Connections begun.
     pub dials: u64,
@@ -60,12 +54,12 @@
 }
 
 impl CoordinatorWatch {
-    /// Not connected yet; `held` is the last event of the start.
-    pub fn new(address: SocketAddr, held: u64) -> CoordinatorWatch {
+    /// Not connected yet; `applied` is the last event that is known from the start.
+    pub fn new(address: SocketAddr, applied: u64) -> CoordinatorWatch {
         CoordinatorWatch {
             address,
-            held,
-            refused: None,
+            applied,
+            unreadable_after: None,
             watch: None,
             previous: None,
             retry_at: 0,
@@ -75,139 +69,154 @@
         }
     }
 
-    /// The coordinator is at another address from now on; its numbering goes on from the last event held. What the
-    /// one before still tells is heeded until the new one has told anything.
+    /// The coordinator is at another address from now on; its event indices go on from the last one applied. Events of
+    /// the one before count until the new one has brought a line: without that, a drain that only the old one announces
+    /// would be missed while the new one is not there yet.
     pub fn move_to(&mut self, address: SocketAddr, now: Micros, poll: &Poll) {
         if address == self.address {
             return;
         }
         match self.watch.take() {
-            Some(w) if w.told || (w.up && self.previous.is_none()) => {
-                if let Some(older) = self.previous.replace(w) {
+            Some(watch) if watch.received_line || (watch.connected && self.previous.is_none()) => {
+                if let Some(older) = self.previous.replace(watch) {
                     poll.remove(&older.stream);
                 }
             }
-            Some(w) => poll.remove(&w.stream),
+            Some(watch) => poll.remove(&watch.stream),
             None => {}
         }
-        (self.address, self.retry_at, self.refused) = (address, now, None);
+        self.address = address;
+        self.retry_at = now;
+        self.unreadable_after = None;
         self.tick(now, poll);
     }
 
-    /// Dials again at once, as there is a descriptor now.
+    /// Connects again at once, as there is a descriptor now.
     pub fn retry_now(&mut self, now: Micros, poll: &Poll) {
-        (self.out_of_descriptors, self.retry_at) = (false, now);
+        self.out_of_descriptors = false;
+        self.retry_at = now;
         self.tick(now, poll);
     }
 
-    /// A socket is ready: what is new, in order.
+    /// A socket is ready: the events that are new, in order.
     pub fn ready(&mut self, key: Key, now: Micros, poll: &Poll) -> Vec<Update> {
         let mut updates = Vec::new();
-        if let Some(mut w) = self.previous.take_if(|w| w.key == key) {
-            match self.advance(&mut w, now, poll, &mut updates) {
-                Ok(()) => self.previous = Some(w),
-                Err(_) => poll.remove(&w.stream),
+        if let Some(mut watch) = self.previous.take_if(|watch| watch.key == key) {
+            match self.advance(&mut watch, now, poll, &mut updates) {
+                Ok(()) => self.previous = Some(watch),
+                Err(_) => poll.remove(&watch.stream),
             }
-        } else if let Some(mut w) = self.watch.take() {
-            let end = self.advance(&mut w, now, poll, &mut updates);
-            if let Some(older) = self.previous.take_if(|_| w.told) {
+        } else if let Some(mut watch) = self.watch.take() {
+            let result = self.advance(&mut watch, now, poll, &mut updates);
+            if let Some(older) = self.previous.take_if(|_| watch.received_line) {
                 poll.remove(&older.stream);
             }
-            self.watch = Some(w);
-            if let Err(why) = end {
-                self.lose(now, poll, &why);
+            self.watch = Some(watch);
+            if let Err(error) = result {
+                self.lose(now, poll, &error);
             }
         }
         updates
     }
 
+    /// Connects, receives, and applies every whole line.
     fn advance(
         &mut self,
-        w: &mut Watch,
+        watch: &mut Watch,
         now: Micros,
         poll: &Poll,
         updates: &mut Vec<Update>,
-    ) -> Result<(), String> {
-        if !w.up {
-            match dial::up(&w.stream) {
-                Ok(()) => {}
-                Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
-                Err(e) => return Err(e.to_string()),
-            }
-            // The line is far shorter than any socket's buffer.
-            let all = w.stream.write_all(coordinator::follow(self.held).as_bytes());
-            all.and_then(|()| poll.writable(w.key, &w.stream, false)).map_err(|e| e.to_string())?;
-            (w.up, w.heard) = (true, now);
-            tracing::info!(coordinator = %self.address, held = self.held, "feed: following");
+    ) -> Result<(), WatchError> {
+        if !watch.connected && !self.connect(watch, now, poll)? {
+            return Ok(());
         }
-        let mut piece = [0; 16 * 1024];
-        match system_calls::read(&mut w.stream, &mut piece) {
-            Ok(0) => return Err("closed by the coordinator".into()),
-            Ok(n) => w.line.extend_from_slice(&piece[..n]),
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
-                return Ok(());
-            }
-            Err(e) => return Err(e.to_string()),
+        if !watch.receive()? {
+            return Ok(());
         }
-        let mut from = 0;
-        while let Some(n) = w.line[w.searched..].iter().position(|b| *b == b'\n') {
-            let end = w.searched + n;
-            let line = coordinator::line(&w.line[from..end]);
-            from = end + 1;
-            w.searched = from;
-            (w.heard, w.told) = (now, true);
+        let mut start = 0;
+        while let Some(end) = watch.next_line_end() {
+            let line = coordinator::line(&watch.line[start..end]);
+            start = end + 1;
+            watch.searched = start;
+            watch.last_line_at = now;
+            watch.received_line = true;
             match line {
-                Ok(line) => self.take(line, updates)?,
-                Err(e) => {
-                    self.bad_lines += 1;
-                    if self.refused.replace(self.held) == Some(self.held) {
-                        tracing::error!(event = self.held + 1, error = %e, "feed: an event can't be read and is skipped");
-                        (self.held, self.refused) = (self.held + 1, None);
-                    }
-                    return Err(format!("bad line: {e}"));
-                }
+                Ok(line) => self.apply(line, updates)?,
+                Err(error) => return Err(self.unreadable(error)),
             }
         }
-        w.line.drain(..from);
-        w.searched = w.line.len();
-        if w.line.len() > LONGEST { Err("line without end".into()) } else { Ok(()) }
+        watch.line.drain(..start);
+        watch.searched = watch.line.len();
+        if watch.line.len() > MAX_LINE_BYTES { Err(WatchError::LineTooLong) } else { Ok(()) }
     }
 
-    fn take(&mut self, line: Line, updates: &mut Vec<Update>) -> Result<(), String> {
+    /// Asks for the events after the last one applied, once the connection is up; false if it is not yet.
+    fn connect(&self, watch: &mut Watch, now: Micros, poll: &Poll) -> Result<bool, WatchError> {
+        match dial::up(&watch.stream) {
+            Ok(()) => {}
+            Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(false),
+            Err(e) => return Err(e.into()),
+        }
+        // The line is far shorter than any socket's buffer.
+        watch.stream.write_all(coordinator::follow(self.applied).as_bytes())?;
+        poll.writable(watch.key, &watch.stream, false)?;
+        watch.connected = true;
+        watch.last_line_at = now;
+        tracing::info!(coordinator = %self.address, held = self.applied, "feed: following");
+        Ok(true)
+    }
+
+    /// A line can't be read: it is asked for again, and skipped the second time.
+    fn unreadable(&mut self, error: String) -> WatchError {
+        self.bad_lines += 1;
+        if self.unreadable_after.replace(self.applied) == Some(self.applied) {
+            let event = self.applied + 1;
+            tracing::error!(event, %error, "feed: an event can't be read and is skipped");
+            self.applied = event;
+            self.unreadable_after = None;
+        }
+        WatchError::BadLine(error)
+    }
+
+    /// Applies a line: an event that is new is an update, one that was applied before is ignored.
+    fn apply(&mut self, line: Line, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+        let applied = self.applied;
         match line {
-            Line::Last(last) if last > self.held => Err(format!("event {last} is there, {} held", self.held)),
+            Line::Last(last) if last > applied => Err(WatchError::Behind { last, applied }),
             Line::Last(_) => Ok(()),
-            Line::Update(u) if u.index <= self.held => Ok(()),
-            Line::Update(u) if u.index > self.held + 1 => {
-                Err(format!("event {} after {}", u.index, self.held))
+            Line::Update(update) if update.index <= applied => Ok(()),
+            Line::Update(update) if update.index > applied + 1 => {
+                Err(WatchError::Gap { index: update.index, applied })
             }
-            Line::Update(u) => {
-                (self.held, self.refused) = (u.index, None);
-                updates.push(u);
+            Line::Update(update) => {
+                self.applied = update.index;
+                self.unreadable_after = None;
+                updates.push(update);
                 Ok(())
             }
         }
     }
 
-    fn lose(&mut self, now: Micros, poll: &Poll, why: &str) {
-        let told = self.watch.take().is_some_and(|w| {
-            poll.remove(&w.stream);
-            w.told
+    /// Gives the connection up; the next is tried at once if this one worked, else after a backoff.
+    fn lose(&mut self, now: Micros, poll: &Poll, error: &WatchError) {
+        let worked = self.watch.take().is_some_and(|watch| {
+            poll.remove(&watch.stream);
+            watch.received_line
         });
-        tracing::warn!(coordinator = %self.address, held = self.held, reason = why, "feed: lost");
-        self.retry_at = now + if told { 0 } else { PAUSE };
+        tracing::warn!(coordinator = %self.address, held = self.applied, reason = %error, "feed: lost");
+        self.retry_at = now + if worked { 0 } else { RECONNECT_BACKOFF };
     }
 }
 
 impl EventSource for CoordinatorWatch {
     fn owns(&self, key: Key) -> bool {
-        self.watch.iter().chain(&self.previous).any(|w| w.key == key)
+        self.watch.iter().chain(&self.previous).any(|watch| watch.key == key)
     }
 
     fn next_due(&self) -> Option<Micros> {
         Some(match &self.watch {
-            Some(w) if w.up => w.heard + SILENCE,
-            Some(w) => w.heard + DIAL,
+            Some(watch) if watch.connected => watch.last_line_at + UNRESPONSIVE_AFTER,
+            Some(watch) => watch.last_line_at + CONNECT_TIMEOUT,
             None => self.retry_at,
         })
     }
@@ -217,20 +226,17 @@
             return;
         }
         if self.watch.is_some() {
-            self.lose(now, poll, "silent");
+            self.lose(now, poll, &WatchError::Unresponsive);
             if now < self.retry_at {
                 return;
             }
         }
         self.dials += 1;
-        match dial::dial(self.address).and_then(|s| poll.add(&s, true).map(|key| (key, s))) {
-            Ok((key, stream)) => {
-                let (line, searched) = (Vec::new(), 0);
-                self.watch = Some(Watch { key, stream, up: false, told: false, heard: now, line, searched });
-            }
-            Err(e) => {
-                self.out_of_descriptors = dial::out_of_descriptors(&e);
-                self.lose(now, poll, &e.to_string());
+        match dial::dial(self.address).and_then(|stream| poll.add(&stream, true).map(|key| (key, stream))) {
+            Ok((key, stream)) => self.watch = Some(Watch::new(key, stream, now)),
+            Err(error) => {
+                self.out_of_descriptors = dial::out_of_descriptors(&error);
+                self.lose(now, poll, &WatchError::Socket(error));
             }
         }
     }
