--- a/src/balancer/load/fleet.rs
+++ b/src/balancer/load/fleet.rs
@@ -120,8 +120,8 @@
 
     /// Sums up what the executors hold. Only those that anything was sent to or received from are visited.
     fn observe_fleet(&self) -> FleetLoad {
-        self.count_examined(self.executor_index.active.len());
-        let active = self.executor_index.active.iter().map(|index| &self.executors[*index]);
+        self.count_examined(self.executors.active.len());
+        let active = self.executors.active.iter().map(|index| &self.executors[*index]);
         let listed = active.filter(|executor| executor.listed());
         let is_ejected = |executor: &&Executor| executor.health.ejected_until.is_some();
         let ejected_cores: f64 = listed.clone().filter(is_ejected).map(|executor| executor.cores).sum();
