--- a/src/balancer/cost_model.rs
+++ b/src/balancer/cost_model.rs
@@ -179,6 +179,12 @@
         self.cost_model.class_mean(class, &self.settings)
     }
 
+    /// Time that a request should take, in seconds, by how long its class takes lately.
+    pub(crate) fn expected_latency_s(&self, request: &Request) -> f64 {
+        let latency_ratio = self.cost_model.classes[request.class].latency_ratio.value_or(1.0);
+        request.cost / f64::from(self.settings.classes[request.class].threads) * latency_ratio
+    }
+
     /// Learns from an attempt that was answered: the request's cost, its memory and its executor's latency.
     pub(super) fn learn_cost(
         &mut self,
--- a/src/balancer/load/fleet.rs
+++ b/src/balancer/load/fleet.rs
@@ -14,7 +14,7 @@
 const UNOBSERVED_EXECUTORS: f64 = 2.0;
 /// Weight of a tick in the traffic share: about ten seconds count.
 const TRAFFIC_SHARE_WEIGHT: f64 = 0.01;
-/// Load, in threads a core, under which the traffic share can't be told from own threads.
+/// Load, in threads a core, under which own threads say nothing of the traffic share.
 const LEAST_LOAD: f64 = 0.05;
 /// Utilization at which a report says no more how many threads an executor holds.
 const SATURATED_UTILIZATION: f64 = 0.85;
--- a/src/dispatch/fleet.rs
+++ b/src/dispatch/fleet.rs
@@ -60,8 +60,8 @@
 impl<R> Dispatch<R> {
     /// The fleet now.
     pub fn fleet(&self, now: Micros) -> Fleet {
-        let [listed, usable, warm] = self.dispatcher.fleet(now);
-        Fleet { listed, usable, warm }
+        let cores = self.dispatcher.fleet_cores(now);
+        Fleet { listed: cores.listed, usable: cores.healthy, warm: cores.warm }
     }
 
     /// Cores that work, of all executors on the list, as far as they were heard.
@@ -71,7 +71,7 @@
 
     /// Executors on the list, and of these how many are avoided now: draining, silent or ejected.
     pub fn avoided(&self, now: Micros) -> (usize, usize) {
-        self.dispatcher.avoided(now)
+        self.dispatcher.listed_and_avoided(now)
     }
 
     /// News of the executors.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,7 +4,7 @@
 mod chance;
 mod executor;
 mod executor_index;
-mod figures;
+mod fleet;
 mod mean;
 mod request;
 mod ring;
@@ -31,7 +31,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// One request dispatcher: what it was told, what it learned and what is open.
+/// One request dispatcher: its settings, what it learned, and its open requests.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
