--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,183 +1,148 @@
-//! The facade over the decisions, in blocking style: [`Dispatch::pick`] takes a request in,
-//! [`Dispatch::report`] tells what happened, [`Dispatch::tick`] lets time pass; each returns what is to be
-//! done, in order. It owns the dispatcher, its timers, and every open request with its attempts and deadline.
+//! The facade over the decisions: [`Dispatch::submit`] takes a request, [`Dispatch::handle`] an event of the network,
+//! [`Dispatch::tick`] lets time pass; each returns the commands that the network has to carry out, in order. It owns
+//! the decisions, their timers, and every pending request with its attempts and deadline.
 //!
-//! - `request`: what a client asked.
-//! - `fleet`: the executors of the list, and news of them.
-//! - `exchange`: what the network tells and what it is told to do.
-//! - `open`: requests that are open, and their attempts.
-//! - `intake`: how a request is taken in, held or turned away.
-//! - `reports`: what the network's reports come to.
-//! - `actions`: the decisions' actions become orders.
-//! - `ends`: time that passes, the one final answer, and what is forgotten after it.
+//! - `client_request`: a request as its client sent it, and an attempt's id.
+//! - `endpoints`: the listed executors, and watch events on them.
+//! - `interface`: what the network reports, and the commands that it gets.
+//! - `pending_request`: requests without an answer, and their attempts.
+//! - `request_class`: what has to be known of a class here.
+//! - `submission`: how a request is submitted, held or rejected.
+//! - `network_events`: what the network's events lead to.
+//! - `commands`: the decisions' actions become commands.
+//! - `completion`: deadlines, the one final answer, and what is forgotten after it.
+//! - `counters`: counts since the start.
 //!
-//! The network's side sees the types of this module alone, never the dispatcher's events and actions.
+//! The network sees the types of this module alone, never the decisions' events and actions.
 
-mod actions;
-mod ends;
-mod exchange;
-mod fleet;
-mod intake;
-mod open;
-mod reports;
-mod request;
+mod client_request;
+mod commands;
+mod completion;
+mod counters;
+mod endpoints;
+mod interface;
+mod network_events;
+mod pending_request;
+mod request_class;
+mod submission;
 
-pub use crate::api::ExecutorId;
+pub use crate::api::{AttemptProgress, ExecutorId, Report as LoadReport};
 pub use crate::codec::coordinator::executor_id;
-pub use exchange::{Answer, Echo, End, Load, Order, Report, Terms, Word};
-pub use fleet::{Fleet, Member, News, Standing};
-pub use open::Progress;
-pub use request::{Request, Ticket};
+pub use client_request::{AttemptId, Request};
+pub use counters::Counters;
+pub use endpoints::{ExecutorState, FleetCapacity, ListedExecutor, WatchEvent};
+pub use interface::{Answer, AttemptEnd, AttemptTerms, Command, NetworkEvent, ProbeOutcome};
+pub use pending_request::Progress;
+pub use submission::SubmitError;
 
 use crate::Balancer;
-use crate::api::{self, EndCounts, Idempotency, KeyScope, Micros, Settings, SettingsError};
+use crate::api::{Micros, Settings, SettingsError};
 use lru::LruCache;
-use open::Open;
+use pending_request::PendingRequest;
+use request_class::RequestClass;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::num::NonZeroUsize;
 
-/// A key rests at least this long after an attempt that was stopped or lost: the KILL has to arrive before the
-/// next request of the key does, and they may go to different executors.
-const KEY_REST: Micros = 100_000;
-/// A budget may be this much above the class's whole deadline, for rounding; more is no budget.
-const SLACK: Micros = 1_000_000;
-/// Ids remembered after their answer: some 15 s of the busiest traffic, far longer than anything is under way.
-const RECENT: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
-/// What a refusal tells a client to wait where the decisions name no time.
+/// The least span for which a key stays quiet after an attempt that was stopped or lost, in microseconds: the KILL has
+/// to arrive before the next request of the key does, and they may go to different executors.
+const KEY_QUIET_TIME: Micros = 100_000;
+/// Request ids remembered: some 15 s of the busiest traffic, far longer than any message of a request is under way.
+const RECENT_IDS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
+/// The backoff of a refusal, in milliseconds, where the decisions name none.
 const BACKOFF_MS: u64 = 200;
+/// A retry may begin within this fraction of the retry budget's window after it was decided on: long beside the time
+/// that a connection takes to come up, short beside the window.
+const RETRY_START_WINDOW_FRACTION: Micros = 8;
 
-/// Counters since the start.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Requests taken.
-    pub taken: u64,
-    /// Answered with a result.
-    pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed.
-    pub failed: u64,
-    /// Clients that left before their answer.
-    pub left: u64,
-    /// Attempts sent.
-    pub attempts: u64,
-    /// Attempts that ran into their deadline.
-    pub expired: u64,
-    /// Attempts lost with their connection.
-    pub lost: u64,
-    /// Attempts that never reached an executor.
-    pub never_sent: u64,
-    /// Probes sent.
-    pub probes: u64,
-    /// Final answers by reason.
-    pub ends: EndCounts,
-}
-
-/// A further attempt may begin by this part of the budget's window after it was decided: long beside a connection
-/// that comes up, short beside the window.
-const BUDGET_SLACK_PART: Micros = 8;
-
-/// The settings as the decisions need them where attempts go out on sockets: the KILL of a stopped one takes a moment,
-/// and so does the connection of one that begins.
-fn on_sockets(mut settings: Settings) -> Settings {
-    settings.key_quiet = Some(settings.key_quiet.unwrap_or(0).max(KEY_REST));
-    settings.budget.iter_mut().for_each(|b| b.slack = b.span / BUDGET_SLACK_PART);
+/// The settings as the decisions need them where attempts go out on sockets: the KILL of a stopped attempt takes a
+/// moment to arrive, and so does the connection of one that begins.
+fn settings_for_sockets(mut settings: Settings) -> Settings {
+    settings.key_quiet = Some(settings.key_quiet.unwrap_or(0).max(KEY_QUIET_TIME));
+    if let Some(budget) = &mut settings.budget {
+        budget.slack = budget.span / RETRY_START_WINDOW_FRACTION;
+    }
     settings
 }
 
-/// What has to be known of a class here.
-#[derive(Debug, Clone, Copy)]
-struct Class {
-    /// Refusing is harmless whatever ran.
-    safe: bool,
-    /// Repeats are harmless for so long after a send, where anything makes them so.
-    window: Option<Micros>,
-    /// The longest budget that can be meant.
-    most_budget: Micros,
-    /// Requests of a key run in order, and their clients space them.
-    keeps_order: bool,
-}
-
-/// The dispatcher's decisions, and what is open.
+/// The decisions, and every pending request; `R` is a result as the network holds it.
 pub struct Dispatch<R> {
-    dispatcher: Balancer,
-    classes: Vec<Class>,
-    most_held: usize,
-    /// Ids of late, so that none is taken twice.
-    recent: LruCache<u64, ()>,
-    open: BTreeMap<u64, Open<R>>,
-    /// Requests that wait for word of the fleet before the decisions get them.
-    held: BTreeMap<u64, Request>,
-    /// What becomes of requests whose clients left is told.
-    follows: bool,
-    most_attempts: usize,
-    /// A further attempt may begin so long after it was decided, where the settings ration them.
-    budget_slack: Option<Micros>,
+    balancer: Balancer,
+    /// By class index.
+    classes: Vec<RequestClass>,
+    /// Unanswered requests at the most; more are refused at once.
+    max_open_requests: usize,
+    /// Ids of recent requests, so that none is accepted twice.
+    recent_ids: LruCache<u64, ()>,
+    /// Requests that are unanswered or have an outstanding attempt, by id.
+    pending: BTreeMap<u64, PendingRequest<R>>,
+    /// Requests that wait for the peers' agreement before the decisions get them, by id.
+    held_requests: BTreeMap<u64, Request>,
+    /// Whether the end of requests whose clients disconnected is reported.
+    reports_abandoned: bool,
+    /// Attempts that a request may have.
+    max_attempts: usize,
+    /// The span in which a retry has to begin after it was decided on, in microseconds, where there is a retry budget.
+    retry_start_window: Option<Micros>,
+    /// The deadlines of pending requests, with their ids.
     deadlines: BTreeSet<(Micros, u64)>,
-    wakes: BinaryHeap<Reverse<(Micros, u64)>>,
-    orders: Vec<Order<R>>,
-    /// Counters.
-    pub tally: Tally,
+    /// The points at which timers of the decisions are due, with their tokens.
+    timers: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Commands not yet returned to the network.
+    commands: Vec<Command<R>>,
+    /// Counts since the start.
+    pub counters: Counters,
 }
 
 impl<R> Dispatch<R> {
-    /// One that knows its settings and no executor.
-    pub fn new(mut settings: Settings, most_held: usize, seed: u64) -> Result<Dispatch<R>, SettingsError> {
-        settings = on_sockets(settings);
-        let budget_slack = settings.budget.map(|b| b.slack);
-        let class = |c: &api::Class| Class {
-            safe: matches!(
-                c.idempotency,
-                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
-            ),
-            window: if let Idempotency::IdempotencyKey { window, .. } = c.idempotency {
-                Some(window)
-            } else {
-                None
-            },
-            most_budget: c.deadline + SLACK,
-            keeps_order: c.keep_order,
-        };
-        let classes = settings.classes.iter().map(class).collect();
-        let most_attempts = settings.max_attempts as usize;
+    /// Decisions by these settings that know no executor yet; `seed` determines their random numbers. Errors if the
+    /// settings can't be used.
+    pub fn new(
+        settings: Settings,
+        max_open_requests: usize,
+        seed: u64,
+    ) -> Result<Dispatch<R>, SettingsError> {
+        let settings = settings_for_sockets(settings);
+        let retry_start_window = settings.budget.map(|budget| budget.slack);
+        let classes = settings.classes.iter().map(RequestClass::of).collect();
+        let max_attempts = settings.max_attempts as usize;
         Ok(Dispatch {
-            dispatcher: Balancer::new(settings, seed)?,
+            balancer: Balancer::new(settings, seed)?,
             classes,
-            most_held,
-            recent: LruCache::new(RECENT),
-            open: BTreeMap::new(),
-            held: BTreeMap::new(),
-            follows: false,
-            most_attempts,
-            budget_slack,
+            max_open_requests,
+            recent_ids: LruCache::new(RECENT_IDS),
+            pending: BTreeMap::new(),
+            held_requests: BTreeMap::new(),
+            reports_abandoned: false,
+            max_attempts,
+            retry_start_window,
             deadlines: BTreeSet::new(),
-            wakes: BinaryHeap::new(),
-            orders: Vec::new(),
-            tally: Tally::default(),
+            timers: BinaryHeap::new(),
+            commands: Vec::new(),
+            counters: Counters::default(),
         })
     }
 
     /// Whether requests of a class run in the order of their key.
     pub fn keeps_order(&self, class: usize) -> bool {
-        self.classes.get(class).is_some_and(|c| c.keeps_order)
+        self.classes.get(class).is_some_and(|class| class.keeps_order)
     }
 
-    /// Requests whose clients still wait.
-    pub fn waiting(&self) -> usize {
-        self.open.values().filter(|o| !o.closed).count()
+    /// The number of requests whose clients still wait.
+    pub fn open_requests(&self) -> usize {
+        self.pending.values().filter(|pending| !pending.closed).count()
     }
 
-    /// When [`Dispatch::tick`] has something to do next.
+    /// The point at which [`Dispatch::tick`] has something to do next, in microseconds.
     pub fn next_due(&self) -> Option<Micros> {
-        let wake = self.wakes.peek().map(|Reverse((t, _))| *t);
-        let deadline = self.deadlines.first().map(|(t, _)| *t);
-        wake.into_iter().chain(deadline).min()
+        let timer = self.timers.peek().map(|Reverse((due_at, _))| *due_at);
+        let deadline = self.deadlines.first().map(|(due_at, _)| *due_at);
+        timer.into_iter().chain(deadline).min()
     }
 
-    /// From now on [`Order::Past`] tells what becomes of requests whose clients left.
-    pub fn follow_left(&mut self) {
-        self.follows = true;
+    /// From now on [`Command::ReportAbandoned`] reports the end of requests whose clients disconnected.
+    pub fn report_abandoned(&mut self) {
+        self.reports_abandoned = true;
     }
 }
 
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -14,7 +14,7 @@
 pub(in crate::net) mod session;
 
 use crate::api::Micros;
-use crate::dispatch::Report;
+use crate::dispatch::NetworkEvent;
 use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
 use client_error::ClientError;
@@ -51,7 +51,7 @@
     /// A client sent another statement while its request is open: it gets an error, and its connection closes.
     pub(in crate::net) fn reject_second_request(&mut self, key: Key, now: Micros) {
         let Some(session) = self.sessions.by_key.get_mut(&key) else { return };
-        tracing::info!(client = session.id, "client closed: sends on without waiting for its answer");
+        tracing::info!(client = session.id, reason = "second request", "client closed");
         let open = session.open.take();
         session.close_with_error(ClientError::SecondRequest, now);
         if let Some(request) = open {
@@ -101,8 +101,8 @@
         if let Some(open) = self.requests.open.remove(&request) {
             self.log_abandoned(request, &open, now);
         }
-        let orders = self.dispatch.report(now, Report::Left(request));
-        self.settle(orders);
+        let orders = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
+        self.execute(orders);
         self.client_left(now, request);
     }
 
