--- a/src/balancer/load/mod.rs
+++ b/src/balancer/load/mod.rs
@@ -163,7 +163,7 @@
 
     /// Updates the running means of what own requests hold.
     fn update_in_flight_means(&mut self) {
-        let active = self.executor_index.active.iter().map(|index| &self.executors[*index]);
+        let active = self.executors.active.iter().map(|index| &self.executors[*index]);
         let (granted_mb, threads) =
             active.fold((0.0, 0.0), |(mb, threads), e| (mb + e.granted_mb, threads + e.in_flight_threads));
         if threads > 0.0 {
