--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,7 +4,7 @@
 mod executor;
 mod executor_index;
 mod executor_table;
-mod figures;
+mod fleet;
 mod hash_ring;
 mod mean;
 mod random;
@@ -29,7 +29,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// One request dispatcher: what it was told, what it learned and what is open.
+/// One request dispatcher: its settings, what it learned, and its open requests.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
