--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the balancer: classes of request, kinds of machine, tenants, and what executors support.
 
-use super::{DurationUs, Endpoint, KindId, Micros, ZoneId};
+use super::{DurationUs, Endpoint, KindId, ZoneId};
 
 /// Whether a request may run again after an attempt of it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,17 +120,17 @@
     pub slack: DurationUs,
 }
 
-/// The cold-executor rule.
+/// The slow start of executors that have just started, and what pushes them over meanwhile.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
     /// An executor starts at this share of its capacity or more.
     pub initial_fraction: f64,
-    /// It is warm this long after its start.
-    pub ramp: Micros,
-    /// Sent more than this multiple of its present capacity...
+    /// It has its full capacity this long after its start.
+    pub ramp: DurationUs,
+    /// It falls over if it is sent more than this multiple of its present capacity...
     pub overload_factor: f64,
-    /// ...for this long, it falls over.
-    pub overload_window: Micros,
+    /// ...within this time; 0 if executors never fall over.
+    pub overload_window: DurationUs,
 }
 
 /// The settings of a dispatcher's decisions.
@@ -184,7 +184,7 @@
     pub reports_cost: bool,
     /// The retry budget, where one is stated.
     pub budget: Option<RetryBudget>,
-    /// The cold-executor rule.
+    /// Slow start of executors that have just started.
     pub slow_start: SlowStart,
     /// Nothing new may reach an executor this long after the list had it as draining or gone.
     pub drain_grace: DurationUs,
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -176,7 +176,7 @@
     ) {
         self.record_report(executor, report);
         let Some(index) = self.executors.position(executor) else { return };
-        self.executors[index].probe_sent = None;
+        self.executors[index].probe_sent_at = None;
         self.mark_active(index);
         match outcome {
             Outcome::Ok => self.resume_after_probes(),
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: which executors the rules permit for an attempt, whatever the draw would like.
 
-use crate::api::{ClassId, Idempotency, KeyScope, Micros, Outcome};
+use crate::api::{ClassId, DurationUs, Idempotency, KeyScope, Outcome};
 use crate::state::{Attempt, Balancer, Executor, Request};
 
 impl Balancer {
@@ -38,7 +38,13 @@
     }
 
     /// Whether the executor would drop a repeat of the attempt now.
-    fn drops_repeat(&self, attempt: &Attempt, executor: &Executor, scope: KeyScope, window: Micros) -> bool {
+    fn drops_repeat(
+        &self,
+        attempt: &Attempt,
+        executor: &Executor,
+        scope: KeyScope,
+        window: DurationUs,
+    ) -> bool {
         let tried = &self.executors[attempt.executor].endpoint;
         self.now < attempt.sent_at + window && scope.holds(tried, &executor.endpoint)
     }
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -1,7 +1,7 @@
 //! The life cycle of a request: arrival, the wait for probes, the final answer, its removal.
 
 use crate::api::{Action, Arrival, ClassId, DurationUs, EndReason, Idempotency, KeyScope, RequestId};
-use crate::balancer::selection::PROBE_WAIT;
+use crate::balancer::selection::PROBE_WAIT_US;
 use crate::balancer::{PROBE_WAIT_TIMER, RETRY_AFTER_US, TICK_US};
 use crate::state::{Balancer, Request};
 
@@ -71,7 +71,7 @@
             self.reject_or_fail_request(id, RETRY_AFTER_US, EndReason::NoExecutor);
         } else if !waited_before {
             self.awaiting_probes.push(id);
-            self.actions.push(Action::SetTimer { token: PROBE_WAIT_TIMER, after: PROBE_WAIT });
+            self.actions.push(Action::SetTimer { token: PROBE_WAIT_TIMER, after: PROBE_WAIT_US });
         }
     }
 
@@ -81,7 +81,7 @@
         let request = &self.requests[&id];
         match request.probe_wait_until {
             Some(until) => self.now < until,
-            None => self.now + 2 * PROBE_WAIT < request.deadline,
+            None => self.now + 2 * PROBE_WAIT_US < request.deadline,
         }
     }
 
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -12,17 +12,17 @@
 pub(crate) use probe_budget::ProbeBudget;
 
 use super::load::SPARE_CAPACITY_LOAD;
-use crate::api::{Action, Micros, Reports, RequestId};
+use crate::api::{Action, DurationUs, Reports, RequestId};
 use crate::state::{Balancer, Executor, draw_weighted};
 
-/// A load report is fresh for this long, in microseconds.
-const REPORT_FRESHNESS: Micros = 800_000;
+/// A load report is fresh for this long.
+const REPORT_FRESHNESS_US: DurationUs = 800_000;
 /// Executors with a known load that a draw needs; with fewer of them others are probed first.
 const CANDIDATES_WANTED: usize = 3;
-/// Longest wait of a request for the answers to its probes, in microseconds: some round trips.
-pub(super) const PROBE_WAIT: Micros = 40_000;
-/// A probe without an answer is sent again after this long, in microseconds.
-const PROBE_RESEND_AFTER: Micros = 1_000_000;
+/// Longest wait of a request for the answers to its probes; some round trips.
+pub(super) const PROBE_WAIT_US: DurationUs = 40_000;
+/// A probe without an answer is sent again after this long.
+const PROBE_RESEND_AFTER_US: DurationUs = 1_000_000;
 
 /// The usable executors of a draw, by position in the executor table.
 struct Candidates {
@@ -64,13 +64,13 @@
         if may_probe {
             self.choose_probes(id, choices, &mut candidates);
             if self.send_probes(id, &candidates.to_probe) {
-                let wait_until = self.now + PROBE_WAIT;
+                let wait_until = self.now + PROBE_WAIT_US;
                 self.request_mut(id).probe_wait_until.get_or_insert(wait_until);
                 return None;
             }
         }
         let few_known = choices < CANDIDATES_WANTED;
-        let drawn_from = candidates.into_drawn_from(few_known, |i| self.executors[i].probe_sent.is_some());
+        let drawn_from = candidates.into_drawn_from(few_known, |i| self.executors[i].probe_sent_at.is_some());
         self.draw_by_weight(id, drawn_from)
     }
 
@@ -79,8 +79,9 @@
         let probes_help = self.probes_help();
         let (warming, warm): (Vec<usize>, Vec<usize>) =
             usable.into_iter().partition(|&i| self.warming_rate(&self.executors[i]).is_some());
-        let is_known =
-            |i: &usize| !probes_help || self.now < self.executors[*i].report_received_at + REPORT_FRESHNESS;
+        let is_known = |i: &usize| {
+            !probes_help || self.now < self.executors[*i].report_received_at + REPORT_FRESHNESS_US
+        };
         let (known, unknown): (Vec<usize>, Vec<usize>) = warm.into_iter().partition(is_known);
         let request = &self.requests[&id];
         let seeks_affinity = !self.settings.classes[request.class].yields_to_loads;
@@ -101,7 +102,7 @@
 
     /// A probe was sent lately and its answer is still expected.
     fn awaits_probe(&self, executor: &Executor) -> bool {
-        executor.probe_sent.is_some_and(|sent| self.now < sent + PROBE_RESEND_AFTER)
+        executor.probe_sent_at.is_some_and(|sent| self.now < sent + PROBE_RESEND_AFTER_US)
     }
 
     /// The known executors that count as a choice. Preferred executors without room do not: else a few hot
@@ -147,7 +148,7 @@
 
     fn send_probe(&mut self, i: usize) {
         let executor = &mut self.executors[i];
-        executor.probe_sent = Some(self.now);
+        executor.probe_sent_at = Some(self.now);
         executor.connected = true;
         self.actions.push(Action::Probe { executor: executor.endpoint.executor });
         self.mark_active(i);
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -6,7 +6,7 @@
 //! counted in thread-seconds. Where a dispatcher's share is less than one request, it admits one by chance in
 //! proportion, so that all of them together send what is meant in the mean.
 
-use crate::api::{Micros, RequestId};
+use crate::api::{RequestId, TimestampUs};
 use crate::state::{Balancer, Executor, Request, TokenBucket};
 
 /// Share of the budget of an executor in slow start that all dispatchers use in the mean.
@@ -31,7 +31,7 @@
 
 impl WarmingBuckets {
     /// Empty buckets of an executor that has started.
-    pub(crate) fn new(now: Micros) -> WarmingBuckets {
+    pub(crate) fn new(now: TimestampUs) -> WarmingBuckets {
         let empty = TokenBucket { updated_at: now, ..TokenBucket::default() };
         WarmingBuckets { share: empty.clone(), admission: empty }
     }
@@ -44,6 +44,14 @@
     tokens: TokenBucket,
 }
 
+/// Work that an executor in slow start may be sent, in thread-seconds a second.
+pub(super) struct WarmingRate {
+    /// By all dispatchers together.
+    all_dispatchers: f64,
+    /// By this dispatcher.
+    own: f64,
+}
+
 /// What a request asks of an executor in slow start, and what this dispatcher may send there.
 struct Admission {
     /// Work of the request, in thread-seconds.
@@ -65,7 +73,13 @@
 impl SlowStartAdmission {
     /// Fills the buckets and decides by `chance`, uniform from 0 to 1. Tokens are spent whether the request
     /// is admitted or not: its chance is what they come to over its work.
-    fn admit(&mut self, buckets: &mut WarmingBuckets, request: &Admission, chance: f64, now: Micros) -> bool {
+    fn admit(
+        &mut self,
+        buckets: &mut WarmingBuckets,
+        request: &Admission,
+        chance: f64,
+        now: TimestampUs,
+    ) -> bool {
         let window_work = request.rate * request.window_s;
         let initial_window_work = request.initial_rate * request.window_s;
         let most_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
@@ -90,9 +104,9 @@
     /// Whether a request may go to the executor that was drawn for it: always to a warm one, by chance to one
     /// in slow start.
     pub(super) fn admit_to_warming(&mut self, id: RequestId, i: usize) -> bool {
-        let Some((_, rate)) = self.warming_rate(&self.executors[i]) else { return true };
+        let Some(rate) = self.warming_rate(&self.executors[i]) else { return true };
         let chance = self.chance();
-        let admission = self.admission(&self.requests[&id], &self.executors[i], rate);
+        let admission = self.admission(&self.requests[&id], &self.executors[i], rate.own);
         let buckets = &mut self.executors[i].warming_buckets;
         self.slow_start.admit(buckets, &admission, chance, self.now)
     }
@@ -119,14 +133,15 @@
 
     /// An executor in slow start takes no request that would alone be a large part of its budget.
     pub(super) fn slow_start_allows(&self, request: &Request, executor: &Executor) -> bool {
-        let Some((rate, _)) = self.warming_rate(executor) else { return true };
-        let largest = LARGEST_REQUEST * rate * self.settings.slow_start.overload_window as f64 / 1e6;
+        let Some(rate) = self.warming_rate(executor) else { return true };
+        let largest =
+            LARGEST_REQUEST * rate.all_dispatchers * self.settings.slow_start.overload_window as f64 / 1e6;
         self.slow_start_work(request) <= largest
     }
 
     /// Work that an executor in slow start may get from all dispatchers and from this one, in thread-seconds
     /// a second; `None` for a warm executor.
-    pub(super) fn warming_rate(&self, executor: &Executor) -> Option<(f64, f64)> {
+    pub(super) fn warming_rate(&self, executor: &Executor) -> Option<WarmingRate> {
         let slow_start = &self.settings.slow_start;
         let started = executor.warming_since?;
         if slow_start.overload_window == 0 || self.now >= started + slow_start.ramp {
@@ -134,7 +149,7 @@
         }
         let capacity_fraction = self.capacity_fraction(executor);
         let rate = BUDGET_UTILIZATION * slow_start.overload_factor * capacity_fraction * executor.cores;
-        Some((rate, rate * self.slow_start_share()))
+        Some(WarmingRate { all_dispatchers: rate, own: rate * self.slow_start_share() })
     }
 
     /// Work that all executors in slow start may get from this dispatcher, in thread-seconds a second: the
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -50,7 +50,7 @@
     /// Work that it may be sent while it is in slow start.
     pub(crate) warming_buckets: WarmingBuckets,
     /// When the probe that is in flight was sent.
-    pub(crate) probe_sent: Option<TimestampUs>,
+    pub(crate) probe_sent_at: Option<TimestampUs>,
     /// Something was sent to this process: a connection is there.
     pub(crate) connected: bool,
 }
