--- a/src/bin/ottercroft-adapter/wire/tests.rs
+++ b/src/bin/ottercroft-adapter/wire/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn actions_that_no_decision_uses_yet_stand_on_the_wire_as_it_has_them() {
-    let text = |a: Action| serde_json::to_string(&action("gateway/1", &a)).unwrap();
+    let text = |a: Action| serde_json::to_string(&reply("gateway/1", &a)).unwrap();
     assert_eq!(text(Action::FetchEndpointList), r#"{"READ_LIST":{"who":"gateway/1"}}"#);
     assert_eq!(text(Action::Unwatch), r#"{"TRACK":{"who":"gateway/1","enable":false}}"#);
     let close = Action::CloseIdle { executor: 7 };
@@ -20,12 +20,18 @@
     let classes = [("lookup".to_string(), 0)].into();
     let (tenants, zones, kinds) = Default::default();
     let names = ottercroft::settings::Names { classes, tenants, zones, kinds };
-    let read = |name: &str, text: &str| event(name, text, &names, &Lists::new()).ok().flatten();
+    let read = |message, name: &str, text: &str| {
+        event(message, name, text, &names, &EndpointLists::new()).ok().flatten()
+    };
     let inbound = r#"{"call":"000000000000000a","profile":"lookup","grace":1.5}"#;
-    let Some(Event::Arrival(arrival)) = read("INBOUND", inbound) else { panic!("an arrival") };
+    let Some(Event::Arrival(arrival)) = read(MessageName::Arrival, "INBOUND", inbound) else {
+        panic!("an arrival")
+    };
     assert_eq!((arrival.request, arrival.time_budget), (10, 1_500_000));
     let reply = r#"{"call":"000000000000000a","node":1,"go":0,"doneFlag":true,"ending":10,"waitTime":0.2,"bill":8193}"#;
-    let Some(Event::AttemptFinished(finished)) = read("REPLY", reply) else { panic!("an outcome") };
+    let Some(Event::AttemptFinished(finished)) = read(MessageName::AttemptFinished, "REPLY", reply) else {
+        panic!("an outcome")
+    };
     let cost = finished.reported_cost.expect("the cost that the answer states");
     assert_eq!((cost.thread_seconds, cost.memory_mb), (0.002, 4.0));
 }
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -14,7 +14,7 @@
 pub(in crate::net) mod session;
 
 use crate::api::Micros;
-use crate::dispatch::Report;
+use crate::dispatch::NetworkEvent;
 use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
 use client_error::ClientError;
@@ -101,8 +101,8 @@
         if let Some(open) = self.requests.open.remove(&request) {
             self.log_abandoned(request, &open, now);
         }
-        let orders = self.dispatch.report(now, Report::Left(request));
-        self.settle(orders);
+        let orders = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
+        self.execute(orders);
         self.client_left(now, request);
     }
 
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -6,16 +6,16 @@
 impl DispatcherServer {
     /// Logs the counters of all sides, each since the start.
     pub(in crate::net) fn log_counters(&self) {
-        let tally = &self.dispatch.tally;
-        let wire = &self.executors.wire;
-        let feed = self.feed.as_ref();
+        let tally = &self.dispatch.counters;
+        let wire = &self.executors.counters;
+        let feed = self.coordinator_watch.as_ref();
         tracing::info!(
             taken = tally.taken,
             served = tally.served,
             refused = tally.refused,
             failed = tally.failed,
             left = tally.left,
-            open = self.dispatch.waiting(),
+            open = self.dispatch.open_requests(),
             attempts = tally.attempts,
             expired = tally.expired,
             lost = tally.lost,
@@ -29,7 +29,7 @@
             shed = self.client_counters.shed,
             stray = wire.stray,
             bad_lines = wire.bad_lines,
-            mute = wire.mute,
+            unresponsive = wire.unresponsive,
             feed_dials = feed.map_or(0, |f| f.dials),
             feed_bad_lines = feed.map_or(0, |f| f.bad_lines),
             free_buffers = self.pool.free(),
@@ -59,7 +59,7 @@
     }
 
     fn log_list_counters(&self) {
-        if let Some(tally) = self.lists.as_ref().map(|lists| &lists.tally) {
+        if let Some(tally) = self.endpoint_lists.as_ref().map(|lists| &lists.tally) {
             tracing::info!(
                 taken = tally.taken,
                 refused = tally.refused,
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -1,7 +1,7 @@
 //! What the record has done of itself: moves that come of time and of peers' words, and the end.
 
 use crate::api::Micros;
-use crate::dispatch::{Order, Request};
+use crate::dispatch::{Command, Request};
 use crate::net::DispatcherServer;
 use crate::net::clients::request_intake::OpenRequest;
 use crate::net::event_loop::poll::Key;
@@ -47,14 +47,14 @@
                     self.dispatch.answer_held(now, rid, answer)
                 }
                 Move::Adopt(record) => self.adopt(now, &record),
-                Move::LetGo(rid) => self.dispatch.let_go(now, rid),
+                Move::LetGo(rid) => self.dispatch.release(now, rid),
             };
-            self.settle(orders);
+            self.execute(orders);
         }
     }
 
     /// Takes a request of a lost peer in hand; its result waits for its client.
-    fn adopt(&mut self, now: Micros, record: &Record) -> Vec<Order<Rows>> {
+    fn adopt(&mut self, now: Micros, record: &Record) -> Vec<Command<Rows>> {
         let Some(in_flight) = &mut self.in_flight else { return Vec::new() };
         let (class, statement) = (usize::from(record.class), record.statement.clone().unwrap_or_default());
         let Some(kind) = in_flight.classes.get(class).cloned() else { return Vec::new() };
@@ -65,7 +65,7 @@
             class,
             tenant: record.tenant.map(usize::from),
             key: record.key,
-            told: budget.max(1),
+            client_wait: budget.max(1),
             budget,
             thread_seconds: record.work_s,
             memory_mb: record.memory_mb,
@@ -82,7 +82,7 @@
             Err(e) => {
                 tracing::warn!(
                     request = format_args!("{:016x}", record.rid),
-                    error = e,
+                    error = %e,
                     "fleet: not taken over"
                 );
                 self.requests.open.remove(&record.rid);
@@ -94,12 +94,12 @@
 
     /// Whether a machine gets nothing new, as the plan has it out for work.
     pub(in crate::net) fn held_back(&self, uid: &str) -> bool {
-        self.in_flight.as_ref().is_some_and(|h| h.upkeep.holds_back(uid))
+        self.in_flight.as_ref().is_some_and(|h| h.maintenance.holds_back(uid))
     }
 
     /// Since when a machine is back from work that it was out for, in milliseconds; 0 if it was not.
     pub(in crate::net) fn cold_ms(&self, uid: &str) -> u64 {
-        self.in_flight.as_ref().map_or(0, |h| h.upkeep.cold_ms(uid))
+        self.in_flight.as_ref().map_or(0, |h| h.maintenance.cold_ms(uid))
     }
 
     /// At the end: what is still owned is given back at once.
