--- a/crates/lab/src/scale/list.rs
+++ b/crates/lab/src/scale/list.rs
@@ -90,11 +90,11 @@
         tenant: None,
         key: None,
         time_budget: 6_000_000,
-        estimate_s: Some(0.2),
-        memory_mb: Some(100.0),
-        group: request % 50,
-        repeated: false,
-        held_back: false,
+        estimated_thread_seconds: Some(0.2),
+        estimated_memory_mb: Some(100.0),
+        table_group: request % 50,
+        is_repeat: false,
+        held_by_client: false,
     };
     let mut times = Vec::new();
     for request in 0..OPEN {
--- a/examples/one_dispatcher.rs
+++ b/examples/one_dispatcher.rs
@@ -7,7 +7,7 @@
     let class = |latency_objective, priority_weight, threads| Class {
         latency_objective,
         latency_objective_stretch: 2.0,
-        deadline: 5 * latency_objective,
+        client_timeout: 5 * latency_objective,
         priority_weight,
         late_priority_weight: 0.0,
         threads,
@@ -32,17 +32,22 @@
         reports: Reports::Inline,
         list_must_be_polled: false,
         probes: true,
-        cancel: true,
+        cancellation: true,
         hedging: true,
         max_attempts: 4,
         max_retry_after: Some(2_000_000),
-        grants: true,
+        memory_grants: true,
         priorities: true,
         max_grant_fraction: 0.4,
         memory_shortage: MemoryShortage::Queue,
-        progress: None,
+        progress_interval: None,
         reports_cost: false,
-        budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span: 5_000_000, slack: 0 }),
+        retry_budget: Some(RetryBudget {
+            base_retries: 3.0,
+            retries_per_request: 0.1,
+            window: 5_000_000,
+            send_delay: 0,
+        }),
         slow_start: SlowStart {
             initial_fraction: 0.3,
             ramp: 14_000_000,
@@ -50,8 +55,8 @@
             overload_window: 2_000_000,
         },
         drain_grace: 1_000_000,
-        key_quiet: None,
-        step: 5_000,
+        key_quiet_period: None,
+        min_batch_interval: 5_000,
     };
     let mut dispatcher = Balancer::new(settings, 42)?;
     let executors = [11, 12].map(|executor| Endpoint { executor, rating: 1.0, ..Endpoint::default() });
@@ -61,11 +66,11 @@
         tenant: None,
         key: None,
         time_budget: 15_000_000,
-        estimate_s: Some(2.5),
-        memory_mb: Some(640.0),
-        group: 7,
-        repeated: false,
-        held_back: false,
+        estimated_thread_seconds: Some(2.5),
+        estimated_memory_mb: Some(640.0),
+        table_group: 7,
+        is_repeat: false,
+        held_by_client: false,
     };
     let gone = executors.clone().map(|e| Endpoint { readiness: Readiness::Left, ..e });
     let list = |kind, endpoints: &[Endpoint]| Event::EndpointList { kind, endpoints: endpoints.to_vec() };
@@ -90,7 +95,7 @@
         request: 1,
         attempt: 0,
         executor: first,
-        done: false,
+        request_done: false,
         outcome: Outcome::Error,
         latency: 5_000,
         reported_cost: None,
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -64,15 +64,15 @@
     /// Time from now until the client gives up on this request.
     pub time_budget: DurationUs,
     /// Estimated cost, in thread-seconds.
-    pub estimate_s: Option<f64>,
+    pub estimated_thread_seconds: Option<f64>,
     /// Estimated memory in MB.
-    pub memory_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// The group of tables that it reads.
-    pub group: u64,
+    pub table_group: u64,
     /// The client says that it has sent the request before.
-    pub repeated: bool,
+    pub is_repeat: bool,
     /// Its client may have held it back before it sent it, so that `time_budget` is the least it can be.
-    pub held_back: bool,
+    pub held_by_client: bool,
 }
 
 /// An attempt that is over.
@@ -85,7 +85,7 @@
     /// The executor that it was sent to.
     pub executor: ExecutorId,
     /// The request has its final answer.
-    pub done: bool,
+    pub request_done: bool,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -48,7 +48,7 @@
     /// The latency objective grows by this multiple of the request's cost over its threads.
     pub latency_objective_stretch: f64,
     /// How long a client waits in all, its own repeats included.
-    pub deadline: DurationUs,
+    pub client_timeout: DurationUs,
     /// What one answer in time earns, in points of service.
     pub priority_weight: f64,
     /// Fraction of the weight that a late answer still earns.
@@ -111,13 +111,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     /// Retries allowed in every window whatever the traffic.
-    pub free: f64,
+    pub base_retries: f64,
     /// Retries allowed for each request that arrived in the window.
-    pub ratio: f64,
+    pub retries_per_request: f64,
     /// Length of the window.
-    pub span: DurationUs,
+    pub window: DurationUs,
     /// An attempt may reach its executor so much after it was decided; the window is counted there.
-    pub slack: DurationUs,
+    pub send_delay: DurationUs,
 }
 
 /// The cold-executor rule.
@@ -163,7 +163,7 @@
     /// Probes are allowed.
     pub probes: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// A request may have two attempts out at once.
     pub hedging: bool,
     /// The most attempts of a request.
@@ -171,7 +171,7 @@
     /// The longest Retry-After that clients follow; `None` where none is passed on.
     pub max_retry_after: Option<DurationUs>,
     /// Executors follow memory grants.
-    pub grants: bool,
+    pub memory_grants: bool,
     /// Executors follow priorities.
     pub priorities: bool,
     /// The largest fraction of an executor's memory that one request is granted.
@@ -179,17 +179,17 @@
     /// What a shortage of memory does.
     pub memory_shortage: MemoryShortage,
     /// Interval of an attempt's progress messages; `None` where there are none.
-    pub progress: Option<DurationUs>,
+    pub progress_interval: Option<DurationUs>,
     /// Answers report what a request cost.
     pub reports_cost: bool,
     /// The retry budget, where one is stated.
-    pub budget: Option<RetryBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// The cold-executor rule.
     pub slow_start: SlowStart,
     /// Nothing new may reach an executor this long after the list had it as draining or gone.
     pub drain_grace: DurationUs,
     /// How long a key gets no new request after an attempt of it that may still run.
-    pub key_quiet: Option<DurationUs>,
+    pub key_quiet_period: Option<DurationUs>,
     /// Shortest time between two batches of events.
-    pub step: DurationUs,
+    pub min_batch_interval: DurationUs,
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -125,7 +125,7 @@
     let numbers = [class.latency_objective_stretch, class.priority_weight, class.late_priority_weight];
     require(numbers.into_iter().all(is_amount), ClassError::BadNumber)?;
     require(class.threads > 0, ClassError::NoThreads)?;
-    require(class.deadline > 0, ClassError::NoDeadline)?;
+    require(class.client_timeout > 0, ClassError::NoDeadline)?;
     let zones_known = class.only_zones.iter().flatten().all(|zone| *zone < settings.zones);
     require(zones_known, ClassError::UnknownZone)?;
     let kinds_known = class.only_kinds.iter().flatten().all(|kind| *kind < settings.kinds.len());
@@ -136,8 +136,9 @@
     let slow_start = &settings.slow_start;
     let slow_start_numbers = [slow_start.initial_fraction, slow_start.overload_factor];
     require(slow_start_numbers.into_iter().all(is_amount), SettingsError::SlowStart)?;
-    let is_budget_sane =
-        settings.budget.is_none_or(|budget| is_amount(budget.free) && is_amount(budget.ratio));
+    let is_budget_sane = settings
+        .retry_budget
+        .is_none_or(|budget| is_amount(budget.base_retries) && is_amount(budget.retries_per_request));
     require(is_budget_sane, SettingsError::RetryBudget)?;
     let prices = [
         settings.over_quota_weight,
--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -24,7 +24,7 @@
         let memory_grant_mb = self.memory_grant_mb(request, &self.executors[index]);
         let priority = self.priority(request);
         let is_retry = !request.attempts.is_empty();
-        if self.settings.grants || self.settings.priorities {
+        if self.settings.memory_grants || self.settings.priorities {
             self.actions.push(Action::SetTerms { request: id, memory_mb: memory_grant_mb, priority });
         }
         if is_retry {
@@ -75,7 +75,7 @@
     /// for counts for all of them.
     fn cost_multiple(&self, request: &Request) -> f64 {
         let queued = request.key.map_or(1, |key| self.key_queues.len(key).max(1));
-        request.cost / queued as f64 / self.mean_cost.value_or(request.cost).max(1e-9)
+        request.predicted_cost / queued as f64 / self.mean_cost.value_or(request.predicted_cost).max(1e-9)
     }
 
     /// Memory that an attempt is granted, in MB: the need as estimated and corrected, else as learned, up to
@@ -84,7 +84,7 @@
         let model = &self.class_models[request.class];
         let corrected =
             |estimate: f64| estimate * model.memory_bias.clamp(-MAX_MEMORY_BIAS, MAX_MEMORY_BIAS).exp();
-        let need_mb = request.memory_estimate.map_or(model.memory_mb.value_or(0.0), corrected);
+        let need_mb = request.estimated_memory_mb.map_or(model.memory_mb.value_or(0.0), corrected);
         let executor_memory_mb = self.settings.kinds[executor.endpoint.kind].memory_mb;
         let max_grant_mb = executor_memory_mb * self.settings.max_grant_fraction;
         if max_grant_mb > 0.0 { need_mb.min(max_grant_mb) } else { need_mb }
--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -23,12 +23,12 @@
                 let seconds = attempt.record_progress(now, done.clamp(least, whole));
                 let index = attempt.executor;
                 let threads = f64::from(self.settings.classes[request.class].threads);
-                let expected_s = request.cost.max(1e-6) / threads;
+                let expected_s = request.predicted_cost.max(1e-6) / threads;
                 self.record_latency_ratio(index, seconds / expected_s);
             }
             AttemptProgress::Spill(missing_mb) if !attempt.spilled && missing_mb.is_finite() => {
                 attempt.spilled = true;
-                if let Some(estimate_mb) = request.memory_estimate {
+                if let Some(estimate_mb) = request.estimated_memory_mb {
                     let needed_mb = attempt.memory_grant_mb + missing_mb;
                     let needed_bias = (needed_mb.max(1.0) / estimate_mb.max(1.0)).ln();
                     let model = &mut self.class_models[request.class];
@@ -50,7 +50,7 @@
         if outcome == Outcome::Ok {
             self.learn_from_success(&finished);
         }
-        if finished.done {
+        if finished.request_done {
             return self.finish_request(id);
         }
         self.retry_if_none_in_flight(id);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -101,7 +101,7 @@
         }
         // Each retry may have met the same bad plan: later ones get more time.
         let runaway_s = RUNAWAY_MULTIPLE * request.attempts.len() as f64 * expected_s;
-        attempt.is_unresponsive(self.now, self.settings.progress)
+        attempt.is_unresponsive(self.now, self.settings.progress_interval)
             || self.projected_seconds(attempt) > runaway_s
     }
 
@@ -109,7 +109,7 @@
     /// so far. 0 if it is nearly done.
     fn projected_seconds(&self, attempt: &Attempt) -> f64 {
         let seconds_until = |time: TimestampUs| (time - attempt.sent_at) as f64 / 1e6;
-        if self.settings.progress.is_none() {
+        if self.settings.progress_interval.is_none() {
             return seconds_until(self.now);
         }
         if attempt.progress < NEARLY_DONE_PROGRESS {
@@ -123,7 +123,7 @@
     /// request is in flight.
     pub(super) fn retry_in_place_of(&mut self, id: RequestId, attempt: u32) {
         let request = &self.requests[&id];
-        let may_cancel = self.settings.cancel && self.is_idempotent(request);
+        let may_cancel = self.settings.cancellation && self.is_idempotent(request);
         if !may_cancel || !request.may_replace(attempt) {
             return;
         }
--- a/src/balancer/key_order.rs
+++ b/src/balancer/key_order.rs
@@ -51,7 +51,7 @@
     /// Keeps a key quiet: an attempt of it that was stopped or lost may still run, and a new one could
     /// overtake it.
     pub(super) fn start_quiet_period(&mut self, key: u64) {
-        let until = self.now + self.settings.key_quiet.unwrap_or(0);
+        let until = self.now + self.settings.key_quiet_period.unwrap_or(0);
         self.key_queues.extend_quiet_period(key, until);
     }
 
--- a/src/balancer/pressure.rs
+++ b/src/balancer/pressure.rs
@@ -101,7 +101,8 @@
         };
         let ease = if self.mean_load < ROOM { 4.0 } else { 1.0 } * LATE_TARGET * TICK_US as f64 / 1e6;
         for p in pools.values_mut() {
-            let short = if self.settings.grants && !mute { over(p.per_core(p.memory), line) } else { 0.0 };
+            let short =
+                if self.settings.memory_grants && !mute { over(p.per_core(p.memory), line) } else { 0.0 };
             let saturation =
                 over(p.per_core(p.in_flight_threads), if mute { PACE_OCCUPANCY } else { OCCUPANCY });
             p.saturation = saturation.max(short).max(over(p.per_core(p.disks), DISKS));
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -19,7 +19,7 @@
         if let Err(retry_after) = admission {
             return self.reject_or_fail_request(id, retry_after, EndReason::OverLimit);
         }
-        match self.join_key_queue(id, arrival.held_back) {
+        match self.join_key_queue(id, arrival.held_by_client) {
             Ok(()) => self.start_request(id),
             Err(overrun) => self.reject_or_fail_request(id, overrun, EndReason::LineTooLong),
         }
@@ -30,7 +30,7 @@
         self.mean_cost.add(predicted_cost, LEARN);
         let model = &mut self.class_models[arrival.class];
         model.arrivals += 1.0;
-        if let Some(estimate) = arrival.estimate_s {
+        if let Some(estimate) = arrival.estimated_thread_seconds {
             model.estimate.add(estimate, LEARN);
         }
         if let Some(tenant) = arrival.tenant {
@@ -40,7 +40,7 @@
 
     /// Enters a request among the open ones.
     fn open_request(&mut self, arrival: &Arrival, predicted_cost: f64) {
-        let preferred_executors = self.preferred_executors(arrival.class, arrival.group);
+        let preferred_executors = self.preferred_executors(arrival.class, arrival.table_group);
         let latency_objective = self.latency_objective(arrival.class, predicted_cost);
         let class = &self.settings.classes[arrival.class];
         let max_attempts = self.settings.max_attempts;
@@ -144,7 +144,7 @@
     /// A request has its answer, or its client has left: its attempts are cancelled where that is allowed.
     pub(super) fn finish_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let may_cancel = self.settings.cancel
+        let may_cancel = self.settings.cancellation
             && !request.streaming
             && self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent;
         let was_answered = std::mem::replace(&mut request.answered, true);
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -10,7 +10,7 @@
 /// The retry budget where the settings state none. Without one, an overload looks like unresponsive
 /// executors, and the retries make it worse.
 const DEFAULT_RETRY_BUDGET: RetryBudget =
-    RetryBudget { free: 3.0, ratio: 0.25, span: DEFAULT_WINDOW_US, slack: 0 };
+    RetryBudget { base_retries: 3.0, retries_per_request: 0.25, window: DEFAULT_WINDOW_US, send_delay: 0 };
 
 /// Counts arrivals and retries (hedged requests among them) in a sliding window.
 #[derive(Debug, Default)]
@@ -36,21 +36,21 @@
     pub(super) fn allows_retry(&mut self, now: TimestampUs, budget: &RetryBudget) -> bool {
         self.remove_expired(now, budget);
         let retries = (self.retry_history.len() + 1) as f64;
-        retries <= budget.free + budget.ratio * self.arrival_history.len() as f64
+        retries <= budget.base_retries + budget.retries_per_request * self.arrival_history.len() as f64
     }
 
     /// Removes what has left the window. In doubt the stricter count holds: a retry on the window's edge
     /// counts and an arrival there does not, and either may reach its executor `slack` later than it was
     /// recorded.
     pub(super) fn remove_expired(&mut self, now: TimestampUs, budget: &RetryBudget) {
-        self.retry_history.retain(|sent_at| sent_at + budget.span + budget.slack >= now);
-        self.arrival_history.retain(|arrived_at| arrived_at + budget.span > now + budget.slack);
+        self.retry_history.retain(|sent_at| sent_at + budget.window + budget.send_delay >= now);
+        self.arrival_history.retain(|arrived_at| arrived_at + budget.window > now + budget.send_delay);
     }
 }
 
 impl Balancer {
     fn retry_budget(&self) -> RetryBudget {
-        self.settings.budget.unwrap_or(DEFAULT_RETRY_BUDGET)
+        self.settings.retry_budget.unwrap_or(DEFAULT_RETRY_BUDGET)
     }
 
     /// Whether the retry budget has one more retry now.
--- a/src/balancer/rules.rs
+++ b/src/balancer/rules.rs
@@ -31,7 +31,7 @@
         let matches = |r: &Rule| {
             let applies = !r.over_quota || a.tenant.is_some_and(over);
             let (class, group) =
-                (r.class.is_none_or(|c| c == a.class), r.table_group.is_none_or(|g| g == a.group));
+                (r.class.is_none_or(|c| c == a.class), r.table_group.is_none_or(|g| g == a.table_group));
             let selects = class && group && r.tenant.is_none_or(|t| a.tenant == Some(t));
             multiple > r.threshold && applies && selects
         };
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -126,7 +126,7 @@
 
     /// Probes executors as far as the probe budget goes; whether any answer is awaited now.
     fn send_probes(&mut self, id: RequestId, to_probe: &[usize]) -> bool {
-        let is_expensive = self.requests[&id].cost > self.mean_cost.value;
+        let is_expensive = self.requests[&id].predicted_cost > self.mean_cost.value;
         let reserve = if is_expensive { 0.0 } else { ProbeBudget::reserve(self.settings.probe_price) };
         let mut awaited = false;
         for &i in to_probe {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -114,7 +114,7 @@
 
     /// What a request counts as at an executor in slow start, in thread-seconds.
     fn slow_start_work(&self, request: &Request) -> f64 {
-        request.cost.max(LEAST_OF_CLASS_MEAN * self.class_mean(request.class))
+        request.predicted_cost.max(LEAST_OF_CLASS_MEAN * self.class_mean(request.class))
     }
 
     /// An executor in slow start takes no request that would alone be a large part of its budget.
--- a/src/balancer/unresponsive.rs
+++ b/src/balancer/unresponsive.rs
@@ -73,7 +73,8 @@
         let request = &self.requests[&id];
         let silent_since = executor.last_message_at.max(request.attempts[attempt as usize].sent_at);
         let expected_run = (self.expected_latency_s(request) * 1e6) as DurationUs;
-        let next_message = self.settings.progress.map_or(expected_run, |interval| expected_run.min(interval));
+        let next_message =
+            self.settings.progress_interval.map_or(expected_run, |interval| expected_run.min(interval));
         let by_attempt = (next_message as f64 * EXPECTED_MESSAGE_MULTIPLE) as DurationUs;
         let allowed = by_attempt.max(MIN_SILENCE_US).max(usual_silence(executor));
         self.now > silent_since + allowed
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -92,11 +92,11 @@
                 },
                 key: m.order_key,
                 time_budget: micros(name, "grace", m.time_budget)?,
-                estimate_s: m.estimate.filter(|e| bits & 1 != 0 && e.is_finite() && *e > 0.0),
-                memory_mb: m.est_memory_mb.filter(|e| e.is_finite() && *e > 0.0),
-                group: m.tables.unwrap_or(0),
-                repeated: bits & 2 != 0,
-                held_back: false,
+                estimated_thread_seconds: m.estimate.filter(|e| bits & 1 != 0 && e.is_finite() && *e > 0.0),
+                estimated_memory_mb: m.est_memory_mb.filter(|e| e.is_finite() && *e > 0.0),
+                table_group: m.tables.unwrap_or(0),
+                is_repeat: bits & 2 != 0,
+                held_by_client: false,
             })
         }
         "ACK_FIRST" => {
@@ -124,7 +124,7 @@
                 request: request(name, &m.call)?,
                 attempt: m.go,
                 executor: m.node,
-                done: m.done_flag,
+                request_done: m.done_flag,
                 outcome: outcome(name, m.ending)?,
                 latency: micros(name, "waitTime", m.wait_time)?,
                 reported_cost: m.reported_cost.filter(|b| *b > 0).map(|b| ReportedCost {
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -127,7 +127,7 @@
         let Some(c) = s.classes.get(*i) else { continue };
         let of = [
             ("aim", span(c.latency_objective)),
-            ("deadline", span(c.deadline)),
+            ("deadline", span(c.client_timeout)),
             ("worth", c.priority_weight.to_string()),
             ("late_worth", c.late_priority_weight.to_string()),
             ("kinds", some(&c.only_kinds, &names.kinds)),
@@ -140,12 +140,12 @@
         all.insert(format!("tenant \"{}\": quota_per_s", shown(name)), t.quota_per_s.to_string());
     }
     let ration =
-        |of: fn(&crate::api::RetryBudget) -> String| s.budget.as_ref().map_or("none".to_string(), of);
+        |of: fn(&crate::api::RetryBudget) -> String| s.retry_budget.as_ref().map_or("none".to_string(), of);
     all.insert("over_share_worth".into(), s.over_quota_weight.to_string());
     all.insert("attempts: most".into(), s.max_attempts.to_string());
-    all.insert("attempts: free".into(), ration(|b| b.free.to_string()));
-    all.insert("attempts: ratio".into(), ration(|b| b.ratio.to_string()));
-    let spans = s.budget.map_or("none".to_string(), |b| span(b.span));
+    all.insert("attempts: free".into(), ration(|b| b.base_retries.to_string()));
+    all.insert("attempts: ratio".into(), ration(|b| b.retries_per_request.to_string()));
+    let spans = s.retry_budget.map_or("none".to_string(), |b| span(b.window));
     all.insert("attempts: span".into(), spans);
     all
 }
--- a/src/dispatch/actions.rs
+++ b/src/dispatch/actions.rs
@@ -49,7 +49,7 @@
                         request,
                         attempt,
                         executor,
-                        done,
+                        request_done: done,
                         outcome,
                         latency,
                         reported_cost,
--- a/src/dispatch/intake.rs
+++ b/src/dispatch/intake.rs
@@ -63,7 +63,7 @@
     /// admitted. An error changes nothing.
     pub fn take_on(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = on_sockets(settings);
-        let slack = settings.budget.map(|b| b.slack);
+        let slack = settings.retry_budget.map(|b| b.send_delay);
         self.dispatcher.update_settings(settings).map(drop)?;
         self.budget_slack = slack;
         Ok(())
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -81,8 +81,8 @@
 /// The settings as the decisions need them where attempts go out on sockets: the KILL of a stopped one takes a moment,
 /// and so does the connection of one that begins.
 fn on_sockets(mut settings: Settings) -> Settings {
-    settings.key_quiet = Some(settings.key_quiet.unwrap_or(0).max(KEY_REST));
-    settings.budget.iter_mut().for_each(|b| b.slack = b.span / BUDGET_SLACK_PART);
+    settings.key_quiet_period = Some(settings.key_quiet_period.unwrap_or(0).max(KEY_REST));
+    settings.retry_budget.iter_mut().for_each(|b| b.send_delay = b.window / BUDGET_SLACK_PART);
     settings
 }
 
@@ -125,7 +125,7 @@
     /// One that knows its settings and no executor.
     pub fn new(mut settings: Settings, most_held: usize, seed: u64) -> Result<Dispatch<R>, SettingsError> {
         settings = on_sockets(settings);
-        let budget_slack = settings.budget.map(|b| b.slack);
+        let budget_slack = settings.retry_budget.map(|b| b.send_delay);
         let class = |c: &api::Class| Class {
             safe: matches!(
                 c.idempotency,
@@ -136,7 +136,7 @@
             } else {
                 None
             },
-            most_budget: c.deadline + SLACK,
+            most_budget: c.client_timeout + SLACK,
             keeps_order: c.keep_order,
         };
         let classes = settings.classes.iter().map(class).collect();
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -68,10 +68,10 @@
         tenant: request.tenant,
         key: request.key,
         time_budget: time_budget(request),
-        estimate_s: told(request.thread_seconds, MOST_WORK_S),
-        memory_mb: told(request.memory_mb, MOST_MEMORY_MB),
-        group: request.group,
-        repeated: request.repeated,
-        held_back: request.held_back,
+        estimated_thread_seconds: told(request.thread_seconds, MOST_WORK_S),
+        estimated_memory_mb: told(request.memory_mb, MOST_MEMORY_MB),
+        table_group: request.group,
+        is_repeat: request.repeated,
+        held_by_client: request.held_back,
     })
 }
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -171,7 +171,7 @@
 }
 
 fn shutdown_deadlines(settings: &Settings) -> ShutdownDeadlines {
-    ShutdownDeadlines::new(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
+    ShutdownDeadlines::new(settings.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0))
 }
 
 /// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in milliseconds:
--- a/src/policies/apply.rs
+++ b/src/policies/apply.rs
@@ -46,14 +46,14 @@
         let base = &self.base.classes[i];
         let to = &mut s.classes[i];
         to.latency_objective = p.latency_objective.map_or(to.latency_objective, micros);
-        to.deadline = p.deadline.map_or(to.deadline, micros);
+        to.client_timeout = p.deadline.map_or(to.client_timeout, micros);
         to.priority_weight = p.priority_weight.unwrap_or(to.priority_weight);
         to.late_priority_weight = p.late_priority_weight.unwrap_or(to.late_priority_weight);
-        if to.deadline > base.deadline {
-            let most = humantime::format_duration(Duration::from_micros(base.deadline));
+        if to.client_timeout > base.client_timeout {
+            let most = humantime::format_duration(Duration::from_micros(base.client_timeout));
             self.fault("class", &p.name, format_args!("deadline: its clients wait {most} at most"));
         }
-        if to.latency_objective > to.deadline {
+        if to.latency_objective > to.client_timeout {
             self.fault("class", &p.name, "aim: later than its deadline");
         }
         let places = [
@@ -96,32 +96,34 @@
         }
     }
     if a.free.or(a.ratio).is_some() || a.span.is_some() {
-        let own = base.budget.unwrap_or(api::RetryBudget {
-            free: f64::MAX,
-            ratio: f64::MAX,
-            span: 10_000_000,
-            slack: 0,
+        let own = base.retry_budget.unwrap_or(api::RetryBudget {
+            base_retries: f64::MAX,
+            retries_per_request: f64::MAX,
+            window: 10_000_000,
+            send_delay: 0,
         });
         let budget = api::RetryBudget {
-            free: a.free.unwrap_or(own.free),
-            ratio: a.ratio.unwrap_or(own.ratio),
-            span: a.span.map_or(own.span, micros),
-            slack: own.slack,
+            base_retries: a.free.unwrap_or(own.base_retries),
+            retries_per_request: a.ratio.unwrap_or(own.retries_per_request),
+            window: a.span.map_or(own.window, micros),
+            send_delay: own.send_delay,
         };
         // A ration of the platform may be made tighter, not wider; where there is none, this is one.
-        if base.budget.is_some()
-            && (budget.free > own.free || budget.ratio > own.ratio || budget.span < own.span)
+        if base.retry_budget.is_some()
+            && (budget.base_retries > own.base_retries
+                || budget.retries_per_request > own.retries_per_request
+                || budget.window < own.window)
         {
             check.fault("attempts", "ration", "wider than the settings allow");
         }
-        if budget.free == f64::MAX || budget.ratio == f64::MAX {
+        if budget.base_retries == f64::MAX || budget.retries_per_request == f64::MAX {
             check.fault(
                 "attempts",
                 "ration",
                 "free and ratio are both needed where the settings have no ration",
             );
         }
-        s.budget = Some(budget);
+        s.retry_budget = Some(budget);
     }
     if let Err(e) = api::check(&s) {
         check.faults.push(e.to_string());
--- a/src/policies/stricter.rs
+++ b/src/policies/stricter.rs
@@ -15,8 +15,8 @@
 pub fn stricter(a: &Settings, b: &Settings) -> Settings {
     let mut s = a.clone();
     for (to, other) in s.classes.iter_mut().zip(&b.classes) {
-        to.deadline = to.deadline.min(other.deadline);
-        to.latency_objective = to.latency_objective.min(to.deadline);
+        to.client_timeout = to.client_timeout.min(other.client_timeout);
+        to.latency_objective = to.latency_objective.min(to.client_timeout);
         to.only_kinds = both(&to.only_kinds, &other.only_kinds);
         to.only_zones = both(&to.only_zones, &other.only_zones);
     }
@@ -25,12 +25,12 @@
     }
     s.over_quota_weight = s.over_quota_weight.min(b.over_quota_weight);
     s.max_attempts = s.max_attempts.min(b.max_attempts);
-    s.budget = match (a.budget, b.budget) {
+    s.retry_budget = match (a.retry_budget, b.retry_budget) {
         (Some(a), Some(b)) => Some(RetryBudget {
-            free: a.free.min(b.free),
-            ratio: a.ratio.min(b.ratio),
-            span: a.span.max(b.span),
-            slack: a.slack.max(b.slack),
+            base_retries: a.base_retries.min(b.base_retries),
+            retries_per_request: a.retries_per_request.min(b.retries_per_request),
+            window: a.window.max(b.window),
+            send_delay: a.send_delay.max(b.send_delay),
         }),
         (a, b) => a.or(b),
     };
--- a/src/policies/tests.rs
+++ b/src/policies/tests.rs
@@ -28,7 +28,7 @@
     let text = "policy \"friday\" {\n  class \"read\" {\n    kinds    = [\"new\"]\n    deadline = \"4s\"\n    worth    = 2\n  }\n  \
                 tenant \"cafe\" {\n    quota_per_s = 20\n  }\n  attempts {\n    most = 2\n  }\n}\n";
     let (mut wanted, s) = (base().0, under(text).unwrap());
-    (wanted.classes[0].deadline, wanted.classes[0].priority_weight) = (4_000_000, 2.0);
+    (wanted.classes[0].client_timeout, wanted.classes[0].priority_weight) = (4_000_000, 2.0);
     wanted.classes[0].only_kinds = Some(vec![1]);
     (wanted.tenants[1].quota_per_s, wanted.max_attempts) = (20.0, 2);
     assert_eq!(s, wanted);
@@ -74,13 +74,13 @@
         .prop_map(|(kinds, zones, deadline, quota, over, most, free)| {
             let mut s = base().0;
             (s.classes[0].only_kinds, s.classes[0].only_zones) = (kinds, zones);
-            (s.classes[0].deadline, s.classes[0].latency_objective) = (deadline * 1_000_000, 1_000_000);
+            (s.classes[0].client_timeout, s.classes[0].latency_objective) = (deadline * 1_000_000, 1_000_000);
             (s.tenants[0].quota_per_s, s.over_quota_weight, s.max_attempts) = (quota, over, most);
-            s.budget = free.map(|free| crate::api::RetryBudget {
-                free,
-                ratio: free / 9.0,
-                span: 10_000_000,
-                slack: 0,
+            s.retry_budget = free.map(|free| crate::api::RetryBudget {
+                base_retries: free,
+                retries_per_request: free / 9.0,
+                window: 10_000_000,
+                send_delay: 0,
             });
             s
         })
@@ -98,11 +98,11 @@
                 prop_assert!(!allows(&s.classes[0].only_kinds, i) || allows(&one.classes[0].only_kinds, i));
                 prop_assert!(!allows(&s.classes[0].only_zones, i) || allows(&one.classes[0].only_zones, i));
             }
-            prop_assert!(s.classes[0].deadline <= one.classes[0].deadline);
+            prop_assert!(s.classes[0].client_timeout <= one.classes[0].client_timeout);
             prop_assert!(s.tenants[0].quota_per_s <= one.tenants[0].quota_per_s);
             prop_assert!(s.max_attempts <= one.max_attempts && s.over_quota_weight <= one.over_quota_weight);
-            if let Some(b) = one.budget {
-                prop_assert!(s.budget.is_some_and(|m| m.free <= b.free && m.ratio <= b.ratio && m.span >= b.span));
+            if let Some(b) = one.retry_budget {
+                prop_assert!(s.retry_budget.is_some_and(|m| m.base_retries <= b.base_retries && m.retries_per_request <= b.retries_per_request && m.window >= b.window));
             }
         }
         prop_assert_eq!(stricter(&a, &a), a);
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -161,7 +161,7 @@
             classes.push(Class {
                 latency_objective: micros(M, &f("promise"), c.promise)?,
                 latency_objective_stretch: c.aim_stretch.unwrap_or(0.0),
-                deadline: micros(M, &f("hardLimit"), c.hard_limit)?,
+                client_timeout: micros(M, &f("hardLimit"), c.hard_limit)?,
                 priority_weight: c.credit.unwrap_or(1.0),
                 late_priority_weight: c.late_worth.unwrap_or(0.0),
                 threads: self.domain.parallelism.get(i).copied().unwrap_or(1),
@@ -186,7 +186,12 @@
         let stated = r.free_resends.or(r.further_ratio).or(r.ratio_span).is_some();
         let span = micros(M, "env.rules.ratioSpan", r.ratio_span.unwrap_or(BUDGET_SPAN_S))?;
         let (free, ratio) = (r.free_resends.unwrap_or(0.0), r.further_ratio.unwrap_or(0.0));
-        let budget = stated.then_some(RetryBudget { free, ratio, span, slack: 0 });
+        let budget = stated.then_some(RetryBudget {
+            base_retries: free,
+            retries_per_request: ratio,
+            window: span,
+            send_delay: 0,
+        });
         let settings = Settings {
             dispatchers: self.balancers,
             kinds: (0..self.kinds.len().max(1)).map(kind).collect(),
@@ -211,11 +216,11 @@
             },
             list_must_be_polled: self.discovery.as_deref() == Some("ask"),
             probes: p.probes.unwrap_or(false),
-            cancel: p.cancel.unwrap_or(false),
+            cancellation: p.cancel.unwrap_or(false),
             hedging: p.may_duplicate.unwrap_or(false),
             max_attempts: p.max_attempts.unwrap_or(1),
             max_retry_after: (p.retry_after.unwrap_or(false) && retry_after > 0).then_some(retry_after),
-            grants: d.memory_heeded.unwrap_or(false),
+            memory_grants: d.memory_heeded.unwrap_or(false),
             priorities: d.takes_priority.unwrap_or(false),
             max_grant_fraction: d.grant_cap.unwrap_or(1.0),
             memory_shortage: match d.on_shortage.as_deref() {
@@ -226,9 +231,9 @@
                     return Err(bad(M, "env.domain.onShortage", format_args!("unknown value {other:?}")));
                 }
             },
-            progress: (progress > 0).then_some(progress),
+            progress_interval: (progress > 0).then_some(progress),
             reports_cost: d.tells_cost.unwrap_or(false),
-            budget,
+            retry_budget: budget,
             slow_start: SlowStart {
                 initial_fraction: r.cold_from,
                 ramp: micros(M, "env.rules.rampTime", r.ramp_time)?,
@@ -236,8 +241,8 @@
                 overload_window: micros(M, "env.rules.fall", r.fall)?,
             },
             drain_grace: micros(M, "env.rules.stopSendingWithin", r.stop_sending_within)?,
-            key_quiet: r.key_quiet.map(|q| micros(M, "env.rules.keyQuiet", q)).transpose()?,
-            step: micros(M, "env.step", self.step)?,
+            key_quiet_period: r.key_quiet.map(|q| micros(M, "env.rules.keyQuiet", q)).transpose()?,
+            min_batch_interval: micros(M, "env.step", self.step)?,
             classes,
         };
         Ok((settings, names))
--- a/src/state/figures.rs
+++ b/src/state/figures.rs
@@ -28,7 +28,7 @@
     /// Seconds that a request should take, at the pace of the day.
     pub(crate) fn expected_latency_s(&self, q: &Request) -> f64 {
         let pace = self.class_models[q.class].latency_ratio.value_or(1.0);
-        q.cost / f64::from(self.settings.classes[q.class].threads) * pace
+        q.predicted_cost / f64::from(self.settings.classes[q.class].threads) * pace
     }
 
     /// How much a report still tells, 1 when new.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -10,7 +10,7 @@
     /// Its key, if its class keeps the order of a key.
     pub(crate) key: Option<u64>,
     /// The group of tables that it reads.
-    pub(crate) group: u64,
+    pub(crate) table_group: u64,
     /// Executors that have its table group cached, or should.
     pub(crate) preferred_executors: Vec<ExecutorId>,
     /// When it arrived.
@@ -20,11 +20,11 @@
     /// Until when an answer earns the whole weight.
     pub(crate) latency_objective: TimestampUs,
     /// Predicted cost, in thread-seconds.
-    pub(crate) cost: f64,
+    pub(crate) predicted_cost: f64,
     /// Estimated cost as it arrived, in thread-seconds.
-    pub(crate) estimate: Option<f64>,
+    pub(crate) estimated_cost: Option<f64>,
     /// Estimated memory as it arrived, in MB.
-    pub(crate) memory_estimate: Option<f64>,
+    pub(crate) estimated_memory_mb: Option<f64>,
     /// Memory that its latest attempt was granted, in MB; 0 leaves it to the executor.
     pub(crate) memory_grant_mb: f64,
     /// Priority of what is in flight, 0 to 3.
@@ -63,14 +63,14 @@
         Request {
             class: arrival.class,
             key: arrival.key.filter(|_| class.keep_order),
-            group: arrival.group,
+            table_group: arrival.table_group,
             preferred_executors,
             arrived_at: now,
             deadline: now + arrival.time_budget,
             latency_objective: now + latency_objective,
-            cost,
-            estimate: arrival.estimate_s,
-            memory_estimate: arrival.memory_mb,
+            predicted_cost: cost,
+            estimated_cost: arrival.estimated_thread_seconds,
+            estimated_memory_mb: arrival.estimated_memory_mb,
             only_zones: class.only_zones.clone(),
             only_kinds: class.only_kinds.clone(),
             max_attempts,
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -100,8 +100,16 @@
             let (executor, latency) = (a.executor, now - a.sent);
             let reported_cost = (outcome == Outcome::Ok && request % 2 == 0)
                 .then_some(ReportedCost { thread_seconds: latency as f64 / 1e6, memory_mb: 120.0 });
-            let finished =
-                AttemptFinished { request, attempt, executor, done, outcome, latency, reported_cost, report };
+            let finished = AttemptFinished {
+                request,
+                attempt,
+                executor,
+                request_done: done,
+                outcome,
+                latency,
+                reported_cost,
+                report,
+            };
             self.event(Event::AttemptFinished(finished));
         }
         self.word();
@@ -130,11 +138,11 @@
                 tenant: r.tenant,
                 key: r.key,
                 time_budget: r.time_budget,
-                estimate_s: r.estimate_s,
-                memory_mb: r.memory_mb,
-                group: r.group,
-                repeated: false,
-                held_back: false,
+                estimated_thread_seconds: r.estimate_s,
+                estimated_memory_mb: r.memory_mb,
+                table_group: r.group,
+                is_repeat: false,
+                held_by_client: false,
             }));
         }
     }
--- a/tests/any_settings/text.rs
+++ b/tests/any_settings/text.rs
@@ -157,7 +157,7 @@
             };
             assert_eq!(read.idempotency, idempotency, "{text}");
             assert_eq!(
-                (read.latency_objective, read.deadline, read.keep_order),
+                (read.latency_objective, read.client_timeout, read.keep_order),
                 (c.promise, c.limit, c.keep_order)
             );
             assert_eq!((&read.only_zones, &read.only_kinds), (&c.zones, &c.kinds));
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -37,7 +37,7 @@
 fn without_estimates_the_remembered_cost_of_the_table_group_decides() {
     let mut rig = Rig::new(settings(), 2);
     under_pressure(&mut rig);
-    let of = |group| Arrival { estimate_s: None, group, ..arrival(0, 1, 0.0) };
+    let of = |group| Arrival { estimated_thread_seconds: None, table_group: group, ..arrival(0, 1, 0.0) };
     // Group 9 has been dear, group 8 cheap.
     for (group, cost) in [(9, 40.0), (8, 0.1)] {
         let (q, actions) = rig.arrive_as(of(group));
@@ -45,7 +45,7 @@
             rig.finish(q, 0, e, Outcome::Ok, cost);
         } else {
             // Closed by pressure: teach by told estimates of light requests.
-            let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 1, 0.1) });
+            let (q, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 1, 0.1) });
             rig.finish(q, 0, sent_to(&actions).unwrap(), Outcome::Ok, cost);
         }
     }
--- a/tests/balancer/attempts.rs
+++ b/tests/balancer/attempts.rs
@@ -16,7 +16,7 @@
 /// was stuck there made the overload worse.
 #[test]
 fn copies_stay_within_a_retry_budget_of_our_own() {
-    let mut rig = Rig::new(Settings { budget: None, ..settings() }, 3);
+    let mut rig = Rig::new(Settings { retry_budget: None, ..settings() }, 3);
     rig.teach(0, 60, 0.2);
     let stuck: Vec<_> = (0..60).map(|_| rig.arrive(0, 0.2).0).collect();
     let sent = rig.pass(3 * S);
@@ -27,7 +27,7 @@
 #[test]
 fn a_bad_plan_is_cancelled_and_sent_anew() {
     for progress in [None, Some(500 * MS)] {
-        let mut rig = Rig::new(Settings { progress, ..settings() }, 3);
+        let mut rig = Rig::new(Settings { progress_interval: progress, ..settings() }, 3);
         rig.teach(0, 30, 0.2);
         rig.teach(1, 60, 0.4);
         rig.pass(2 * S);
@@ -76,7 +76,7 @@
 // its time is over, and what word comes of is left alone.
 #[test]
 fn an_attempt_that_no_word_comes_of_is_tried_elsewhere() {
-    let mut rig = Rig::new(Settings { progress: Some(500 * MS), ..settings() }, 3);
+    let mut rig = Rig::new(Settings { progress_interval: Some(500 * MS), ..settings() }, 3);
     let sent = |all: &[Action]| {
         let executor =
             |a: &Action| if let Action::Send { executor, .. } = a { Some(*executor) } else { None };
@@ -114,7 +114,7 @@
 // Where no rule rations further attempts, a fifth of all attempts lost on the way is made up for.
 #[test]
 fn a_fifth_of_attempts_lost_is_made_up_for() {
-    let mut rig = Rig::new(Settings { budget: None, ..settings() }, 3);
+    let mut rig = Rig::new(Settings { retry_budget: None, ..settings() }, 3);
     for n in 0..60 {
         let (request, actions) = rig.arrive(0, 0.1);
         let executor =
--- a/tests/balancer/draw.rs
+++ b/tests/balancer/draw.rs
@@ -26,7 +26,7 @@
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..settings() }, 4);
     let mut count = [0; 5];
     for group in 0..40 {
-        let a = Arrival { group, ..arrival(0, 0, 0.2) };
+        let a = Arrival { table_group: group, ..arrival(0, 0, 0.2) };
         count[sent_to(&rig.arrive_as(a).1).unwrap() as usize] += 1;
     }
     assert!(count[1..].iter().all(|n| (6..=14).contains(n)), "{count:?}");
@@ -78,7 +78,7 @@
             let report = Some(Report { memory: Some(memory), ..Report::default() });
             rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
         }
-        let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.2) });
+        let (q, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 0, 0.2) });
         let e = sent_to(&actions).expect("sent");
         on_one += u32::from(e == 1);
         rig.pass(20 * MS);
@@ -96,7 +96,7 @@
     let mut count = [[0; 7]; 2];
     for class in [0, 1] {
         for _ in 0..120 {
-            let (q, actions) = rig.arrive_as(Arrival { group: 9, ..arrival(0, class, 0.2) });
+            let (q, actions) = rig.arrive_as(Arrival { table_group: 9, ..arrival(0, class, 0.2) });
             let e = sent_to(&actions).expect("sent");
             count[class][e as usize] += 1;
             rig.finish(q, 0, e, Outcome::Ok, 0.2);
@@ -113,7 +113,7 @@
 fn classes_free_to_go_elsewhere_leave_the_executors_of_a_bound_class() {
     let mut rig = two_kinds(Settings { reports: Reports::Off, ..bound() });
     let on_bound = (0..80).filter(|&group| {
-        let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.2) });
+        let (q, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 0, 0.2) });
         let e = sent_to(&actions).expect("sent");
         rig.finish(q, 0, e, Outcome::Ok, 0.2);
         e > 2
--- a/tests/balancer/requests.rs
+++ b/tests/balancer/requests.rs
@@ -143,7 +143,12 @@
 #[test]
 fn what_was_held_back_joins_no_line_that_takes_longer_than_its_time() {
     let mut rig = ordered();
-    let keyed = |held_back| Arrival { key: Some(5), time_budget: 4 * S, held_back, ..arrival(0, 0, 1.0) };
+    let keyed = |held_back| Arrival {
+        key: Some(5),
+        time_budget: 4 * S,
+        held_by_client: held_back,
+        ..arrival(0, 0, 1.0)
+    };
     let (head, sent) = rig.arrive_as(keyed(false));
     let executor = sent_to(&sent).expect("the first is sent");
     for _ in 0..3 {
--- a/tests/cold_sum/module.rs
+++ b/tests/cold_sum/module.rs
@@ -139,7 +139,7 @@
         let estimate = work * (0.7 + 0.6 * self.chance());
         let (request, group) = (self.planned, self.rng.next_u64() % 20);
         self.open.insert(request, Open { work, class, attempts: vec![] });
-        self.handle(Event::Arrival(Arrival { group, ..arrival(request, class, estimate) }));
+        self.handle(Event::Arrival(Arrival { table_group: group, ..arrival(request, class, estimate) }));
     }
 
     /// An attempt is over, unless it was so before.
@@ -156,7 +156,7 @@
             request,
             attempt,
             executor,
-            done,
+            request_done: done,
             outcome,
             latency,
             reported_cost,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,7 +14,7 @@
     Class {
         latency_objective,
         latency_objective_stretch: 2.0,
-        deadline: 5 * latency_objective,
+        client_timeout: 5 * latency_objective,
         priority_weight,
         late_priority_weight: 0.1,
         threads,
@@ -43,17 +43,22 @@
         reports: Reports::Inline,
         list_must_be_polled: false,
         probes: true,
-        cancel: true,
+        cancellation: true,
         hedging: true,
         max_attempts: 4,
         max_retry_after: Some(2 * S),
-        grants: true,
+        memory_grants: true,
         priorities: true,
         max_grant_fraction: 0.5,
         memory_shortage: MemoryShortage::Queue,
-        progress: None,
+        progress_interval: None,
         reports_cost: true,
-        budget: Some(RetryBudget { free: 3.0, ratio: 0.1, span: 5 * S, slack: 0 }),
+        retry_budget: Some(RetryBudget {
+            base_retries: 3.0,
+            retries_per_request: 0.1,
+            window: 5 * S,
+            send_delay: 0,
+        }),
         slow_start: SlowStart {
             initial_fraction: 0.34,
             ramp: 14 * S,
@@ -61,8 +66,8 @@
             overload_window: 1_500 * MS,
         },
         drain_grace: S,
-        key_quiet: Some(S),
-        step: 5 * MS,
+        key_quiet_period: Some(S),
+        min_batch_interval: 5 * MS,
     }
 }
 
@@ -77,11 +82,11 @@
         tenant: None,
         key: None,
         time_budget: 4 * S,
-        estimate_s: Some(estimate),
-        memory_mb: Some(100.0),
-        group: 1,
-        repeated: false,
-        held_back: false,
+        estimated_thread_seconds: Some(estimate),
+        estimated_memory_mb: Some(100.0),
+        table_group: 1,
+        is_repeat: false,
+        held_by_client: false,
     }
 }
 
@@ -196,7 +201,7 @@
             request,
             attempt,
             executor,
-            done: ok,
+            request_done: ok,
             outcome,
             latency: (cost * 1e6) as Micros,
             reported_cost: ok.then_some(ReportedCost { thread_seconds: cost, memory_mb: 100.0 }),
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -180,7 +180,7 @@
         let s = Settings { handshake_price, reports: Reports::Off, ..priced() };
         let mut rig = Rig::seeded(s, 30, seed);
         for group in 0..100 {
-            let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.1) });
+            let (q, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 0, 0.1) });
             rig.pass(200 * MS);
             rig.finish(q, 0, sent_to(&actions).unwrap(), Outcome::Ok, 0.1);
         }
--- a/tests/large_lists/choice.rs
+++ b/tests/large_lists/choice.rs
@@ -7,7 +7,7 @@
 fn served_by(rig: &mut Rig, requests: u64, class: ClassId) -> Vec<ExecutorId> {
     let mut all = Vec::new();
     for group in 0..requests {
-        let (request, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.1) });
+        let (request, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, class, 0.1) });
         rig.pass(50 * MS);
         let executor = sent_to(&actions).or_else(|| sent_later(rig, request));
         if let Some(executor) = executor {
@@ -47,7 +47,7 @@
     for seed in 0..40 {
         let mut rig = Rig::seeded(settings(), 3_200, seed);
         for _ in 0..5 {
-            let (request, actions) = rig.arrive_as(Arrival { group: 7, ..arrival(0, 0, 0.1) });
+            let (request, actions) = rig.arrive_as(Arrival { table_group: 7, ..arrival(0, 0, 0.1) });
             rig.pass(50 * MS);
             let executor = sent_to(&actions).or_else(|| sent_later(&rig, request)).expect("sent");
             rig.finish(request, 0, executor, Outcome::Ok, 0.1);
--- a/tests/large_lists/work.rs
+++ b/tests/large_lists/work.rs
@@ -13,7 +13,7 @@
     let before = rig.dispatcher.examined();
     for n in 0..ARRIVALS {
         let (request, actions) =
-            rig.arrive_as(Arrival { group: n, ..arrival(0, usize::from(n % 5 == 0), 0.2) });
+            rig.arrive_as(Arrival { table_group: n, ..arrival(0, usize::from(n % 5 == 0), 0.2) });
         rig.pass(200 * MS);
         if let Some(executor) = sent_to(&actions) {
             rig.finish(request, 0, executor, Outcome::Ok, 0.2);
@@ -40,7 +40,7 @@
 fn a_draw_among_many_that_are_down_is_bounded() {
     let mut rig = dispatcher(3_200, 0);
     for n in 0..400 {
-        let (request, mut actions) = rig.arrive_as(Arrival { group: n, ..arrival(0, 0, 0.2) });
+        let (request, mut actions) = rig.arrive_as(Arrival { table_group: n, ..arrival(0, 0, 0.2) });
         let mut attempt = 0;
         while let Some(executor) = sent_to(&actions) {
             let before = rig.dispatcher.examined();
--- a/tests/rules/checks.rs
+++ b/tests/rules/checks.rs
@@ -34,7 +34,7 @@
             }
             Action::Fail { request, .. } => self.end(request),
             Action::Cancel { request, attempt } => {
-                assert!(self.s.cancel, "cancelled where that is not allowed");
+                assert!(self.s.cancellation, "cancelled where that is not allowed");
                 assert!(
                     (attempt as usize) < self.open[&request].attempts.len(),
                     "cancelled what was never sent"
@@ -85,10 +85,10 @@
         if !o.attempts.is_empty() {
             self.further_sends += 1;
             self.further.push(now);
-            let b = self.s.budget.unwrap();
-            let sent = self.further.iter().filter(|t| **t + b.span >= now).count() as f64;
-            let taken = self.taken.iter().filter(|t| **t + b.span > now).count() as f64;
-            assert!(sent <= b.free + b.ratio * taken + 1e-9, "attempt budget broken");
+            let b = self.s.retry_budget.unwrap();
+            let sent = self.further.iter().filter(|t| **t + b.window >= now).count() as f64;
+            let taken = self.taken.iter().filter(|t| **t + b.window > now).count() as f64;
+            assert!(sent <= b.base_retries + b.retries_per_request * taken + 1e-9, "attempt budget broken");
         }
         let r = self.s.slow_start;
         if let Some(t) = self.cold.get(&executor).filter(|t| now < **t + r.ramp) {
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -57,7 +57,7 @@
         o.attempts[n].2 = Some(outcome);
         let ok = outcome == Outcome::Ok;
         if let (Some(k), Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) = (o.key, outcome) {
-            let rest = now + self.s.key_quiet.unwrap();
+            let rest = now + self.s.key_quiet_period.unwrap();
             let t = self.rested.entry(k).or_default();
             *t = rest.max(*t);
         }
@@ -70,7 +70,7 @@
             request,
             attempt: n as u32,
             executor,
-            done,
+            request_done: done,
             outcome,
             latency: now - sent,
             reported_cost: ok.then_some(ReportedCost { thread_seconds: work, memory_mb: 100.0 }),
@@ -128,7 +128,7 @@
                 class,
                 key,
                 time_budget,
-                estimate_s: Some(WORK[class]),
+                estimated_thread_seconds: Some(WORK[class]),
                 ..common::arrival(next, class, 1.0)
             }));
         }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -67,16 +67,16 @@
         let mut s = many_kinds();
         match seed % 6 {
             1 => s.hedging = false,
-            2 => s.progress = Some(500 * MS),
-            3 => s.cancel = false,
+            2 => s.progress_interval = Some(500 * MS),
+            3 => s.cancellation = false,
             4 => {
                 // Nothing may be called off or copied, no advice is passed on, loads hold what others read.
-                (s.cancel, s.hedging, s.max_retry_after) = (false, false, None);
+                (s.cancellation, s.hedging, s.max_retry_after) = (false, false, None);
                 (s.classes[3].loads, s.classes[0].yields_to_loads, s.classes[1].yields_to_loads) =
                     (true, true, true);
-                s.key_quiet = Some(300 * MS);
+                s.key_quiet_period = Some(300 * MS);
             }
-            5 => (s.hedging, s.drain_grace, s.progress) = (false, 250 * MS, Some(500 * MS)),
+            5 => (s.hedging, s.drain_grace, s.progress_interval) = (false, 250 * MS, Some(500 * MS)),
             _ => {}
         }
         let mut st = Stream::new(s, seed);
--- a/tests/sliver/grants.rs
+++ b/tests/sliver/grants.rs
@@ -27,7 +27,7 @@
 /// until most reports spilled and the disks jammed on a quiet day.
 #[test]
 fn grants_do_not_fall_where_nothing_tells_of_spills() {
-    let mut rig = Rig::new(Settings { reports_cost: false, progress: None, ..fleet(2) }, 3);
+    let mut rig = Rig::new(Settings { reports_cost: false, progress_interval: None, ..fleet(2) }, 3);
     let mut grants = vec![];
     for _ in 0..60 {
         let (request, actions) = rig.arrive(1, 0.2);
@@ -41,7 +41,7 @@
             request,
             attempt: 0,
             executor,
-            done: true,
+            request_done: true,
             outcome: Outcome::Ok,
             latency: 100 * MS,
             reported_cost: None,
--- a/tests/sliver/homes.rs
+++ b/tests/sliver/homes.rs
@@ -9,7 +9,7 @@
     for seed in 0..40 {
         let mut rig = Rig::seeded(fleet(300), 20, seed);
         for _ in 0..5 {
-            let (q, actions) = rig.arrive_as(Arrival { group: 9, ..arrival(0, 0, 0.2) });
+            let (q, actions) = rig.arrive_as(Arrival { table_group: 9, ..arrival(0, 0, 0.2) });
             let e = sent_to(&actions).expect("sent");
             count[e as usize] += 1;
             rig.finish(q, 0, e, Outcome::Ok, 0.2);
@@ -27,7 +27,7 @@
         for seed in 0..40 {
             let mut rig = Rig::seeded(Settings { reports: Reports::Off, ..fleet(300) }, executors, seed);
             for _ in 0..10 {
-                let (q, actions) = rig.arrive_as(Arrival { group: 9, ..arrival(0, 0, 0.2) });
+                let (q, actions) = rig.arrive_as(Arrival { table_group: 9, ..arrival(0, 0, 0.2) });
                 let e = sent_to(&actions).expect("sent");
                 count[e as usize] += 1;
                 rig.finish(q, 0, e, Outcome::Ok, 0.2);
@@ -46,7 +46,7 @@
     let mut count = [0; 13];
     for seed in 0..30 {
         let mut rig = Rig::seeded(Settings { reports: Reports::Off, ..fleet(300) }, 12, seed);
-        let (_, actions) = rig.arrive_as(Arrival { group: 9, ..arrival(0, 0, 0.2) });
+        let (_, actions) = rig.arrive_as(Arrival { table_group: 9, ..arrival(0, 0, 0.2) });
         count[sent_to(&actions).expect("sent") as usize] += 1;
     }
     let mut order: Vec<u32> = (1..=12).collect();
@@ -57,7 +57,7 @@
         let report = Some(Report { inflight, ..Report::default() });
         rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     }
-    let asked = rig.event(Event::Arrival(Arrival { group: 9, ..arrival(900, 0, 0.2) }));
+    let asked = rig.event(Event::Arrival(Arrival { table_group: 9, ..arrival(900, 0, 0.2) }));
     let probed =
         asked.iter().filter(|a| matches!(a, Action::Probe { executor } if !order[..3].contains(executor)));
     assert_eq!(probed.count(), 2, "{asked:?}");
--- a/tests/sliver/mute.rs
+++ b/tests/sliver/mute.rs
@@ -4,7 +4,7 @@
 
 /// Reports that tell of no load, and notes: the pace of own requests stands in.
 fn mute() -> Settings {
-    Settings { progress: Some(500 * MS), reports_cost: false, ..fleet(300) }
+    Settings { progress_interval: Some(500 * MS), reports_cost: false, ..fleet(300) }
 }
 
 const MUTE: Option<Report> =
@@ -12,7 +12,7 @@
 
 /// Serves one request that takes so many times what was estimated.
 fn paced(rig: &mut Rig, class: ClassId, group: u64, times: f64) -> Option<ExecutorId> {
-    let (request, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.2) });
+    let (request, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, class, 0.2) });
     let executor = sent_to(&actions)?;
     let threads = f64::from(mute().classes[class].threads);
     let latency = (0.2 / threads * times * 1e6) as Micros;
@@ -21,7 +21,7 @@
         request,
         attempt: 0,
         executor,
-        done: true,
+        request_done: true,
         outcome: Outcome::Ok,
         latency,
         reported_cost: None,
--- a/tests/sliver/probes.rs
+++ b/tests/sliver/probes.rs
@@ -10,7 +10,7 @@
         rig.pass(20 * S);
         assert_eq!(probes(&rig), 0);
         for group in 0..50 {
-            let (q, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 0, 0.2) });
+            let (q, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 0, 0.2) });
             rig.pass(300 * MS);
             rig.finish(q, 0, sent_to(&actions).expect("sent"), Outcome::Ok, 0.2);
         }
