--- a/tests/balancer/attempts.rs
+++ b/tests/balancer/attempts.rs
@@ -1,37 +1,39 @@
-//! Further attempts, bad plans, priorities and grants.
+//! Retries, hedged requests, runaway attempts, priorities and memory grants.
 
 use crate::common::*;
 use ottercroft::api::*;
 
 #[test]
-fn a_failed_attempt_is_tried_on_another_executor_at_once() {
+fn a_failed_attempt_is_retried_on_another_executor_at_once() {
     let mut rig = Rig::new(settings(), 3);
-    let (q, actions) = rig.arrive(0, 0.2);
+    let (request, actions) = rig.arrive(0, 0.2);
     let first = sent_to(&actions).unwrap();
-    let again = sent_to(&rig.finish(q, 0, first, Outcome::Error, 0.001)).expect("one more try");
+    let again = sent_to(&rig.finish(request, 0, first, Outcome::Error, 0.001)).expect("one more try");
     assert_ne!(first, again);
 }
 
-/// Found on the bench: with no stated budget every overloaded executor looked silent, and copies of all that
-/// was stuck there made the overload worse.
+// Without a stated retry budget every overloaded executor looked unresponsive, and hedged requests for all that
+// was stuck there made the overload worse. The default budget bounds them.
 #[test]
-fn copies_stay_within_a_retry_budget_of_our_own() {
+fn hedged_requests_stay_within_the_default_retry_budget() {
     let mut rig = Rig::new(Settings { retry_budget: None, ..settings() }, 3);
     rig.teach(0, 60, 0.2);
     let stuck: Vec<_> = (0..60).map(|_| rig.arrive(0, 0.2).0).collect();
     let sent = rig.pass(3 * S);
-    let copies = sent.iter().filter(|a| matches!(a, Action::Send { request, .. } if stuck.contains(request)));
-    assert!(copies.count() <= 3 + 30);
+    let hedged = sent.iter().filter(|a| matches!(a, Action::Send { request, .. } if stuck.contains(request)));
+    assert!(hedged.count() <= 3 + 30);
 }
 
+// A bad query plan makes an attempt run for many times its expected time. It is cancelled, and the request is
+// sent to another executor, whether or not the executor reports progress.
 #[test]
-fn a_bad_plan_is_cancelled_and_sent_anew() {
+fn a_runaway_attempt_is_cancelled_and_retried() {
     for progress in [None, Some(500 * MS)] {
         let mut rig = Rig::new(Settings { progress_interval: progress, ..settings() }, 3);
         rig.teach(0, 30, 0.2);
         rig.teach(1, 60, 0.4);
         rig.pass(2 * S);
-        let (q, actions) = rig.arrive(1, 0.4);
+        let (request, actions) = rig.arrive(1, 0.4);
         let executor = sent_to(&actions).unwrap();
         let mut all = vec![];
         for i in 1..=20 {
@@ -45,17 +47,19 @@
             }
             if progress.is_some() && i % 5 == 0 {
                 let progress_note = AttemptProgress::Progress(0.01 * f64::from(i));
-                rig.event(Event::AttemptProgressed { request: q, attempt: 0, executor, progress_note });
+                rig.event(Event::AttemptProgressed { request, attempt: 0, executor, progress_note });
             }
         }
-        let again = all.iter().position(|a| matches!(a, Action::Send { request, .. } if *request == q));
-        let cancel = all.iter().position(|a| *a == Action::Cancel { request: q, attempt: 0 });
+        let again = all
+            .iter()
+            .position(|a| matches!(a, Action::Send { request: retried, .. } if *retried == request));
+        let cancel = all.iter().position(|a| *a == Action::Cancel { request, attempt: 0 });
         assert!(again.is_some() && cancel.is_some(), "progress {progress:?}: {all:?}");
     }
 }
 
 #[test]
-fn priorities_rise_for_cheap_requests_and_grants_follow_told_needs() {
+fn priorities_rise_for_cheap_requests_and_grants_follow_reported_needs() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -68,14 +72,14 @@
     let light = terms(&rig.arrive(0, 0.1).1).unwrap();
     let heavy = terms(&rig.arrive(1, 6.0).1).unwrap();
     assert!(light.1 > heavy.1);
-    // Estimated 100, told 100 each time: the grant comes down from a quarter over to near the need.
+    // Estimated 100, reported 100 each time: the grant comes down from a quarter over to near the need.
     assert!(light.0 > 95.0 && light.0 < 115.0, "{light:?}");
 }
 
-// An executor may swallow one request and tell of all others: what no word comes of is tried elsewhere, long before
-// its time is over, and what word comes of is left alone.
+// An executor may lose one request and send progress of all others. The attempt that sends nothing is retried
+// elsewhere, long before its deadline; the one that sends progress is left alone.
 #[test]
-fn an_attempt_that_no_word_comes_of_is_tried_elsewhere() {
+fn an_unresponsive_attempt_is_retried_on_another_executor() {
     let mut rig = Rig::new(Settings { progress_interval: Some(500 * MS), ..settings() }, 3);
     let sent = |all: &[Action]| {
         let executor =
@@ -84,7 +88,7 @@
     };
     let (lost, actions) = rig.arrive(1, 1.0);
     let executor = sent(&actions).unwrap();
-    let told = loop {
+    let answering = loop {
         let (request, actions) = rig.arrive(1, 1.0);
         match sent(&actions) {
             Some(e) if e == executor => break request,
@@ -96,7 +100,7 @@
         all.extend(rig.pass(500 * MS));
         let progress_note = AttemptProgress::Progress(0.19 * f64::from(step));
         all.extend(rig.event(Event::AttemptProgressed {
-            request: told,
+            request: answering,
             attempt: 0,
             executor,
             progress_note,
@@ -108,12 +112,12 @@
         )
     };
     assert!(again(lost) && all.contains(&Action::Cancel { request: lost, attempt: 0 }), "{all:?}");
-    assert!(!again(told));
+    assert!(!again(answering));
 }
 
-// Where no rule rations further attempts, a fifth of all attempts lost on the way is made up for.
+// Links may lose a fifth of all attempts. Where no retry budget is stated, each lost one is retried.
 #[test]
-fn a_fifth_of_attempts_lost_is_made_up_for() {
+fn a_fifth_of_attempts_lost_is_retried() {
     let mut rig = Rig::new(Settings { retry_budget: None, ..settings() }, 3);
     for n in 0..60 {
         let (request, actions) = rig.arrive(0, 0.1);
--- a/tests/balancer/health.rs
+++ b/tests/balancer/health.rs
@@ -1,52 +1,59 @@
-//! Executors that fail, fall silent, leave or are cold.
+//! Executors that fail, become unresponsive, drain or warm up.
 
 use crate::common::*;
 use ottercroft::api::*;
 
+// An executor that answers errors at once looks idle and cheap, and drew most requests. It is ejected, and its
+// errors do not lower the costs that are learned.
 #[test]
 fn a_fast_failing_executor_is_ejected_and_does_not_cheapen_its_class() {
     let mut rig = Rig::new(settings(), 4);
     rig.teach(0, 40, 0.2);
-    let mut late_to_bad = 0;
+    let mut late_sends_to_failing = 0;
     for i in 0..200 {
-        let (q, actions) = rig.arrive(0, 0.2);
-        let (mut e, mut n) = (sent_to(&actions).unwrap(), 0);
-        late_to_bad += u32::from(i > 50 && e == 1);
-        while e == 1 {
-            let again = rig.finish(q, n, e, Outcome::Error, 0.001);
+        let (request, actions) = rig.arrive(0, 0.2);
+        let (mut executor, mut attempt) = (sent_to(&actions).unwrap(), 0);
+        late_sends_to_failing += u32::from(i > 50 && executor == 1);
+        while executor == 1 {
+            let again = rig.finish(request, attempt, executor, Outcome::Error, 0.001);
             let Some(next) = sent_to(&again) else { break };
-            (e, n) = (next, n + 1);
+            (executor, attempt) = (next, attempt + 1);
         }
-        if e != 1 {
-            rig.finish(q, n, e, Outcome::Ok, 0.2);
+        if executor != 1 {
+            rig.finish(request, attempt, executor, Outcome::Ok, 0.2);
         }
         rig.pass(40 * MS);
     }
-    assert!(late_to_bad <= 3, "{late_to_bad} first tries at the failing engine");
+    assert!(late_sends_to_failing <= 3, "{late_sends_to_failing} first attempts at the failing executor");
 }
 
+// An executor accepts requests and answers nothing more. It is ejected, and what it holds is sent to another
+// executor once.
 #[test]
-fn a_silent_executor_is_ejected_and_its_requests_get_a_second_copy() {
+fn an_unresponsive_executor_is_ejected_and_its_requests_are_hedged() {
     let mut rig = Rig::new(settings(), 3);
     rig.teach(0, 60, 0.2);
-    let (q, actions) = rig.arrive(0, 0.2);
+    let (request, actions) = rig.arrive(0, 0.2);
     let stuck = sent_to(&actions).unwrap();
-    let mut copies = 0;
+    let mut hedged = 0;
     for _ in 0..60 {
         let (other, actions) = rig.arrive(0, 0.2);
         if let Some(e) = sent_to(&actions).filter(|e| *e != stuck) {
             rig.finish(other, 0, e, Outcome::Ok, 0.2);
         }
         let sent = rig.pass(100 * MS);
-        copies += sent.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == q)).count();
+        hedged += sent
+            .iter()
+            .filter(|a| matches!(a, Action::Send { request: sent, .. } if *sent == request))
+            .count();
     }
-    assert_eq!(copies, 1);
+    assert_eq!(hedged, 1);
     let ejected = |a: &(Micros, Action)| matches!(&a.1, Action::Log(l) if l.contains("silent"));
     assert!(rig.log.iter().any(ejected));
 }
 
 #[test]
-fn a_drained_executor_gets_nothing_new() {
+fn a_draining_executor_gets_nothing_new() {
     let mut rig = Rig::new(settings(), 2);
     let endpoints = vec![Endpoint { readiness: Readiness::Leaving, ..endpoint(1) }];
     rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
@@ -54,25 +61,25 @@
         assert_eq!(sent_to(&rig.arrive(0, 0.1).1), Some(2));
     }
     rig.event(Event::EndpointList { kind: EndpointListKind::Replace, endpoints: vec![] });
-    assert!(refused(&rig.arrive(0, 0.1).1).is_some(), "no engine: refused at once");
+    assert!(refused(&rig.arrive(0, 0.1).1).is_some(), "no executor: rejected at once");
 }
 
-/// Found on the bench (i95b913): each reset was taken for a restart, and the limit for cold executors shut most
-/// of a fleet whose links were bad.
+// Each reset was taken for a restart of the executor, and slow start shut most of a fleet whose links were bad
+// (i95b913). Only the endpoint list says that an executor has restarted.
 #[test]
-fn resets_do_not_make_an_executor_cold() {
+fn resets_do_not_start_a_slow_start() {
     let mut rig = Rig::new(settings(), 1);
     rig.teach(0, 30, 0.2);
     rig.pass(2 * S);
-    let (q, actions) = rig.arrive(0, 0.2);
-    rig.finish(q, 0, sent_to(&actions).unwrap(), Outcome::Reset, 0.01);
-    // A cold executor of 8 cores would take some 13 of these from this dispatcher in the window.
+    let (request, actions) = rig.arrive(0, 0.2);
+    rig.finish(request, 0, sent_to(&actions).unwrap(), Outcome::Reset, 0.01);
+    // A warming executor of 8 cores would take some 13 of these from this dispatcher in the window.
     let sent = (0..30).filter(|_| sent_to(&rig.arrive(0, 0.05).1).is_some()).count();
     assert_eq!(sent, 30);
 }
 
 #[test]
-fn a_cold_executor_gets_little() {
+fn a_warming_executor_gets_little() {
     let mut rig = Rig::new(settings(), 1);
     rig.teach(0, 30, 0.2);
     rig.pass(2 * S);
@@ -90,10 +97,10 @@
     assert!((3..=14).contains(&sent), "{sent}");
 }
 
-/// A dispatcher that has just started gets its first list with the times of start, and took those that had started a
-/// moment ago for warm, as nothing had changed for it.
+// A dispatcher that has just started gets its first endpoint list with the times of start. It took executors that
+// had started a moment ago for warm, as nothing had changed for it, and overloaded them.
 #[test]
-fn an_executor_that_the_first_list_tells_to_be_cold_gets_little() {
+fn an_executor_that_is_warming_up_in_the_first_list_gets_little() {
     let sent = |since: Micros| {
         let mut rig = Rig::new(settings(), 0);
         rig.dispatcher = ottercroft::Balancer::new(settings(), 1).expect("good settings");
--- a/tests/balancer/policy.rs
+++ b/tests/balancer/policy.rs
@@ -4,15 +4,15 @@
 use ottercroft::api::*;
 
 fn only(kind: KindId, most: u32) -> Settings {
-    let mut s = settings();
-    (s.classes[0].only_kinds, s.max_attempts) = (Some(vec![kind]), most);
-    s
+    let mut settings = settings();
+    (settings.classes[0].only_kinds, settings.max_attempts) = (Some(vec![kind]), most);
+    settings
 }
 
-/// A change of policy binds a class to other machines. What was admitted before ends where and as often as it was
-/// admitted to go, whatever comes of its attempts; what arrives after goes by the new one from the first.
+// A change of policy binds a class to other machines. Open requests are retried where and as often as the settings
+// that admitted them allow; later arrivals go by the new settings from the first.
 #[test]
-fn what_is_open_ends_under_the_settings_that_admitted_it() {
+fn open_requests_end_under_the_settings_that_admitted_them() {
     let mut rig = crate::two_kinds(only(0, 2));
     let (open, actions) = rig.arrive(0, 0.2);
     let first = sent_to(&actions).expect("sent");
@@ -27,9 +27,9 @@
     assert!(sent_to(&last).is_none() && refused(&last).is_some(), "two attempts, as then: {last:?}");
 }
 
-/// Settings that make no sense are refused, and those before go on.
+// Settings that make no sense are refused, and those before stay in force.
 #[test]
-fn settings_that_cannot_be_taken_on_change_nothing() {
+fn refused_settings_change_nothing() {
     let mut rig = crate::two_kinds(only(0, 2));
     assert!(rig.dispatcher.update_settings(only(9, 2)).is_err());
     assert!(sent_to(&rig.arrive(0, 0.2).1).is_some_and(|e| e <= 2));
--- a/tests/balancer/requests.rs
+++ b/tests/balancer/requests.rs
@@ -1,29 +1,29 @@
-//! Lines of a key, odd events and settings.
+//! Key queues, odd events, settings and shutdown.
 
 use crate::common::*;
 use ottercroft::Balancer;
 use ottercroft::api::*;
 
 #[test]
-fn order_is_kept_for_a_key_and_rests_after_an_unknown_fate() {
+fn a_key_keeps_its_order_and_stays_quiet_after_an_unknown_outcome() {
     let mut s = settings();
     s.classes[0].keep_order = true;
     let mut rig = Rig::new(s, 2);
     let keyed = || Arrival { key: Some(5), ..arrival(0, 0, 0.1) };
-    let (a, first) = rig.arrive_as(keyed());
+    let (head, first) = rig.arrive_as(keyed());
     let (_, second) = rig.arrive_as(keyed());
     assert!(sent_to(&first).is_some() && second.is_empty());
-    rig.event(Event::ClientDisconnected { request: a });
+    rig.event(Event::ClientDisconnected { request: head });
     let executor = sent_to(&first).unwrap();
-    assert_eq!(sent_to(&rig.finish(a, 0, executor, Outcome::Cancelled, 0.1)), None);
-    assert_eq!(sent_to(&rig.pass(900 * MS)), None, "the key rests");
+    assert_eq!(sent_to(&rig.finish(head, 0, executor, Outcome::Cancelled, 0.1)), None);
+    assert_eq!(sent_to(&rig.pass(900 * MS)), None, "the key is quiet");
     assert!(sent_to(&rig.pass(400 * MS)).is_some());
 }
 
-/// Found by a hunt (h59d86a) and an incident (ie978fc) on the bench: a later try came with less patience than a tick,
-/// had to wait for its key, and its client left before the line was looked at.
+// A client's repeat came with less time than a tick, had to wait for its key, and its client left before the queue
+// was checked (h59d86a, ie978fc). It is rejected on arrival.
 #[test]
-fn a_request_in_line_with_hardly_any_patience_is_answered_at_once() {
+fn a_queued_request_with_hardly_any_time_is_rejected_at_once() {
     let mut s = settings();
     s.classes[0].keep_order = true;
     s.classes[0].idempotency = Idempotency::NotIdempotent;
@@ -32,10 +32,10 @@
     assert!(sent_to(&rig.arrive_as(keyed(4 * S)).1).is_some());
     let (_, actions) = rig.arrive_as(keyed(60 * MS));
     assert!(refused(&actions).is_some(), "{actions:?}");
-    // One with patience waits, and has its answer once it could not be served any more.
-    let (q, actions) = rig.arrive_as(keyed(2 * S));
+    // One with time waits, and has its answer once it could not be served any more.
+    let (request, actions) = rig.arrive_as(keyed(2 * S));
     assert_eq!(refused(&actions), None);
-    let ended = |a: &Action| matches!(a, Action::Reject { request, .. } if *request == q);
+    let ended = |a: &Action| matches!(a, Action::Reject { request: ended, .. } if *ended == request);
     assert!(!rig.pass(1_500 * MS).iter().any(ended) && rig.pass(450 * MS).iter().any(ended));
 }
 
@@ -52,11 +52,11 @@
     });
     rig.event(Event::ProbeFinished { executor: 77, outcome: Outcome::Ok, latency: 0, report: None });
     assert!(rig.finish(99, 3, 77, Outcome::Ok, 0.1).is_empty());
-    let (q, actions) = rig.arrive(0, 0.1);
+    let (request, actions) = rig.arrive(0, 0.1);
     let e = sent_to(&actions).unwrap();
     let odd = Some(Report { util: Some(f64::NAN), inflight: Some(-3.0), ..Report::default() });
-    rig.finish_with(q, 0, e, Outcome::Ok, 0.1, odd);
-    assert!(rig.finish(q, 0, e, Outcome::Ok, 0.1).is_empty());
+    rig.finish_with(request, 0, e, Outcome::Ok, 0.1, odd);
+    assert!(rig.finish(request, 0, e, Outcome::Ok, 0.1).is_empty());
     assert!(sent_to(&rig.arrive(0, 0.1).1).is_some());
 }
 
@@ -84,11 +84,11 @@
     assert!(unknown_kind.to_string().contains("unknown kind"));
 }
 
-/// Found on `roll+mass`, where a tenth of the dispatchers at a time is restarted: of 929 loads that met one that was
-/// ending, 28 were sent after its SIGTERM with more to run than was left and 23 waited all that time for their refusal.
-/// What is begun has to be seen to its end; the rest is told at once and can go elsewhere.
+// Dispatchers of a tier are restarted a tenth at a time. Loads that met one that was shutting down were sent with
+// more to run than was left, or waited all that time for their rejection. What cannot finish before the shutdown is
+// rejected at once and can go to another dispatcher; what runs already goes first.
 #[test]
-fn what_an_ending_dispatcher_could_not_see_to_its_end_is_refused_at_once() {
+fn a_request_that_cannot_finish_before_shutdown_is_rejected_at_once() {
     let mut s = settings();
     (s.classes[1].idempotency, s.classes[1].keep_order) = (Idempotency::NotIdempotent, true);
     let mut rig = Rig::new(s, 3);
@@ -99,22 +99,23 @@
     let (behind, _) = rig.arrive_as(load(12.0));
     let end = rig.now + 3 * S;
     rig.dispatcher.set_shutdown_deadline(end);
-    let told = rig.pass(200 * MS);
+    let actions_after = rig.pass(200 * MS);
     assert!(
-        told.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == behind)),
-        "{told:?}"
+        actions_after.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == behind)),
+        "{actions_after:?}"
     );
     let most = |a: &Action| matches!(a, Action::SetTerms { request, priority: 3, .. } if *request == head);
-    assert!(told.iter().any(most), "what nobody may run again goes first: {told:?}");
+    assert!(actions_after.iter().any(most), "what nobody may run again goes first: {actions_after:?}");
     assert!(refused(&rig.arrive_as(load(12.0)).1).is_some(), "a load too long for what is left");
     assert!(refused(&rig.arrive(0, 9.0).1).is_some(), "and so is anything else");
     assert!(sent_to(&rig.arrive(0, 0.2).1).is_some(), "what fits is served");
 }
 
-// Each that was given up in a key's line had the next one looked at from within its own end: a long line all of whose
-// time was over at once, as when the dispatcher itself ends, went as deep as it was long.
+// Each request that was given up in a key's queue advanced the queue from within its own end: when all of a long
+// queue was given up at once, as at a shutdown, the calls went as deep as the queue was long and overflowed the
+// stack.
 #[test]
-fn a_long_line_that_is_hopeless_all_at_once_ends_one_by_one() {
+fn a_long_key_queue_that_cannot_finish_in_time_is_rejected_without_recursion() {
     let mut s = settings();
     (s.classes[0].keep_order, s.classes[0].idempotency) = (true, Idempotency::NotIdempotent);
     let mut rig = Rig::new(s, 2);
@@ -125,7 +126,7 @@
         assert!(rig.arrive_as(keyed(40 * S)).1.is_empty(), "they wait for the first");
     }
     rig.dispatcher.set_shutdown_deadline(rig.now);
-    // Its key rests now, and nobody is at the head of the line.
+    // Its key is quiet now, and nobody is at the head of the queue.
     let mut actions = rig.finish(first, 0, executor, Outcome::Reset, 0.1);
     actions.extend(rig.pass(300 * MS));
     assert!(actions.iter().filter(|a| refused(std::slice::from_ref(a)).is_some()).count() >= 5_000);
@@ -138,10 +139,10 @@
     Rig::new(s, 2)
 }
 
-// The operators' incident of 2026-12-02: each request of a hot key that its client had held back joined a line that it could
-// not be reached in, and was held to its last moment.
+// Incident of 2026-12-02: requests of a hot key that their clients had held back joined a queue in which they could
+// not finish in time, and were kept to their last moment. Such a request is rejected on arrival.
 #[test]
-fn what_was_held_back_joins_no_line_that_takes_longer_than_its_time() {
+fn a_request_held_by_its_client_joins_no_queue_that_takes_longer_than_its_time() {
     let mut rig = ordered();
     let keyed = |held_back| Arrival {
         key: Some(5),
@@ -154,25 +155,27 @@
     for _ in 0..3 {
         assert!(rig.arrive_as(keyed(true)).1.is_empty(), "three more seconds fit into four");
     }
-    let (_, told) = rig.arrive_as(keyed(true));
-    let wait = refused(&told).expect("the fourth is refused at once").expect("and told when to come back");
+    let (_, actions_after) = rig.arrive_as(keyed(true));
+    let wait =
+        refused(&actions_after).expect("the fourth is rejected at once").expect("and given a Retry-After");
     assert_eq!(wait, S, "when it would be reached in its time");
     assert!(rig.arrive_as(keyed(false)).1.is_empty(), "one that came as it was wanted waits for its chance");
-    // The line moves on, so that there is time again.
+    // The queue advances, so that there is time again.
     rig.finish(head, 0, executor, Outcome::Ok, 1.0);
     rig.pass(S);
-    let (_, told) = rig.arrive_as(Arrival { time_budget: 8 * S, ..keyed(true) });
-    assert_eq!(refused(&told), None);
+    let (_, actions_after) = rig.arrive_as(Arrival { time_budget: 8 * S, ..keyed(true) });
+    assert_eq!(refused(&actions_after), None);
 }
 
-// Each tick walked all lines of all keys and all attempts: 24.6 ms with 20,000 in line.
+// Each tick checked the queues of all keys and all attempts, which took 24.6 ms with 20,000 requests queued. It
+// checks a bounded part, and the next tick goes on from there.
 #[test]
-fn a_tick_looks_at_a_bounded_part_of_what_waits() {
+fn a_tick_checks_a_bounded_part_of_the_key_queues() {
     const WAITING: usize = 5_000;
     const MOST_EACH_TICK: usize = 1_100;
     let mut rig = ordered();
     let keyed = |n: usize| Arrival { key: Some(n as u64 % 50), time_budget: 4 * S, ..arrival(0, 0, 0.1) };
-    let mut refused_so_far = 0;
+    let mut rejected_so_far = 0;
     for n in 0..WAITING {
         rig.arrive_as(keyed(n));
     }
@@ -180,11 +183,11 @@
     rig.pass(3_700 * MS);
     for tick in 0.. {
         assert!(tick < 40, "all are given up in the end");
-        let told = rig.pass(100 * MS);
-        let now = told.iter().filter(|a| refused(std::slice::from_ref(a)).is_some()).count();
+        let actions_after = rig.pass(100 * MS);
+        let now = actions_after.iter().filter(|a| refused(std::slice::from_ref(a)).is_some()).count();
         assert!(now <= MOST_EACH_TICK, "{now} in one tick");
-        refused_so_far += now;
-        if refused_so_far == WAITING - 50 {
+        rejected_so_far += now;
+        if rejected_so_far == WAITING - 50 {
             return;
         }
     }
--- a/tests/rules/checks.rs
+++ b/tests/rules/checks.rs
@@ -53,8 +53,8 @@
         let e = &self.list[&executor];
         assert!(!o.done, "sent after the final answer");
         assert!(now < o.deadline, "sent after the deadline");
-        if let Some(told) = self.told.get(&executor) {
-            assert!(now <= told + self.s.drain_grace, "sent to a draining or gone engine");
+        if let Some(known_draining) = self.known_draining.get(&executor) {
+            assert!(now <= known_draining + self.s.drain_grace, "sent to a draining or gone executor");
         }
         assert!(c.only_zones.as_ref().is_none_or(|z| z.contains(&e.zone)), "wrong zone");
         assert!(c.only_kinds.as_ref().is_none_or(|k| k.contains(&e.kind)), "wrong kind");
@@ -79,16 +79,16 @@
                 assert!(over, "sent {request} while {id} of the same key is open");
             }
             if o.attempts.is_empty() {
-                assert!(self.rested.get(&k).is_none_or(|t| now >= *t), "key has not rested");
+                assert!(self.quiet_until.get(&k).is_none_or(|t| now >= *t), "the key is quiet");
             }
         }
         if !o.attempts.is_empty() {
-            self.further_sends += 1;
-            self.further.push(now);
+            self.retry_sends += 1;
+            self.retries.push(now);
             let b = self.s.retry_budget.unwrap();
-            let sent = self.further.iter().filter(|t| **t + b.window >= now).count() as f64;
-            let taken = self.taken.iter().filter(|t| **t + b.window > now).count() as f64;
-            assert!(sent <= b.base_retries + b.retries_per_request * taken + 1e-9, "attempt budget broken");
+            let sent = self.retries.iter().filter(|t| **t + b.window >= now).count() as f64;
+            let arrivals = self.arrivals.iter().filter(|t| **t + b.window > now).count() as f64;
+            assert!(sent <= b.base_retries + b.retries_per_request * arrivals + 1e-9, "retry budget broken");
         }
         let r = self.s.slow_start;
         if let Some(t) = self.cold.get(&executor).filter(|t| now < **t + r.ramp) {
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -10,7 +10,7 @@
 
 impl Stream {
     pub(super) fn new(s: Settings, seed: u64) -> Stream {
-        let mut st = Stream {
+        let mut stream = Stream {
             dispatcher: Balancer::new(s.clone(), seed).unwrap(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 50 * S,
@@ -18,14 +18,14 @@
             timers: vec![],
             open: BTreeMap::new(),
             list: BTreeMap::new(),
-            told: BTreeMap::new(),
+            known_draining: BTreeMap::new(),
             cold: BTreeMap::new(),
             cold_sends: BTreeMap::new(),
-            further: vec![],
-            taken: vec![],
-            rested: BTreeMap::new(),
+            retries: vec![],
+            arrivals: vec![],
+            quiet_until: BTreeMap::new(),
             sends: 0,
-            further_sends: 0,
+            retry_sends: 0,
             cold_count: 0,
             finals: 0,
             telling: true,
@@ -33,9 +33,9 @@
         let endpoints: Vec<Endpoint> = (1..=8)
             .map(|i| Endpoint { zone: i as usize % 2, kind: i as usize / 2 % 2, ..endpoint(i) })
             .collect();
-        st.list = endpoints.iter().map(|e| (e.executor, e.clone())).collect();
-        st.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
-        st
+        stream.list = endpoints.iter().map(|e| (e.executor, e.clone())).collect();
+        stream.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
+        stream
     }
 
     fn below(&mut self, n: u64) -> u64 {
@@ -58,7 +58,7 @@
         let ok = outcome == Outcome::Ok;
         if let (Some(k), Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) = (o.key, outcome) {
             let rest = now + self.s.key_quiet_period.unwrap();
-            let t = self.rested.entry(k).or_default();
+            let t = self.quiet_until.entry(k).or_default();
             *t = rest.max(*t);
         }
         let work = WORK[o.class];
@@ -121,7 +121,7 @@
             let key = self.s.classes[class].keep_order.then(|| self.below(3));
             let short = self.below(20) == 0;
             let time_budget = if short { 25 * MS + self.below(200 * MS) } else { S + self.below(3 * S) };
-            self.taken.push(self.now);
+            self.arrivals.push(self.now);
             let o = Open { class, key, deadline: self.now + time_budget, ..Open::default() };
             self.open.insert(next, o);
             self.event(Event::Arrival(Arrival {
@@ -154,11 +154,11 @@
         };
         (e.readiness, e.started) = (readiness, started);
         if readiness == Readiness::Active {
-            self.told.remove(&executor);
+            self.known_draining.remove(&executor);
             self.cold.insert(executor, self.now);
             self.cold_sends.remove(&executor);
         } else {
-            self.told.entry(executor).or_insert(self.now);
+            self.known_draining.entry(executor).or_insert(self.now);
         }
         let endpoints = vec![e.clone()];
         self.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -46,14 +46,14 @@
     timers: Vec<(Micros, u64)>,
     open: BTreeMap<RequestId, Open>,
     list: BTreeMap<ExecutorId, Endpoint>,
-    told: BTreeMap<ExecutorId, Micros>,
+    known_draining: BTreeMap<ExecutorId, Micros>,
     cold: BTreeMap<ExecutorId, Micros>,
     cold_sends: BTreeMap<ExecutorId, VecDeque<(Micros, f64)>>,
-    further: Vec<Micros>,
-    taken: Vec<Micros>,
-    rested: BTreeMap<u64, Micros>,
+    retries: Vec<Micros>,
+    arrivals: Vec<Micros>,
+    quiet_until: BTreeMap<u64, Micros>,
     sends: u32,
-    further_sends: u32,
+    retry_sends: u32,
     cold_count: u32,
     finals: u32,
     /// Executors report requests held; else only a line that never forms.
@@ -62,7 +62,7 @@
 
 #[test]
 fn seven_rules_hold_under_random_events() {
-    let (mut sends, mut further, mut cold, mut finals) = (0, 0, 0, 0);
+    let (mut sends, mut retries, mut cold, mut finals) = (0, 0, 0, 0);
     for seed in 0..12 {
         let mut s = many_kinds();
         match seed % 6 {
@@ -79,32 +79,32 @@
             5 => (s.hedging, s.drain_grace, s.progress_interval) = (false, 250 * MS, Some(500 * MS)),
             _ => {}
         }
-        let mut st = Stream::new(s, seed);
-        st.telling = seed % 6 < 4;
-        st.run(4_000);
-        sends += st.sends;
-        further += st.further_sends;
-        cold += st.cold_count;
-        finals += st.finals;
-        assert!(st.open.values().all(|o| o.finals <= 1));
+        let mut stream = Stream::new(s, seed);
+        stream.telling = seed % 6 < 4;
+        stream.run(4_000);
+        sends += stream.sends;
+        retries += stream.retry_sends;
+        cold += stream.cold_count;
+        finals += stream.finals;
+        assert!(stream.open.values().all(|o| o.finals <= 1));
     }
     // The streams reach what they are to test.
     assert!(
-        sends > 3_000 && further > 100 && cold > 200 && finals > 3_000,
-        "{sends} {further} {cold} {finals}"
+        sends > 3_000 && retries > 100 && cold > 200 && finals > 3_000,
+        "{sends} {retries} {cold} {finals}"
     );
 }
 
 #[test]
 fn same_events_same_actions() {
     let run = |seed| {
-        let mut st = Stream::new(many_kinds(), seed);
-        st.run(2_000);
+        let mut stream = Stream::new(many_kinds(), seed);
+        stream.run(2_000);
         (
-            st.sends,
-            st.further_sends,
-            st.finals,
-            st.open.values().map(|o| o.attempts.clone()).collect::<Vec<_>>(),
+            stream.sends,
+            stream.retry_sends,
+            stream.finals,
+            stream.open.values().map(|o| o.attempts.clone()).collect::<Vec<_>>(),
         )
     };
     assert_eq!(run(3), run(3));
