--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -36,7 +36,7 @@
 
     /// When the slow start began that this entry tells of, if it tells of a new one: the executor's start, if
     /// its ramp is not over. One that appears or comes back without a time of start begins now; in the first
-    /// list that is no news.
+    /// list it is as usual.
     fn new_slow_start(&self, endpoint: &Endpoint, is_first_list: bool) -> Option<TimestampUs> {
         let known = self.index.get(&endpoint.executor).map(|&index| &self.executors[index]);
         let is_new = match known {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -28,8 +28,8 @@
 pub(crate) use outlier_detection::ExecutorHealth;
 pub(crate) use retry_budget::RetryLimiter;
 
-use crate::api::*;
-use crate::state::*;
+use crate::api::{Action, DurationUs, Event, Settings, SettingsError, TimestampUs, check};
+use crate::state::Balancer;
 
 /// Interval of the periodic checks: short beside any latency objective.
 const TICK_US: DurationUs = 100_000;
--- a/src/balancer/unresponsive.rs
+++ b/src/balancer/unresponsive.rs
@@ -60,8 +60,7 @@
         }
     }
 
-    /// Whether an executor that is listed has sent nothing for longer than one of its attempts should take to
-    /// be heard of.
+    /// Whether an executor that is listed has sent nothing for longer than its next message should take.
     fn is_unresponsive(&self, executor: &Executor) -> bool {
         let in_flight = &executor.attempts_in_flight;
         executor.present
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -31,11 +31,15 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// One request dispatcher: what it was told, what it learned and what is open.
+/// The decisions of one dispatcher: its settings, what it has learned and what is open.
 pub struct Balancer {
+    /// What the dispatcher is configured with.
     pub(crate) settings: Settings,
+    /// Source of its random draws.
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) now: Micros,
+    /// Time of the event that is being handled.
+    pub(crate) now: TimestampUs,
+    /// It has had its first event.
     pub(crate) started: bool,
     /// Which requests are admitted.
     pub(crate) admission: AdmissionRules,
@@ -56,20 +60,25 @@
     /// Executors that decisions have looked at.
     pub(crate) examined: Cell<u64>,
     pub(crate) index: BTreeMap<ExecutorId, usize>,
+    /// Open requests.
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// Requests of a key, which run one at a time.
     pub(crate) key_queues: KeyQueues,
-    /// Attempts that ticks have looked at, where there are more than one looks at.
+    /// Where the next tick goes on among the attempts in flight, if one tick doesn't check them all.
     pub(crate) attempts_checked: usize,
+    /// Counts retries against the retry budget.
     pub(crate) retry_limiter: RetryLimiter,
-    /// When it last woke from standing still.
-    pub(crate) resumed_at: Micros,
+    /// When this process last resumed after a stall.
+    pub(crate) resumed_at: TimestampUs,
     /// Requests that wait for probes.
     pub(crate) awaiting_probes: Vec<RequestId>,
+    /// An endpoint list has come.
     pub(crate) endpoint_list_loaded: bool,
-    /// When it ends; far off while it does not. Whether that has changed since the lines were looked at.
-    pub(crate) shutdown_deadline: Micros,
+    /// When this dispatcher shuts down; the greatest value while it doesn't.
+    pub(crate) shutdown_deadline: TimestampUs,
+    /// The time of the shutdown has changed since key queues were checked.
     pub(crate) shutdown_deadline_changed: bool,
+    /// Actions of the event that is being handled.
     pub(crate) actions: Vec<Action>,
 }
 
@@ -90,7 +99,7 @@
             executor_index: ExecutorIndex::default(),
             ring_position: mixed(seed),
             examined: Cell::new(0),
-            last_sweep: Micros::MAX,
+            last_sweep: TimestampUs::MAX,
             index: BTreeMap::new(),
             requests: BTreeMap::new(),
             key_queues: KeyQueues::default(),
@@ -99,7 +108,7 @@
             resumed_at: 0,
             awaiting_probes: Vec::new(),
             endpoint_list_loaded: false,
-            shutdown_deadline: Micros::MAX,
+            shutdown_deadline: TimestampUs::MAX,
             shutdown_deadline_changed: false,
             actions: Vec::new(),
             settings,
