--- /dev/null
+++ b/src/dispatch/network_events.rs
@@ -0,0 +1,134 @@
+//! What the network's events lead to.
+
+use super::{
+    Answer, AttemptEnd, AttemptId, AttemptProgress, Command, Dispatch, LoadReport, NetworkEvent, ProbeOutcome,
+};
+use crate::api::{EndReason, Event, ExecutorId, Micros, Outcome};
+use crate::must;
+
+impl<R> Dispatch<R> {
+    /// Handles an event of the network; what it has to do now.
+    pub fn handle(&mut self, now: Micros, event: NetworkEvent<R>) -> Vec<Command<R>> {
+        match event {
+            NetworkEvent::AttemptEnded(id, end, load) => self.attempt_ended(now, id, end, load),
+            NetworkEvent::AttemptBegun(id) => {
+                if let Some(attempt) = self.outstanding(id) {
+                    attempt.begun = true;
+                }
+                Vec::new()
+            }
+            NetworkEvent::AttemptProgressed(id, progress) => self.attempt_progressed(now, id, progress),
+            NetworkEvent::ProbeFinished(executor, outcome, latency) => {
+                self.probe_finished(now, executor, outcome, latency)
+            }
+            NetworkEvent::ClientDisconnected(request) => self.client_disconnected(now, request),
+        }
+    }
+
+    fn attempt_progressed(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        progress_note: AttemptProgress,
+    ) -> Vec<Command<R>> {
+        let Some(executor) = self.outstanding(id).map(|attempt| attempt.executor) else { return Vec::new() };
+        let AttemptId { request, attempt } = id;
+        self.run(now, Event::AttemptProgressed { request, attempt, executor, progress_note })
+    }
+
+    fn probe_finished(
+        &mut self,
+        now: Micros,
+        executor: ExecutorId,
+        outcome: ProbeOutcome,
+        latency: Micros,
+    ) -> Vec<Command<R>> {
+        let (outcome, report) = match outcome {
+            ProbeOutcome::Up(load) => (Outcome::Ok, load),
+            ProbeOutcome::Down => (Outcome::Error, None),
+            ProbeOutcome::Unreachable => (Outcome::ConnectFailed, None),
+            ProbeOutcome::Unknown => (Outcome::Cancelled, None),
+            ProbeOutcome::TimedOut => (Outcome::Timeout, None),
+        };
+        self.run(now, Event::ProbeFinished { executor, outcome, latency, report })
+    }
+
+    fn client_disconnected(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
+        let Some(pending) = self.pending.get_mut(&id).filter(|pending| !pending.closed) else {
+            return Vec::new();
+        };
+        pending.closed = true;
+        pending.client_disconnected = true;
+        self.held_requests.remove(&id);
+        self.counters.left += 1;
+        self.withdraw(id);
+        let mut commands = self.run(now, Event::ClientDisconnected { request: id });
+        self.forget(id);
+        commands.append(&mut self.commands);
+        commands
+    }
+
+    fn attempt_ended(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        end: AttemptEnd<R>,
+        load: Option<LoadReport>,
+    ) -> Vec<Command<R>> {
+        // An attempt may end while the command to stop it is carried out: its end is known already.
+        let Some(executor) = self.outstanding(id).map(|attempt| attempt.executor) else { return Vec::new() };
+        let outcome = self.outcome_of(now, id, end);
+        let event = self.finish(now, id, outcome, load);
+        let is_its_end =
+            matches!(&event, Some(Event::AttemptFinished(finished)) if finished.executor == executor);
+        must!(is_its_end, "an attempt that was outstanding has no end to report");
+        let mut commands = event.map_or_else(Vec::new, |event| self.run(now, event));
+        self.forget(id.request);
+        commands.append(&mut self.commands);
+        commands
+    }
+
+    /// What the end of an attempt is to the decisions. A result becomes the answer.
+    fn outcome_of(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<R>) -> Outcome {
+        match end {
+            AttemptEnd::Served(result) => {
+                self.served(now, id.request, result);
+                Outcome::Ok
+            }
+            AttemptEnd::Rejected => Outcome::Rejected,
+            AttemptEnd::NotRun => Outcome::NotSent,
+            AttemptEnd::Error => Outcome::Error,
+            AttemptEnd::NeverSent => {
+                self.counters.never_sent += 1;
+                Outcome::ConnectFailed
+            }
+            AttemptEnd::ConnectionLost => {
+                self.count_lost(id);
+                Outcome::Reset
+            }
+            AttemptEnd::ConnectionUnusable => {
+                self.count_lost(id);
+                // To the decisions a time-out is what may have run and says nothing of the executor's health.
+                Outcome::Timeout
+            }
+        }
+    }
+
+    fn served(&mut self, now: Micros, id: u64, result: R) {
+        match self.pending.get_mut(&id) {
+            Some(pending) if !pending.closed => {
+                self.answer(now, id, Answer::Served(result), EndReason::Served);
+            }
+            Some(pending) if pending.client_disconnected && self.reports_abandoned => {
+                pending.late_result = Some(result);
+            }
+            _ => {}
+        }
+    }
+
+    fn count_lost(&mut self, id: AttemptId) {
+        self.counters.lost += 1;
+        let request = format_args!("{:016x}", id.request);
+        tracing::info!(request, attempt = id.attempt, "attempt lost with its connection");
+    }
+}
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -117,14 +117,14 @@
         now: Micros,
     ) {
         self.requests.open.remove(&request.id);
-        match self.dispatch.turn_away(request, reason) {
+        match self.dispatch.reject(request, reason) {
             Ok(()) => {
                 self.figures.ended(&job.kind, Disposition::Declined);
                 if let Some(session) = self.sessions.by_key.get_mut(&key) {
                     session.answer(&Answer::Refused(wait.div_ceil(1_000)));
                 }
             }
-            Err(e) => self.report_client_error(key, e, now),
+            Err(e) => self.report_client_error(key, e.text(), now),
         }
         self.process_commands(key, now);
     }
@@ -137,7 +137,7 @@
             return self.reject_request(key, &request, &job, wait, EndReason::Elsewhere, now);
         }
         let taken = match self.gate(now, &request, &job) {
-            Gate::Go => self.dispatch.pick(now, &request),
+            Gate::Go => self.dispatch.submit(now, &request),
             Gate::Hold => self.dispatch.hold(now, &request),
             Gate::Answer(reply) => {
                 let held = self.dispatch.hold(now, &request);
@@ -148,11 +148,11 @@
             }
         };
         match taken {
-            Ok(orders) => self.settle(orders),
+            Ok(orders) => self.execute(orders),
             Err(e) => {
                 self.requests.open.remove(&id);
                 self.end_in_flight_unasked(now, id);
-                self.report_client_error(key, e, now);
+                self.report_client_error(key, e.text(), now);
                 self.process_commands(key, now);
             }
         }
@@ -204,7 +204,7 @@
             waited_ms = progress.waited_ms,
             left_ms = progress.left_ms,
             attempts = progress.attempts,
-            out = progress.out,
+            outstanding = progress.outstanding,
             late_ms = arrival.map(Arrival::late_ms),
             new_connection = arrival.map(|a| a.on_new_connection),
             after_previous_ms = arrival.and_then(Arrival::after_previous_ms),
--- a/src/net/executors/connection.rs
+++ b/src/net/executors/connection.rs
@@ -1,21 +1,14 @@
-//! One connection to an executor, and what an answer does to an attempt on it.
+//! One connection to an executor.
 
+use super::answers::Stream;
 use crate::api::Micros;
-use crate::codec::executor::{self, Note};
-use crate::dispatch::{End, ExecutorId, Terms, Ticket, Word};
-use crate::must;
-use crate::net::sockets::buffers::{Block, Inbox, Outbox, Pool};
+use crate::dispatch::{AttemptTerms, ExecutorId};
+use crate::net::sockets::buffers::{Inbox, Outbox, Pool};
 use crate::net::sockets::system_calls;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// A result: its pages in order.
-pub type Rows = Vec<Block>;
-
-/// The most pages and bytes that a result may have: 48,000 bytes come to 8 pages of the usual size.
-const MOST_PAGES: u32 = 256;
-const MOST_BYTES: usize = 48_000;
 /// What an attempt needs to go out.
 #[derive(Debug, Clone)]
 pub struct Job {
@@ -27,89 +20,138 @@
     pub token: Option<Rc<str>>,
 }
 
-/// An attempt on its way.
-pub(super) struct Stream {
-    pub(super) ticket: Ticket,
-    /// A byte of it was written, and that was told.
-    pub(super) begun: bool,
-    /// Written whole.
-    pub(super) written: bool,
-    /// All pages; 0 until the executor said OK.
-    pub(super) pages: u32,
-    pub(super) rows: Rows,
-    /// Bytes of the rows.
-    pub(super) bytes: usize,
-    /// When the pull was written.
-    pub(super) since: Micros,
-}
-
-/// What waits to be written.
+/// A message that is queued.
 pub(super) enum Outgoing {
-    Pull { id: u64, job: Job, terms: Terms },
+    Pull { id: u64, job: Job, terms: AttemptTerms },
     Kill(u64),
-    Boost(u64, u8),
+    SetPriority(u64, u8),
     Scroll(u64, u32),
     Discard(u64),
     Meter(u64),
 }
 
-/// One connection.
-pub(super) struct Conn {
+/// One connection to an executor. Points and spans are in microseconds.
+pub(super) struct Connection {
+    /// The executor, by its id: its address may have changed since.
     pub(super) executor: ExecutorId,
+    /// The socket.
     pub(super) stream: TcpStream,
-    pub(super) up: bool,
-    pub(super) opened: Micros,
-    /// One that owes word for longer than this gets nothing new, and is probed.
-    pub(super) word_within: Micros,
-    pub(super) heard: Micros,
-    pub(super) touched: Micros,
-    /// Takes nothing new.
-    pub(super) retired: bool,
+    /// Whether it came up.
+    pub(super) connected: bool,
+    /// The point at which it was begun, and from when it is up, the point at which it came up.
+    pub(super) connected_at: Micros,
+    /// The span within which a message has to come while something is outstanding; after that it gets no new attempt,
+    /// and is probed.
+    pub(super) message_interval: Micros,
+    /// The point of the last bytes received, or at which it came up.
+    pub(super) last_message_at: Micros,
+    /// The point of the last bytes received or message queued to the socket.
+    pub(super) last_used_at: Micros,
+    /// Whether it gets no new attempts.
+    pub(super) draining: bool,
+    /// Bytes received and not yet handled.
     pub(super) inbox: Inbox,
+    /// Bytes not yet written.
     pub(super) outbox: Outbox,
-    /// The pull that is in the outbox.
+    /// The request whose attempt is in the outbox.
     pub(super) writing: Option<u64>,
+    /// Messages not yet in the outbox.
     pub(super) queue: VecDeque<Outgoing>,
+    /// Outstanding attempts, by request id.
     pub(super) streams: BTreeMap<u64, Stream>,
-    /// Ids that ended here in any way but served, and when.
-    pub(super) spent: BTreeMap<u64, Micros>,
-    /// Since when an answer has been here in part.
-    pub(super) part_since: Option<Micros>,
-    /// Met a silent probe, and nothing was heard on it since.
-    pub(super) mute: bool,
-    /// Mute while its executor was heard elsewhere: over by then.
-    pub(super) doomed_at: Option<Micros>,
-    /// When it is looked at next for word that it owes.
-    pub(super) word_at: Option<Micros>,
-    /// Probes that are out, and when they were asked for.
+    /// Ids of requests that ended here in any way but served, and when.
+    pub(super) ended_ids: BTreeMap<u64, Micros>,
+    /// Since when a partial message is in the inbox.
+    pub(super) partial_since: Option<Micros>,
+    /// Whether a probe timed out and nothing was received since.
+    pub(super) unresponsive: bool,
+    /// When it is closed, as it was unresponsive while its executor answered elsewhere.
+    pub(super) close_at: Option<Micros>,
+    /// When it is checked next for messages that are overdue.
+    pub(super) next_check_at: Option<Micros>,
+    /// Outstanding probes by tag, and when they were sent.
     pub(super) probes: BTreeMap<u64, Micros>,
-    pub(super) watched: bool,
+    /// Whether the poller reports when it can be written to.
+    pub(super) watches_writable: bool,
 }
 
-impl Conn {
-    /// Whether word is owed for too long.
-    pub(super) fn doubtful(&self, now: Micros) -> bool {
-        let streams = self.streams.values().filter(|s| s.written).map(|s| s.since);
-        let oldest = streams.chain(self.probes.values().copied()).min();
-        self.up && oldest.is_some_and(|t| now > t.max(self.heard) + self.word_within)
+impl Connection {
+    /// A connection that was begun and is not up yet.
+    pub(super) fn new(
+        executor: ExecutorId,
+        stream: TcpStream,
+        message_interval: Micros,
+        now: Micros,
+        pool: &Pool,
+    ) -> Connection {
+        Connection {
+            executor,
+            stream,
+            connected: false,
+            connected_at: now,
+            message_interval,
+            last_message_at: now,
+            last_used_at: now,
+            draining: false,
+            inbox: Inbox::new(pool),
+            outbox: Outbox::new(pool),
+            writing: None,
+            queue: VecDeque::new(),
+            streams: BTreeMap::new(),
+            ended_ids: BTreeMap::new(),
+            partial_since: None,
+            unresponsive: false,
+            close_at: None,
+            next_check_at: None,
+            probes: BTreeMap::new(),
+            watches_writable: true,
+        }
+    }
+
+    /// The connection came up.
+    pub(super) fn connection_established(&mut self, now: Micros) {
+        self.connected = true;
+        self.connected_at = now;
+        self.last_message_at = now;
+    }
+
+    /// Bytes were received: the executor answers on this connection.
+    pub(super) fn message_received(&mut self, now: Micros) {
+        self.last_message_at = now;
+        self.last_used_at = now;
+        self.unresponsive = false;
+        self.close_at = None;
+    }
+
+    /// The point at which the oldest of the attempts that were written whole was written.
+    pub(super) fn oldest_written_at(&self) -> Option<Micros> {
+        self.streams.values().filter(|stream| stream.written).map(|stream| stream.written_at).min()
     }
 
-    pub(super) fn takes(&self, id: u64, most: usize, now: Micros) -> bool {
-        let fresh = !self.streams.contains_key(&id) && !self.spent.contains_key(&id);
-        !self.retired && self.streams.len() < most && fresh && !self.doubtful(now)
+    /// Whether a message is overdue.
+    pub(super) fn is_overdue(&self, now: Micros) -> bool {
+        let oldest = self.oldest_written_at().into_iter().chain(self.probes.values().copied()).min();
+        let due = oldest.map(|at| at.max(self.last_message_at) + self.message_interval);
+        self.connected && due.is_some_and(|due| now > due)
+    }
+
+    /// Whether it can take an attempt of this request, and has fewer than so many.
+    pub(super) fn accepts(&self, id: u64, most: usize, now: Micros) -> bool {
+        let fresh = !self.streams.contains_key(&id) && !self.ended_ids.contains_key(&id);
+        !self.draining && self.streams.len() < most && fresh && !self.is_overdue(now)
     }
 
     /// Whether its executor has closed it, and nothing is left to be read before that.
-    pub(super) fn over(&self) -> bool {
-        self.up
+    pub(super) fn closed_by_executor(&self) -> bool {
+        self.connected
             && match system_calls::peek(&self.stream) {
                 Ok(found) => found == Some(0),
                 Err(_) => true,
             }
     }
 
-    /// Takes a pull back of which no byte was written; false if there is none such.
-    pub(super) fn take_back(&mut self, id: u64) -> bool {
+    /// Removes an attempt of which no byte was written; false if there is none such.
+    pub(super) fn withdraw_unwritten(&mut self, id: u64) -> bool {
         let waiting = |o: &Outgoing| matches!(o, Outgoing::Pull { id: i, .. } if *i == id);
         if let Some(at) = self.queue.iter().position(waiting) {
             self.queue.remove(at);
@@ -123,75 +165,8 @@
         whole
     }
 
-    pub(super) fn idle(&self) -> bool {
+    /// Whether nothing is outstanding or unwritten.
+    pub(super) fn is_idle(&self) -> bool {
         self.streams.is_empty() && self.probes.is_empty() && self.queue.is_empty() && self.outbox.is_empty()
     }
 }
-
-/// What an answer does to its attempt.
-pub(super) enum Step {
-    Goes,
-    /// Said before: dropped.
-    Copy,
-    Noted(Word),
-    Pages(u32),
-    Ended(End<Rows>),
-    Broken(&'static str),
-}
-
-pub(super) fn advance(s: &mut Stream, word: executor::Word, body: &[u8], pool: &Pool) -> Step {
-    match word {
-        executor::Word::Note(None) => Step::Goes,
-        executor::Word::Note(Some(Note::Done(x))) => Step::Noted(Word::Progress(x)),
-        executor::Word::Note(Some(Note::Spills(x))) => Step::Noted(Word::Spills(x)),
-        executor::Word::Note(Some(Note::Waits)) => Step::Noted(Word::Waits),
-        executor::Word::Busy => Step::Ended(End::Full),
-        executor::Word::Void => Step::Ended(End::Void),
-        executor::Word::Err => Step::Ended(End::Error),
-        executor::Word::Ok { pages } => {
-            if s.pages > 0 {
-                return Step::Copy;
-            }
-            let Some(pages) = pages.filter(|n| *n <= MOST_PAGES) else {
-                return Step::Broken("no number of pages, or too many");
-            };
-            if !keep(s, body, pool) {
-                return Step::Broken("rows that can't be read, or too many");
-            }
-            s.pages = pages;
-            match pages {
-                1 => Step::Ended(End::Served(std::mem::take(&mut s.rows))),
-                n => Step::Pages(n),
-            }
-        }
-        executor::Word::Rows { page } => {
-            // Pages were asked for in order on one connection.
-            let due = s.rows.len();
-            let Some(page) = page.map(|n| n as usize).filter(|n| s.pages > 0 && *n <= due) else {
-                return Step::Broken("a page out of turn");
-            };
-            if page < due {
-                return Step::Copy;
-            }
-            if !keep(s, body, pool) {
-                return Step::Broken("rows that can't be read, or too many");
-            }
-            match s.rows.len() == s.pages as usize {
-                true => Step::Ended(End::Served(std::mem::take(&mut s.rows))),
-                false => Step::Goes,
-            }
-        }
-    }
-}
-
-/// Keeps a page; false if it can't be used.
-fn keep(s: &mut Stream, page: &[u8], pool: &Pool) -> bool {
-    s.bytes += page.len();
-    if s.bytes > MOST_BYTES || !executor::whole_rows(page) {
-        return false;
-    }
-    let mut block = pool.block();
-    must!(block.append(page) == page.len(), "a page is larger than a buffer");
-    s.rows.push(block);
-    true
-}
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -94,9 +94,9 @@
             return;
         }
         let late_ms = (came.latest - came.earliest) / 1_000;
-        tracing::info!(open = self.dispatch.waiting(), late_ms, "SIGTERM");
+        tracing::info!(open = self.dispatch.open_requests(), late_ms, "SIGTERM");
         self.shutdown.requested = Some(came);
-        self.dispatch.ends_at(came.earliest + self.shutdown.deadlines.give_up_after);
+        self.dispatch.set_shutdown_time(came.earliest + self.shutdown.deadlines.give_up_after);
     }
 
     /// Does what the shutdown has due by now. Returns whether the dispatcher is at its end.
@@ -133,8 +133,8 @@
         if std::mem::replace(&mut self.shutdown.gave_up, true) {
             return;
         }
-        let orders = self.dispatch.give_up(now);
-        self.settle(orders);
+        let orders = self.dispatch.end_all(now);
+        self.execute(orders);
         self.reject_arrived_requests(now);
     }
 
