--- a/src/balancer/admission/rule.rs
+++ b/src/balancer/admission/rule.rs
@@ -73,7 +73,7 @@
     /// Whether the rule applies to a request whose cost is this multiple of its class's mean.
     pub(super) fn matches(&self, arrival: &Arrival, cost_multiple: f64, over_quota: bool) -> bool {
         let class = self.class.is_none_or(|class| class == arrival.class);
-        let table_group = self.table_group.is_none_or(|group| group == arrival.group);
+        let table_group = self.table_group.is_none_or(|group| group == arrival.table_group);
         let tenant = self.tenant.is_none_or(|tenant| arrival.tenant == Some(tenant));
         let condition = cost_multiple > self.threshold && (over_quota || !self.over_quota);
         class && table_group && tenant && condition
--- a/src/balancer/cost_model.rs
+++ b/src/balancer/cost_model.rs
@@ -137,37 +137,37 @@
 
     /// Predicted cost of a request, in thread-seconds.
     pub(crate) fn predict(&mut self, arrival: &Arrival, settings: &Settings) -> f64 {
-        if let Some(estimate) = arrival.estimate_s {
+        if let Some(estimate) = arrival.estimated_thread_seconds {
             return estimate * self.classes[arrival.class].estimate_correction();
         }
-        let cached = self.cache.get(&(arrival.class, arrival.group)).map(|mean| mean.value);
+        let cached = self.cache.get(&(arrival.class, arrival.table_group)).map(|mean| mean.value);
         cached.unwrap_or_else(|| self.class_mean(arrival.class, settings))
     }
 
     /// Counts a request that has arrived.
     pub(crate) fn record_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
         self.mean_cost.add(predicted_cost, LEARNING_RATE);
-        if let Some(estimate) = arrival.estimate_s {
+        if let Some(estimate) = arrival.estimated_thread_seconds {
             self.classes[arrival.class].estimate.add(estimate, LEARNING_RATE);
         }
     }
 
     /// Learns the cost of an attempt that took `spent` thread-seconds. Returns the class's latency ratio.
     fn learn(&mut self, request: &Request, spent: f64, reported: Option<ReportedCost>) -> f64 {
-        let capped = spent.min(MAX_COST_MULTIPLE * request.cost);
+        let capped = spent.min(MAX_COST_MULTIPLE * request.predicted_cost);
         let cost = reported.map_or(capped, |reported| reported.thread_seconds);
         let class = &mut self.classes[request.class];
         class.cost.add(cost, LEARNING_RATE);
-        let ratio = (spent / request.cost.max(LEAST_COST)).min(MAX_LATENCY_RATIO);
+        let ratio = (spent / request.predicted_cost.max(LEAST_COST)).min(MAX_LATENCY_RATIO);
         class.latency_ratio.add(ratio, LATENCY_RATIO_WEIGHT);
-        if let Some(estimate) = request.estimate {
-            class.compare(estimate, cost.min(MAX_CORRECTION_MULTIPLE * request.cost));
+        if let Some(estimate) = request.estimated_cost {
+            class.compare(estimate, cost.min(MAX_CORRECTION_MULTIPLE * request.predicted_cost));
         }
         if let Some(reported) = reported {
             class.memory_mb.add(reported.memory_mb, LEARNING_RATE);
         }
         let class_ratio = class.latency_ratio.value;
-        let group = (request.class, request.group);
+        let group = (request.class, request.table_group);
         self.cache.get_or_insert_mut(group, Mean::default).add(cost, CACHE_LEARNING_RATE);
         class_ratio
     }
@@ -182,7 +182,7 @@
     /// Time that a request should take, in seconds, by how long its class takes lately.
     pub(crate) fn expected_latency_s(&self, request: &Request) -> f64 {
         let latency_ratio = self.cost_model.classes[request.class].latency_ratio.value_or(1.0);
-        request.cost / f64::from(self.settings.classes[request.class].threads) * latency_ratio
+        request.predicted_cost / f64::from(self.settings.classes[request.class].threads) * latency_ratio
     }
 
     /// Learns from an attempt that was answered: the request's cost, its memory and its executor's latency.
@@ -200,12 +200,12 @@
         let class_ratio = self.cost_model.learn(request, spent, reported);
         // Guards against grants that fall with each answer until most requests spill: without progress notes
         // and reported needs no answer tells of a spill, so that nothing is learned.
-        let tells_spills = reported.is_some() || self.settings.progress.is_some();
-        if let Some(estimate_mb) = request.memory_estimate.filter(|_| tells_spills) {
+        let tells_spills = reported.is_some() || self.settings.progress_interval.is_some();
+        if let Some(estimate_mb) = request.estimated_memory_mb.filter(|_| tells_spills) {
             let class = &mut self.cost_model.classes[request.class];
             class.learn_memory(estimate_mb, reported, attempt.spilled);
         }
-        let ratio = spent / request.cost.max(LEAST_COST);
+        let ratio = spent / request.predicted_cost.max(LEAST_COST);
         let relative = ratio / class_ratio.max(LEAST_COST);
         let relative = relative.clamp(1.0 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
         self.executors[index].relative_latency.add(relative, RELATIVE_LATENCY_WEIGHT);
--- a/src/balancer/load/pool.rs
+++ b/src/balancer/load/pool.rs
@@ -75,7 +75,7 @@
             MemoryShortage::Trim | MemoryShortage::Swap => MEMORY_WITH_SPILL,
         };
         let by_threads = threads.position(self.per_core(self.in_flight_threads));
-        let counts_memory = settings.grants && !uses_latency_ratios;
+        let counts_memory = settings.memory_grants && !uses_latency_ratios;
         let by_memory = if counts_memory { memory.position(self.per_core(self.memory)) } else { 0.0 };
         let by_disks = DISKS.position(self.per_core(self.disks));
         self.saturation = by_threads.max(by_memory).max(by_disks);
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -108,13 +108,13 @@
         tenant,
         key: message.key,
         time_budget: micros(name, "grace", message.time_budget_s)?,
-        estimate_s: message
+        estimated_thread_seconds: message
             .estimate_s
             .filter(|estimate| flags & ESTIMATE_IS_VALID != 0 && positive(estimate)),
-        memory_mb: message.memory_mb.filter(positive),
-        group: message.group.unwrap_or(0),
-        repeated: flags & IS_RETRY != 0,
-        held_back: false,
+        estimated_memory_mb: message.memory_mb.filter(positive),
+        table_group: message.group.unwrap_or(0),
+        is_repeat: flags & IS_RETRY != 0,
+        held_by_client: false,
     }))
 }
 
@@ -140,7 +140,7 @@
         request: request_id(name, &message.request)?,
         attempt: message.attempt,
         executor: message.executor,
-        done: message.done,
+        request_done: message.done,
         outcome: outcome(name, message.outcome)?,
         latency: micros(name, "waitTime", message.latency_s)?,
         reported_cost: message.packed_cost.filter(|packed| *packed > 0).map(reported_cost),
--- a/src/dispatch/client_request.rs
+++ b/src/dispatch/client_request.rs
@@ -69,10 +69,10 @@
         tenant: request.tenant,
         key: request.key,
         time_budget: time_budget(request),
-        estimate_s: bounded(request.thread_seconds, MAX_THREAD_SECONDS),
-        memory_mb: bounded(request.memory_mb, MAX_MEMORY_MB),
-        group: request.group,
-        repeated: request.repeated,
-        held_back: request.held_back,
+        estimated_thread_seconds: bounded(request.thread_seconds, MAX_THREAD_SECONDS),
+        estimated_memory_mb: bounded(request.memory_mb, MAX_MEMORY_MB),
+        table_group: request.group,
+        is_repeat: request.repeated,
+        held_by_client: request.held_back,
     })
 }
--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -124,7 +124,7 @@
         request: attempt_id.request,
         attempt: attempt_id.attempt,
         executor,
-        done: false,
+        request_done: false,
         outcome: Outcome::NotSent,
         latency: 0,
         reported_cost: None,
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -121,7 +121,7 @@
             request: id.request,
             attempt: id.attempt,
             executor: attempt.executor,
-            done,
+            request_done: done,
             outcome,
             latency: now.saturating_sub(attempt.sent_at),
             reported_cost: None,
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -58,9 +58,9 @@
 /// The settings as the decisions need them where attempts go out on sockets: the KILL of a stopped attempt takes a
 /// moment to arrive, and so does the connection of one that begins.
 fn settings_for_sockets(mut settings: Settings) -> Settings {
-    settings.key_quiet = Some(settings.key_quiet.unwrap_or(0).max(KEY_QUIET_TIME));
-    if let Some(budget) = &mut settings.budget {
-        budget.slack = budget.span / RETRY_START_WINDOW_FRACTION;
+    settings.key_quiet_period = Some(settings.key_quiet_period.unwrap_or(0).max(KEY_QUIET_TIME));
+    if let Some(budget) = &mut settings.retry_budget {
+        budget.send_delay = budget.window / RETRY_START_WINDOW_FRACTION;
     }
     settings
 }
@@ -103,7 +103,7 @@
         seed: u64,
     ) -> Result<Dispatch<R>, SettingsError> {
         let settings = settings_for_sockets(settings);
-        let retry_start_window = settings.budget.map(|budget| budget.slack);
+        let retry_start_window = settings.retry_budget.map(|budget| budget.send_delay);
         let classes = settings.classes.iter().map(RequestClass::of).collect();
         let max_attempts = settings.max_attempts as usize;
         Ok(Dispatch {
--- a/src/dispatch/request_class.rs
+++ b/src/dispatch/request_class.rs
@@ -30,7 +30,7 @@
         RequestClass {
             idempotent,
             repeat_window,
-            max_budget: class.deadline + BUDGET_TOLERANCE,
+            max_budget: class.client_timeout + BUDGET_TOLERANCE,
             keeps_order: class.keep_order,
         }
     }
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -100,7 +100,7 @@
     /// it was admitted. An error changes nothing.
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = settings_for_sockets(settings);
-        let retry_start_window = settings.budget.map(|budget| budget.slack);
+        let retry_start_window = settings.retry_budget.map(|budget| budget.send_delay);
         self.balancer.update_settings(settings).map(drop)?;
         self.retry_start_window = retry_start_window;
         Ok(())
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -37,7 +37,8 @@
 fn without_estimates_the_cached_cost_of_the_table_group_decides() {
     let mut rig = Rig::new(settings(), 2);
     under_pressure(&mut rig);
-    let arrival_of = |group| Arrival { estimate_s: None, group, ..arrival(0, 1, 0.0) };
+    let arrival_of =
+        |group| Arrival { estimated_thread_seconds: None, table_group: group, ..arrival(0, 1, 0.0) };
     // Group 9 has been expensive, group 8 cheap.
     for (group, cost) in [(9, 40.0), (8, 0.1)] {
         let (request, actions) = rig.arrive_as(arrival_of(group));
@@ -45,7 +46,7 @@
             rig.finish(request, 0, executor, Outcome::Ok, cost);
         } else {
             // Closed by pressure: the cost is learned from requests with a light estimate.
-            let (request, actions) = rig.arrive_as(Arrival { group, ..arrival(0, 1, 0.1) });
+            let (request, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 1, 0.1) });
             rig.finish(request, 0, sent_to(&actions).unwrap(), Outcome::Ok, cost);
         }
     }
--- a/tests/small_share/reports_without_load.rs
+++ b/tests/small_share/reports_without_load.rs
@@ -4,7 +4,7 @@
 
 /// Executors that send progress notes, and reports that state no load.
 fn without_load_reports() -> Settings {
-    Settings { progress: Some(500 * MS), reports_cost: false, ..fleet(300) }
+    Settings { progress_interval: Some(500 * MS), reports_cost: false, ..fleet(300) }
 }
 
 const REPORT_WITHOUT_LOAD: Option<Report> =
@@ -12,7 +12,7 @@
 
 /// Serves one request that takes `ratio` times as long as estimated.
 fn serve_at_ratio(rig: &mut Rig, class: ClassId, group: u64, ratio: f64) -> Option<ExecutorId> {
-    let (request, actions) = rig.arrive_as(Arrival { group, ..arrival(0, class, 0.2) });
+    let (request, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, class, 0.2) });
     let executor = sent_to(&actions)?;
     let threads = f64::from(without_load_reports().classes[class].threads);
     let latency = (0.2 / threads * ratio * 1e6) as Micros;
@@ -21,7 +21,7 @@
         request,
         attempt: 0,
         executor,
-        done: true,
+        request_done: true,
         outcome: Outcome::Ok,
         latency,
         reported_cost: None,
