--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -1,4 +1,4 @@
-//! What the decisions want, carried out; and what they are told of executors.
+//! The decisions' commands, executed; and the endpoint list, handed on to them.
 
 use super::DispatcherServer;
 use super::clients::request_intake::OpenRequest;
@@ -15,23 +15,23 @@
 use std::collections::VecDeque;
 
 impl DispatcherServer {
-    /// Carries orders out, and hands on what comes of them, until nothing is left.
-    pub(super) fn execute(&mut self, orders: Vec<Command<Rows>>) {
-        let mut orders = VecDeque::from(orders);
+    /// Executes commands, and those that their events cause, until none is left.
+    pub(super) fn execute(&mut self, commands: Vec<Command<Rows>>) {
+        let mut commands = VecDeque::from(commands);
         loop {
             let now = self.clock.now();
-            if let Some(order) = orders.pop_front() {
-                self.execute_command(now, order);
+            if let Some(command) = commands.pop_front() {
+                self.execute_command(now, command);
             } else if let Some(report) = self.executors.events.pop_front() {
-                orders.extend(self.dispatch.handle(now, report));
+                commands.extend(self.dispatch.handle(now, report));
             } else {
                 break;
             }
         }
     }
 
-    pub(super) fn execute_command(&mut self, now: Micros, order: Command<Rows>) {
-        match order {
+    pub(super) fn execute_command(&mut self, now: Micros, command: Command<Rows>) {
+        match command {
             Command::StartAttempt { attempt_id, executor, terms } => {
                 // The client may have left since this was decided: then nothing goes out, and that is told.
                 let Some(job) = self.requests.open.get(&attempt_id.request).map(|o| o.job.clone()) else {
@@ -98,8 +98,8 @@
         if self.endpoint_lists.is_some() {
             return self.with_endpoint_lists(now, |lists, _| lists.feed(now, e.all, &e.targets));
         }
-        let news = if e.all { WatchEvent::Replaced } else { WatchEvent::Changed };
-        self.apply_endpoint_list(now, news, &e.targets);
+        let event = if e.all { WatchEvent::Replaced } else { WatchEvent::Changed };
+        self.apply_endpoint_list(now, event, &e.targets);
     }
 
     pub(super) fn watch_storm(&mut self, now: Micros) {
@@ -140,20 +140,20 @@
     }
 
     /// The list has news. Starts that it tells by the wall clock become times of this process's clock.
-    pub(super) fn apply_endpoint_list(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
+    pub(super) fn apply_endpoint_list(&mut self, now: Micros, event: WatchEvent, targets: &[Target]) {
         self.wall_clock.observe(now, clock::unix());
         let start_times = &mut self.start_times;
         let by_our_clock = |t: &Target| {
             let started = start_times.started_at(&t.uid, t.boot_ms, now, &self.wall_clock);
-            // To the nearest millisecond, which is how it is told.
+            // To the nearest millisecond, the unit on the wire.
             Target { boot_ms: started.map_or(0, |at| (at + 500) / 1_000), ..t.clone() }
         };
         let targets: Vec<Target> = targets.iter().map(by_our_clock).collect();
-        self.update_endpoints(now, news, &targets);
+        self.update_endpoints(now, event, &targets);
     }
 
     /// What the list says of executors now, with starts by this process's clock.
-    pub(super) fn update_endpoints(&mut self, now: Micros, news: WatchEvent, targets: &[Target]) {
+    pub(super) fn update_endpoints(&mut self, now: Micros, event: WatchEvent, targets: &[Target]) {
         let member = |t: &Target| {
             // Who is gone may be named by no more than that: it was where it was listed.
             let known = self.endpoints.get(&t.uid).filter(|_| t.state == State::Removed);
@@ -191,9 +191,9 @@
                 weight: t.weight,
             })
         };
-        let restored = |t: &&Target| news != WatchEvent::Restored || t.state != State::Removed;
+        let restored = |t: &&Target| event != WatchEvent::Restored || t.state != State::Removed;
         let members: Vec<ListedExecutor> = targets.iter().filter(restored).filter_map(member).collect();
-        if news != WatchEvent::Changed {
+        if event != WatchEvent::Changed {
             self.endpoints.clear();
         }
         for t in targets {
@@ -209,8 +209,8 @@
         if self.start_times.len() > self.endpoints.len() {
             self.start_times.retain(|uid| self.endpoints.contains_key(uid));
         }
-        self.executors.apply_endpoints(targets, news != WatchEvent::Changed, now, &self.poll);
-        let orders = self.dispatch.apply_watch_event(now, news, &members);
-        self.execute(orders);
+        self.executors.apply_endpoints(targets, event != WatchEvent::Changed, now, &self.poll);
+        let commands = self.dispatch.apply_watch_event(now, event, &members);
+        self.execute(commands);
     }
 }
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -1,5 +1,5 @@
-//! Executor lists beside the loop: words of their thread and of the feed go to [`Members`], what comes of them is
-//! logged and handed on as entries, a bounded number a turn. `words` has what each word and its outcome do.
+//! Executor lists beside the loop: messages of their thread and of the coordinator go to [`Members`], what comes of them is
+//! logged and handed on as entries, a bounded number a turn. `outcomes` has what each message does.
 
 mod outcomes;
 
@@ -98,7 +98,7 @@
         let (pending, tally) = (VecDeque::new(), Tally::default());
         let mut lists = EndpointLists { members, watcher, key, accepts, pending, tally };
         lists.enact(now, acts);
-        words.into_iter().for_each(|w| lists.heard(now, w));
+        words.into_iter().for_each(|w| lists.process(now, w));
         if let (Some(name), Empty::Exit) = (empty.first(), o.empty) {
             return Err(io::Error::other(format!(
                 "motor list {name}: none can be used, and no last good copy"
@@ -124,14 +124,14 @@
     }
 
     /// Has the files looked at now.
-    pub fn look(&self) {
+    pub fn poll_files(&self) {
         self.watcher.look();
     }
 
-    /// The thread has words.
+    /// The thread has sent messages.
     pub fn ready(&mut self, now: Micros) {
         while let Some(handed) = self.watcher.word() {
-            self.heard(now, handed);
+            self.process(now, handed);
         }
     }
 
--- a/src/net/endpoint_lists/outcomes.rs
+++ b/src/net/endpoint_lists/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the lists' thread says, and what comes of it.
+//! What the lists' thread reports, and what it leads to.
 
 use super::EndpointLists;
 use crate::api::Micros;
@@ -11,7 +11,7 @@
 const LOGGED_FAULTS: usize = 20;
 
 impl EndpointLists {
-    pub(super) fn heard(&mut self, now: Micros, Handed { source, word, looked }: Handed) {
+    pub(super) fn process(&mut self, now: Micros, Handed { source, word, looked }: Handed) {
         let name = &*source;
         match word {
             Word::List(list) => {
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -157,7 +157,7 @@
             in_flight.tick(now, &self.poll);
         }
         self.tick_in_flight(now);
-        self.keep_plan(now);
+        self.advance_plan(now);
         self.tick_control(now);
         self.tick_policy(now);
         self.run_periodic_work(now);
--- a/src/net/maintenance/calls.rs
+++ b/src/net/maintenance/calls.rs
@@ -1,6 +1,6 @@
 //! AdminListener' calls on the plan.
 
-use super::format::{told, word};
+use super::format::{holdup_text, step_text};
 use crate::api::Micros;
 use crate::codec::operator::Call;
 use crate::net::DispatcherServer;
@@ -44,7 +44,7 @@
             return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
         }
         in_flight.maintenance.waiting.push(Waiting { caller, call, until: now + AGREED });
-        in_flight.maintenance.look_at = now;
+        in_flight.maintenance.next_poll_at = now;
         None
     }
 
@@ -54,14 +54,14 @@
         };
         let mut text = format!("+OK plan of {}\n", plan.steps().count());
         for (id, step) in plan.steps() {
-            let _ = writeln!(text, "{id} {}", word(step, now));
+            let _ = writeln!(text, "{id} {}", step_text(step, now));
         }
         if let Some(why) = plan.stopped() {
             let _ = writeln!(text, "stopped: {why}");
         } else if let (Some(next), Some(in_flight)) = (plan.next(), &self.in_flight) {
             let busy = self.dispatch.busy_cores(now);
             if let Err(why) = plan::may_begin(plan, &self.machines(), busy, &in_flight.maintenance.budget) {
-                let _ = writeln!(text, "{next} is held up: {}", told(&why));
+                let _ = writeln!(text, "{next} is held up: {}", holdup_text(&why));
             }
         }
         text + "."
--- a/src/net/maintenance/format.rs
+++ b/src/net/maintenance/format.rs
@@ -1,10 +1,10 @@
-//! The plan in words, for the status and the log.
+//! The plan as text, for the status and the log.
 
 use crate::api::Micros;
 use fleet::plan::{Holdup, Step};
 
 /// A step in a word, as the status and the log tell it.
-pub(super) fn word(step: &Step, now: Micros) -> String {
+pub(super) fn step_text(step: &Step, now: Micros) -> String {
     let since = |t: &Micros| now.saturating_sub(*t) / 1_000_000;
     match step {
         Step::Waits => "waits".into(),
@@ -23,12 +23,12 @@
         Step::Drains(..) => "drains".into(),
         Step::Out(_) => "out".into(),
         Step::Warms(_) => "warms".into(),
-        step => word(step, 0),
+        step => step_text(step, 0),
     }
 }
 
 /// What holds a machine up, as the status tells it.
-pub(super) fn told(why: &Holdup) -> String {
+pub(super) fn holdup_text(why: &Holdup) -> String {
     match why {
         Holdup::Nothing => "nothing waits".into(),
         Holdup::AtOnce(n) => format!("{n} out already"),
--- a/src/net/maintenance/mod.rs
+++ b/src/net/maintenance/mod.rs
@@ -1,7 +1,7 @@
 //! Machines that are taken out for work, in an order that the fleet has agreed on: what operators ask, what this
 //! dispatcher holds back, and, as leader, how the plan goes on.
 //!
-//! `calls` are the operators', `keep` is the plan's course here, `words` how it is told.
+//! `calls` are the operators', `plan` its course here, `format` its text for the status and the log.
 
 mod calls;
 mod format;
@@ -16,11 +16,11 @@
 pub struct Maintenance {
     /// What must stay in service.
     budget: Budget,
-    look_at: Micros,
+    next_poll_at: Micros,
     /// When this dispatcher began, how long it waits for word of the plan, and whether it had any.
     begun: Micros,
     untold: Micros,
-    told: bool,
+    plan_known: bool,
     /// Machines that get nothing new from here for the plan's sake.
     held_back: BTreeSet<String>,
     /// Since when machines that were out are back, and cold.
@@ -37,10 +37,10 @@
     pub fn new(budget: Budget, untold: Micros, now: Micros) -> Maintenance {
         Maintenance {
             budget,
-            look_at: now,
+            next_poll_at: now,
             begun: now,
             untold,
-            told: false,
+            plan_known: false,
             held_back: BTreeSet::new(),
             cold: BTreeMap::new(),
             waiting: Vec::new(),
@@ -61,8 +61,10 @@
 
     /// When the plan is to be looked at next, while there is anything to look at.
     pub fn next_due(&self) -> Option<Micros> {
-        let busy =
-            !self.told || !self.waiting.is_empty() || !self.held_back.is_empty() || !self.logged.is_empty();
-        busy.then_some(self.look_at)
+        let busy = !self.plan_known
+            || !self.waiting.is_empty()
+            || !self.held_back.is_empty()
+            || !self.logged.is_empty();
+        busy.then_some(self.next_poll_at)
     }
 }
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -1,6 +1,6 @@
 //! The plan's course: what it holds back here, what is idle, and, as leader, what comes next.
 
-use super::format::{kind, word};
+use super::format::{kind, step_text};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::dispatch::WatchEvent;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often the plan is looked at.
-const LOOK: Micros = 50_000;
+const POLL_INTERVAL: Micros = 50_000;
 
 impl DispatcherServer {
     pub(super) fn plan(&self) -> Option<&Plan> {
@@ -29,36 +29,36 @@
 
     /// Looks at the plan: what it holds back here, what is idle, who waits for an answer, and as leader what comes
     /// next.
-    pub(in crate::net) fn keep_plan(&mut self, now: Micros) {
+    pub(in crate::net) fn advance_plan(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let changed = std::mem::take(&mut in_flight.takeover.planned);
-        if !changed && now < in_flight.maintenance.look_at {
+        if !changed && now < in_flight.maintenance.next_poll_at {
             return;
         }
-        in_flight.maintenance.look_at = now + LOOK;
+        in_flight.maintenance.next_poll_at = now + POLL_INTERVAL;
         let Some(plan) = in_flight.takeover.fleet.agreed().map(fleet::Agreed::plan) else {
-            return self.not_yet_told(now);
+            return self.plan_not_yet_known(now);
         };
         if plan.steps().next().is_none() && in_flight.maintenance.held_back.is_empty() {
-            in_flight.maintenance.told = true;
+            in_flight.maintenance.plan_known = true;
             return;
         }
         in_flight.maintenance.active = plan.steps().any(|(_, s)| !s.over());
         let plan = plan.clone();
         self.log_plan(&plan, now);
         self.hold_back(&plan, now);
-        self.tell_idle(&plan, now);
+        self.report_idle(&plan, now);
         self.answer_calls(&plan, now);
         self.lead_plan(&plan, now);
     }
 
     /// One that has just started knows no plan: it leaves all alone until it is told, or until nobody has told it
     /// anything for two leases.
-    fn not_yet_told(&mut self, now: Micros) {
+    fn plan_not_yet_known(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         if now >= in_flight.maintenance.begun + in_flight.maintenance.untold {
-            if !in_flight.maintenance.told {
-                in_flight.maintenance.told = true;
+            if !in_flight.maintenance.plan_known {
+                in_flight.maintenance.plan_known = true;
                 tracing::warn!("maintenance: no word of the fleet, motores are used as listed");
                 self.hold_back(&Plan::default(), now);
             }
@@ -73,7 +73,7 @@
         let steps: BTreeMap<String, String> = plan.steps().map(|(id, s)| (id.into(), kind(s))).collect();
         for (id, step) in plan.steps() {
             if in_flight.maintenance.logged.get(id) != steps.get(id) {
-                tracing::info!(executor = id, step = word(step, now), "maintenance");
+                tracing::info!(executor = id, step = step_text(step, now), "maintenance");
             }
         }
         in_flight.maintenance.logged = steps;
@@ -82,7 +82,7 @@
     /// What the plan holds back and what it has brought back, told to the decisions where it changed.
     fn hold_back(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
-        in_flight.maintenance.told = true;
+        in_flight.maintenance.plan_known = true;
         let without_word = in_flight.takeover.fleet.without_word(now);
         let held = plan.held_back(&in_flight.maintenance.budget, without_word);
         let held: BTreeSet<String> = held.into_iter().map(String::from).collect();
@@ -110,7 +110,7 @@
         }
     }
 
-    fn tell_idle(&mut self, plan: &Plan, now: Micros) {
+    fn report_idle(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let Some(holder) = in_flight.takeover.fleet.holds(now) else { return };
         for (id, step) in plan.steps() {
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -29,7 +29,7 @@
                     feed.move_to(coordinator, now, &self.poll);
                 }
                 if let Some(lists) = &self.endpoint_lists {
-                    lists.look();
+                    lists.poll_files();
                 }
             }
             Err(e) => {
