--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -80,8 +80,8 @@
 impl<R> Dispatch<R> {
     /// The executors' capacity now.
     pub fn fleet_capacity(&self, now: Micros) -> FleetCapacity {
-        let [listed, usable, warm] = self.balancer.fleet(now);
-        FleetCapacity { listed, usable, warm }
+        let cores = self.balancer.fleet_cores(now);
+        FleetCapacity { listed: cores.listed, usable: cores.healthy, warm: cores.warm }
     }
 
     /// Busy cores of all listed executors, by their load reports.
@@ -91,7 +91,7 @@
 
     /// The number of listed executors, and of those that are avoided now: draining, unresponsive or ejected.
     pub fn listed_and_avoided(&self, now: Micros) -> (usize, usize) {
-        self.balancer.avoided(now)
+        self.balancer.listed_and_avoided(now)
     }
 
     /// Applies a watch event.
