--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -1,66 +1,18 @@
-//! The simulator's wire: its messages under the terms that this project uses. Its own names appear here and in
-//! `wire/actions.rs`, in `serde` attributes, and nowhere else.
+//! The simulator's wire: its messages under the terms that this project uses. Its own names appear here, in
+//! `wire/message_name.rs` and in `wire/actions.rs`, in `serde` attributes, and nowhere else.
 
 mod actions;
 mod events;
+mod message_name;
 
 pub use actions::{Reply, reply};
 pub use events::event;
+pub use message_name::MessageName;
 use ottercroft::api::{Micros, Report};
 use ottercroft::settings::{Env, Malformed, micros};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A message to the process or to one of its dispatchers, by its name on the wire.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub enum MessageName {
-    /// Sets the clock.
-    #[serde(rename = "ROUND")]
-    SetClock,
-    /// Ends a batch of messages: the replies are due.
-    #[serde(rename = "GO")]
-    EndBatch,
-    /// Defines an endpoint list.
-    #[serde(rename = "DEFINE_LIST")]
-    DefineList,
-    /// Starts a dispatcher.
-    #[serde(rename = "ENLIST")]
-    StartDispatcher,
-    /// Stops a dispatcher.
-    #[serde(rename = "STOP")]
-    StopDispatcher,
-    /// An endpoint list for a dispatcher.
-    #[serde(rename = "FLEET")]
-    EndpointList,
-    /// A request arrives.
-    #[serde(rename = "INBOUND")]
-    Arrival,
-    /// The first byte of an attempt.
-    #[serde(rename = "ACK_FIRST")]
-    FirstByte,
-    /// Progress of an attempt.
-    #[serde(rename = "NOTICE")]
-    AttemptProgressed,
-    /// An attempt ended.
-    #[serde(rename = "REPLY")]
-    AttemptFinished,
-    /// A client disconnected.
-    #[serde(rename = "HANGUP")]
-    ClientDisconnected,
-    /// A timer is due.
-    #[serde(rename = "WAKEUP")]
-    Timer,
-    /// A probe ended.
-    #[serde(rename = "CHECK_RESULT")]
-    ProbeFinished,
-    /// Gossip of another dispatcher.
-    #[serde(rename = "INBOX")]
-    Gossip,
-    /// A message that is not known.
-    #[serde(other)]
-    Unknown,
-}
-
 /// A point in time.
 #[derive(Deserialize)]
 pub struct SetClock {
