--- a/examples/one_dispatcher.rs
+++ b/examples/one_dispatcher.rs
@@ -72,7 +72,7 @@
         is_repeat: false,
         held_by_client: false,
     };
-    let gone = executors.clone().map(|e| Endpoint { readiness: Readiness::Left, ..e });
+    let gone = executors.clone().map(|e| Endpoint { readiness: Readiness::Removed, ..e });
     let list = |kind, endpoints: &[Endpoint]| Event::EndpointList { kind, endpoints: endpoints.to_vec() };
     let mut sent = None;
     let mut play = |now: Micros, event: Event| {
--- a/src/api/end_reason.rs
+++ b/src/api/end_reason.rs
@@ -10,9 +10,9 @@
     /// Rejected on arrival by an admission rule: too costly under the present load, or over its tenant's quota.
     OverLimit,
     /// Rejected on arrival: what is before it in its key's queue takes longer than its client waits.
-    LineTooLong,
+    KeyQueueTooLong,
     /// It waited in its key's queue until it could not finish in time.
-    LineTimedOut,
+    KeyQueueTimedOut,
     /// No executor may take it, or none that is usable.
     NoExecutor,
     /// Its last attempt failed, and no retry is allowed.
@@ -26,7 +26,7 @@
     /// Too many requests were open.
     TooManyOpen,
     /// Answered on the decision of another part: the control plane, the admission policy or overload control.
-    Elsewhere,
+    DecidedOutside,
     /// The lease that gave the right to act on it was lost.
     LeaseLost,
 }
@@ -36,15 +36,15 @@
     pub const ALL: [EndReason; 12] = [
         EndReason::Served,
         EndReason::OverLimit,
-        EndReason::LineTooLong,
-        EndReason::LineTimedOut,
+        EndReason::KeyQueueTooLong,
+        EndReason::KeyQueueTimedOut,
         EndReason::NoExecutor,
         EndReason::NoFurtherAttempt,
         EndReason::Overloaded,
         EndReason::Deadline,
         EndReason::Stopping,
         EndReason::TooManyOpen,
-        EndReason::Elsewhere,
+        EndReason::DecidedOutside,
         EndReason::LeaseLost,
     ];
 
@@ -53,15 +53,15 @@
         match self {
             EndReason::Served => "served",
             EndReason::OverLimit => "over_limit",
-            EndReason::LineTooLong => "line_too_long",
-            EndReason::LineTimedOut => "line_timed_out",
+            EndReason::KeyQueueTooLong => "line_too_long",
+            EndReason::KeyQueueTimedOut => "line_timed_out",
             EndReason::NoExecutor => "no_engine",
             EndReason::NoFurtherAttempt => "no_further_attempt",
             EndReason::Overloaded => "overloaded",
             EndReason::Deadline => "deadline",
             EndReason::Stopping => "stopping",
             EndReason::TooManyOpen => "too_many_open",
-            EndReason::Elsewhere => "elsewhere",
+            EndReason::DecidedOutside => "elsewhere",
             EndReason::LeaseLost => "lease_lost",
         }
     }
--- a/src/api/executors.rs
+++ b/src/api/executors.rs
@@ -9,9 +9,9 @@
     #[default]
     Active,
     /// Draining: it completes its work and takes nothing new.
-    Leaving,
+    Draining,
     /// Removed.
-    Left,
+    Removed,
 }
 
 /// An executor, as an entry of the endpoint list.
--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -55,13 +55,13 @@
         if self.is_lost_on_shutdown(request) {
             return HIGHEST_PRIORITY;
         }
-        if self.now > request.latency_objective {
+        if self.now > request.objective_ends_at {
             return 0;
         }
         let cost_multiple = self.cost_multiple(request);
         let is_below = |multiple: &&f64| cost_multiple < **multiple;
         let by_cost = PRIORITY_COST_MULTIPLES.iter().filter(is_below).count() as u8;
-        let is_urgent = is_half_over(self.now, request.arrived_at, request.latency_objective);
+        let is_urgent = is_half_over(self.now, request.arrived_at, request.objective_ends_at);
         (by_cost + u8::from(is_urgent)).min(HIGHEST_PRIORITY)
     }
 
--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -70,7 +70,7 @@
         self.learn_cost(id, finished.attempt as usize, finished.latency, finished.reported_cost);
         self.attribute_errors(id);
         let request = &self.requests[&id];
-        if self.now > request.latency_objective && !request.counted_late && !request.answered {
+        if self.now > request.objective_ends_at && !request.counted_late && !request.answered {
             self.record_late(request.class);
         }
     }
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -40,7 +40,7 @@
     fn new_slow_start(&self, endpoint: &Endpoint, is_first_list: bool) -> Option<TimestampUs> {
         let known = self.executors.position(endpoint.executor).map(|index| &self.executors[index]);
         let is_new = match known {
-            Some(executor) => !executor.present || executor.endpoint.readiness == Readiness::Left,
+            Some(executor) => !executor.present || executor.endpoint.readiness == Readiness::Removed,
             None => !is_first_list,
         };
         let has_new_start = known.is_none_or(|executor| executor.endpoint.started != endpoint.started);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -60,7 +60,7 @@
     /// Counts a request for its class once it is past its latency objective.
     fn count_if_late(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        if self.now > request.latency_objective && !request.counted_late {
+        if self.now > request.objective_ends_at && !request.counted_late {
             let class = request.class;
             self.request_mut(id).counted_late = true;
             self.record_late(class);
@@ -70,7 +70,7 @@
     /// Whether a request is late in an overload: its answer earns little, and its threads can serve others.
     fn is_given_up(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
-        let is_late = self.now > request.latency_objective;
+        let is_late = self.now > request.objective_ends_at;
         let is_overloaded = self.pressure.of(request.class) > GIVE_UP_PRESSURE;
         is_late && is_overloaded && self.is_idempotent(request)
     }
--- a/src/balancer/key_order.rs
+++ b/src/balancer/key_order.rs
@@ -82,7 +82,7 @@
         }
         let waits = request.key.is_some() && !self.has_turn(id);
         let too_late = self.now + expected_run.max(MIN_TIME_LEFT_US) > request.deadline;
-        (waits && too_late).then_some(EndReason::LineTimedOut)
+        (waits && too_late).then_some(EndReason::KeyQueueTimedOut)
     }
 
     /// Starts the first request in a key's queue, if it may start. If it ends at once, the next one is
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -20,7 +20,7 @@
         }
         match self.join_key_queue(id, arrival.held_by_client) {
             Ok(()) => self.start_request(id),
-            Err(overrun) => self.reject_or_fail_request(id, overrun, EndReason::LineTooLong),
+            Err(overrun) => self.reject_or_fail_request(id, overrun, EndReason::KeyQueueTooLong),
         }
     }
 
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -40,7 +40,7 @@
     }
 
     /// Removes what has left the window. In doubt the stricter count holds: a retry on the window's edge
-    /// counts and an arrival there does not, and either may reach its executor `slack` later than it was
+    /// counts and an arrival there does not, and either may reach its executor `send_delay` later than it was
     /// recorded.
     pub(super) fn remove_expired(&mut self, now: TimestampUs, budget: &RetryBudget) {
         self.retry_history.retain(|sent_at| sent_at + budget.window + budget.send_delay >= now);
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -61,8 +61,8 @@
         cell: message.cell.unwrap_or(0),
         readiness: match message.readiness.as_str() {
             "active" => Readiness::Active,
-            "leaving" => Readiness::Leaving,
-            "left" => Readiness::Left,
+            "leaving" => Readiness::Draining,
+            "left" => Readiness::Removed,
             other => return Err(bad(NAME, "readiness", format_args!("unknown value {other:?}"))),
         },
         rating: message.rating.unwrap_or(1.0),
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -55,8 +55,8 @@
         self.stop_and_close(now, id, EndReason::LeaseLost)
     }
 
-    /// Stops the outstanding attempts of a request, which have timed out, and answers it. Where its deadline has
-    /// passed, no further attempt of it begins.
+    /// Stops the outstanding attempts of a request whose deadline has passed or whose lease is lost, and answers it.
+    /// Where its deadline has passed, no further attempt of it begins.
     fn stop_and_close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
         let Some(pending) = self.pending.get(&id) else { return Vec::new() };
         let outstanding: Vec<u32> = pending.outstanding_attempts().collect();
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -34,8 +34,8 @@
             cell: self.cell,
             readiness: match self.state {
                 ExecutorState::Up => Readiness::Active,
-                ExecutorState::Draining => Readiness::Leaving,
-                ExecutorState::Removed => Readiness::Left,
+                ExecutorState::Draining => Readiness::Draining,
+                ExecutorState::Removed => Readiness::Removed,
             },
             rating: self.size,
             started: self.started,
--- a/src/dispatch/interface.rs
+++ b/src/dispatch/interface.rs
@@ -14,7 +14,7 @@
     NotRun,
     /// The executor reported an error; it may have run.
     Error,
-    /// It never reached the executor whole.
+    /// It never reached the executor whole. To the decisions this is a failed connection, which ejects the executor.
     NeverSent,
     /// Its connection was lost before the executor said anything on it; it may have run.
     ConnectionLost,
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -150,7 +150,7 @@
     pub fn answer_held(&mut self, now: Micros, id: u64, answer: Answer<R>) -> Vec<Command<R>> {
         let held = self.held_requests.remove(&id).is_some();
         if held && self.pending.get(&id).is_some_and(|pending| !pending.closed) {
-            self.answer(now, id, answer, EndReason::Elsewhere);
+            self.answer(now, id, answer, EndReason::DecidedOutside);
             self.forget(id);
         }
         std::mem::take(&mut self.commands)
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -101,8 +101,8 @@
         if let Some(open) = self.requests.open.remove(&request) {
             self.log_abandoned(request, &open, now);
         }
-        let orders = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
-        self.execute(orders);
+        let commands = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
+        self.execute(commands);
         self.client_left(now, request);
     }
 
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -134,21 +134,21 @@
         let id = request.id;
         let storm = self.storm.as_mut().map(|s| s.ask(now, asker(&job), request.repeated));
         if let Some(Verdict::Refuse(wait)) = storm {
-            return self.reject_request(key, &request, &job, wait, EndReason::Elsewhere, now);
+            return self.reject_request(key, &request, &job, wait, EndReason::DecidedOutside, now);
         }
         let taken = match self.gate(now, &request, &job) {
             Gate::Go => self.dispatch.submit(now, &request),
             Gate::Hold => self.dispatch.hold(now, &request),
             Gate::Answer(reply) => {
                 let held = self.dispatch.hold(now, &request);
-                held.map(|mut orders| {
-                    orders.extend(self.dispatch.answer_held(now, id, self.answer_of(reply)));
-                    orders
+                held.map(|mut commands| {
+                    commands.extend(self.dispatch.answer_held(now, id, self.answer_of(reply)));
+                    commands
                 })
             }
         };
         match taken {
-            Ok(orders) => self.execute(orders),
+            Ok(commands) => self.execute(commands),
             Err(e) => {
                 self.requests.open.remove(&id);
                 self.end_in_flight_unasked(now, id);
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -33,7 +33,7 @@
     pub(super) fn execute_command(&mut self, now: Micros, command: Command<Rows>) {
         match command {
             Command::StartAttempt { attempt_id, executor, terms } => {
-                // The client may have left since this was decided: then nothing goes out, and that is told.
+                // The client may have left since this was decided: then nothing goes out, and the decisions learn so.
                 let Some(job) = self.requests.open.get(&attempt_id.request).map(|o| o.job.clone()) else {
                     return self.executors.events.push_back(NetworkEvent::AttemptEnded(
                         attempt_id,
@@ -41,7 +41,7 @@
                         None,
                     ));
                 };
-                if !self.may_send(now, attempt_id, executor) {
+                if !self.lease_allows_send(now, attempt_id, executor) {
                     return self.executors.events.push_back(NetworkEvent::AttemptEnded(
                         attempt_id,
                         AttemptEnd::NeverSent,
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -20,13 +20,13 @@
 /// Counters of the lists.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// EndpointLists that came into force.
+    /// Endpoint lists that came into force.
     pub taken: u64,
     /// EndpointLists with faults, and those that went back.
     pub refused: u64,
     /// EndpointLists held back.
     pub held: u64,
-    /// Words that a list can't be read.
+    /// Reports that a list can't be read.
     pub unreadable: u64,
     /// The longest that a turn was busy with lists, in microseconds.
     pub slowest: Micros,
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -101,9 +101,9 @@
     /// Answers the requests whose time is over.
     pub(in crate::net) fn expire_due_requests(&mut self) {
         let now = self.clock.now();
-        let orders = self.dispatch.end_expired(now);
-        if !orders.is_empty() {
-            self.execute(orders);
+        let commands = self.dispatch.end_expired(now);
+        if !commands.is_empty() {
+            self.execute(commands);
         }
     }
 
@@ -135,8 +135,8 @@
     /// Does what the clock makes due.
     fn process_timers(&mut self) {
         let now = self.clock.now();
-        let orders = self.dispatch.tick(now);
-        self.execute(orders);
+        let commands = self.dispatch.tick(now);
+        self.execute(commands);
         let processed_until = self.poll_times.processed_until;
         self.executors.tick(processed_until, &self.poll);
         self.execute(Vec::new());
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -99,12 +99,12 @@
         let key = match self.connection(to, now, poll, |c| !c.draining && !c.is_overdue(now)) {
             Ok(key) => key,
             Err(reason) => {
-                let echo = if reason == NoConnection::OwnLimit {
+                let probe_outcome = if reason == NoConnection::OwnLimit {
                     ProbeOutcome::Unknown
                 } else {
                     ProbeOutcome::Unreachable
                 };
-                return self.events.push_back(NetworkEvent::ProbeFinished(to, echo, 0));
+                return self.events.push_back(NetworkEvent::ProbeFinished(to, probe_outcome, 0));
             }
         };
         self.send_probe(key, now, poll);
--- a/src/net/executors/connection_pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -162,9 +162,10 @@
             };
             self.events.push_back(NetworkEvent::AttemptEnded(s.attempt_id, end, None));
         }
-        let echo = if connection.connected { ProbeOutcome::Unknown } else { ProbeOutcome::Unreachable };
+        let probe_outcome =
+            if connection.connected { ProbeOutcome::Unknown } else { ProbeOutcome::Unreachable };
         for _ in connection.probes {
-            self.events.push_back(NetworkEvent::ProbeFinished(connection.executor, echo, 0));
+            self.events.push_back(NetworkEvent::ProbeFinished(connection.executor, probe_outcome, 0));
         }
     }
 
--- a/src/net/executors/endpoint_updates.rs
+++ b/src/net/executors/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! News of the list, and what it ends.
+//! Watch events of the endpoint list, and the connections and attempts that they end.
 
 use super::{Executor, Executors};
 use crate::api::Micros;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Executors {
-    /// News of the list: an address that moved or a process that started anew ends what was open before it,
+    /// Applies a watch event: an address that moved or a process that started anew ends what was open before it,
     /// and what still waits for an executor that drains or is gone is taken back.
     pub fn apply_endpoints(&mut self, targets: &[Target], whole: bool, now: Micros, poll: &Poll) {
         for t in targets {
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -40,7 +40,7 @@
             }
             in_flight.peers.flush(now, &self.poll);
             let Some(next) = in_flight.takeover.moves.pop_front() else { return };
-            let orders = match next {
+            let commands = match next {
                 Move::Admit(rid) => self.admit_recorded(now, rid),
                 Move::Answer(rid, reply) => {
                     let answer = self.answer_of(reply);
@@ -49,7 +49,7 @@
                 Move::Adopt(record) => self.adopt(now, &record),
                 Move::LetGo(rid) => self.dispatch.release(now, rid),
             };
-            self.execute(orders);
+            self.execute(commands);
         }
     }
 
@@ -78,7 +78,7 @@
         let under = self.rules.as_ref().filter(|r| r.part.number() != record.policy);
         let under = under.and_then(|r| r.under(record.policy));
         match self.dispatch.adopt(now, &request, record.tried.len(), under) {
-            Ok(orders) => orders,
+            Ok(commands) => commands,
             Err(e) => {
                 tracing::warn!(
                     request = format_args!("{:016x}", record.rid),
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -58,7 +58,12 @@
     }
 
     /// Whether an attempt may go out; one that may not is let go of.
-    pub(in crate::net) fn may_send(&mut self, now: Micros, attempt_id: AttemptId, executor: u32) -> bool {
+    pub(in crate::net) fn lease_allows_send(
+        &mut self,
+        now: Micros,
+        attempt_id: AttemptId,
+        executor: u32,
+    ) -> bool {
         let Some(in_flight) = &mut self.in_flight else { return true };
         let may = in_flight.takeover.may_send(now, attempt_id.request);
         match may {
--- a/src/net/maintenance/calls.rs
+++ b/src/net/maintenance/calls.rs
@@ -1,4 +1,4 @@
-//! AdminListener' calls on the plan.
+//! Operators' calls on the maintenance plan.
 
 use super::format::{holdup_text, step_text};
 use crate::api::Micros;
--- a/src/net/rules.rs
+++ b/src/net/rules.rs
@@ -36,7 +36,7 @@
     pub(super) held: VecDeque<Held>,
     /// Acts by what the last two policies known here both allow, as it has no lease.
     pub(super) fallen_back: bool,
-    /// AdminListener' calls that wait to be agreed.
+    /// Operators' calls that wait to be agreed.
     pub(super) calls: PolicyCalls,
     /// Requests that waited, and that were refused for want of a lease or of a policy.
     pub(super) tally: [u64; 2],
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | since SIGTERM | what happens to requests |
 //! | --- | --- |
-//! | at once | new ones are still taken, their budget is cut to what is left until the give-up |
+//! | at once | new ones are still taken; one that is expected to run past the give-up is rejected |
 //! | [`ACCEPT_REQUESTS_FOR`] | the backlog is accepted and read once more, the listener is closed |
 //! | from then on | a client connection that is idle is closed |
 //! | [`ShutdownDeadlines::give_up_after`] | what is open gets its answer: refused if it never ran, else failed |
@@ -133,8 +133,8 @@
         if std::mem::replace(&mut self.shutdown.gave_up, true) {
             return;
         }
-        let orders = self.dispatch.end_all(now);
-        self.execute(orders);
+        let commands = self.dispatch.end_all(now);
+        self.execute(commands);
         self.reject_arrived_requests(now);
     }
 
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -92,7 +92,7 @@
 
     /// Whether the endpoint list has it no longer.
     pub(crate) fn has_departed(&self) -> bool {
-        !self.present || self.endpoint.readiness == Readiness::Left
+        !self.present || self.endpoint.readiness == Readiness::Removed
     }
 
     /// When its slow start began, while that lasts. A start that lies ahead counts as now.
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -18,7 +18,7 @@
     /// Executors on the list, and of these those that take nothing new now: draining, unresponsive or ejected.
     pub(crate) fn listed_and_avoided(&self, now: Micros) -> (usize, usize) {
         let is_listed =
-            |executor: &&Executor| executor.present && executor.endpoint.readiness != Readiness::Left;
+            |executor: &&Executor| executor.present && executor.endpoint.readiness != Readiness::Removed;
         let listed = self.executors.iter().filter(is_listed);
         let is_avoided = |executor: &&Executor| {
             executor.endpoint.readiness != Readiness::Active || !executor.is_healthy(now)
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -15,12 +15,12 @@
 pub(crate) use executor_index::ExecutorIndex;
 pub(crate) use executor_table::ExecutorTable;
 pub(crate) use hash_ring::{Part, mix};
-pub(crate) use mean::*;
+pub(crate) use mean::Mean;
 pub(crate) use random::{draw_weighted, rendezvous_hash};
-pub(crate) use request::*;
-pub(crate) use token_bucket::*;
+pub(crate) use request::{Attempt, Request};
+pub(crate) use token_bucket::TokenBucket;
 
-use crate::api::*;
+use crate::api::{Action, RequestId, Settings, TimestampUs};
 use crate::balancer::selection::ProbeBudget;
 use crate::balancer::slow_start::SlowStartAdmission;
 use crate::balancer::{AdmissionRules, CostModel, KeyQueues, LoadModel, Pressure, RetryLimiter};
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -18,7 +18,7 @@
     /// When its client gives up.
     pub(crate) deadline: TimestampUs,
     /// Until when an answer earns the whole weight.
-    pub(crate) latency_objective: TimestampUs,
+    pub(crate) objective_ends_at: TimestampUs,
     /// Predicted cost, in thread-seconds.
     pub(crate) predicted_cost: f64,
     /// Estimated cost as it arrived, in thread-seconds.
@@ -67,7 +67,7 @@
             preferred_executors,
             arrived_at: now,
             deadline: now + arrival.time_budget,
-            latency_objective: now + latency_objective,
+            objective_ends_at: now + latency_objective,
             predicted_cost: cost,
             estimated_cost: arrival.estimated_thread_seconds,
             estimated_memory_mb: arrival.estimated_memory_mb,
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -59,8 +59,8 @@
         let p = self.world.referee.places[&executor];
         let readiness = match standing {
             Standing::Up => Readiness::Active,
-            Standing::Draining => Readiness::Leaving,
-            Standing::Gone => Readiness::Left,
+            Standing::Draining => Readiness::Draining,
+            Standing::Gone => Readiness::Removed,
         };
         let (zone, kind, cell) = (p.zone, p.kind, p.cell);
         Endpoint { executor, zone, kind, cell, readiness, rating: 1.0, started, weight: None }
--- a/tests/balancer/health.rs
+++ b/tests/balancer/health.rs
@@ -55,7 +55,7 @@
 #[test]
 fn a_draining_executor_gets_nothing_new() {
     let mut rig = Rig::new(settings(), 2);
-    let endpoints = vec![Endpoint { readiness: Readiness::Leaving, ..endpoint(1) }];
+    let endpoints = vec![Endpoint { readiness: Readiness::Draining, ..endpoint(1) }];
     rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
     for _ in 0..30 {
         assert_eq!(sent_to(&rig.arrive(0, 0.1).1), Some(2));
--- a/tests/large_lists/choice.rs
+++ b/tests/large_lists/choice.rs
@@ -63,7 +63,7 @@
 fn a_subset_that_drains_is_replaced_at_once() {
     let mut rig = Rig::seeded(settings(), 3_200, 7);
     let before = BTreeSet::from_iter(served_by(&mut rig, 200, 0));
-    let leaves = before.iter().map(|e| Endpoint { readiness: Readiness::Leaving, ..endpoint(*e) });
+    let leaves = before.iter().map(|e| Endpoint { readiness: Readiness::Draining, ..endpoint(*e) });
     rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: leaves.collect() });
     let after = served_by(&mut rig, 100, 0);
     assert_eq!(after.len(), 100, "all are served");
--- a/tests/large_lists/work.rs
+++ b/tests/large_lists/work.rs
@@ -59,7 +59,7 @@
     rig.arrive(0, 0.2);
     let before = rig.dispatcher.examined();
     for n in 0..1_600 {
-        let gone = Endpoint { readiness: Readiness::Left, ..endpoint(n + 1) };
+        let gone = Endpoint { readiness: Readiness::Removed, ..endpoint(n + 1) };
         let new = Endpoint { started: Some(rig.now), ..endpoint(10_000 + n) };
         rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: vec![gone, new] });
     }
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -146,8 +146,8 @@
         let e = self.list.get_mut(&executor).unwrap();
         let (readiness, started) = match e.readiness {
             Readiness::Active => match self.rng.next_u64() % 3 {
-                0 => (Readiness::Leaving, e.started),
-                1 => (Readiness::Left, e.started),
+                0 => (Readiness::Draining, e.started),
+                1 => (Readiness::Removed, e.started),
                 _ => (Readiness::Active, Some(self.now)),
             },
             _ => (Readiness::Active, Some(self.now)),
