--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -9,7 +9,6 @@
 mod attempt_events;
 mod cost_model;
 mod endpoint_list;
-mod hedging;
 mod key_order;
 mod key_queue;
 mod load;
@@ -18,6 +17,7 @@
 mod request_lifecycle;
 mod retry_budget;
 pub(crate) mod selection;
+mod slow_attempts;
 pub(crate) mod slow_start;
 mod unresponsive;
 
--- a/src/net/clients/listener.rs
+++ b/src/net/clients/listener.rs
@@ -2,14 +2,14 @@
 
 use crate::api::Micros;
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::limits::LOOK_VALID;
+use crate::net::limits::CLIENT_POLL_VALID;
 use crate::net::sockets::listen;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
 /// How long accepting pauses when descriptors or memory have run out. A KILL may wait in the backlog meanwhile, and it
 /// has to be read while the last look at the clients is still valid.
-const ACCEPT_PAUSE: Micros = LOOK_VALID / 2;
+const ACCEPT_PAUSE: Micros = CLIENT_POLL_VALID / 2;
 
 /// What the listener does.
 enum State {
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -132,7 +132,7 @@
     /// Hands a request to the decisions, unless a retry storm or the fleet answers it or holds it.
     fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
-        let storm = self.storm.as_mut().map(|s| s.ask(now, asker(&job), request.repeated));
+        let storm = self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.repeated));
         if let Some(Verdict::Refuse(wait)) = storm {
             return self.reject_request(key, &request, &job, wait, EndReason::DecidedOutside, now);
         }
@@ -214,8 +214,8 @@
     }
 }
 
-/// A fingerprint of a request's client, for retry storms: a repeat brings the same statement under a new id.
-pub(in crate::net) fn asker(job: &Job) -> storm::Asker {
+/// A fingerprint of a request's class and statement, for overload control: a repeat brings both under a new id.
+pub(in crate::net) fn request_fingerprint(job: &Job) -> storm::Asker {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     (&*job.kind, &*job.statement).hash(&mut hasher);
--- a/src/net/executors/client_poll.rs
+++ b/src/net/executors/client_poll.rs
@@ -7,7 +7,7 @@
 use super::Executors;
 use crate::api::Micros;
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::limits::LOOK_VALID;
+use crate::net::limits::CLIENT_POLL_VALID;
 use std::collections::BTreeSet;
 
 /// The last look, and what waits for the next one.
@@ -25,7 +25,7 @@
 impl ClientPoll {
     /// Whether what clients did is known well enough for an attempt to begin now.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
-        self.at.is_none_or(|at| self.grant || now <= at + LOOK_VALID)
+        self.at.is_none_or(|at| self.grant || now <= at + CLIENT_POLL_VALID)
     }
 
     /// An attempt begins.
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -109,7 +109,13 @@
     }
 
     /// A request whose client had left is over.
-    pub(in crate::net) fn past(&mut self, now: Micros, request: u64, served: Option<Rows>, never_ran: bool) {
+    pub(in crate::net) fn report_abandoned(
+        &mut self,
+        now: Micros,
+        request: u64,
+        served: Option<Rows>,
+        never_ran: bool,
+    ) {
         let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.follows(request)) else { return };
         let past = match (served, never_ran) {
             (Some(rows), _) => Past::Served(pages(&rows)),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,7 +5,8 @@
 //! - `clients`: clients' connections, and what becomes of a request until the decisions have it.
 //! - `executors`: connections to executors, and the attempts on them.
 //! - `coordinator_watch`, `endpoint_lists`: where the endpoint list comes from.
-//! - `commands`: what the decisions want, carried out.
+//! - `commands`: executes the commands of the decisions.
+//! - `endpoint_updates`: the endpoint list on its way to the decisions.
 //! - `admin`, `maintenance`: operators' calls and what they change.
 //! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: other dispatchers, and the control group.
 //! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
@@ -19,6 +20,7 @@
 mod coordinator_watch;
 mod counters;
 mod endpoint_lists;
+mod endpoint_updates;
 pub mod event_loop;
 mod executors;
 mod in_flight;
