--- a/src/balancer/slow_attempts.rs
+++ b/src/balancer/slow_attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts that take too long: which are sent to another executor as well, or instead, and which requests
 //! are given up.
 
-use crate::api::{Action, EndReason, Idempotency, RequestId, TimestampUs};
+use crate::api::{Action, ClassId, EndReason, Idempotency, RequestId, TimestampUs};
 use crate::balancer::RETRY_AFTER_US;
 use crate::state::{Attempt, Balancer, Request};
 
@@ -18,26 +18,57 @@
 /// Attempts in flight that a tick looks at, so that no tick takes long; the next one goes on from there.
 const CHECKED_PER_TICK: usize = 512;
 
+/// What a tick finds of a request with an attempt in flight.
+struct AttemptCheck {
+    class: ClassId,
+    /// It is past its latency objective, and was not counted as late yet.
+    became_late: bool,
+    /// It is late in an overload: its answer earns little, and its threads can serve others.
+    is_given_up: bool,
+    /// The priority that it is to have, where that has changed.
+    new_priority: Option<u8>,
+    /// The attempt is unresponsive or runs away, and another one can still finish before the deadline.
+    needs_retry: bool,
+}
+
 impl Balancer {
     /// Looks at the attempts in flight: counts late requests, gives up those that an overload made late, sets
     /// priorities anew and retries attempts that are unresponsive or run away.
     pub(super) fn check_attempts(&mut self) {
         for (id, attempt) in self.attempts_to_check() {
-            let is_running = |request: &&Request| !request.answered && !request.streaming;
-            if self.requests.get(&id).filter(is_running).is_some() {
-                self.check_attempt(id, attempt);
+            // Looked up once for each attempt: a tick has hundreds of them.
+            let request = self.requests.get(&id);
+            let running = request.filter(|request| !request.answered && !request.streaming);
+            if let Some(check) = running.map(|request| self.check_attempt(request, attempt)) {
+                self.act_on_check(id, attempt, &check);
             }
         }
     }
 
-    fn check_attempt(&mut self, id: RequestId, attempt: u32) {
-        self.count_if_late(id);
-        if self.is_given_up(id) {
+    fn check_attempt(&self, request: &Request, attempt: u32) -> AttemptCheck {
+        let is_late = self.now > request.objective_ends_at;
+        let is_overloaded = self.pressure.of(request.class) > GIVE_UP_PRESSURE;
+        AttemptCheck {
+            class: request.class,
+            became_late: is_late && !request.counted_late,
+            is_given_up: is_late && is_overloaded && self.is_idempotent(request),
+            new_priority: self.changed_priority(request),
+            needs_retry: self.needs_retry(request, attempt),
+        }
+    }
+
+    fn act_on_check(&mut self, id: RequestId, attempt: u32, check: &AttemptCheck) {
+        if check.became_late {
+            self.request_mut(id).counted_late = true;
+            self.record_late(check.class);
+        }
+        if check.is_given_up {
             return self.reject_or_fail_request(id, RETRY_AFTER_US, EndReason::Overloaded);
         }
-        let needs_retry = self.needs_retry(id, attempt);
-        self.refresh_priority(id);
-        if needs_retry {
+        if let Some(priority) = check.new_priority {
+            self.set_priority(id, priority);
+        }
+        if check.needs_retry {
             self.retry_in_place_of(id, attempt);
         }
     }
@@ -57,42 +88,26 @@
         attempts
     }
 
-    /// Counts a request for its class once it is past its latency objective.
-    fn count_if_late(&mut self, id: RequestId) {
-        let request = &self.requests[&id];
-        if self.now > request.objective_ends_at && !request.counted_late {
-            let class = request.class;
-            self.request_mut(id).counted_late = true;
-            self.record_late(class);
-        }
-    }
-
-    /// Whether a request is late in an overload: its answer earns little, and its threads can serve others.
-    fn is_given_up(&self, id: RequestId) -> bool {
-        let request = &self.requests[&id];
-        let is_late = self.now > request.objective_ends_at;
-        let is_overloaded = self.pressure.of(request.class) > GIVE_UP_PRESSURE;
-        is_late && is_overloaded && self.is_idempotent(request)
-    }
-
     fn is_idempotent(&self, request: &Request) -> bool {
         self.settings.classes[request.class].idempotency == Idempotency::Idempotent
     }
 
-    /// Sets the priority of what is in flight, where it has changed.
-    fn refresh_priority(&mut self, id: RequestId) {
-        let request = &self.requests[&id];
+    /// The priority that a request is to have, where priorities are heeded and it has changed.
+    fn changed_priority(&self, request: &Request) -> Option<u8> {
         let priority = self.priority(request);
-        if self.settings.priorities && priority != request.priority {
-            let memory_mb = request.memory_grant_mb;
-            self.actions.push(Action::SetTerms { request: id, memory_mb, priority });
-            self.request_mut(id).priority = priority;
-        }
+        (self.settings.priorities && priority != request.priority).then_some(priority)
+    }
+
+    /// Sets the priority of what is in flight.
+    fn set_priority(&mut self, id: RequestId, priority: u8) {
+        let request = self.request_mut(id);
+        request.priority = priority;
+        let memory_mb = request.memory_grant_mb;
+        self.actions.push(Action::SetTerms { request: id, memory_mb, priority });
     }
 
     /// Whether an attempt is unresponsive or runs away, and another one can still finish before the deadline.
-    fn needs_retry(&self, id: RequestId, attempt: u32) -> bool {
-        let request = &self.requests[&id];
+    fn needs_retry(&self, request: &Request, attempt: u32) -> bool {
         let attempt = &request.attempts[attempt as usize];
         let expected_s = self.expected_latency_s(request).max(MIN_EXPECTED_S);
         let expected_end = self.now + (expected_s * 1e6) as TimestampUs;
