--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,15 +1,15 @@
-//! What the balancer decides: the actions that its host carries out.
+//! Actions: the output of the balancer, carried out by its host.
 
 use super::{DurationUs, EndReason, ExecutorId, RequestId};
 
-/// What a dispatcher is to do, at once and in the order in which the actions come.
+/// An action for the host, to be carried out immediately and in the order returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Set the memory grant of the request's next attempts, and the priority of these and of those in flight.
+    /// Set the memory grant of the request's future attempts, and the priority of its future and in-flight ones.
     SetTerms {
         /// The request.
         request: RequestId,
-        /// Memory in MB; 0 leaves it to the executor.
+        /// Memory in MB; 0 leaves the amount to the executor.
         memory_mb: f64,
         /// Priority, 0 to 3.
         priority: u8,
@@ -18,9 +18,9 @@
     Send {
         /// The request.
         request: RequestId,
-        /// The executor that it goes to.
+        /// The executor to send it to.
         executor: ExecutorId,
-        /// How long to wait for its answer; `None` until the client gives up.
+        /// How long to wait for the response; `None` waits until the request's deadline.
         timeout: Option<DurationUs>,
     },
     /// Cancel an attempt that is in flight.
@@ -30,30 +30,30 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Final answer: rejected. A repeat is harmless: the request is idempotent, or no attempt of it ran.
+    /// Final answer: rejected. The client may safely retry: the request is idempotent, or no attempt of it ran.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it repeats the request; `None` where no advice is passed on.
+        /// How long the client should wait before a retry; `None` if Retry-After is not supported.
         retry_after: Option<DurationUs>,
-        /// Why, for the log.
+        /// The reason, for logs and counters.
         reason: EndReason,
     },
-    /// Final answer: failed. An attempt may have run, so that a repeat may run it twice.
+    /// Final answer: failed. An attempt may have run, so a retry could execute the request twice.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why, for the log.
+        /// The reason, for logs and counters.
         reason: EndReason,
     },
-    /// Send an executor a health check, which brings its load report.
+    /// Send an executor a health check, whose response carries a load report.
     Probe {
         /// The executor.
         executor: ExecutorId,
     },
-    /// Watch the endpoint list: its changes come as events from now on.
+    /// Subscribe to the endpoint list: changes arrive as events from now on.
     Watch,
-    /// Stop watching the endpoint list.
+    /// Unsubscribe from the endpoint list.
     Unwatch,
     /// Fetch the complete endpoint list once.
     FetchEndpointList,
@@ -64,18 +64,18 @@
     },
     /// Send gossip to one dispatcher of the tier, or to all.
     Gossip {
-        /// Its number; `None` for all.
+        /// Number of the receiving dispatcher; `None` for all.
         to: Option<u32>,
         /// The message.
         content: String,
     },
     /// Set a timer.
     SetTimer {
-        /// Comes back with the timer's event.
+        /// Returned in the timer's event.
         token: u64,
-        /// Time from now until it is due.
+        /// Time from now until the timer fires.
         after: DurationUs,
     },
-    /// A line for the log.
+    /// Write a log line.
     Log(String),
 }
--- a/src/api/end_reason.rs
+++ b/src/api/end_reason.rs
@@ -1,38 +1,38 @@
-//! Why a request ended, as logs and counters name it.
+//! The reason why a request ended, as named in logs and counters.
 
 use std::fmt::{self, Display};
 
-/// Why a request ended.
+/// The reason why a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndReason {
-    /// It was served.
+    /// Served successfully.
     Served,
-    /// Rejected on arrival by an admission rule: too costly under the present load, or over its tenant's quota.
+    /// Rejected on arrival by an admission rule: too expensive at the current load, or over its tenant's quota.
     OverLimit,
-    /// Rejected on arrival: what is before it in its key's queue takes longer than its client waits.
+    /// Rejected on arrival: the requests ahead of it in its key's queue take longer than its client waits.
     KeyQueueTooLong,
-    /// It waited in its key's queue until it could not finish in time.
+    /// Rejected while queued for its key, once it could no longer finish in time.
     KeyQueueTimedOut,
-    /// No executor may take it, or none that is usable.
+    /// No eligible executor, or none that is healthy.
     NoExecutor,
-    /// Its last attempt failed, and no retry is allowed.
+    /// Its last attempt failed, and no retry was allowed.
     NoFurtherAttempt,
-    /// It missed its latency objective in an overload, and was given up in favour of others.
+    /// Shed in an overload after it had missed its latency objective, in favour of other requests.
     Overloaded,
-    /// Its deadline is over.
+    /// Its deadline passed.
     Deadline,
-    /// This dispatcher shuts down before it could be served.
+    /// This dispatcher shut down, or will before the request could finish.
     Stopping,
-    /// Too many requests were open.
+    /// Too many requests were open on arrival.
     TooManyOpen,
-    /// Answered on the decision of another part: the control plane, the admission policy or overload control.
+    /// Answered by another component: the control plane, the admission policy or overload control.
     DecidedOutside,
-    /// The lease that gave the right to act on it was lost.
+    /// The lease that authorised this dispatcher to act on it was lost.
     LeaseLost,
 }
 
 impl EndReason {
-    /// All of them, in order.
+    /// All reasons, in declaration order.
     pub const ALL: [EndReason; 12] = [
         EndReason::Served,
         EndReason::OverLimit,
@@ -48,7 +48,7 @@
         EndReason::LeaseLost,
     ];
 
-    /// Its name in logs and counters, as the operators' pages give it.
+    /// The name in logs and counters, as documented for operators.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::Served => "served",
@@ -73,24 +73,24 @@
     }
 }
 
-/// How many requests ended for each reason.
+/// Number of requests that ended, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndCounts([u64; EndReason::ALL.len()]);
 
 impl EndCounts {
-    /// Counts one.
+    /// Counts one request.
     pub fn add(&mut self, reason: EndReason) {
         self.0[reason as usize] += 1;
     }
 
-    /// How many ended for a reason.
+    /// Number of requests that ended for `reason`.
     pub fn of(&self, reason: EndReason) -> u64 {
         self.0[reason as usize]
     }
 }
 
 impl Display for EndCounts {
-    /// Those that ever happened, as `name:count` with commas.
+    /// Writes the non-zero counts as a comma-separated list of `name:count`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
         for reason in EndReason::ALL.into_iter().filter(|r| self.of(*r) > 0) {
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,56 +1,56 @@
-//! The events that the host hands to the balancer.
+//! Events: the input of the balancer, reported by its host.
 
 use super::{ClassId, DurationUs, Endpoint, EndpointListKind, ExecutorId, Report, RequestId, TenantId};
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Succeeded.
     Ok,
-    /// The executor answered with an error; it may have run.
+    /// The executor returned an error. It may have run.
     Error,
     /// The executor rejected it without running it.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No response in time. It may have run, or may still be running.
     Timeout,
-    /// No connection; never ran.
+    /// The connection could not be established. It never ran.
     ConnectFailed,
-    /// The connection dropped; it may have run.
+    /// The connection was reset. It may have run.
     Reset,
-    /// It was cancelled; it may have run.
+    /// Cancelled by the dispatcher. It may have run.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What a request cost, as its answer reports it.
+/// The cost of a request, as reported in the executor's response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReportedCost {
-    /// Cost in thread-seconds.
+    /// Work in thread-seconds.
     pub thread_seconds: f64,
-    /// Memory needed, in MB.
+    /// Peak memory in MB.
     pub memory_mb: f64,
 }
 
-/// A message of an attempt that is in flight.
+/// A progress message about an attempt in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptProgress {
-    /// Fraction done, 0 to 1, a rough figure.
+    /// Approximate fraction completed, 0 to 1.
     Progress(f64),
-    /// It spills to disk, as so many MB of memory are missing.
+    /// Spilling to disk for lack of this much memory, in MB.
     Spill(f64),
-    /// It waits for memory, or for a load of its table group.
+    /// Waiting for memory, or for a load of its table group.
     Waits,
 }
 
-/// A request as it arrives.
+/// A request that arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
     /// The request.
@@ -59,23 +59,23 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// Its key, for classes whose requests run in the order of their key.
+    /// The ordering key, for classes that keep the order of requests with the same key.
     pub key: Option<u64>,
-    /// Time from now until the client gives up on this request.
+    /// Time from now until the client gives up.
     pub time_budget: DurationUs,
-    /// Estimated cost, in thread-seconds.
+    /// Estimated cost in thread-seconds.
     pub estimated_thread_seconds: Option<f64>,
     /// Estimated memory in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// The group of tables that it reads.
+    /// The table group that it reads.
     pub table_group: u64,
-    /// The client says that it has sent the request before.
+    /// Whether the client marked it as a retry.
     pub is_repeat: bool,
-    /// Its client may have held it back before it sent it, so that `time_budget` is the least it can be.
+    /// Whether the client may have delayed sending it, in which case `time_budget` is a lower bound.
     pub held_by_client: bool,
 }
 
-/// An attempt that is over.
+/// The end of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptFinished {
     /// The request.
@@ -84,76 +84,76 @@
     pub attempt: u32,
     /// The executor that it was sent to.
     pub executor: ExecutorId,
-    /// The request has its final answer.
+    /// Whether the request already has its final answer.
     pub request_done: bool,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending to the outcome.
     pub latency: DurationUs,
-    /// What it cost, if the answer reports it.
+    /// Its cost, if the response reports one.
     pub reported_cost: Option<ReportedCost>,
-    /// A load report, if one came along.
+    /// The executor's load report, if the response carried one.
     pub report: Option<Report>,
 }
 
-/// Something that happened to a dispatcher.
+/// An event for a dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or an update of it.
     EndpointList {
-        /// What the entries are.
+        /// How the entries relate to the known list.
         kind: EndpointListKind,
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
     /// A request arrived.
     Arrival(Arrival),
-    /// A streamed answer has begun: its attempt is neither cancelled nor repeated from now on.
+    /// A streamed response started: the attempt is neither cancelled nor retried from now on.
     FirstByte {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// An attempt is over.
+    /// An attempt finished.
     AttemptFinished(AttemptFinished),
-    /// An attempt in flight has sent a message.
+    /// An attempt in flight sent a progress message.
     AttemptProgressed {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
-        /// Where it runs.
+        /// The executor that runs it.
         executor: ExecutorId,
         /// The message.
         progress_note: AttemptProgress,
     },
-    /// The client has disconnected and gets no answer.
+    /// The client disconnected, so no answer can be delivered.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer is due.
+    /// A timer fired.
     Timer {
-        /// As it was set.
+        /// The token that it was set with.
         token: u64,
     },
-    /// Gossip of another dispatcher of the tier.
+    /// Gossip from another dispatcher of the tier.
     Gossip {
-        /// Its number.
+        /// Number of the sending dispatcher.
         from: u32,
         /// The message.
         content: String,
     },
-    /// A probe is over.
+    /// A probe finished.
     ProbeFinished {
         /// The executor.
         executor: ExecutorId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from sending to the outcome.
         latency: DurationUs,
-        /// A load report, if one came along.
+        /// The executor's load report, if the response carried one.
         report: Option<Report>,
     },
 }
--- a/src/api/executors.rs
+++ b/src/api/executors.rs
@@ -1,20 +1,20 @@
-//! Endpoints, the list of them, and load reports.
+//! Endpoints, endpoint lists and load reports.
 
 use super::{ExecutorId, KindId, TimestampUs, ZoneId};
 
-/// Whether an executor takes requests, by the endpoint list.
+/// The state of an executor in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Active,
-    /// Draining: it completes its work and takes nothing new.
+    /// Completes its current work and accepts no new requests.
     Draining,
-    /// Removed.
+    /// No longer part of the fleet.
     Removed,
 }
 
-/// An executor, as an entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Endpoint {
     /// The executor.
@@ -25,46 +25,46 @@
     pub kind: KindId,
     /// Its cell.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub readiness: Readiness,
-    /// Relative size, as the list gives it.
+    /// Relative size, as stated in the list.
     pub rating: f64,
-    /// When its process started; `None` for long ago.
+    /// Start time of its process; `None` if it started long ago.
     pub started: Option<TimestampUs>,
-    /// Its part of the traffic, as a multiple of others of its kind; `None` is the usual, 1.
+    /// Traffic weight relative to other executors of its kind; `None` means 1.
     pub weight: Option<f64>,
 }
 
-/// What the entries of an endpoint list are.
+/// How the entries of an endpoint list relate to the known list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Only entries that changed.
+    /// Only the entries that changed.
     Update,
-    /// All entries.
+    /// The complete list.
     Replace,
-    /// All entries as last seen before a restart, perhaps stale.
+    /// The complete list as last known before a restart; possibly stale.
     Restored,
-    /// The list could not be had; the old one holds.
+    /// The list could not be fetched; the known one stays in effect.
     Unavailable,
 }
 
-/// A load report; what is not reported is `None`.
+/// A load report; values that are not reported are `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Report {
-    /// Fraction of the cores that is busy.
+    /// CPU utilization: the fraction of cores that are busy.
     pub util: Option<f64>,
-    /// Requests held.
+    /// Requests running or queued.
     pub inflight: Option<f64>,
     /// Requests waiting for memory.
     pub queue: Option<f64>,
     /// Fraction of the memory that is granted.
     pub memory: Option<f64>,
-    /// Fraction of the time that disks are busy.
+    /// Disk utilization: the fraction of time that the disks are busy.
     pub disks: Option<f64>,
 }
 
 impl Report {
-    /// Without values that are negative or no number.
+    /// The report without values that are negative or not finite.
     pub fn sane(self) -> Report {
         let ok = |v: Option<f64>| v.filter(|x| x.is_finite() && *x >= 0.0);
         let (util, inflight, queue) = (ok(self.util), ok(self.inflight), ok(self.queue));
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
-//! The interface of the balancer: its settings, the events that its host hands to it, and the actions that
-//! come back. It decides nothing.
+//! The interface of the balancer: its settings, the events that it takes and the actions that it returns.
+//! This module contains no decisions.
 //!
-//! Classes, tenants, zones and kinds of machine are indices into the lists of [`Settings`]; their names
-//! stay with the host. All points in time and spans are whole microseconds.
+//! Classes, tenants, zones and kinds of machine are indices into the lists of [`Settings`]; only the host
+//! knows their names. All timestamps and durations are whole microseconds.
 
 mod action;
 mod end_reason;
@@ -20,11 +20,11 @@
 };
 pub use validation::{ClassError, SettingsError, check};
 
-/// A point in time or a span, in microseconds. [`TimestampUs`] and [`DurationUs`] say which of the two.
+/// A timestamp or a duration, in microseconds; [`TimestampUs`] and [`DurationUs`] are the specific types.
 pub type Micros = u64;
-/// A point in time, in microseconds of the host's monotonic clock.
+/// A timestamp, in microseconds of the host's monotonic clock.
 pub type TimestampUs = Micros;
-/// A span of time, in microseconds.
+/// A duration, in microseconds.
 pub type DurationUs = Micros;
 /// Index into [`Settings::classes`].
 pub type ClassId = usize;
@@ -34,7 +34,7 @@
 pub type ZoneId = usize;
 /// Index into [`Settings::kinds`].
 pub type KindId = usize;
-/// An executor, by the id that the endpoint list gives it. The id says nothing of its zone, kind or age.
+/// Id of an executor in the endpoint list. It carries no information about zone, kind or age.
 pub type ExecutorId = u32;
-/// A request; never used twice.
+/// Id of a request; never reused.
 pub type RequestId = u64;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,36 +1,36 @@
-//! Settings of the balancer: classes of request, kinds of machine, tenants, and what executors support.
+//! Settings of the balancer: request classes, kinds of machine, tenants, and the features of executors.
 
 use super::{DurationUs, Endpoint, KindId, ZoneId};
 
-/// Whether a request may run again after an attempt of it may have run.
+/// Whether a request may be retried after an attempt of it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
     /// It may run any number of times.
     Idempotent,
-    /// Executors of a group drop repeats for a while, by an idempotency key.
+    /// A group of executors deduplicates attempts by idempotency key for a limited time.
     IdempotencyKey {
-        /// The executors that drop each other's repeats.
+        /// The executors that share deduplication state.
         scope: KeyScope,
-        /// For how long after the first attempt that may have run.
+        /// How long duplicates are recognised, from the first attempt that may have run.
         window: DurationUs,
     },
     /// It must not run twice.
     NotIdempotent,
 }
 
-/// Which executors drop repeats of a request with an idempotency key.
+/// The executors that recognise each other's idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Any executor.
+    /// All executors.
     All,
-    /// Executors of the same zone.
+    /// Executors in the same zone.
     Zone,
-    /// Executors of the same cell.
+    /// Executors in the same cell.
     Cell,
 }
 
 impl KeyScope {
-    /// Whether two executors are of one group.
+    /// Whether two executors share idempotency keys.
     pub fn holds(self, a: &Endpoint, b: &Endpoint) -> bool {
         match self {
             KeyScope::All => true,
@@ -40,39 +40,39 @@
     }
 }
 
-/// A class of request.
+/// A request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time of the arrival, plus the stretch, earns the whole weight.
+    /// An answer within this time of arrival, plus the stretch, scores the full priority weight.
     pub latency_objective: DurationUs,
-    /// The latency objective grows by this multiple of the request's cost over its threads.
+    /// The latency objective grows by this multiple of the request's expected run time (cost over threads).
     pub latency_objective_stretch: f64,
-    /// How long a client waits in all, its own repeats included.
+    /// Total time that a client waits, including its own retries.
     pub client_timeout: DurationUs,
-    /// What one answer in time earns, in points of service.
+    /// Score of one answer within the latency objective, in service points.
     pub priority_weight: f64,
-    /// Fraction of the weight that a late answer still earns.
+    /// Fraction of the weight that a late answer still scores.
     pub late_priority_weight: f64,
     /// Threads that a request runs on.
     pub threads: u32,
-    /// Whether its requests may run again.
+    /// Whether its requests may be retried after they may have run.
     pub idempotency: Idempotency,
-    /// Requests of one key run one at a time.
+    /// Whether requests with the same key run one at a time, in order of arrival.
     pub keep_order: bool,
-    /// It holds its table group on its executor while it runs.
+    /// Whether its requests load data, which locks their table group on the executor while they run.
     pub loads: bool,
-    /// It waits on an executor where a load holds its table group.
+    /// Whether its requests wait on an executor whose copy of their table group is locked by a load.
     pub yields_to_loads: bool,
-    /// The only zones allowed, if bound.
+    /// The only zones allowed, if restricted.
     pub only_zones: Option<Vec<ZoneId>>,
-    /// The only kinds of machine allowed, if bound.
+    /// The only kinds of machine allowed, if restricted.
     pub only_kinds: Option<Vec<KindId>>,
 }
 
 /// A kind of machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Kind {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
     /// Memory in MB; 0 if unknown.
     pub memory_mb: f64,
@@ -81,64 +81,64 @@
 /// A tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tenant {
-    /// Its quota: requests a second, over all dispatchers.
+    /// Quota in requests per second over all dispatchers.
     pub quota_per_s: f64,
 }
 
-/// What happens when grants pass an executor's memory.
+/// How an executor behaves when memory grants exceed its memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemoryShortage {
     /// The request waits in the executor's queue.
     Queue,
-    /// It gets what is left, and spills to disk.
+    /// The request gets the memory that is left and spills to disk.
     Trim,
-    /// It is admitted, and everything on the executor slows down.
+    /// The request starts, and everything on the executor slows down.
     Swap,
 }
 
 /// How executors report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reports {
-    /// In answers and in probe results.
+    /// In responses and in probe results.
     Inline,
     /// In probe results only.
     OnProbe,
-    /// Not at all.
+    /// Never.
     Off,
 }
 
-/// The retry budget: how many attempts beyond a request's first may be sent.
+/// The retry budget: a limit on attempts beyond each request's first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in every window whatever the traffic.
+    /// Retries allowed in every window regardless of traffic.
     pub base_retries: f64,
     /// Retries allowed for each request that arrived in the window.
     pub retries_per_request: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: DurationUs,
-    /// An attempt may reach its executor so much after it was decided; the window is counted there.
+    /// Maximum delay between a decision and the attempt's arrival at the executor, where the window is measured.
     pub send_delay: DurationUs,
 }
 
-/// The slow start of executors that have just started, and what pushes them over meanwhile.
+/// Slow start of recently started executors, and the load at which they fail in that phase.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
-    /// An executor starts at this share of its capacity or more.
+    /// Minimum fraction of its capacity that an executor starts with.
     pub initial_fraction: f64,
-    /// It has its full capacity this long after its start.
+    /// Time from its start until an executor has its full capacity.
     pub ramp: DurationUs,
-    /// It falls over if it is sent more than this multiple of its present capacity...
+    /// An executor fails if it is sent more than this multiple of its current capacity within `overload_window`.
     pub overload_factor: f64,
-    /// ...within this time; 0 if executors never fall over.
+    /// The window of `overload_factor`; 0 if executors do not fail from overload.
     pub overload_window: DurationUs,
 }
 
-/// The settings of a dispatcher's decisions.
+/// Settings of a dispatcher's balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Dispatchers in this tier.
+    /// Number of dispatchers in this tier.
     pub dispatchers: u32,
-    /// Classes of request.
+    /// Request classes.
     pub classes: Vec<Class>,
     /// Kinds of machine.
     pub kinds: Vec<Kind>,
@@ -148,48 +148,48 @@
     pub zones: usize,
     /// This dispatcher's zone.
     pub zone: ZoneId,
-    /// Weight of a request over its tenant's quota, as a fraction of the usual.
+    /// Factor on the priority weight of requests over their tenant's quota.
     pub over_quota_weight: f64,
-    /// Price of an attempt that crosses zones, in points of service for each request.
+    /// Price of an attempt that crosses zones, in service points.
     pub cross_zone_price: f64,
-    /// Price of a probe, in the same.
+    /// Price of a probe, in service points.
     pub probe_price: f64,
-    /// Price of a new connection, in the same.
+    /// Price of a new connection, in service points.
     pub handshake_price: f64,
     /// How executors report their load.
     pub reports: Reports,
-    /// The endpoint list comes only to those that watch it.
+    /// Whether the endpoint list is sent only to dispatchers that watch it.
     pub list_must_be_polled: bool,
-    /// Probes are allowed.
+    /// Whether probes are allowed.
     pub probes: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// A request may have two attempts out at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
-    /// The most attempts of a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// The longest Retry-After that clients follow; `None` where none is passed on.
+    /// The longest Retry-After that clients honour; `None` if Retry-After is not supported.
     pub max_retry_after: Option<DurationUs>,
-    /// Executors follow memory grants.
+    /// Whether executors honour memory grants.
     pub memory_grants: bool,
-    /// Executors follow priorities.
+    /// Whether executors honour priorities.
     pub priorities: bool,
-    /// The largest fraction of an executor's memory that one request is granted.
+    /// Maximum fraction of an executor's memory granted to one request.
     pub max_grant_fraction: f64,
-    /// What a shortage of memory does.
+    /// How executors behave when memory runs out.
     pub memory_shortage: MemoryShortage,
-    /// Interval of an attempt's progress messages; `None` where there are none.
+    /// Interval between progress messages of an attempt; `None` if executors send none.
     pub progress_interval: Option<DurationUs>,
-    /// Answers report what a request cost.
+    /// Whether responses report the cost of the request.
     pub reports_cost: bool,
-    /// The retry budget, where one is stated.
+    /// The retry budget, if configured.
     pub retry_budget: Option<RetryBudget>,
-    /// Slow start of executors that have just started.
+    /// Slow start of recently started executors.
     pub slow_start: SlowStart,
-    /// Nothing new may reach an executor this long after the list had it as draining or gone.
+    /// Time after an executor was listed as draining or removed within which new attempts may still reach it.
     pub drain_grace: DurationUs,
-    /// How long a key gets no new request after an attempt of it that may still run.
+    /// Time for which a key gets no new request after an attempt with that key that may still be running.
     pub key_quiet_period: Option<DurationUs>,
-    /// Shortest time between two batches of events.
+    /// Minimum time between two batches of events.
     pub min_batch_interval: DurationUs,
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -1,61 +1,61 @@
-//! Validation of settings: which ones make no sense, and why.
+//! Validation of settings.
 
 use super::{Class, ClassId, Settings};
 use std::fmt;
 
-/// The most classes that there may be: a set of classes is kept as the bits of a word.
+/// Maximum number of classes: a set of classes is stored as a 64-bit mask.
 const MAX_CLASSES: usize = 64;
 
-/// Why settings are refused.
+/// Why settings are invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no dispatcher in the tier.
+    /// The number of dispatchers is zero.
     NoDispatchers,
-    /// There is no class of request.
+    /// There are no request classes.
     NoClasses,
-    /// There are more than 64 classes.
+    /// There are more than 64 request classes.
     TooManyClasses,
     /// This dispatcher's zone is not one of the zones.
     UnknownOwnZone,
-    /// A kind of machine has no cores, or an amount of them that is negative or not finite.
+    /// The number of cores of a kind of machine is zero, negative or not finite.
     KindCores,
     /// The memory of a kind of machine is negative or not finite.
     KindMemory,
     /// The quota of a tenant is negative or not finite.
     TenantQuota,
-    /// Something is wrong with a class.
+    /// A class is invalid.
     Class {
         /// The class.
         class: ClassId,
-        /// What is wrong with it.
+        /// Why it is invalid.
         error: ClassError,
     },
-    /// A number of the slow-start rule is negative or not finite.
+    /// A value of the slow-start settings is negative or not finite.
     SlowStart,
-    /// A number of the retry budget is negative or not finite.
+    /// A value of the retry budget is negative or not finite.
     RetryBudget,
-    /// A price, or the weight of a request over its tenant's quota, is negative or not finite.
+    /// A price, or the weight of requests over their tenant's quota, is negative or not finite.
     Price,
-    /// The largest part of an executor's memory for one request is negative or not finite.
+    /// The maximum memory grant is negative or not finite.
     MaxGrantFraction,
 }
 
-/// Why a class is refused.
+/// Why a class is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassError {
     /// The stretch of its latency objective or one of its weights is negative or not finite.
     BadNumber,
-    /// Its requests run on no thread.
+    /// Its requests run on zero threads.
     NoThreads,
-    /// Its clients wait no time.
+    /// Its client timeout is zero.
     NoDeadline,
-    /// It is bound to a zone that there is not.
+    /// It is restricted to a zone that does not exist.
     UnknownZone,
-    /// It is bound to a kind of machine that there is not.
+    /// It is restricted to a kind of machine that does not exist.
     UnknownKind,
 }
 
-/// The texts go to the host as they are; they use the words of its settings (a dispatcher is a gateway there).
+/// The host shows these messages unchanged, so they use the terms of its settings, where a dispatcher is a gateway.
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("settings: ")?;
@@ -92,10 +92,10 @@
 
 impl std::error::Error for ClassError {}
 
-/// Refuses settings that make no sense.
+/// Validates settings.
 ///
 /// # Errors
-/// The first thing that is wrong with them.
+/// The first violation found.
 pub fn check(settings: &Settings) -> Result<(), SettingsError> {
     check_tier(settings)?;
     check_machines_and_tenants(settings)?;
--- a/src/bin/ottercroft-adapter/main.rs
+++ b/src/bin/ottercroft-adapter/main.rs
@@ -1,4 +1,4 @@
-//! The decisions on the simulator's wire: batches of events on standard input, actions on standard output.
+//! Runs balancers under the simulator's protocol: batches of events on standard input, actions on standard output.
 
 mod wire;
 
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use wire::{DefineList, EndpointLists, MessageName, Recipient, Reply, SetClock, StartDispatcher};
 
-/// One simulated dispatcher: its decisions, and the names of its settings.
+/// One simulated dispatcher: its balancer, and the names from its settings.
 struct Dispatcher {
     balancer: Balancer,
     names: Names,
@@ -22,13 +22,13 @@
 /// All simulated dispatchers of this process.
 #[derive(Default)]
 struct Host {
-    /// The simulated time, in microseconds.
+    /// Simulated time in microseconds.
     now: u64,
     dispatchers: BTreeMap<String, Dispatcher>,
     lists: EndpointLists,
-    /// Actions of the last event; kept for its memory.
+    /// Actions of the last event; a field so that its allocation is reused.
     actions: Vec<Action>,
-    /// Replies of this batch, not yet written.
+    /// Replies of the current batch, not yet written.
     replies: Vec<u8>,
 }
 
@@ -37,14 +37,14 @@
     replies.push(b'\n');
 }
 
-/// The message that has this name on the wire.
+/// Parses a message name of the wire protocol.
 fn message_name(name: &str) -> MessageName {
     let name: serde::de::value::StrDeserializer<'_, serde::de::value::Error> = name.into_deserializer();
     MessageName::deserialize(name).unwrap_or(MessageName::Unknown)
 }
 
 impl Host {
-    /// Handles one line: an object whose one key is the message's name.
+    /// Handles one line: a JSON object with a single key, the message name.
     fn line(&mut self, line: &str, stdout: &mut impl Write) -> Result<(), Malformed> {
         let object: BTreeMap<&str, &RawValue> =
             serde_json::from_str(line).map_err(|e| Malformed(format!("message: {e}")))?;
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// Writes the replies of the batch.
+    /// Ends the batch: writes and flushes its replies.
     fn end_batch(&mut self, stdout: &mut impl Write) -> Result<(), Malformed> {
         append(&mut self.replies, &Reply::BatchDone {});
         stdout
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    /// Hands an event to its dispatcher. A dispatcher that panics is removed, and the others go on.
+    /// Passes an event to its dispatcher. A dispatcher that panics is removed; the others keep running.
     fn event(&mut self, message: MessageName, name: &str, text: &str) -> Result<(), Malformed> {
         let id = body::<Recipient>(name, text)?.dispatcher;
         let Some(dispatcher) = self.dispatchers.get_mut(&id) else { return Ok(()) };
--- a/src/bin/ottercroft-adapter/wire.rs
+++ b/src/bin/ottercroft-adapter/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: its messages under the terms that this project uses. Its own names appear here, in
-//! `wire/message_name.rs` and in `wire/actions.rs`, in `serde` attributes, and nowhere else.
+//! Messages of the simulator's protocol. The protocol's own names appear only in `serde` attributes here, in
+//! `wire/message_name.rs` and in `wire/actions.rs`; the code uses this project's terms.
 
 mod actions;
 mod events;
@@ -13,7 +13,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A point in time.
+/// Sets the simulated time.
 #[derive(Deserialize)]
 pub struct SetClock {
     #[serde(rename = "moment")]
@@ -21,20 +21,20 @@
 }
 
 impl SetClock {
-    /// The point, in microseconds.
+    /// The time in microseconds.
     pub fn now(&self, message: &str) -> Result<Micros, Malformed> {
         micros(message, "moment", self.now_s)
     }
 }
 
-/// Which dispatcher a message is for.
+/// The part of a message that names the receiving dispatcher.
 #[derive(Deserialize)]
 pub struct Recipient {
     #[serde(rename = "who")]
     pub dispatcher: String,
 }
 
-/// An endpoint list of the process.
+/// Defines an endpoint list, shared by all dispatchers of the process.
 #[derive(Deserialize)]
 pub struct DefineList {
     #[serde(rename = "setId")]
@@ -43,7 +43,7 @@
     pub endpoints: Vec<EndpointMessage>,
 }
 
-/// An executor on a list.
+/// An entry of an endpoint list.
 #[derive(Deserialize, Clone)]
 pub struct EndpointMessage {
     #[serde(rename = "node")]
@@ -61,7 +61,7 @@
     started_s: Option<f64>,
 }
 
-/// An endpoint list for a dispatcher, by its number.
+/// Gives a dispatcher an endpoint list, by the list's number.
 #[derive(Deserialize)]
 struct EndpointListMessage {
     #[serde(rename = "form")]
@@ -70,7 +70,7 @@
     list: Option<u64>,
 }
 
-/// A dispatcher starts.
+/// Starts a dispatcher.
 #[derive(Deserialize)]
 pub struct StartDispatcher {
     #[serde(rename = "who")]
@@ -81,7 +81,7 @@
     pub settings: Env,
 }
 
-/// A tenant, by name; the number 0 stands for none.
+/// A tenant's name; the number 0 means no tenant.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Tenant {
@@ -203,7 +203,7 @@
     }
 }
 
-/// The endpoint lists of the process, by number.
+/// All defined endpoint lists, by number.
 pub type EndpointLists = BTreeMap<u64, Vec<EndpointMessage>>;
 
 #[cfg(test)]
--- a/src/bin/ottercroft-adapter/wire/actions.rs
+++ b/src/bin/ottercroft-adapter/wire/actions.rs
@@ -1,4 +1,4 @@
-//! Actions as they stand on the wire.
+//! Serialization of actions in the simulator's protocol.
 
 use ottercroft::api::{Action, ExecutorId, Micros, RequestId};
 use serde::Serialize;
@@ -13,7 +13,7 @@
     format!("{request:016x}")
 }
 
-/// A reply as it stands on the wire; `dispatcher` is the one whose action it is.
+/// A reply on the wire; `dispatcher` names the sender.
 #[derive(Serialize)]
 pub enum Reply<'a> {
     #[serde(rename = "ASSIGN")]
@@ -123,7 +123,7 @@
     BatchDone {},
 }
 
-/// Translates one action of a dispatcher.
+/// Translates an action of a dispatcher into a reply.
 pub fn reply<'a>(dispatcher: &'a str, action: &'a Action) -> Reply<'a> {
     match action {
         Action::SetTerms { request, memory_mb, priority } => {
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -1,4 +1,4 @@
-//! Events of a dispatcher, from their messages.
+//! Parsing of events from the simulator's messages.
 
 use super::{
     ArrivalMessage, AttemptFinishedMessage, EndpointListMessage, EndpointLists, EndpointMessage,
@@ -11,10 +11,10 @@
 };
 use ottercroft::settings::{Malformed, Names, bad, body, lookup, micros};
 
-/// Bits of an arrival's flags.
+/// Bits of the flags field of an arrival.
 const ESTIMATE_IS_VALID: u64 = 1;
 const IS_RETRY: u64 = 2;
-/// A cost on the wire: thread milliseconds times this, plus memory in units of 4 MB.
+/// A cost is packed as thread-milliseconds times this, plus memory in units of 4 MB.
 const COST_RADIX: u64 = 4096;
 const COST_MEMORY_UNIT_MB: f64 = 4.0;
 const MILLIS_PER_SECOND: f64 = 1e3;
@@ -40,7 +40,7 @@
     })
 }
 
-/// A value that an estimate can have.
+/// Whether an estimate is valid.
 fn positive(estimate: &f64) -> bool {
     estimate.is_finite() && *estimate > 0.0
 }
@@ -158,8 +158,8 @@
     })
 }
 
-/// Translates one event of a dispatcher; `name` is the message's on the wire. `None`: an event that this wire has and
-/// the library does not need.
+/// Translates a message into an event; `name` is the message's name on the wire. Returns `None` for messages that the
+/// library does not use.
 pub fn event(
     message: MessageName,
     name: &str,
--- a/src/bin/ottercroft-adapter/wire/message_name.rs
+++ b/src/bin/ottercroft-adapter/wire/message_name.rs
@@ -1,14 +1,14 @@
-//! The names of the messages that the simulator sends.
+//! Names of the messages sent by the simulator.
 
 use serde::Deserialize;
 
-/// A message to the process or to one of its dispatchers, by its name on the wire.
+/// A message to the process or to one of its dispatchers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum MessageName {
     /// Sets the clock.
     #[serde(rename = "ROUND")]
     SetClock,
-    /// Ends a batch of messages: the replies are due.
+    /// Ends a batch of messages and requests the replies.
     #[serde(rename = "GO")]
     EndBatch,
     /// Defines an endpoint list.
@@ -26,10 +26,10 @@
     /// A request arrives.
     #[serde(rename = "INBOUND")]
     Arrival,
-    /// The first byte of an attempt.
+    /// The first byte of a response arrived.
     #[serde(rename = "ACK_FIRST")]
     FirstByte,
-    /// Progress of an attempt.
+    /// An attempt reported progress.
     #[serde(rename = "NOTICE")]
     AttemptProgressed,
     /// An attempt ended.
@@ -38,16 +38,16 @@
     /// A client disconnected.
     #[serde(rename = "HANGUP")]
     ClientDisconnected,
-    /// A timer is due.
+    /// A timer fired.
     #[serde(rename = "WAKEUP")]
     Timer,
     /// A probe ended.
     #[serde(rename = "CHECK_RESULT")]
     ProbeFinished,
-    /// Gossip of another dispatcher.
+    /// Gossip from another dispatcher.
     #[serde(rename = "INBOX")]
     Gossip,
-    /// A message that is not known.
+    /// An unknown message, which is ignored.
     #[serde(other)]
     Unknown,
 }
--- a/src/bin/ottercroft-adapter/wire/tests.rs
+++ b/src/bin/ottercroft-adapter/wire/tests.rs
@@ -2,7 +2,7 @@
 use ottercroft::api::Action;
 
 #[test]
-fn actions_that_no_decision_uses_yet_stand_on_the_wire_as_it_has_them() {
+fn unused_actions_are_serialized_by_their_wire_names() {
     let text = |a: Action| serde_json::to_string(&reply("gateway/1", &a)).unwrap();
     assert_eq!(text(Action::FetchEndpointList), r#"{"READ_LIST":{"who":"gateway/1"}}"#);
     assert_eq!(text(Action::Unwatch), r#"{"TRACK":{"who":"gateway/1","enable":false}}"#);
@@ -12,10 +12,10 @@
     assert_eq!(text(tell), r#"{"TELL":{"who":"gateway/1","dest":null,"content":"hi"}}"#);
 }
 
-/// The names of an arrival's and an answer's fields were renamed with the code, and the program refused the first
-/// request of every day. The fields on the wire keep their names whatever the code calls them.
+/// Guards against renaming wire fields along with the code: when that happened to arrivals and responses, the adapter
+/// failed on the first request of every simulated day.
 #[test]
-fn arrivals_and_answers_are_read_by_the_names_that_the_wire_has() {
+fn arrivals_and_responses_are_parsed_by_their_wire_names() {
     use ottercroft::api::Event;
     let classes = [("lookup".to_string(), 0)].into();
     let (tenants, zones, kinds) = Default::default();
@@ -25,13 +25,13 @@
     };
     let inbound = r#"{"call":"000000000000000a","profile":"lookup","grace":1.5}"#;
     let Some(Event::Arrival(arrival)) = read(MessageName::Arrival, "INBOUND", inbound) else {
-        panic!("an arrival")
+        panic!("the message is an arrival")
     };
     assert_eq!((arrival.request, arrival.time_budget), (10, 1_500_000));
     let reply = r#"{"call":"000000000000000a","node":1,"go":0,"doneFlag":true,"ending":10,"waitTime":0.2,"bill":8193}"#;
     let Some(Event::AttemptFinished(finished)) = read(MessageName::AttemptFinished, "REPLY", reply) else {
-        panic!("an outcome")
+        panic!("the message is a finished attempt")
     };
-    let cost = finished.reported_cost.expect("the cost that the answer states");
+    let cost = finished.reported_cost.expect("the response reports a cost");
     assert_eq!((cost.thread_seconds, cost.memory_mb), (0.002, 4.0));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,22 +1,24 @@
 //! ottercroft is a dispatcher in front of analytic query executors.
 //!
-//! Its decisions are sans-I/O: a host hands [`Event`]s with their time to a [`Balancer`] and carries out
-//! the [`Action`]s that come back. The same events with the same seed give the same actions.
+//! Its decisions are sans-I/O: a host passes timestamped [`Event`]s to a [`Balancer`] and carries out the
+//! [`Action`]s that it returns. The same events with the same seed produce the same actions.
 //!
-//! - [`api`] is the interface: settings, events, actions and ids.
-//! - [`balancer`] holds every decision.
-//! - [`arrivals`] bounds when a request came and since when its client has waited.
-//! - [`dispatch`] is the facade that a real dispatcher sees: pick, report, tick.
-//! - [`codec`] holds the codecs of its protocols.
-//! - [`clock`] is time: spans on the monotonic clock, and what the wall clock is still needed for.
-//! - [`net`] is the dispatcher on sockets: one event loop.
-//! - [`membership`] is which executors there are: lists from files beside the coordinator's feed.
-//! - [`takeover`] has work in hand survive its dispatcher, where our settings name peers.
-//! - [`policies`] are what a whole fleet admits requests by, read and applied.
-//! - [`schema`] settles which version of the schema each request runs under while executors are upgraded.
-//! - [`storm`] sees retry storms, damps them and tells clients when to come back.
-//! - [`settings`] read what it is told: the platform's file and our own HCL; [`cli`] is the command line.
-//! - [`operator`] are the operators' figures and bans, [`invariant`] counts what must not happen.
+//! - [`api`]: the interface of the balancer: settings, events, actions and ids.
+//! - [`balancer`]: all load-balancing and admission decisions.
+//! - [`arrivals`]: bounds on when a request was sent and how long its client has waited.
+//! - [`dispatch`]: the facade over the balancer that the network code uses.
+//! - [`codec`]: the codecs of the wire protocols.
+//! - [`clock`]: monotonic time, and the remaining uses of the wall clock.
+//! - [`net`]: the dispatcher on sockets, a single event loop.
+//! - [`membership`]: which executors exist, from list files and the coordinator's feed.
+//! - [`takeover`]: lets peers take over the pending requests of a lost dispatcher, if peers are configured.
+//! - [`policies`]: reads and applies fleet-wide admission policies.
+//! - [`schema`]: selects the schema version of each request while executors are upgraded.
+//! - [`storm`]: detects retry storms, limits them and tells clients when to retry.
+//! - [`settings`]: reads the platform's settings file and the dispatcher's own HCL file.
+//! - [`cli`]: the command line.
+//! - [`operator`]: metrics and bans for operators.
+//! - [`invariant`]: asserts invariants and counts violations.
 
 pub mod api;
 pub mod arrivals;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher and its command line.
+//! Entry point of the dispatcher and its command line.
 
 use std::process::ExitCode;
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on small transcripts.
+//! Runs the simulator's adapter on short transcripts.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_is_sent_and_answered_and_the_end_of_input_is_a_clean_exit() {
+fn a_request_is_served_and_end_of_input_exits_cleanly() {
     let mut lines = opening();
     lines.extend([
         r#"{"ROUND":{"moment":8.1}}"#.into(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn malformed_input_is_one_line_that_names_message_and_field() {
+fn malformed_input_is_reported_in_one_line_with_message_and_field() {
     let cases = [
         (inbound("grace", ""), ["INBOUND", "grace"]),
         (inbound("grace", "\"soon\""), ["INBOUND", "grace"]),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_an_exception() {
+fn invalid_settings_are_reported_as_an_exception() {
     let mut lines = opening();
     lines[1] = lines[1].replace(r#""balancers":2"#, r#""balancers":0"#);
     let out = run(&lines);
