--- a/src/balancer/admission/rates.rs
+++ b/src/balancer/admission/rates.rs
@@ -1,4 +1,4 @@
-//! How far each rule of admission is open, and the rate of its bucket.
+//! Updates how far each admission rule is open, and the rate of its token bucket.
 
 use super::Rule;
 use super::rule::TIER_STEP;
@@ -6,28 +6,29 @@
 use crate::balancer::load::is_open_to;
 use crate::state::Balancer;
 
-/// Burst of a bucket of thread-seconds, in seconds of its rate.
+/// Burst of a token bucket of thread-seconds, in seconds at its rate.
 const BURST_S: f64 = 2.0;
-/// A tier closes while pressure rises by this much.
+/// Increase of pressure over which a tier goes from open to closed.
 const TIER_CLOSING_SPAN: f64 = 2.0 * TIER_STEP;
-/// The rules for tenants over their quota close while pressure rises by this much.
+/// Increase of pressure over which the rules for tenants over their quota go from open to closed.
 const OVER_QUOTA_CLOSING_SPAN: f64 = 1.0;
-/// A class of high priority weight closes at this multiple of the pressure at most.
+/// Maximum factor on the pressure at which a class closes, for classes with a high priority weight.
 const MAX_DELAY: f64 = 2.0;
-/// The least cost that a weight is divided by, in thread-seconds.
+/// Lower bound of a class's mean cost as a divisor, in thread-seconds.
 const LEAST_MEAN_COST: f64 = 1e-6;
-/// The least density that another is divided by.
+/// Lower bound of a weight density as a divisor.
 const LEAST_DENSITY: f64 = 1e-9;
 
 impl Rule {
-    /// Opens the rule as far as the pressure leaves it; `delay` is how much later it closes.
+    /// Sets how far the rule is open at a pressure; `delay` is the factor by which it closes later than
+    /// others.
     fn set_open_fraction(&mut self, pressure: f64, delay: f64) {
         let span = if self.over_quota { OVER_QUOTA_CLOSING_SPAN } else { TIER_CLOSING_SPAN };
         self.open_fraction = 1.0 - ((pressure / delay - self.closes_from) / span).clamp(0.0, 1.0);
     }
 
-    /// Sets the bucket's rate, of `full_rate` when the rule is open, and its burst; a rule that is open has
-    /// a full bucket.
+    /// Sets the bucket's rate, which is `full_rate` for an open rule, and its burst. The bucket of an open
+    /// rule is kept full.
     fn set_rate(&mut self, full_rate: f64, burst_s: f64, now: u64) {
         self.bucket.rate = full_rate * self.open_fraction * self.open_fraction;
         self.bucket.burst = self.bucket.rate * burst_s;
@@ -38,8 +39,9 @@
 }
 
 impl Balancer {
-    /// Sets the rates of all rules: of a class, the cores that are open to it, in thread-seconds a second; of
-    /// a tenant, its quota, in requests a second; both times this dispatcher's share of the traffic.
+    /// Updates the rates of all rules. The full rate of a class is the number of cores eligible for it, in
+    /// thread-seconds per second; that of a tenant is its quota, in requests per second. Both are multiplied
+    /// by this dispatcher's share of the traffic.
     pub(in crate::balancer) fn update_rule_rates(&mut self) {
         let classes = 0..self.settings.classes.len();
         let least_density = classes.map(|class| self.weight_density(class)).fold(f64::MAX, f64::min);
@@ -56,23 +58,24 @@
         self.admission.rules = rules;
     }
 
-    /// Priority weight that a class earns for each thread-second.
+    /// Priority weight of a class per thread-second.
     fn weight_density(&self, class: ClassId) -> f64 {
         self.settings.classes[class].priority_weight / self.class_mean(class).max(LEAST_MEAN_COST)
     }
 
-    /// A class that earns more for each thread-second than the least closes at a higher pressure.
+    /// Factor by which a class closes later, because it has more weight per thread-second than the lowest
+    /// class.
     fn closing_delay(&self, class: ClassId, least_density: f64) -> f64 {
         let ratio = self.weight_density(class) / least_density.max(LEAST_DENSITY);
         ratio.sqrt().clamp(1.0, MAX_DELAY)
     }
 
-    /// Quota of a tenant, in requests a second.
+    /// Quota of a tenant, in requests per second.
     fn quota(&self, tenant: Option<TenantId>) -> f64 {
         tenant.map_or(0.0, |tenant| self.settings.tenants[tenant].quota_per_s)
     }
 
-    /// Cores of the executors that are open to a class.
+    /// Cores of the executors that are eligible for a class.
     fn open_cores(&self, class: Option<ClassId>) -> f64 {
         let is_open = |pool: u64| class.is_none_or(|class| is_open_to(pool, class));
         self.executor_index.cores(&self.settings.kinds, is_open)
--- a/src/balancer/admission/rule.rs
+++ b/src/balancer/admission/rule.rs
@@ -1,43 +1,46 @@
-//! A rule of admission: which requests it matches, and how its bucket admits or rejects them.
+//! Admission rules: which requests a rule matches, and how its token bucket admits or rejects them.
 
 use super::LEAST_RATE;
 use crate::api::{Arrival, ClassId, Micros, Settings, TenantId};
 use crate::state::TokenBucket;
 
-/// Multiples of the class's mean cost from which the tiers match, the costliest first.
+/// Thresholds of the tiers, as multiples of the class's mean cost, the most expensive first.
 const TIER_THRESHOLDS: [f64; 6] = [4.0, 2.0, 1.0, 0.5, 0.25, 0.125];
-/// Pressure between the points at which a tier and the next one begin to close.
+/// Difference of pressure between the points at which consecutive tiers begin to close.
 pub(super) const TIER_STEP: f64 = 0.2;
-/// Priority of the costliest tier.
+/// Priority of the most expensive tier.
 const TIER_PRIORITY: u8 = 80;
-/// Each tier's priority is this much below the one before.
+/// Difference of priority between consecutive tiers.
 const TIER_PRIORITY_STEP: u8 = 10;
 /// Priority of the rules for tenants over their quota.
 const OVER_QUOTA_PRIORITY: u8 = 90;
-/// Multiple of the class's mean cost up to which the requests of a tenant over its quota go by the tiers.
+/// Requests of tenants over their quota match the tiers, not the quota rule, up to this multiple of the
+/// class's mean cost.
 const OVER_QUOTA_THRESHOLD: f64 = 0.6;
 
-/// Selector, condition, priority and limiter. An absent selector matches all requests.
+/// An admission rule: selectors, a condition, a priority and a token bucket. An absent selector matches all
+/// requests.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Rule {
     pub(super) class: Option<ClassId>,
     table_group: Option<u64>,
     pub(super) tenant: Option<TenantId>,
-    /// Matches only while the tenant is over its quota. Its bucket counts requests, others thread-seconds.
+    /// Matches only while the tenant is over its quota. The bucket then counts requests instead of
+    /// thread-seconds.
     pub(super) over_quota: bool,
-    /// Matches above this predicted cost, as a multiple of the class's mean.
+    /// Predicted cost above which the rule matches, as a multiple of the class's mean.
     threshold: f64,
-    /// 1 to 100; the highest match decides.
+    /// 1 to 100; the matching rule with the highest priority decides.
     pub(super) priority: u8,
-    /// Pressure at which it begins to close.
+    /// Pressure at which the rule begins to close.
     pub(super) closes_from: f64,
-    /// How far it is open: 1 rejects nobody, 0 all.
+    /// 1 if the rule is fully open and rejects nothing, 0 if it is closed.
     pub(super) open_fraction: f64,
     pub(super) bucket: TokenBucket,
 }
 
-/// Tiers of costly requests for each class, and one rule for each tenant that may be over its quota. No two
-/// of the same priority match a request.
+/// Builds the cost tiers of each class, and one rule per tenant for requests over its quota. A request never
+/// matches two rules of the same priority.
 pub(super) fn build_rules(settings: &Settings) -> Vec<Rule> {
     let mut rules: Vec<Rule> = (0..settings.classes.len()).flat_map(class_tiers).collect();
     if settings.over_quota_weight < 1.0 {
@@ -46,7 +49,7 @@
     rules
 }
 
-/// The tiers of a class: the costlier, the sooner a tier closes.
+/// The cost tiers of a class. The more expensive a tier, the earlier it closes.
 fn class_tiers(class: ClassId) -> impl Iterator<Item = Rule> {
     TIER_THRESHOLDS.iter().enumerate().map(move |(tier, &threshold)| Rule {
         class: Some(class),
@@ -70,7 +73,7 @@
 }
 
 impl Rule {
-    /// Whether the rule applies to a request whose cost is this multiple of its class's mean.
+    /// Whether the rule matches a request whose cost is `cost_multiple` times its class's mean.
     pub(super) fn matches(&self, arrival: &Arrival, cost_multiple: f64, over_quota: bool) -> bool {
         let class = self.class.is_none_or(|class| class == arrival.class);
         let table_group = self.table_group.is_none_or(|group| group == arrival.table_group);
@@ -79,9 +82,10 @@
         class && table_group && tenant && condition
     }
 
-    /// Takes a request's cost from the bucket, or says after how long there are enough tokens. With too few
-    /// tokens `chance`, from 0 to 1, admits in proportion to those there are. A request that costs more than
-    /// there is leaves a debt.
+    /// Takes a request's cost from the bucket, or returns the time until enough tokens are available. With
+    /// too few tokens, a request is admitted with a probability in proportion to the available tokens,
+    /// decided by `chance` (uniform from 0 to 1). A request that costs more than is available leaves the
+    /// bucket in debt.
     pub(super) fn take_tokens(
         &mut self,
         cost: f64,
@@ -89,7 +93,8 @@
         chance: f64,
         now: Micros,
     ) -> Result<(), Micros> {
-        // Over a tenant's quota requests count alike, and are admitted evenly spaced: a leaky bucket.
+        // Requests over a tenant's quota cost one token each and are admitted evenly spaced, as in a leaky
+        // bucket.
         let (tokens, unit) = if self.over_quota { (1.0, 1.0) } else { (cost, mean_cost) };
         let bucket = &mut self.bucket;
         bucket.refill(now, bucket.burst.max(unit * self.open_fraction));
@@ -101,12 +106,12 @@
         Ok(())
     }
 
-    /// Goes on with the tokens of the same rule among those before.
-    pub(super) fn keep_tokens_of(&mut self, before: &[Rule]) {
+    /// Takes over the bucket of the same rule in `previous`, if there is one.
+    pub(super) fn inherit_bucket(&mut self, previous: &[Rule]) {
         let is_same = |other: &&Rule| {
             (other.class, other.tenant, other.priority) == (self.class, self.tenant, self.priority)
         };
-        if let Some(old) = before.iter().find(is_same) {
+        if let Some(old) = previous.iter().find(is_same) {
             (self.bucket, self.open_fraction) = (old.bucket.clone(), old.open_fraction);
         }
     }
--- a/src/balancer/attempt.rs
+++ b/src/balancer/attempt.rs
@@ -1,20 +1,20 @@
-//! Attempts: whether a request may be sent now, with how much memory and at which priority.
+//! Sending attempts: whether a request may be sent now, with which memory grant and priority.
 
 use crate::api::{Action, Idempotency, RequestId, TimestampUs};
 use crate::state::{Balancer, Executor, Request};
 
-/// The highest priority of an attempt.
+/// Highest priority of an attempt.
 const HIGHEST_PRIORITY: u8 = 3;
-/// A request's priority is one higher for each of these that its cost is below, as a multiple of the mean
-/// cost of all requests.
+/// Multiples of the mean cost of all requests. A request's priority rises by one for each that its cost is
+/// below.
 const PRIORITY_COST_MULTIPLES: [f64; 3] = [4.0, 1.5, 0.5];
-/// Bounds of the learned memory bias when it sets a grant: its natural logarithm.
+/// Bound of the absolute value of the learned memory bias (a natural logarithm) when a grant is computed.
 const MAX_MEMORY_BIAS: f64 = 1.5;
 
 impl Balancer {
-    /// Sends an attempt of a request, if its state, the order of its key and the retry budget allow one and
-    /// an executor takes it: the one place that sends. Which executors may take it is checked where they are
-    /// drawn. With `may_probe` the request may wait for probes instead.
+    /// Sends an attempt of a request if the request's state, the order of its key and the retry budget allow
+    /// it and an executor can be selected. All attempts are sent here; executor selection checks which
+    /// executors are permitted. With `may_probe`, the request may wait for probes instead.
     pub(super) fn send_attempt(&mut self, id: RequestId, may_probe: bool) -> bool {
         if !self.may_send(id) {
             return false;
@@ -36,7 +36,7 @@
         true
     }
 
-    /// Whether a request may be sent now, wherever.
+    /// Whether a request may be sent now, regardless of the executor.
     fn may_send(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let is_over = request.answered || request.streaming || self.now >= request.deadline;
@@ -49,8 +49,8 @@
         self.has_turn(id) && (!is_retry || self.retry_budget_allows())
     }
 
-    /// Priority of a request, 0 to 3. One that is late is the least urgent; a cheap one goes before a costly
-    /// one, and one that has used half of its time goes one step higher.
+    /// Priority of a request, 0 to 3. Late requests get the lowest priority, cheap requests a higher one than
+    /// expensive ones, and a request that has used half of its latency objective is raised by one.
     pub(super) fn priority(&self, request: &Request) -> u8 {
         if self.is_lost_on_shutdown(request) {
             return HIGHEST_PRIORITY;
@@ -65,22 +65,24 @@
         (by_cost + u8::from(is_urgent)).min(HIGHEST_PRIORITY)
     }
 
-    /// Whether a request must finish before this dispatcher shuts down, as nobody may run it again.
+    /// Whether a request would be lost if this dispatcher shut down before it finishes, as it must not be
+    /// retried.
     fn is_lost_on_shutdown(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
         self.shutdown_deadline < TimestampUs::MAX && class.idempotency == Idempotency::NotIdempotent
     }
 
-    /// Predicted cost as a multiple of the mean of all requests. The cost of one that others of its key wait
-    /// for counts for all of them.
+    /// Predicted cost as a multiple of the mean of all requests. For a request with others queued behind its
+    /// key, the cost is divided by the length of the queue.
     fn cost_multiple(&self, request: &Request) -> f64 {
         let queued = request.key.map_or(1, |key| self.key_queues.len(key).max(1));
         let mean_cost = self.cost_model.mean_cost.value_or(request.predicted_cost);
         request.predicted_cost / queued as f64 / mean_cost.max(1e-9)
     }
 
-    /// Memory that an attempt is granted, in MB: the need as estimated and corrected, else as learned, up to
-    /// a part of the executor's memory. 0 leaves it to the executor; without grants it has no effect.
+    /// Memory grant of an attempt in MB: the corrected estimate, or else the learned need, up to a fraction
+    /// of the executor's memory. 0 leaves the amount to the executor. Unused if executors do not support
+    /// grants.
     fn memory_grant_mb(&self, request: &Request, executor: &Executor) -> f64 {
         let model = &self.cost_model.classes[request.class];
         let corrected =
@@ -91,14 +93,14 @@
         if max_grant_mb > 0.0 { need_mb.min(max_grant_mb) } else { need_mb }
     }
 
-    /// Calls an attempt off.
+    /// Cancels an attempt.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         self.request_mut(id).attempts[attempt as usize].cancelled = true;
         self.actions.push(Action::Cancel { request: id, attempt });
     }
 }
 
-/// Whether more than half of the time from one point to the other is over.
+/// Whether more than half of the time between two timestamps has passed.
 fn is_half_over(now: TimestampUs, from: TimestampUs, to: TimestampUs) -> bool {
     (now - from) * 2 > to - from
 }
--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -1,4 +1,4 @@
-//! What attempts report: their progress, and how they end. Decides whether a failed one is retried.
+//! Progress and outcomes of attempts, and the decision whether a failed attempt is retried.
 
 use crate::api::{AttemptFinished, AttemptProgress, EndReason, Outcome, RequestId};
 use crate::balancer::RETRY_AFTER_US;
@@ -6,11 +6,11 @@
 
 /// Weight of one spill in a class's memory bias.
 const SPILL_WEIGHT: f64 = 0.3;
-/// Bounds of a reported progress: a whole is 1, and nothing done would make the rest endless.
+/// Bounds of reported progress. The lower bound keeps the projected run time finite.
 const PROGRESS_RANGE: (f64, f64) = (0.001, 1.0);
 
 impl Balancer {
-    /// An attempt in flight has sent a message.
+    /// Handles a progress message of an attempt in flight.
     pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u32, progress: AttemptProgress) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -39,8 +39,8 @@
         }
     }
 
-    /// An attempt is over: its outcome counts for its executor, and the request has its answer, is retried or
-    /// ends.
+    /// Handles the end of an attempt: records the outcome for its executor, then finishes, retries or ends
+    /// the request.
     pub(super) fn handle_attempt_finished(&mut self, finished: AttemptFinished) {
         let (id, outcome) = (finished.request, finished.outcome);
         self.record_report(finished.executor, finished.report);
@@ -57,7 +57,7 @@
         self.remove_finished_request(id);
     }
 
-    /// After an outcome that tells that an attempt may still run, its key stays quiet.
+    /// Starts a quiet period for the request's key if the attempt may still be running.
     fn keep_key_quiet_after(&mut self, id: RequestId, outcome: Outcome) {
         let may_still_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         if let Some(key) = self.requests[&id].key.filter(|_| may_still_run) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Retries a request that has no answer and no attempt in flight, or ends it.
+    /// If a request has no answer and no attempt in flight, retries it or, if no retry is allowed, ends it.
     fn retry_if_none_in_flight(&mut self, id: RequestId) {
         let request = &self.requests[&id];
         let needs_attempt = !request.answered && !request.streaming && request.attempts_in_flight() == 0;
--- a/src/balancer/cost_model.rs
+++ b/src/balancer/cost_model.rs
@@ -1,47 +1,49 @@
-//! What a request is predicted to cost, in thread-seconds, and what its outcome teaches.
+//! The cost model: predicts what a request costs in thread-seconds, and learns from outcomes.
 //!
-//! The prediction is the client's estimate, corrected by how wrong the estimates of its class have been; else
-//! the mean cost of its class and table group; else the mean of its class.
+//! The prediction is the client's estimate, corrected by the observed error of its class's estimates. Without
+//! an estimate it is the mean cost of the request's class and table group, or else the mean of its class.
 
 use crate::api::{Arrival, ClassId, Micros, ReportedCost, RequestId, Settings};
 use crate::state::{Balancer, Mean, Request};
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Weight of one outcome in the learned means.
+/// Weight of a new outcome in the learned means.
 pub(super) const LEARNING_RATE: f64 = 0.02;
-/// Outcomes of a class before its mean cost comes from them.
+/// Number of outcomes of a class before its mean cost is derived from them.
 pub(super) const OUTCOMES_WANTED: u32 = 8;
-/// Weight of one outcome in the mean of a class and table group.
+/// Weight of a new outcome in the mean of a class and table group.
 const CACHE_LEARNING_RATE: f64 = 0.1;
-/// Means that are cached, by class and table group: some hundred groups for a few classes.
+/// Number of cached means by class and table group: enough for some hundred groups in each of a few classes.
 const CACHE_CAPACITY: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
-/// Outcomes that a class's first estimate counts as, so that one bad query plan teaches little.
+/// Number of correct outcomes that a class's first estimate counts as, to limit the effect of one bad query
+/// plan.
 const PRIOR_OUTCOMES: u32 = 5;
-/// A cost that is not reported counts as this multiple of the predicted one at most: more is a bad plan's.
+/// Upper bound of a cost that is not reported but derived from latency, as a multiple of the prediction. A
+/// higher cost is due to a bad query plan.
 const MAX_COST_MULTIPLE: f64 = 3.0;
-/// A cost counts as this multiple of the predicted one at most, where it corrects estimates.
+/// Upper bound of a cost that is used to correct estimates, as a multiple of the prediction.
 const MAX_CORRECTION_MULTIPLE: f64 = 20.0;
-/// The largest latency ratio that is learned.
+/// Upper bound of a learned latency ratio.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Weight of one outcome in a class's latency ratio.
+/// Weight of a new outcome in a class's latency ratio.
 const LATENCY_RATIO_WEIGHT: f64 = LEARNING_RATE * 2.0;
-/// Weight of one outcome in an executor's latency relative to the others.
+/// Weight of a new outcome in an executor's relative latency.
 const RELATIVE_LATENCY_WEIGHT: f64 = 0.08;
-/// The largest relative latency that is learned, and the inverse of the least.
+/// Upper bound of a learned relative latency; its inverse is the lower bound.
 const MAX_RELATIVE_LATENCY: f64 = 10.0;
-/// Quantile of memory needs that a grant covers.
+/// Quantile of memory needs that a grant should cover.
 const GRANT_QUANTILE: f64 = 0.8;
-/// Step of the memory correction for one outcome, as a logarithm.
+/// Step of the memory bias per outcome (a natural logarithm).
 const GRANT_STEP: f64 = 0.05;
-/// Memory correction at first: executors grant a quarter over the estimate by themselves.
+/// Initial memory correction. Executors without a grant allocate a quarter more than the estimate.
 const FIRST_MEMORY_CORRECTION: f64 = 0.25;
-/// The least cost and the least ratio that anything is divided by.
+/// Lower bound of costs and ratios as divisors.
 const LEAST_COST: f64 = 1e-6;
-/// The least mean of estimates that anything is divided by.
+/// Lower bound of a mean estimate as a divisor.
 const LEAST_ESTIMATE: f64 = 1e-9;
 
-/// What was learned of the cost of requests.
+/// Learned costs of requests.
 pub(crate) struct CostModel {
     /// Mean cost by class and table group, in thread-seconds.
     cache: LruCache<(ClassId, u64), Mean>,
@@ -50,29 +52,29 @@
     pub(crate) mean_cost: Mean,
 }
 
-/// What was learned of the cost of a class.
+/// Learned costs of a class.
 #[derive(Debug, Clone)]
 pub(crate) struct ClassCost {
-    /// Cost of its outcomes, in thread-seconds.
+    /// Observed cost, in thread-seconds.
     cost: Mean,
-    /// Attempts that have ended, however they ended.
+    /// Number of finished attempts, whatever their outcome.
     pub(crate) finished_attempts: u32,
-    /// Estimates of its arrivals, in thread-seconds.
+    /// Estimated cost of arrivals, in thread-seconds.
     estimate: Mean,
-    /// Costs of the requests that had an estimate, in thread-seconds.
+    /// Observed cost of requests with an estimate, in thread-seconds.
     observed_mean: Mean,
-    /// The estimates of the same requests, in thread-seconds.
+    /// Estimated cost of the same requests, in thread-seconds.
     estimate_mean: Mean,
-    /// Time taken over time expected.
+    /// Observed latency divided by expected latency.
     pub(crate) latency_ratio: Mean,
-    /// Logarithm of memory needed over memory estimated, at the quantile that a grant covers.
+    /// Natural logarithm of needed memory over estimated memory, at the quantile that a grant should cover.
     pub(crate) memory_bias: f64,
-    /// Memory needed where answers report it, in MB.
+    /// Memory need in MB, if responses report it.
     pub(crate) memory_mb: Mean,
 }
 
 impl ClassCost {
-    /// Nothing was learned.
+    /// A class without outcomes.
     fn new() -> ClassCost {
         ClassCost {
             cost: Mean::default(),
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Counts an estimate and the cost observed. The first estimate counts as some correct ones.
-    fn compare(&mut self, estimate: f64, observed: f64) {
+    /// Records an estimate and the observed cost. The first estimate counts as several correct ones.
+    fn record_estimate_error(&mut self, estimate: f64, observed: f64) {
         if self.estimate_mean.count == 0 {
             let prior = Mean { value: estimate, count: PRIOR_OUTCOMES };
             (self.estimate_mean, self.observed_mean) = (prior, prior);
@@ -96,15 +98,15 @@
         self.estimate_mean.add(estimate, LEARNING_RATE);
     }
 
-    /// Factor by which an estimate of the class is corrected.
+    /// Correction factor for estimates of the class.
     fn estimate_correction(&self) -> f64 {
         self.observed_mean.value_or(1.0) / self.estimate_mean.value_or(1.0).max(LEAST_ESTIMATE)
     }
 
-    /// Moves the memory correction towards the quantile of needs that a grant covers. A spill that no answer
-    /// states was learned when its progress note came.
+    /// Moves the memory bias towards the quantile of needs that a grant should cover. A spill that the
+    /// response does not report was already learned from its progress message.
     fn learn_memory(&mut self, estimate_mb: f64, reported: Option<ReportedCost>, spilled: bool) {
-        // A reported need moves the first few grants far.
+        // Reported needs move the first few grants by larger steps.
         let first_step = reported.map_or(0.0, |_| 1.0 / f64::from(self.memory_mb.count + 1));
         let fell_short = reported.is_some_and(|cost| cost.memory_mb > estimate_mb * self.memory_bias.exp());
         let direction = if fell_short { GRANT_QUANTILE } else { GRANT_QUANTILE - 1.0 };
@@ -115,7 +117,7 @@
 }
 
 impl CostModel {
-    /// Nothing was learned of so many classes.
+    /// A model of `classes` classes without outcomes.
     pub(crate) fn new(classes: usize) -> CostModel {
         CostModel {
             cache: LruCache::new(CACHE_CAPACITY),
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Mean cost of a class, in thread-seconds: of its outcomes, until there are enough of its estimates,
-    /// until there are any of its latency objective.
+    /// Mean cost of a class, in thread-seconds. It is derived from the outcomes once there are enough of
+    /// them, before that from the estimates, and without estimates from the latency objective.
     pub(crate) fn class_mean(&self, class: ClassId, settings: &Settings) -> f64 {
         let model = &self.classes[class];
         if model.cost.count >= OUTCOMES_WANTED {
@@ -144,7 +146,7 @@
         cached.unwrap_or_else(|| self.class_mean(arrival.class, settings))
     }
 
-    /// Counts a request that has arrived.
+    /// Records the predicted and the estimated cost of an arrival.
     pub(crate) fn record_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
         self.mean_cost.add(predicted_cost, LEARNING_RATE);
         if let Some(estimate) = arrival.estimated_thread_seconds {
@@ -161,7 +163,7 @@
         let ratio = (spent / request.predicted_cost.max(LEAST_COST)).min(MAX_LATENCY_RATIO);
         class.latency_ratio.add(ratio, LATENCY_RATIO_WEIGHT);
         if let Some(estimate) = request.estimated_cost {
-            class.compare(estimate, cost.min(MAX_CORRECTION_MULTIPLE * request.predicted_cost));
+            class.record_estimate_error(estimate, cost.min(MAX_CORRECTION_MULTIPLE * request.predicted_cost));
         }
         if let Some(reported) = reported {
             class.memory_mb.add(reported.memory_mb, LEARNING_RATE);
@@ -179,13 +181,13 @@
         self.cost_model.class_mean(class, &self.settings)
     }
 
-    /// Time that a request should take, in seconds, by how long its class takes lately.
+    /// Expected run time of a request in seconds, scaled by the recent latency ratio of its class.
     pub(crate) fn expected_latency_s(&self, request: &Request) -> f64 {
         let latency_ratio = self.cost_model.classes[request.class].latency_ratio.value_or(1.0);
         request.predicted_cost / f64::from(self.settings.classes[request.class].threads) * latency_ratio
     }
 
-    /// Learns from an attempt that was answered: the request's cost, its memory and its executor's latency.
+    /// Learns from a successful attempt: the request's cost, its memory need and its executor's latency.
     pub(super) fn learn_cost(
         &mut self,
         id: RequestId,
@@ -198,8 +200,8 @@
         let index = attempt.executor;
         let spent = latency as f64 / 1e6 * f64::from(self.settings.classes[request.class].threads);
         let class_ratio = self.cost_model.learn(request, spent, reported);
-        // Guards against grants that fall with each answer until most requests spill: without progress notes
-        // and reported needs no answer tells of a spill, so that nothing is learned.
+        // Without progress messages and reported needs, spills are invisible, so the memory bias must not be
+        // updated: grants would fall with each response until most requests spill.
         let tells_spills = reported.is_some() || self.settings.progress_interval.is_some();
         if let Some(estimate_mb) = request.estimated_memory_mb.filter(|_| tells_spills) {
             let class = &mut self.cost_model.classes[request.class];
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The endpoint list: which executors there are, and which of them begin a slow start.
+//! The endpoint list: which executors exist, and which of them enter slow start.
 
 use crate::api::{Action, Endpoint, EndpointListKind, Readiness, TimestampUs};
 use crate::state::Balancer;
 
 impl Balancer {
-    /// Applies an endpoint list or a change of it. If the list can't be had the old one holds, and it is
-    /// watched again.
+    /// Applies an endpoint list or an update of it. If the list is unavailable, the known one stays in effect
+    /// and is watched again.
     pub(super) fn apply_endpoint_list(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         if kind == EndpointListKind::Unavailable {
             return self.actions.push(Action::Watch);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Enters an executor or what has changed of it; its index in the table.
+    /// Adds or updates an executor and returns its index in the table.
     fn apply_endpoint(&mut self, endpoint: Endpoint, is_first_list: bool) -> usize {
         let warming_since = self.new_slow_start(&endpoint, is_first_list);
         let index = self.update_executor(endpoint, warming_since);
@@ -34,9 +34,9 @@
         index
     }
 
-    /// When the slow start began that this entry tells of, if it tells of a new one: the executor's start, if
-    /// its ramp is not over. One that appears or comes back without a time of start begins now; in the first
-    /// list it is as usual.
+    /// The beginning of a new slow start that follows from this entry, if any: the executor's start time, if
+    /// its ramp is not over. An executor that appears or returns without a recent start time begins its slow
+    /// start now, except in the first list.
     fn new_slow_start(&self, endpoint: &Endpoint, is_first_list: bool) -> Option<TimestampUs> {
         let known = self.executors.position(endpoint.executor).map(|index| &self.executors[index]);
         let is_new = match known {
--- a/src/balancer/key_order.rs
+++ b/src/balancer/key_order.rs
@@ -1,22 +1,22 @@
-//! Order of a key: whether a request joins its key's queue, when it has its turn, and when it is given up
+//! Per-key ordering: whether a request joins its key's queue, when it may start, and when it is rejected
 //! because it cannot finish in time.
 
 use crate::api::{DurationUs, EndReason, RequestId};
 use crate::balancer::RETRY_AFTER_US;
 use crate::state::{Balancer, Request};
 
-/// A request that waits for its turn is given up once less than this is left of its time, as only ticks look
-/// at it: two ticks and a half.
+/// A queued request is rejected once less than this is left of its time budget. It is two and a half ticks,
+/// because queues are only checked on ticks.
 const MIN_TIME_LEFT_US: DurationUs = 250_000;
-/// Requests in queues that a tick looks at. A longer backlog is looked at over several ticks, so that no tick
-/// takes long; whoever a tick doesn't come to still has its deadline.
+/// Number of queued requests checked per tick, to bound its duration. A longer backlog is checked over
+/// several ticks; a request that is not checked in time still ends at its deadline.
 const CHECKED_PER_TICK: usize = 512;
 
 impl Balancer {
-    /// Puts a request that has arrived at the end of its key's queue.
+    /// Appends an arrived request to its key's queue.
     ///
-    /// One whose client may have held it back joins only if it is expected to finish in its time, as how long
-    /// its client still waits is not known well. The error is how much longer it would take.
+    /// A request that its client may have delayed joins only if it is expected to finish in time, because it
+    /// is uncertain how long its client still waits. The error is the time by which it would be too late.
     pub(super) fn join_key_queue(&mut self, id: RequestId, held_by_client: bool) -> Result<(), DurationUs> {
         let request = &self.requests[&id];
         let Some(key) = request.key else { return Ok(()) };
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// How long the requests in a key's queue are expected to take from now on.
+    /// Expected remaining run time of all requests in a key's queue.
     fn key_queue_wait(&self, key: u64) -> DurationUs {
         let head = self.key_queues.head(key).map(|id| &self.requests[&id]);
         let first_attempt = head.and_then(|head| Some((head, head.attempts.first()?)));
@@ -40,7 +40,7 @@
         self.key_queues.expected_work(key) - done
     }
 
-    /// Takes a request that is over out of its key's queue; the next one has its turn.
+    /// Removes a finished request from its key's queue and starts the next one.
     pub(super) fn leave_key_queue(&mut self, id: RequestId, request: &Request) {
         let Some(key) = request.key else { return };
         self.key_queues.remove(key, id, request.expected_run);
@@ -48,15 +48,15 @@
         self.key_queues.remove_if_idle(key, self.now);
     }
 
-    /// Keeps a key quiet: an attempt of it that was stopped or lost may still run, and a new one could
-    /// overtake it.
+    /// Starts a quiet period for a key: an attempt that was cancelled or lost may still be running, and a new
+    /// one could overtake it.
     pub(super) fn start_quiet_period(&mut self, key: u64) {
         let until = self.now + self.settings.key_quiet_period.unwrap_or(0);
         self.key_queues.extend_quiet_period(key, until);
     }
 
-    /// Whether the order of its key lets a request be sent: it is first, and its first attempt waits until
-    /// the key is no longer quiet.
+    /// Whether the order of its key allows a request to be sent: it is at the head of the queue, and its
+    /// first attempt is not sent during a quiet period.
     pub(super) fn has_turn(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let Some(key) = request.key else { return true };
@@ -64,13 +64,13 @@
         self.key_queues.head(key) == Some(id) && may_start
     }
 
-    /// What a request is expected to take on an executor.
+    /// Expected run time of a request on an executor.
     fn expected_run(&self, request: &Request) -> DurationUs {
         (self.expected_latency_s(request) * 1e6) as DurationUs
     }
 
-    /// Whether a request that was not sent yet cannot finish in time, and why: it needs longer than this
-    /// dispatcher has until its shutdown, or waits for its turn with too little of its own time left.
+    /// Whether, and for which reason, a request without attempts cannot finish in time: it takes longer than
+    /// the time until this dispatcher shuts down, or it is queued with too little of its time budget left.
     pub(super) fn cannot_finish_in_time(&self, id: RequestId) -> Option<EndReason> {
         let request = &self.requests[&id];
         if !request.attempts.is_empty() {
@@ -85,8 +85,8 @@
         (waits && too_late).then_some(EndReason::KeyQueueTimedOut)
     }
 
-    /// Starts the first request in a key's queue, if it may start. If it ends at once, the next one is
-    /// started, and so on.
+    /// Starts the request at the head of a key's queue if it may start. If it ends immediately, starts the
+    /// next one, and so on.
     pub(super) fn advance_key_queue(&mut self, key: u64) {
         if !self.key_queues.begin_advancing() {
             return;
@@ -101,22 +101,23 @@
         self.key_queues.end_advancing();
     }
 
-    /// Advances queues whose quiet period is over, and gives up requests that wait in vain. All are looked
-    /// at once when the time of the shutdown has changed.
+    /// Advances queues whose quiet period is over, and rejects queued requests that cannot finish in time.
+    /// All queues are checked at once after the shutdown deadline has changed.
     pub(super) fn check_key_queues(&mut self) {
         let check_all = std::mem::take(&mut self.shutdown_deadline_changed);
         let limit = if check_all { usize::MAX } else { CHECKED_PER_TICK };
         for key in self.key_queues.keys_to_check(self.now, limit) {
             for id in self.key_queues.first_requests(key, limit) {
-                self.give_up_if_too_late(id);
+                self.reject_if_too_late(id);
             }
             self.advance_key_queue(key);
             self.key_queues.remove_if_idle(key, self.now);
         }
     }
 
-    /// Gives a waiting request up if it cannot finish in time. It may be gone: one that ends starts the next.
-    fn give_up_if_too_late(&mut self, id: RequestId) {
+    /// Rejects a queued request if it cannot finish in time. The request may already be gone, because the end
+    /// of a request starts the next one in its queue.
+    fn reject_if_too_late(&mut self, id: RequestId) {
         if !self.requests.contains_key(&id) {
             return;
         }
--- a/src/balancer/load/fleet.rs
+++ b/src/balancer/load/fleet.rs
@@ -1,4 +1,4 @@
-//! What all executors hold at a tick, and this dispatcher's share of it.
+//! Aggregates the load of all executors at each tick, and this dispatcher's share of it.
 
 use super::pool::ExecutorLoad;
 use super::{LoadModel, PoolLoad, report_confidence};
@@ -6,19 +6,21 @@
 use crate::state::{Balancer, Executor};
 use std::collections::BTreeMap;
 
-/// Age at which a report counts a third in the sums of all executors, in seconds: few are fresh at a time.
+/// Time constant of a report's confidence in the fleet's sums, in seconds. It is long because only few
+/// reports are fresh at any time.
 const FLEET_REPORT_AGE_S: f64 = 5.0;
-/// Part of the fleet's cores that stand as at the usual latency against the latency ratios observed.
+/// Fraction of the fleet's cores assumed to run at the usual latency, as a prior for observed latency ratios.
 const USUAL_LATENCY_FRACTION: f64 = 0.02;
-/// Idle executors that stand against the reports where no other executor reports: a few prove no overload.
+/// Number of idle executors assumed besides those that report, because a few reports do not prove an
+/// overload.
 const UNOBSERVED_EXECUTORS: f64 = 2.0;
-/// Weight of a tick in the traffic share: about ten seconds count.
+/// Weight of a tick in the traffic share, which averages over about ten seconds.
 const TRAFFIC_SHARE_WEIGHT: f64 = 0.01;
-/// Load, in threads a core, under which own threads say nothing of the traffic share.
+/// Load, in threads per core, below which the traffic share cannot be estimated from own threads.
 const LEAST_LOAD: f64 = 0.05;
-/// Utilization at which a report says no more how many threads an executor holds.
+/// Utilization above which a report no longer indicates how many threads an executor runs.
 const SATURATED_UTILIZATION: f64 = 0.85;
-/// Confidence in a report from which a saturated executor counts.
+/// Minimum confidence in a report for a saturated executor to count.
 const SATURATED_CONFIDENCE: f64 = 0.3;
 
 /// Sums over the listed executors that are not ejected.
@@ -28,13 +30,13 @@
     pub(super) pools: BTreeMap<u64, PoolLoad>,
     /// Cores of all executors.
     pub(super) cores: f64,
-    /// Cores of those with a known load, weighted by the confidence in their reports.
+    /// Cores of executors with a known load, weighted by the confidence in their reports.
     pub(super) observed_cores: f64,
-    /// Threads of own attempts in flight.
+    /// Threads of this dispatcher's attempts in flight.
     pub(super) own_threads: f64,
-    /// Whether any executor reports how many requests it holds.
+    /// Whether any executor reports its number of requests.
     pub(super) counts_requests: bool,
-    /// Whether any executor reports its utilization alone, and it is at its end.
+    /// Whether any executor that reports only its utilization is saturated.
     pub(super) has_saturated_report: bool,
 }
 
@@ -63,7 +65,8 @@
         self.has_saturated_report |= !counts_requests && is_saturated && confidence > SATURATED_CONFIDENCE;
     }
 
-    /// Takes latency ratios back from logarithms. Where few were observed lately they count less.
+    /// Converts the sums of logarithms of latency ratios to threads. Pools with few recent observations are
+    /// pulled towards the usual latency.
     fn apply_latency_ratios(&mut self) {
         for pool in self.pools.values_mut() {
             let mean = pool.in_flight_threads / (pool.cores + USUAL_LATENCY_FRACTION * self.cores);
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Counts idle cores for the executors that do not report, `listed` being the number of all.
+    /// Adds idle cores for the executors that do not report; `listed` is the number of all executors.
     fn add_unobserved_cores(&mut self, listed: usize) {
         let cores_each = UNOBSERVED_EXECUTORS * self.cores / listed.max(1) as f64;
         let unobserved = cores_each * (1.0 - self.observed_cores / self.cores.max(1.0));
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Mean load of the executors with a known load, in threads a core.
+    /// Mean load of the executors with a known load, in threads per core.
     fn mean_load(&self) -> f64 {
         let threads = self.pools.values().map(|pool| pool.in_flight_threads).sum::<f64>();
         threads / self.observed_cores.max(1.0)
@@ -88,9 +91,9 @@
 }
 
 impl LoadModel {
-    /// Moves the traffic share towards own threads over all threads, where reports tell how many these are.
+    /// Moves the traffic share towards own threads over all threads, if reports state the load.
     fn update_traffic_share(&mut self, fleet: &FleetLoad) {
-        let is_known = self.mean_load > LEAST_LOAD && self.reports_tell_load == Some(true);
+        let is_known = self.mean_load > LEAST_LOAD && self.reports_state_load == Some(true);
         if !is_known || fleet.has_saturated_report {
             return;
         }
@@ -118,7 +121,7 @@
         self.update_pressure(fleet.counts_requests);
     }
 
-    /// Sums up what the executors hold. Only those that anything was sent to or received from are visited.
+    /// Sums up the load of the executors. Visits only the active ones, which sent or were sent anything.
     fn observe_fleet(&self) -> FleetLoad {
         self.count_examined(self.executors.active.len());
         let active = self.executors.active.iter().map(|index| &self.executors[*index]);
--- a/src/balancer/load/mod.rs
+++ b/src/balancer/load/mod.rs
@@ -1,9 +1,9 @@
-//! How loaded the executors are, as far as load reports, own attempts in flight and own latencies tell.
+//! The load of executors, estimated from load reports, own attempts in flight and own latencies.
 //!
-//! Load is counted in threads a core: 1 keeps every core of an executor busy. A dispatcher receives reports
-//! from few executors at a time, so that a report counts less with its age, and an executor without a report
-//! is taken to be as loaded as the mean of its pool. Where reports state no load, the ratio of own latencies
-//! to those expected stands in for them.
+//! Load is measured in threads per core: at 1, every core of an executor is busy. A dispatcher has recent
+//! reports from few executors at a time, so the confidence in a report decays with its age, and an executor
+//! without a report is assumed to have the mean load of its pool. If reports state no load, the ratio of
+//! observed to expected latency of own requests is used instead.
 
 mod fleet;
 mod pool;
@@ -18,42 +18,42 @@
 use crate::state::{Balancer, Executor, Mean};
 use std::collections::BTreeMap;
 
-/// Under this load, in threads a core, an executor has spare capacity.
+/// Load, in threads per core, below which an executor has spare capacity.
 pub(super) const SPARE_CAPACITY_LOAD: f64 = 0.5;
-/// Age at which a report of one executor counts a third, in seconds.
+/// Time constant of the confidence in a single executor's report, in seconds.
 const REPORT_AGE_S: f64 = 1.5;
-/// Requests in flight that the threads guessed from the classes weigh, against the mean of those seen.
+/// Weight of the initial guess of threads per request, in requests in flight.
 const GUESSED_REQUESTS: f64 = 0.3;
 /// Weight of the latest latency ratio in an executor's mean.
 const LATENCY_RATIO_WEIGHT: f64 = 0.4;
-/// The largest latency ratio that counts, and the inverse of the least.
+/// Upper bound of a latency ratio; its inverse is the lower bound.
 const MAX_LATENCY_RATIO: f64 = 6.0;
-/// Fraction of memory or of disks in use from which an executor counts as more loaded.
+/// Fraction of memory or disks in use above which an executor counts as more loaded.
 const SCARCE_FRACTION: f64 = 0.75;
-/// The largest fraction of memory or of disks in use that counts.
+/// Upper bound of the fraction of memory or disks in use that counts.
 const MAX_SCARCE_FRACTION: f64 = 1.5;
-/// Threads a core that an executor counts as more loaded, for each whole of memory or disks above it.
+/// Additional load, in threads per core, per unit by which the fraction in use exceeds `SCARCE_FRACTION`.
 const SCARCITY_WEIGHT: f64 = 2.0;
 
-/// What is known of the load of all executors, and of this dispatcher's part in it.
+/// Estimated load of all executors, and this dispatcher's share of it.
 #[derive(Debug, Default)]
 pub(crate) struct LoadModel {
-    /// Load by pool: executors open to the same classes are a pool.
+    /// Load by pool. A pool consists of the executors that are eligible for the same classes.
     pub(crate) pools: BTreeMap<u64, PoolLoad>,
-    /// Mean load of all executors with a known load, in threads a core.
+    /// Mean load of all executors with a known load, in threads per core.
     pub(crate) mean_load: f64,
-    /// This dispatcher's share of all requests' threads, 0 to 1.
+    /// This dispatcher's share of the threads of all requests, 0 to 1.
     pub(crate) traffic_share: f64,
-    /// Whether reports state any load; unknown until the first report.
-    pub(crate) reports_tell_load: Option<bool>,
-    /// What own requests hold.
+    /// Whether reports state any load; `None` until the first report.
+    pub(crate) reports_state_load: Option<bool>,
+    /// Resources used by own requests.
     own: InFlightMeans,
 }
 
-/// Running means of what this dispatcher's own requests hold at executors.
+/// Running means of the resources that this dispatcher's requests use on executors.
 #[derive(Debug, Default)]
 struct InFlightMeans {
-    /// Memory granted for each thread in flight, in MB.
+    /// Memory granted per thread in flight, in MB.
     mb_per_thread: Mean,
     /// Threads in flight.
     threads: f64,
@@ -62,25 +62,26 @@
 }
 
 impl LoadModel {
-    /// Nothing is known yet: this dispatcher has an equal share of the traffic.
+    /// An initial model, which assumes an equal share of the traffic for each dispatcher.
     pub(crate) fn new(dispatchers: u32) -> LoadModel {
         LoadModel { traffic_share: 1.0 / f64::from(dispatchers), ..LoadModel::default() }
     }
 
-    /// Whether latency ratios stand in for reports, which state no load.
+    /// Whether latency ratios are used because reports state no load.
     fn uses_latency_ratios(&self) -> bool {
-        self.reports_tell_load == Some(false)
+        self.reports_state_load == Some(false)
     }
 
-    /// Threads of a request in flight: the mean of own ones, at first as if all classes held as many threads.
+    /// Threads per request: the mean of own requests, with an initial guess that all classes use the same
+    /// total number of threads.
     fn threads_per_request(&self, settings: &Settings) -> f64 {
         let requests_per_thread: f64 = settings.classes.iter().map(|c| 1.0 / f64::from(c.threads)).sum();
         let guess = settings.classes.len() as f64 / requests_per_thread;
         (self.own.threads + GUESSED_REQUESTS * guess) / (self.own.requests + GUESSED_REQUESTS)
     }
 
-    /// Threads that an executor holds by its report: the larger of its busy cores and its requests' threads,
-    /// else what its memory in use stands for, else what latencies tell.
+    /// Threads running on an executor by its report: the larger of its busy cores and the threads of its
+    /// requests. Without either, derived from its memory in use, or else from latency ratios.
     fn reported_threads(&self, executor: &Executor, settings: &Settings) -> Option<f64> {
         let report = &executor.report;
         let busy_cores = report.util.map(|utilization| utilization * executor.cores);
@@ -91,27 +92,27 @@
         by_count.or_else(|| self.threads_by_memory(executor, settings)).or_else(by_latency)
     }
 
-    /// Threads that the memory in use stands for, by what own threads are granted.
+    /// Threads derived from the memory in use and the memory granted to own threads.
     fn threads_by_memory(&self, executor: &Executor, settings: &Settings) -> Option<f64> {
         let memory = executor.report.memory.filter(|_| self.own.mb_per_thread.value > 0.0)?;
         Some(memory / self.memory_of_threads(executor, 1.0, settings))
     }
 
-    /// Fraction of an executor's memory that so many threads use, by what own threads are granted.
+    /// Fraction of an executor's memory that `threads` threads use, by the memory granted to own threads.
     fn memory_of_threads(&self, executor: &Executor, threads: f64, settings: &Settings) -> f64 {
         let memory_mb = settings.kinds[executor.endpoint.kind].memory_mb.max(1.0);
         threads * self.own.mb_per_thread.value_or(0.0) / memory_mb
     }
 
-    /// Load that is assumed of an executor without a report, in threads a core: the mean of its pool, scaled
-    /// by the fraction of its capacity that it has in slow start.
+    /// Assumed load of an executor without a report, in threads per core: the mean of its pool, scaled by its
+    /// current capacity fraction in slow start.
     fn assumed_load(&self, executor: &Executor, capacity_fraction: f64) -> f64 {
         let pool = self.pools.get(&executor.pool);
         pool.map_or(self.mean_load, |pool| pool.per_core(pool.in_flight_threads)) * capacity_fraction
     }
 
-    /// Load of an executor in threads a core: its report and own threads sent since, as far as the report is
-    /// fresh; the rest as assumed. Memory or disks that run out add to it.
+    /// Load of an executor in threads per core: the reported load plus own threads sent since, blended with
+    /// the assumed load by the confidence in the report, plus a penalty for scarce memory or disks.
     fn load_of(&self, executor: &Executor, settings: &Settings, capacity_fraction: f64, now: Micros) -> f64 {
         let assumed = self.assumed_load(executor, capacity_fraction);
         let Some(reported) = self.reported_threads(executor, settings) else {
@@ -125,7 +126,7 @@
         threads / executor.cores + self.scarcity(executor, threads, settings)
     }
 
-    /// Threads a core that an executor counts as more loaded because its memory or its disks run out.
+    /// Load penalty in threads per core for an executor whose memory or disks are nearly exhausted.
     fn scarcity(&self, executor: &Executor, threads: f64, settings: &Settings) -> f64 {
         let report = &executor.report;
         let memory = report.memory.unwrap_or(self.memory_of_threads(executor, threads, settings));
@@ -134,21 +135,21 @@
     }
 }
 
-/// How much a report of an executor still counts: 1 when new, a third at `age_s` seconds.
-fn report_confidence(executor: &Executor, now: Micros, age_s: f64) -> f64 {
+/// Confidence in an executor's report: 1 when new, decaying with the time constant `decay_s` in seconds.
+fn report_confidence(executor: &Executor, now: Micros, decay_s: f64) -> f64 {
     let seconds = now.saturating_sub(executor.report_received_at) as f64 / 1e6;
-    (-(seconds / age_s)).exp()
+    (-(seconds / decay_s)).exp()
 }
 
 impl Balancer {
-    /// Load of an executor, in threads a core.
+    /// Load of an executor, in threads per core.
     pub(super) fn executor_load(&self, executor: &Executor) -> f64 {
         let capacity_fraction = self.capacity_fraction(executor);
         self.load.load_of(executor, &self.settings, capacity_fraction, self.now)
     }
 
-    /// Where reports state no load, records by how much an attempt took longer than expected. The mean is
-    /// one of logarithms, as estimates are wrong by factors.
+    /// If reports state no load, records the ratio of an attempt's observed to its expected latency. The mean
+    /// is taken over logarithms because errors of estimates are multiplicative.
     pub(super) fn record_latency_ratio(&mut self, index: usize, ratio: f64) {
         if !self.load.uses_latency_ratios() {
             return;
@@ -161,7 +162,7 @@
         executor.report_received_at = self.now;
     }
 
-    /// Updates the running means of what own requests hold.
+    /// Updates the running means of the resources that own requests use.
     fn update_in_flight_means(&mut self) {
         let active = self.executors.active.iter().map(|index| &self.executors[*index]);
         let (granted_mb, threads) =
--- a/src/balancer/load/pool.rs
+++ b/src/balancer/load/pool.rs
@@ -1,52 +1,53 @@
-//! The load of a pool, which is the executors that are open to the same classes, and where it is saturated.
+//! The load and saturation of a pool, which consists of the executors that are eligible for the same classes.
 
 use crate::api::{ClassId, MemoryShortage, Settings};
 use crate::state::{Balancer, Executor};
 
-/// A figure from which a resource begins to run out, and at which it is exhausted.
+/// The range of a metric between the point where a resource becomes scarce and the point where it is
+/// exhausted.
 struct Range {
     start: f64,
     full: f64,
 }
 
 impl Range {
-    /// Where a value lies in the range: 0 at the start, 1 where the resource is exhausted.
+    /// Position of a value in the range: 0 where the resource becomes scarce, 1 where it is exhausted.
     fn position(&self, value: f64) -> f64 {
         (value - self.start) / (self.full - self.start)
     }
 }
 
-/// Threads a core. An executor does less work in all beyond one to two threads a core.
+/// Threads per core. An executor's total throughput falls beyond one to two threads per core.
 const THREADS: Range = Range { start: 1.8, full: 3.6 };
-/// Latency ratio, where it stands in for threads a core: it rises with any resource that runs out.
+/// Latency ratio, used instead of threads per core: it rises with any resource that becomes scarce.
 const LATENCY_RATIO: Range = Range { start: 1.0, full: 2.5 };
-/// Fraction of memory in use, where requests wait for memory.
+/// Fraction of memory in use, on executors where requests queue for memory.
 const MEMORY_WITH_QUEUE: Range = Range { start: 0.8, full: 1.05 };
-/// Fraction of memory in use, where requests with too little memory spill to disk.
+/// Fraction of memory in use, on executors where requests with too little memory spill to disk or swap.
 const MEMORY_WITH_SPILL: Range = Range { start: 0.75, full: 1.35 };
-/// Fraction of disks busy. Total work falls when many requests wait for disks.
+/// Disk utilization. Total throughput falls when many requests wait for disks.
 const DISKS: Range = Range { start: 0.65, full: 0.9 };
 
-/// Sums over the executors of a pool with a known load, each weighted by the confidence in its report.
+/// Sums over a pool's executors with a known load, each weighted by the confidence in its report.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PoolLoad {
-    /// Threads in flight, of all dispatchers.
+    /// Threads in flight from all dispatchers.
     pub(crate) in_flight_threads: f64,
     /// Cores.
     pub(super) cores: f64,
     /// Fraction of memory in use, times cores.
     memory: f64,
-    /// Fraction of disks busy, times cores.
+    /// Disk utilization, times cores.
     disks: f64,
-    /// 0 where the scarcest resource begins to run out, 1 where it is exhausted; may be below and above.
+    /// 0 where the scarcest resource becomes scarce, 1 where it is exhausted; may lie outside this range.
     pub(super) saturation: f64,
 }
 
 /// The load of one executor, as far as it is known.
 pub(super) struct ExecutorLoad {
-    /// How much the report still counts, 0 to 1.
+    /// Confidence in the report, 0 to 1.
     pub(super) confidence: f64,
-    /// Threads in flight; where latencies stand in for reports, the logarithm of the ratio times cores.
+    /// Threads in flight; or, if latency ratios are used, the logarithm of the ratio times cores.
     pub(super) threads: f64,
     /// Fraction of memory in use.
     pub(super) memory: f64,
@@ -62,12 +63,12 @@
         self.disks += disks * executor.cores * load.confidence;
     }
 
-    /// A sum of the pool for each of its cores.
+    /// A sum of the pool divided by its cores.
     pub(super) fn per_core(&self, sum: f64) -> f64 {
         sum / self.cores.max(1.0)
     }
 
-    /// Works out how far the scarcest resource of the pool is used up.
+    /// Computes the saturation of the pool's scarcest resource.
     pub(super) fn update_saturation(&mut self, settings: &Settings, uses_latency_ratios: bool) {
         let threads = if uses_latency_ratios { LATENCY_RATIO } else { THREADS };
         let memory = match settings.memory_shortage {
@@ -82,13 +83,13 @@
     }
 }
 
-/// Whether the executors of a pool are open to a class; a pool has a bit for each class.
+/// Whether the executors of a pool are eligible for a class; a pool is a bit mask of classes.
 pub(in crate::balancer) fn is_open_to(pool: u64, class: ClassId) -> bool {
     pool >> class & 1 == 1
 }
 
 impl Balancer {
-    /// The pool of an executor: a bit for each class that its zone and kind are open to.
+    /// The pool of an executor: a bit mask of the classes that its zone and kind are eligible for.
     pub(in crate::balancer) fn pool_of(&self, executor: &Executor) -> u64 {
         let classes = 0..self.settings.classes.len();
         classes.filter(|&class| self.placement_allows(class, executor)).map(|class| 1 << class).sum()
--- a/src/balancer/load/pressure.rs
+++ b/src/balancer/load/pressure.rs
@@ -1,7 +1,7 @@
-//! Pressure: how far the admission rules of a class close, from the load of its executors and from lateness.
+//! Pressure: how far the admission rules of a class close, derived from executor load and late requests.
 //!
-//! 0 closes none, 1 is what an ordinary overload reaches. A class has the pressure of the least saturated
-//! pool that is open to it, or of the lateness of its requests if that is more.
+//! At 0 all rules are open; an ordinary overload reaches about 1. The pressure of a class is the saturation
+//! of the least saturated pool that is eligible for it, or the lateness of its requests if that is higher.
 
 use super::{PoolLoad, SPARE_CAPACITY_LOAD, pool::is_open_to};
 use crate::api::{Class, ClassId};
@@ -9,44 +9,45 @@
 use crate::state::Balancer;
 use std::collections::BTreeMap;
 
-/// The most pressure there is: all tiers of rules are closed.
+/// Maximum pressure, at which all tiers are closed.
 const MAX_PRESSURE: f64 = 1.4;
-/// Span over which a class's arrival rate is counted, in seconds.
+/// Time constant of a class's arrival rate, in seconds.
 const ARRIVAL_RATE_SPAN_S: f64 = 2.0;
-/// Fraction of a class's requests that may be late without pressure: bad query plans make some late always.
+/// Fraction of late requests that is tolerated without pressure, because bad query plans always make some
+/// late.
 const TOLERATED_LATE_FRACTION: f64 = 0.2;
-/// Lateness eases this many times as fast while executors have spare capacity.
-const FAST_EASING: f64 = 4.0;
-/// Arrivals a second that a class is taken to have besides its own: one late request proves little.
+/// Factor by which lateness decays faster while executors have spare capacity.
+const SPARE_CAPACITY_DECAY_FACTOR: f64 = 4.0;
+/// Arrivals per second added to a class's own rate, so that a single late request has little effect.
 const EXTRA_ARRIVAL_RATE: f64 = 1.0;
-/// Weight of lateness where executors report the requests they hold: lateness comes later and swings.
+/// Weight of lateness if executors report their number of requests: lateness lags behind load and oscillates.
 const LATENESS_WEIGHT_WITH_REPORTS: f64 = 0.5;
-/// Pressure whose crossing is logged.
+/// Pressure threshold; crossing it in either direction is logged.
 const LOGGED_PRESSURE: f64 = 0.5;
 
 /// The pressure of all classes.
 #[derive(Debug)]
 pub(crate) struct Pressure {
     classes: Vec<ClassPressure>,
-    /// The highest of any class.
+    /// The highest pressure of any class.
     pub(crate) highest: f64,
 }
 
-/// The pressure of a class, and the lateness that makes part of it.
+/// The pressure of a class, and the lateness that contributes to it.
 #[derive(Debug, Clone, Default)]
 struct ClassPressure {
-    /// Requests that have arrived since the last tick.
+    /// Arrivals since the last tick.
     arrivals: f64,
-    /// Arrivals a second.
+    /// Arrivals per second.
     arrival_rate: f64,
-    /// Fraction of requests that were late, over what is tolerated; 0 to 1.
+    /// Fraction of late requests beyond what is tolerated, 0 to 1.
     lateness: f64,
     /// How far the rules of the class close, 0 to `MAX_PRESSURE`.
     pressure: f64,
 }
 
 impl Pressure {
-    /// No pressure on any of so many classes.
+    /// No pressure on any of `classes` classes.
     pub(crate) fn new(classes: usize) -> Pressure {
         Pressure { classes: vec![ClassPressure::default(); classes], highest: 0.0 }
     }
@@ -56,7 +57,7 @@
         self.classes[class].pressure
     }
 
-    /// Counts a request of a class that has arrived.
+    /// Counts an arrival of a class.
     pub(crate) fn record_arrival(&mut self, class: ClassId) {
         self.classes[class].arrivals += 1.0;
     }
@@ -67,7 +68,7 @@
         class.lateness = (class.lateness + 1.0 / (class.arrival_rate + EXTRA_ARRIVAL_RATE)).min(1.0);
     }
 
-    /// Takes the arrivals of the last `tick_s` seconds into the classes' rates.
+    /// Updates the arrival rates with the arrivals of the last `tick_s` seconds.
     pub(crate) fn update_arrival_rates(&mut self, tick_s: f64) {
         for class in &mut self.classes {
             let latest = class.arrivals / tick_s;
@@ -76,16 +77,16 @@
         }
     }
 
-    /// Lets the lateness of a tick's time be forgotten.
-    fn ease_lateness(&mut self, mean_load: f64) {
-        let speed = if mean_load < SPARE_CAPACITY_LOAD { FAST_EASING } else { 1.0 };
-        let eased = speed * TOLERATED_LATE_FRACTION * TICK_US as f64 / 1e6;
+    /// Decays the lateness of all classes by one tick.
+    fn decay_lateness(&mut self, mean_load: f64) {
+        let factor = if mean_load < SPARE_CAPACITY_LOAD { SPARE_CAPACITY_DECAY_FACTOR } else { 1.0 };
+        let decay = factor * TOLERATED_LATE_FRACTION * TICK_US as f64 / 1e6;
         for class in &mut self.classes {
-            class.lateness = (class.lateness - eased).max(0.0);
+            class.lateness = (class.lateness - decay).max(0.0);
         }
     }
 
-    /// The most lateness of the classes that may use the same zones and kinds as a class.
+    /// The highest lateness of the classes with the same allowed zones and kinds as `class`.
     fn lateness_of_peers(&self, class: &Class, classes: &[Class]) -> f64 {
         let is_peer =
             |other: &Class| other.only_kinds == class.only_kinds && other.only_zones == class.only_zones;
@@ -93,7 +94,7 @@
         peers.map(|(_, peer)| peer.lateness).fold(0.0, f64::max)
     }
 
-    /// Works out the pressure of each class.
+    /// Computes the pressure of each class.
     fn update(&mut self, classes: &[Class], pools: &BTreeMap<u64, PoolLoad>, lateness_weight: f64) {
         for id in 0..classes.len() {
             let by_lateness = self.lateness_of_peers(&classes[id], classes) * lateness_weight;
@@ -104,18 +105,18 @@
         self.highest = self.classes.iter().map(|class| class.pressure).fold(0.0, f64::max);
     }
 
-    /// The most lateness of any class.
-    fn most_lateness(&self) -> f64 {
+    /// The highest lateness of any class.
+    fn max_lateness(&self) -> f64 {
         self.classes.iter().map(|class| class.lateness).fold(0.0, f64::max)
     }
 }
 
 impl Balancer {
-    /// Updates the pressure; `counts_requests` is whether executors report the requests they hold.
+    /// Updates the pressure; `counts_requests` states whether executors report their number of requests.
     pub(super) fn update_pressure(&mut self, counts_requests: bool) {
         let before = self.pressure.highest;
         let lateness_weight = if counts_requests { LATENESS_WEIGHT_WITH_REPORTS } else { 1.0 };
-        self.pressure.ease_lateness(self.load.mean_load);
+        self.pressure.decay_lateness(self.load.mean_load);
         self.pressure.update(&self.settings.classes, &self.load.pools, lateness_weight);
         if (before > LOGGED_PRESSURE) != (self.pressure.highest > LOGGED_PRESSURE) {
             self.log_pressure();
@@ -123,14 +124,14 @@
     }
 
     fn log_pressure(&mut self) {
-        let (pressure, lateness) = (self.pressure.highest, self.pressure.most_lateness());
+        let (pressure, lateness) = (self.pressure.highest, self.pressure.max_lateness());
         let (load, share) = (self.load.mean_load, self.load.traffic_share);
         self.log(format!(
             "pressure {pressure:.1}: {load:.1} threads a core, late {lateness:.2}, share {share:.4}"
         ));
     }
 
-    /// Counts a late request, unless it is late because this process itself stood still.
+    /// Counts a late request, unless this process has just resumed from a stall, which may have made it late.
     pub(in crate::balancer) fn record_late(&mut self, class: ClassId) {
         if self.now != self.resumed_at {
             self.pressure.record_late(class);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,8 @@
-//! Every decision of the dispatcher. The interface (settings, events, actions, ids) stands in `src/api/`.
+//! All decisions of the dispatcher. Their interface (settings, events, actions, ids) is in `src/api/`.
 //!
-//! The way of a request: its cost is predicted, the matching rule's bucket admits or rejects it, it waits for
-//! its turn if it has a key, and an executor is drawn by weight. An attempt that fails or takes too long is
-//! retried within the retry budget.
+//! For each request, the balancer predicts the cost, admits or rejects the request by the token bucket of the
+//! matching rule, queues it if it has a key, and picks an executor in a weighted random draw. Attempts that
+//! fail or take too long are retried within the retry budget.
 
 mod admission;
 mod attempt;
@@ -31,34 +31,34 @@
 use crate::api::{Action, DurationUs, Event, Settings, SettingsError, TimestampUs, check};
 use crate::state::Balancer;
 
-/// Interval of the periodic checks: short beside any latency objective.
+/// Interval of the periodic checks; short compared with any latency objective.
 const TICK_US: DurationUs = 100_000;
-/// Without any event for this long this process itself stood still, as ticks did not come either.
+/// A gap between events that is longer than this means that this process was stalled: ticks were missed too.
 const STALL_US: DurationUs = 3 * TICK_US;
-/// Retry-After of a request that is rejected for want of time or of executors.
+/// Retry-After of requests that are rejected for lack of time or executors.
 const RETRY_AFTER_US: DurationUs = 1_000_000;
 
-/// Token of the timer of the periodic checks.
+/// Timer token of the periodic checks.
 const TICK_TIMER: u64 = 0;
-/// Token of the timer that ends a wait for probes.
+/// Timer token of the end of a wait for probes.
 const PROBE_WAIT_TIMER: u64 = 1;
 
 impl Balancer {
-    /// A dispatcher that knows its settings and nothing else; `seed` feeds its random draws.
+    /// Creates a balancer that knows no executors yet; `seed` initializes its random number generator.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Balancer, SettingsError> {
         check(&settings)?;
         Ok(Balancer::empty(settings, seed))
     }
 
-    /// Decides by other settings of the same classes, tenants and kinds from now on, and returns those
-    /// before. Open requests end under the settings that admitted them; rules that stay keep what is in their
-    /// buckets.
+    /// Replaces the settings and returns the previous ones. Classes, tenants and kinds must be the same. Open
+    /// requests complete under the settings that admitted them, and admission rules that exist under both
+    /// settings keep their token buckets.
     ///
     /// # Errors
-    /// The settings make no sense; those before stay in force.
+    /// The new settings are invalid; the previous ones stay in effect.
     pub fn update_settings(&mut self, settings: Settings) -> Result<Settings, SettingsError> {
         check(&settings)?;
         self.admission.update(&settings);
@@ -70,13 +70,13 @@
         Ok(old_settings)
     }
 
-    /// This dispatcher shuts down at `deadline`: what cannot finish by then is not begun.
+    /// Schedules the shutdown of this dispatcher: requests that cannot finish by `deadline` are not started.
     pub fn set_shutdown_deadline(&mut self, deadline: TimestampUs) {
         self.shutdown_deadline = deadline;
         self.shutdown_deadline_changed = true;
     }
 
-    /// Takes one event at time `now` and appends what is to be done, in order.
+    /// Handles an event at time `now` and appends the resulting actions in order.
     pub fn handle(&mut self, now: TimestampUs, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         self.now = now.max(self.now);
@@ -85,8 +85,9 @@
         actions.append(&mut self.actions);
     }
 
-    /// Guards against ejecting executors for this process's own pause: after it, messages that were not read
-    /// meanwhile look as if they had not been sent. The pause counts as a message of each.
+    /// Prevents ejections caused by a stall of this process itself: messages that it could not read during
+    /// the stall look as if the executors had not sent them. The end of the stall counts as a message from
+    /// each.
     fn detect_stall(&mut self, now: TimestampUs) {
         if !self.started || now <= self.now + STALL_US {
             return;
@@ -95,7 +96,7 @@
         self.executors.for_each_active(|executor| executor.last_message_at = now);
     }
 
-    /// With the first event the periodic checks and the watch of the endpoint list begin.
+    /// On the first event, starts the periodic checks and the watch of the endpoint list.
     fn start_once(&mut self) {
         if std::mem::replace(&mut self.started, true) {
             return;
@@ -125,12 +126,12 @@
         }
     }
 
-    /// The periodic checks.
+    /// Runs the periodic checks.
     fn tick(&mut self) {
         self.actions.push(Action::SetTimer { token: TICK_TIMER, after: TICK_US });
         let tick_s = TICK_US as f64 / 1e6;
         self.pressure.update_arrival_rates(tick_s);
-        self.admission.forget_tenant_requests(tick_s);
+        self.admission.decay_tenant_requests(tick_s);
         self.trim_retry_history();
         self.finish_slow_starts();
         self.update_load();
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,43 +1,45 @@
-//! Outlier detection: executors that fail more often than others are ejected for a while, and one answer at a
-//! time lets them back.
+//! Outlier detection: executors with a high error rate are ejected for a limited time, then readmitted
+//! through one trial attempt at a time.
 
 use crate::api::{Action, DurationUs, ExecutorId, Outcome, Report, RequestId, TimestampUs};
 use crate::balancer::TICK_US;
 use crate::state::{Attempt, Balancer, Executor};
 use std::fmt;
 
-/// Error rate above which an executor is ejected: two resets, or six errors, which may be the statement's.
+/// Error rate above which an executor is ejected: two resets, or six errors, as an error may be the
+/// statement's fault.
 const EJECTION_ERROR_RATE: f64 = 0.25;
-/// Weight of an answer in an executor's error rate.
+/// Weight of a success in an executor's error rate.
 const SUCCESS_WEIGHT: f64 = 0.15;
-/// Weight of an error, which may be the statement's and not the executor's.
+/// Weight of an error, which may be the fault of the statement instead of the executor.
 const ERROR_WEIGHT: f64 = 0.05;
-/// Weight of a connection that was reset.
+/// Weight of a connection reset.
 const RESET_WEIGHT: f64 = 0.15;
-/// Further weight of an error on a request that another executor then served: the second one ejects.
+/// Additional weight of an error on a request that another executor then served. The second such error
+/// ejects.
 const ATTRIBUTED_ERROR_WEIGHT: f64 = 0.24;
-/// Length of the first ejection; each further one is twice as long.
+/// Duration of the first ejection; it doubles with each further one.
 const FIRST_EJECTION_US: DurationUs = 1_000_000;
-/// The longest ejection.
+/// Maximum duration of an ejection.
 const MAX_EJECTION_US: DurationUs = 8_000_000;
-/// Ejections after which their length no longer doubles.
+/// Number of ejections after which the duration no longer doubles.
 const MAX_DOUBLINGS: u32 = 5;
-/// How long an executor that rejected an attempt gets no other.
+/// Time for which an executor gets no attempts after it rejected one.
 const REJECTION_PAUSE_US: DurationUs = 3 * TICK_US;
 
-/// What outlier detection remembers of one executor.
+/// The state of outlier detection for one executor.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ExecutorHealth {
-    /// Share of outcomes that were errors, a running mean from 0 to 1.
+    /// Running mean of the fraction of failed outcomes, 0 to 1.
     pub(crate) error_rate: f64,
-    /// End of the ejection. It stays set until an answer comes; once it is past, one attempt at a time is let
-    /// through as a trial.
+    /// End of the ejection. Stays set until a success; once it has passed, one attempt at a time is sent as a
+    /// trial.
     pub(crate) ejected_until: Option<TimestampUs>,
-    /// It gets nothing before this time, as it rejected an attempt.
+    /// End of the pause after the executor rejected an attempt.
     pub(crate) rejecting_until: TimestampUs,
-    /// Ejections, less one for each recovery.
+    /// Number of ejections, less one for each recovery.
     ejections: u32,
-    /// It was ejected as no message came; it counts as such until an answer comes.
+    /// Whether it was ejected as unresponsive and has not recovered yet.
     pub(crate) unresponsive: bool,
 }
 
@@ -64,24 +66,26 @@
 }
 
 impl ExecutorHealth {
-    /// Forgets what held of the process before a restart. Its rejections are of the last moments and stay.
+    /// Resets the state after a restart of the executor's process, except for the pause after a rejection,
+    /// which is recent.
     pub(crate) fn reset_after_restart(&mut self) {
         let rejecting_until = self.rejecting_until;
         *self = ExecutorHealth { rejecting_until, ..ExecutorHealth::default() };
     }
 
-    /// Whether its ejection still lasts.
+    /// Whether the ejection is still in effect.
     pub(crate) fn is_ejected(&self, now: TimestampUs) -> bool {
         self.ejected_until.is_some_and(|until| until > now)
     }
 
-    /// Counts an error of this weight into the error rate.
+    /// Adds an error of the given weight to the error rate.
     fn record_error(&mut self, weight: f64) {
         self.error_rate += (1.0 - self.error_rate) * weight;
     }
 
-    /// Counts an answer. True if it ends an ejection: the error rate is halved only, as one answer does not
-    /// clear an executor that fails every second time.
+    /// Adds a success to the error rate and returns whether it ends an ejection. In that case the error rate
+    /// is only halved, because one success does not prove the health of an executor that fails every other
+    /// time.
     fn record_success(&mut self) -> bool {
         self.error_rate *= 1.0 - SUCCESS_WEIGHT;
         let is_recovery = self.ejected_until.take().is_some();
@@ -93,7 +97,7 @@
         is_recovery
     }
 
-    /// Ejects for twice as long as the last time. False if it is ejected already.
+    /// Ejects the executor for twice as long as the last time. Returns false if it is already ejected.
     fn eject(&mut self, now: TimestampUs) -> bool {
         if self.is_ejected(now) {
             return false;
@@ -106,16 +110,16 @@
 }
 
 impl Balancer {
-    /// Whether an executor may get an attempt: it is not ejected, or its ejection is over and nothing is in
-    /// flight there, so that this one is its trial.
+    /// Whether an executor may get an attempt: it is not ejected, or its ejection has passed and it has no
+    /// other attempt in flight, so that this one is its trial.
     pub(super) fn healthy(&self, executor: &Executor) -> bool {
         let may_try = |until| self.now >= until && executor.attempts_in_flight.is_empty();
         let health = &executor.health;
         health.rejecting_until <= self.now && health.ejected_until.is_none_or(may_try)
     }
 
-    /// Counts the outcome of an attempt for its executor. A cancel or an attempt that was not sent says
-    /// nothing of it; after a time-out it is ejected only if no other message comes, see `unresponsive`.
+    /// Records the outcome of an attempt for its executor. Cancelled and unsent attempts give no information
+    /// about it. A timeout ejects it only if it sends no other messages either, see `unresponsive`.
     pub(super) fn record_executor_outcome(&mut self, index: usize, outcome: Outcome) {
         match outcome {
             Outcome::Ok => self.record_executor_success(index),
@@ -138,8 +142,8 @@
         }
     }
 
-    /// An error does not tell that an executor has restarted; only the endpoint list does. With each reset
-    /// taken for a restart, bad links would put most of a fleet into slow start.
+    /// An error is never taken for a restart of the executor; only the endpoint list reports restarts. If
+    /// resets counted as restarts, bad network links would put most of a fleet into slow start.
     fn record_executor_error(&mut self, index: usize, weight: f64, reason: EjectionReason) {
         let executor = &mut self.executors[index];
         executor.record_message(self.now);
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Ejects an executor, unless it is ejected already.
+    /// Ejects an executor, unless it is already ejected.
     pub(super) fn eject(&mut self, index: usize, reason: EjectionReason) {
         let executor = &mut self.executors[index];
         if executor.health.eject(self.now) {
@@ -159,7 +163,8 @@
         }
     }
 
-    /// A request was served: errors of its other attempts were their executors' own, not the statement's.
+    /// After a request was served, attributes errors of its other attempts to their executors, as they were
+    /// not the statement's fault.
     pub(super) fn attribute_errors(&mut self, id: RequestId) {
         let has_failed = |attempt: &&Attempt| attempt.outcome == Some(Outcome::Error);
         for attempt in self.requests[&id].attempts.iter().filter(has_failed) {
@@ -167,7 +172,8 @@
         }
     }
 
-    /// A probe is over. An answer lets requests that wait for probes go on; none ejects.
+    /// Handles the end of a probe. A response resumes requests that wait for probes; a missing one ejects the
+    /// executor.
     pub(super) fn handle_probe_finished(
         &mut self,
         executor: ExecutorId,
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,19 +1,19 @@
-//! Placement: which executors the rules permit for an attempt, whatever the draw would like.
+//! Placement: hard constraints on the executors that an attempt may be sent to, independent of their weights.
 
 use crate::api::{ClassId, DurationUs, Idempotency, KeyScope, Outcome};
 use crate::state::{Attempt, Balancer, Executor, Request};
 
 impl Balancer {
-    /// Whether requests of a class may go to the executor, by its zone and kind of machine.
+    /// Whether the zone and kind of an executor are allowed for a class.
     pub(super) fn placement_allows(&self, class: ClassId, executor: &Executor) -> bool {
         let class = &self.settings.classes[class];
         executor.is_within(&class.only_zones, &class.only_kinds)
     }
 
-    /// Whether the rules let an attempt of the request go to the executor now.
+    /// Whether an attempt of the request may be sent to the executor now.
     ///
-    /// Guards against requests lost on executors that shut down: nothing is sent from the moment that the
-    /// endpoint list has one as draining, well inside its grace.
+    /// An executor gets no attempts from the moment that the endpoint list has it as draining, well within
+    /// its grace period. Otherwise requests would be lost on executors that shut down.
     pub(super) fn permitted(&self, request: &Request, i: usize) -> bool {
         let executor = &self.executors[i];
         executor.listed()
@@ -22,9 +22,9 @@
             && self.slow_start_allows(request, executor)
     }
 
-    /// Guards against work that runs twice, which a retry causes if the attempt before ran though it seemed
-    /// lost. A request that is not idempotent is sent again only if no attempt can have run; one with an
-    /// idempotency key only where and while the executors drop its repeats.
+    /// Prevents duplicate execution, which a retry causes if an earlier attempt ran although it seemed lost.
+    /// A non-idempotent request is retried only if no attempt can have run; one with an idempotency key only
+    /// on executors, and within the time, in which duplicates of its earlier attempts are recognised.
     fn idempotency_allows(&self, request: &Request, executor: &Executor) -> bool {
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
@@ -32,13 +32,13 @@
             Idempotency::IdempotencyKey { scope, window } => {
                 let may_have_run = |a: &&Attempt| !a.outcome.is_some_and(Outcome::never_ran);
                 let mut attempts = request.attempts.iter().filter(may_have_run);
-                attempts.all(|attempt| self.drops_repeat(attempt, executor, scope, window))
+                attempts.all(|attempt| self.drops_duplicate(attempt, executor, scope, window))
             }
         }
     }
 
-    /// Whether the executor would drop a repeat of the attempt now.
-    fn drops_repeat(
+    /// Whether the executor would recognise a duplicate of the attempt now.
+    fn drops_duplicate(
         &self,
         attempt: &Attempt,
         executor: &Executor,
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a request: arrival, the wait for probes, the final answer, its removal.
+//! The life cycle of a request: arrival, waiting for probes, final answer and removal.
 
 use crate::api::{Action, Arrival, ClassId, DurationUs, EndReason, Idempotency, KeyScope, RequestId};
 use crate::balancer::selection::PROBE_WAIT_US;
@@ -6,7 +6,7 @@
 use crate::state::{Balancer, Request};
 
 impl Balancer {
-    /// A request has arrived: it is admitted, joins its key's queue and is started, or it is rejected.
+    /// Handles the arrival of a request: admits, queues and starts it, or rejects it.
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         self.retry_limiter.record_arrival(self.now);
         self.probe_budget.add_request(self.settings.probe_price);
@@ -24,14 +24,14 @@
         }
     }
 
-    /// Counts a request into the figures of its class and its tenant.
+    /// Records an arrival in the statistics of its class and tenant.
     fn count_arrival(&mut self, arrival: &Arrival, predicted_cost: f64) {
         self.cost_model.record_arrival(arrival, predicted_cost);
         self.pressure.record_arrival(arrival.class);
         self.admission.record_arrival(arrival.tenant);
     }
 
-    /// Enters a request among the open ones.
+    /// Adds a request to the open requests.
     fn open_request(&mut self, arrival: &Arrival, predicted_cost: f64) {
         let preferred_executors = self.preferred_executors(arrival.class, arrival.table_group);
         let latency_objective = self.latency_objective(arrival.class, predicted_cost);
@@ -49,14 +49,15 @@
         self.requests.insert(arrival.request, request);
     }
 
-    /// Time from arrival within which an answer earns the whole weight: longer for a costlier request.
+    /// Time from arrival within which an answer scores the full weight; longer for more expensive requests.
     fn latency_objective(&self, class: ClassId, predicted_cost: f64) -> DurationUs {
         let class = &self.settings.classes[class];
         let stretch = class.latency_objective_stretch * predicted_cost / f64::from(class.threads);
         class.latency_objective + (stretch * 1e6) as DurationUs
     }
 
-    /// Sends a request's first attempt, once it is its turn; it may wait for probes before.
+    /// Sends a request's first attempt if the order of its key allows it. The request may wait for probes
+    /// first.
     pub(super) fn start_request(&mut self, id: RequestId) {
         if let Some(reason) = self.cannot_finish_in_time(id) {
             return self.reject_or_fail_request(id, RETRY_AFTER_US, reason);
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Whether a request may still wait for probes: until its wait is over, or if it did not wait yet and has
-    /// time for twice the wait.
+    /// Whether a request may wait for probes: its wait has not ended, or it has not waited yet and has time
+    /// for twice the wait.
     fn may_wait_for_probes(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         match request.probe_wait_until {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Starts the requests that wait for probes: one has been answered, or the wait is over.
+    /// Starts the requests that wait for probes, after a response to a probe or at the end of the wait.
     pub(super) fn resume_after_probes(&mut self) {
         let is_waiting = |request: &Request| !request.answered && request.attempts.is_empty();
         let mut waiting = std::mem::take(&mut self.awaiting_probes);
@@ -95,12 +96,12 @@
             }
             self.requests.get(id).is_some_and(is_waiting)
         });
-        // Those that began to wait meanwhile come first.
+        // Requests that began to wait in the loop above come first.
         self.awaiting_probes.append(&mut waiting);
     }
 
-    /// Ends a request without an answer from an executor, the one place that does so. It is rejected, which
-    /// tells the client that a repeat is harmless, where that is so; else it fails.
+    /// Ends a request without a response from an executor; the only function that does so. The request is
+    /// rejected if the client may safely retry it, and fails otherwise.
     pub(super) fn reject_or_fail_request(
         &mut self,
         id: RequestId,
@@ -118,8 +119,8 @@
         self.finish_request(id);
     }
 
-    /// Whether a client may send a request again, whatever became of its attempts: it is idempotent on all
-    /// executors, or none of its attempts ran.
+    /// Whether a client may safely retry a request whatever the state of its attempts: it is idempotent on
+    /// all executors, or none of its attempts ran.
     fn is_safe_to_repeat(&self, request: &Request) -> bool {
         let is_idempotent_everywhere = matches!(
             self.settings.classes[request.class].idempotency,
@@ -128,13 +129,15 @@
         is_idempotent_everywhere || request.never_ran()
     }
 
-    /// A Retry-After that clients follow, a tick or longer; `None` where advice is not passed on.
+    /// Limits a Retry-After to the range from one tick to the maximum; `None` if Retry-After is not
+    /// supported.
     fn bounded_retry_after(&self, retry_after: DurationUs) -> Option<DurationUs> {
         let max_retry_after = self.settings.max_retry_after?;
         Some(retry_after.clamp(TICK_US, max_retry_after.max(TICK_US)))
     }
 
-    /// A request has its answer, or its client has left: its attempts are cancelled where that is allowed.
+    /// Marks a request as answered (or its client as disconnected) and cancels its attempts if that is
+    /// allowed.
     pub(super) fn finish_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_cancel = self.settings.cancellation
@@ -149,7 +152,7 @@
         self.remove_finished_request(id);
     }
 
-    /// Removes a request that has its answer and none of whose attempts is in flight.
+    /// Removes a request once it is answered and has no attempts in flight.
     pub(super) fn remove_finished_request(&mut self, id: RequestId) {
         let is_over = |request: &Request| request.answered && request.attempts_in_flight() == 0;
         if !self.requests.get(&id).is_some_and(is_over) {
@@ -160,7 +163,8 @@
         }
     }
 
-    /// A streamed answer has begun: its attempt belongs to the client and is neither cancelled nor repeated.
+    /// Marks a request as streaming: the client receives its response, so it is neither cancelled nor
+    /// retried.
     pub(super) fn start_streaming(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -1,25 +1,27 @@
-//! Which executors a draw chooses among: all usable ones of a small fleet, a bounded sample of a large one.
+//! The candidates of a draw: all usable executors of a small fleet, or a bounded sample of a large one.
 //!
 //! Each dispatcher has a subset of the warm executors (a deterministic aperture): a window of the hash ring
-//! from a position of its own, so that all subsets together cover the list evenly and a change of the list
-//! moves few. A draw looks at a sample of the subset. Executors in slow start are sampled from the whole
-//! list: each may get its part of their budget from any dispatcher.
+//! that starts at the dispatcher's own position, so that the subsets cover the list evenly and change little
+//! when the list changes. A draw considers a sample of the subset. Executors in slow start are sampled from
+//! the whole list, as every dispatcher may use its share of their budget.
 
 use crate::api::{Idempotency, RequestId};
 use crate::state::{Balancer, Executor, Part, Request};
 
-/// Executors that a decision looks at, whatever the length of the list; usual fleets have fewer.
+/// Maximum number of executors examined per decision, whatever the length of the list. Most fleets are
+/// smaller.
 pub(super) const SAMPLE_SIZE: usize = 128;
-/// Dispatchers that have each executor of a large fleet in their subsets, so that loads differ little.
+/// Number of dispatchers that have each executor of a large fleet in their subsets, to even out the load.
 const SUBSET_OVERLAP: usize = 16;
-/// Size of the second sample, as a multiple; it is looked at if too few executors of the first are healthy.
+/// Size of the second sample relative to the first. It is drawn if too few executors of the first are
+/// healthy.
 const WIDER_SAMPLE_FACTOR: usize = 4;
-/// Ejections are ignored while less than this share of the permitted cores would be left.
+/// Ejections are ignored if less than this fraction of the permitted cores would remain.
 const LEAST_HEALTHY_CORES: f64 = 0.4;
 
 impl Balancer {
-    /// The executors that no rule forbids and health allows, those that the request has not tried if there
-    /// are any. Where too few are healthy, the unhealthy ones too: an ejection must not take the fleet down.
+    /// The permitted and healthy executors; only those that the request has not tried, if there are any. If
+    /// too few are healthy, unhealthy ones are included, so that ejections cannot take down the fleet.
     pub(super) fn usable_executors(&mut self, id: RequestId) -> Vec<usize> {
         let mut usable = Vec::new();
         for sample_factor in [1, WIDER_SAMPLE_FACTOR] {
@@ -45,8 +47,8 @@
         candidates.into_iter().filter(|&i| self.permitted(request, i)).collect()
     }
 
-    /// The healthy ones. An ejected executor may be tried again by a request that can be repeated, but not by
-    /// one that would be lost there.
+    /// The healthy executors. The trial of an ejected executor is never a non-idempotent request, as that
+    /// would be lost if the trial failed.
     fn healthy_of(&self, id: RequestId, executors: &[usize]) -> Vec<usize> {
         let class = self.requests[&id].class;
         let may_be_trial = self.settings.classes[class].idempotency != Idempotency::NotIdempotent;
@@ -60,7 +62,7 @@
         executors.iter().map(|&i| self.executors[i].cores).sum()
     }
 
-    /// The executors that no attempt of the request went to, or all if there are none.
+    /// The executors without an attempt of the request, or all of them if each had one.
     fn prefer_untried(&self, id: RequestId, mut executors: Vec<usize>) -> Vec<usize> {
         let attempts = &self.requests[&id].attempts;
         let is_untried = |i: &usize| attempts.iter().all(|attempt| attempt.executor != *i);
@@ -70,7 +72,7 @@
         executors
     }
 
-    /// The executors that a draw for a request looks at, in the table's order: all of a small fleet, else a
+    /// The candidates of a draw for a request, in table order: all executors of a small fleet, or else a
     /// sample of `sample_factor` times the usual size.
     fn candidates(&mut self, id: RequestId, sample_factor: usize) -> Vec<usize> {
         let open_executors = self.executor_index.count(Part::All, self.open_to(&self.requests[&id]));
@@ -85,8 +87,8 @@
         chosen
     }
 
-    /// The executors that the request's table group prefers and those it tried, some of the dispatcher's
-    /// subset and some in slow start. The chances, from 0 to 1, say where the samples begin.
+    /// The request's preferred executors and those it has tried, a sample of the dispatcher's subset and a
+    /// sample of the executors in slow start. The chances, from 0 to 1, select where the samples start.
     fn sample(
         &self,
         request: &Request,
@@ -111,16 +113,17 @@
         chosen
     }
 
-    /// How many executors this dispatcher's subset has, of so many.
+    /// Size of this dispatcher's subset, given the total number of executors.
     fn subset_size(&self, executors: usize) -> usize {
         let covered = SUBSET_OVERLAP * executors / (self.settings.dispatchers as usize).max(1);
         covered.max(SAMPLE_SIZE)
     }
 
-    /// Tells of a pool whether its executors are open to a request.
+    /// Returns a predicate for the pools whose executors are eligible for a request.
     fn open_to<'a>(&self, request: &'a Request) -> impl Fn(u64) -> bool + use<'a> {
         let class = &self.settings.classes[request.class];
-        // A request goes by the placement that it was admitted with, also if the settings have changed since.
+        // A request keeps the placement constraints it was admitted with, even if the settings have changed
+        // since.
         let is_current = request.only_zones == class.only_zones && request.only_kinds == class.only_kinds;
         let class = request.class;
         move |pool| !is_current || pool >> class & 1 == 1
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -1,8 +1,7 @@
-//! Which executor an attempt goes to: a weighted random draw among the usable executors whose load is
-//! known.
+//! Executor selection: a weighted random draw among the usable executors whose load is known.
 //!
-//! The steps of a draw: find the usable executors, set apart those whose load report is old, probe some of
-//! these if the probe budget allows it, and draw one of the rest by weight.
+//! The steps are: find the usable executors, separate those with a stale load report, probe some of these if
+//! the probe budget allows it, and draw one of the others by weight.
 
 mod affinity;
 mod candidates;
@@ -15,31 +14,31 @@
 use crate::api::{Action, DurationUs, Reports, RequestId};
 use crate::state::{Balancer, Executor, draw_weighted};
 
-/// A load report is fresh for this long.
+/// Age up to which a load report is fresh.
 const REPORT_FRESHNESS_US: DurationUs = 800_000;
-/// Executors with a known load that a draw needs; with fewer of them others are probed first.
+/// Number of executors with a known load that a draw needs. If there are fewer, others are probed first.
 const CANDIDATES_WANTED: usize = 3;
-/// Longest wait of a request for the answers to its probes; some round trips.
+/// Maximum time that a request waits for responses to its probes; several round trips.
 pub(super) const PROBE_WAIT_US: DurationUs = 40_000;
-/// A probe without an answer is sent again after this long.
+/// Time after which an unanswered probe is sent again.
 const PROBE_RESEND_AFTER_US: DurationUs = 1_000_000;
 
-/// The usable executors of a draw, by position in the executor table.
+/// The usable executors of a draw, as positions in the executor table.
 struct Candidates {
-    /// Their load is known well enough to draw one.
+    /// Executors with a fresh load report.
     known: Vec<usize>,
-    /// Their report is old, and they are to be probed first.
+    /// Executors with a stale report that are to be probed first.
     to_probe: Vec<usize>,
-    /// Their report is old.
+    /// Other executors with a stale report.
     unknown: Vec<usize>,
-    /// In slow start: they are admitted to by tokens, which no probe changes.
+    /// Executors in slow start. They are limited by token buckets, so probing them is of no use.
     warming: Vec<usize>,
 }
 
 impl Candidates {
-    /// The executors to draw from. Where few are known, the others are drawn as well, as loaded as their
-    /// pool; those with a probe in flight only if there is nobody else.
-    fn into_drawn_from(self, few_known: bool, probe_in_flight: impl Fn(usize) -> bool) -> Vec<usize> {
+    /// The executors to draw from. If few are known, the others are included at the assumed load of their
+    /// pool; those with a probe in flight only if there are no others.
+    fn into_draw_set(self, few_known: bool, probe_in_flight: impl Fn(usize) -> bool) -> Vec<usize> {
         let mut all = self.known;
         if few_known {
             let others = self.unknown.into_iter().chain(self.to_probe);
@@ -55,11 +54,11 @@
 }
 
 impl Balancer {
-    /// Draws an executor for the next attempt of a request; its position in the table. `None` if there is
-    /// none, or, with `may_probe`, if the request now waits for the answers to probes.
+    /// Draws an executor for the next attempt of a request and returns its position in the table. Returns
+    /// `None` if there is none or, with `may_probe`, if the request now waits for responses to probes.
     pub(super) fn draw_executor(&mut self, id: RequestId, may_probe: bool) -> Option<usize> {
         let usable = self.usable_executors(id);
-        let mut candidates = self.sort_by_knowledge(id, usable);
+        let mut candidates = self.classify_candidates(id, usable);
         let choices = self.count_choices(id, &candidates.known);
         if may_probe {
             self.choose_probes(id, choices, &mut candidates);
@@ -70,12 +69,12 @@
             }
         }
         let few_known = choices < CANDIDATES_WANTED;
-        let drawn_from = candidates.into_drawn_from(few_known, |i| self.executors[i].probe_sent_at.is_some());
-        self.draw_by_weight(id, drawn_from)
+        let draw_set = candidates.into_draw_set(few_known, |i| self.executors[i].probe_sent_at.is_some());
+        self.draw_by_weight(id, draw_set)
     }
 
-    /// Sets apart the executors whose load is known, those to probe first and those in slow start.
-    fn sort_by_knowledge(&self, id: RequestId, usable: Vec<usize>) -> Candidates {
+    /// Splits the usable executors by whether they are in slow start, have a known load or are to be probed.
+    fn classify_candidates(&self, id: RequestId, usable: Vec<usize>) -> Candidates {
         let probes_help = self.probes_help();
         let (warming, warm): (Vec<usize>, Vec<usize>) =
             usable.into_iter().partition(|&i| self.warming_rate(&self.executors[i]).is_some());
@@ -87,26 +86,26 @@
         let seeks_affinity = !self.settings.classes[request.class].yields_to_loads;
         let is_wanted = |i: &usize| {
             let executor = &self.executors[*i];
-            seeks_affinity && request.prefers(executor) || self.awaits_probe(executor)
+            seeks_affinity && request.prefers(executor) || self.is_probe_pending(executor)
         };
         let (to_probe, unknown) = unknown.into_iter().partition(is_wanted);
         Candidates { known, to_probe, unknown, warming }
     }
 
-    /// Whether a probe can improve a draw: only where reports tell of load, and there is a choice.
+    /// Whether a probe can improve a draw: reports state the load, and there is more than one executor.
     fn probes_help(&self) -> bool {
         let reports_load =
-            self.settings.reports != Reports::Off && self.load.reports_tell_load != Some(false);
+            self.settings.reports != Reports::Off && self.load.reports_state_load != Some(false);
         reports_load && self.settings.probes && self.executors.len() > 1
     }
 
-    /// A probe was sent lately and its answer is still expected.
-    fn awaits_probe(&self, executor: &Executor) -> bool {
+    /// Whether a probe was sent recently and its response is still expected.
+    fn is_probe_pending(&self, executor: &Executor) -> bool {
         executor.probe_sent_at.is_some_and(|sent| self.now < sent + PROBE_RESEND_AFTER_US)
     }
 
-    /// The known executors that count as a choice. Preferred executors without room do not: else a few hot
-    /// table groups would never leave theirs.
+    /// Number of executors with a known load that count as a choice. Preferred executors without spare
+    /// capacity do not count; otherwise requests for a few hot table groups would never be sent elsewhere.
     fn count_choices(&self, id: RequestId, known: &[usize]) -> usize {
         let request = &self.requests[&id];
         let is_full = |executor: &Executor| {
@@ -115,8 +114,8 @@
         known.iter().filter(|&&i| !is_full(&self.executors[i])).count()
     }
 
-    /// Adds unknown executors, drawn by weight, to those to probe until the draw would have enough
-    /// candidates.
+    /// Draws executors of unknown load by weight and adds them to those to probe, until the draw would have
+    /// enough candidates.
     fn choose_probes(&mut self, id: RequestId, choices: usize, candidates: &mut Candidates) {
         if candidates.to_probe.len() + choices >= CANDIDATES_WANTED {
             return;
@@ -129,21 +128,21 @@
         }
     }
 
-    /// Probes executors as far as the probe budget goes; whether any answer is awaited now.
+    /// Probes executors within the probe budget and returns whether any response is pending.
     fn send_probes(&mut self, id: RequestId, to_probe: &[usize]) -> bool {
         let is_expensive = self.requests[&id].predicted_cost > self.cost_model.mean_cost.value;
         let reserve = if is_expensive { 0.0 } else { ProbeBudget::reserve(self.settings.probe_price) };
-        let mut awaited = false;
+        let mut any_pending = false;
         for &i in to_probe {
-            if !self.awaits_probe(&self.executors[i]) {
+            if !self.is_probe_pending(&self.executors[i]) {
                 if !self.probe_budget.try_spend(reserve) {
                     continue;
                 }
                 self.send_probe(i);
             }
-            awaited = true;
+            any_pending = true;
         }
-        awaited
+        any_pending
     }
 
     fn send_probe(&mut self, i: usize) {
@@ -154,14 +153,14 @@
         self.mark_active(i);
     }
 
-    /// Draws by weight until an executor takes the request: one in slow start may not.
-    fn draw_by_weight(&mut self, id: RequestId, mut drawn_from: Vec<usize>) -> Option<usize> {
-        let mut weights = self.weights(id, &drawn_from);
+    /// Draws by weight until an executor admits the request; only executors in slow start may not admit it.
+    fn draw_by_weight(&mut self, id: RequestId, mut draw_set: Vec<usize>) -> Option<usize> {
+        let mut weights = self.weights(id, &draw_set);
         while let Some(drawn) = draw_weighted(&weights, self.chance()) {
-            if self.admit_to_warming(id, drawn_from[drawn]) {
-                return Some(drawn_from[drawn]);
+            if self.admit_to_warming(id, draw_set[drawn]) {
+                return Some(draw_set[drawn]);
             }
-            drawn_from.remove(drawn);
+            draw_set.remove(drawn);
             weights.remove(drawn);
         }
         None
--- a/src/balancer/selection/weight.rs
+++ b/src/balancer/selection/weight.rs
@@ -1,29 +1,29 @@
-//! The weight of an executor in the draw: capacity and affinity for it; load, price, slowness and errors
-//! against.
+//! The weight of an executor in the draw: it grows with capacity and affinity, and falls with load, price,
+//! latency and errors.
 
 use crate::api::{Idempotency, Reports, RequestId};
 use crate::state::{Balancer, Executor, Request};
 
-/// Load, in threads a core, added to each executor's own, so that idle ones do not draw everything.
+/// Load added to each executor's own, in threads per core, so that idle executors do not attract everything.
 const LOAD_FLOOR: f64 = 0.25;
-/// The weight falls with this power of the load.
+/// Exponent of the load, by which the weight is divided.
 const LOAD_POWER: i32 = 3;
-/// Growth of an executor's distance for each point of service that an attempt across zones costs.
+/// Growth of the zone distance factor per service point of the price of a cross-zone attempt.
 const CROSS_ZONE_WEIGHT: f64 = 200.0;
-/// The same for each point of service that a new connection costs.
+/// Growth of the connection factor per service point of the price of a new connection.
 const HANDSHAKE_WEIGHT: f64 = 4000.0;
-/// Least latency, relative to other executors, that is believed of one.
+/// Lower bound of an executor's relative latency.
 const LEAST_RELATIVE_LATENCY: f64 = 0.5;
-/// The weight falls with this power of an executor's share of successes.
+/// Exponent of an executor's success rate in its weight.
 const SUCCESS_POWER: i32 = 2;
-/// The same for requests that must not run twice, which fail with their first error.
+/// Exponent of the success rate for non-idempotent requests, which fail on their first error.
 const SUCCESS_POWER_NOT_IDEMPOTENT: i32 = 8;
-/// Weight, for requests that must not run twice, of an executor that has served nothing yet: one that fails
-/// at once looks idle to a probe.
+/// Weight factor, for non-idempotent requests, of an executor that has not served any request yet. An
+/// executor that fails immediately looks idle to a probe.
 const UNTRIED_WEIGHT: f64 = 0.1;
-/// Weight of an ejected executor, where too few others are left.
+/// Weight factor of an unhealthy executor, used if too few healthy ones remain.
 const UNHEALTHY_WEIGHT: f64 = 0.05;
-/// Least capacity, in cores, that the load is divided by.
+/// Lower bound of the capacity as a divisor of the load, in cores.
 const LEAST_CAPACITY: f64 = 1e-9;
 
 impl Balancer {
@@ -46,13 +46,13 @@
         if self.healthy(executor) { weight } else { weight * UNHEALTHY_WEIGHT }
     }
 
-    /// What an attempt costs there beside one at a near, connected executor of usual latency.
+    /// Price of an attempt relative to an executor in the same zone, with a connection and the usual latency.
     fn relative_price(&self, executor: &Executor) -> f64 {
         let latency = executor.relative_latency.value_or(1.0).max(LEAST_RELATIVE_LATENCY);
         latency * self.zone_distance(executor) * self.connection_factor(executor)
     }
 
-    /// 1 in the dispatcher's own zone, more in others.
+    /// Price factor of the zone: 1 for the dispatcher's own zone, higher for others.
     pub(super) fn zone_distance(&self, executor: &Executor) -> f64 {
         if executor.endpoint.zone == self.settings.zone {
             return 1.0;
@@ -60,8 +60,8 @@
         1.0 + CROSS_ZONE_WEIGHT * self.settings.cross_zone_price
     }
 
-    /// 1 where a connection is there, more where one has to be made. Executors in slow start are exempt: all
-    /// dispatchers are to use them.
+    /// Price factor of the connection: 1 if it exists, higher if it must be established. Executors in slow
+    /// start are exempt, because all dispatchers should use them.
     fn connection_factor(&self, executor: &Executor) -> f64 {
         if executor.connected || self.capacity_fraction(executor) < 1.0 {
             return 1.0;
@@ -69,7 +69,7 @@
         1.0 + HANDSHAKE_WEIGHT * self.settings.handshake_price
     }
 
-    /// How likely the executor is to serve the request, by its errors.
+    /// Weight factor for the probability that the executor serves the request, by its error rate.
     fn success_factor(&self, request: &Request, executor: &Executor) -> f64 {
         let success_rate = 1.0 - executor.health.error_rate;
         if self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,68 +1,68 @@
-//! Slow start: how much work an executor that has just started is sent, so that all dispatchers together do
-//! not push it over.
+//! Slow start: limits the work sent to a recently started executor, so that all dispatchers together do not
+//! overload it.
 //!
-//! An executor that is sent more than `overload_factor` times its present capacity within `overload_window`
-//! falls over. Dispatchers share nothing, so each keeps within its share of a part of that budget. Work is
-//! counted in thread-seconds. Where a dispatcher's share is less than one request, it admits one by chance in
-//! proportion, so that all of them together send what is meant in the mean.
+//! An executor fails if it is sent more than `overload_factor` times its current capacity within
+//! `overload_window`. Dispatchers do not coordinate, so each one stays within its share of a fraction of that
+//! budget. Work is counted in thread-seconds. If a dispatcher's share is less than one request, it admits
+//! requests with a proportional probability, so that all dispatchers together send the intended mean.
 
 use crate::api::{RequestId, TimestampUs};
 use crate::state::{Balancer, Executor, Request, TokenBucket};
 
-/// Share of the budget of an executor in slow start that all dispatchers use in the mean.
+/// Mean fraction of an executor's slow-start budget that all dispatchers together use.
 const BUDGET_UTILIZATION: f64 = 0.4;
-/// Windows of the budget that may be saved up for one request.
+/// Maximum number of windows' budget that may be saved up for one request.
 const SAVED_WINDOWS: f64 = 4.0;
-/// The largest request that is sent, as a share of the budget of a window.
+/// Maximum size of a request, as a fraction of the budget of a window.
 const LARGEST_REQUEST: f64 = 0.3;
-/// A request counts as this share of its class's mean at least, as estimates are rough.
+/// Lower bound of a request's work as a fraction of its class's mean, because estimates are imprecise.
 const LEAST_OF_CLASS_MEAN: f64 = 0.5;
-/// Least capacity fraction that a rate is divided by.
+/// Lower bound of a capacity fraction as a divisor.
 const LEAST_CAPACITY_FRACTION: f64 = 1e-9;
 
 /// Work that may be sent to one executor in slow start, in thread-seconds.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WarmingBuckets {
-    /// Own share of the budget, at the rate of the executor's first moment; admitted requests take from it.
+    /// This dispatcher's share of the budget at the executor's initial rate; charged by admitted requests.
     share: TokenBucket,
-    /// Tokens that requests draw a chance of admission with.
+    /// Tokens that determine the admission probability of a request.
     admission: TokenBucket,
 }
 
 impl WarmingBuckets {
-    /// Empty buckets of an executor that has started.
+    /// Empty buckets for an executor that has just started.
     pub(crate) fn new(now: TimestampUs) -> WarmingBuckets {
         let empty = TokenBucket { updated_at: now, ..TokenBucket::default() };
         WarmingBuckets { share: empty.clone(), admission: empty }
     }
 }
 
-/// The limit over all executors in slow start.
+/// The limit over all executors in slow start together.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SlowStartAdmission {
-    /// Admission tokens that may be spent at all of them together, in thread-seconds.
+    /// Admission tokens for all of these executors together, in thread-seconds.
     tokens: TokenBucket,
 }
 
-/// Work that an executor in slow start may be sent, in thread-seconds a second.
+/// Maximum rate of work for an executor in slow start, in thread-seconds per second.
 pub(super) struct WarmingRate {
-    /// By all dispatchers together.
+    /// From all dispatchers together.
     all_dispatchers: f64,
-    /// By this dispatcher.
+    /// From this dispatcher.
     own: f64,
 }
 
-/// What a request asks of an executor in slow start, and what this dispatcher may send there.
+/// The work of a request for an executor in slow start, and the limits of this dispatcher.
 struct Admission {
     /// Work of the request, in thread-seconds.
     work: f64,
-    /// What it takes from the own share: its class's mean at least, so that low estimates gain nothing.
+    /// Work charged to the share: at least the mean of its class, so that low estimates give no advantage.
     charged_work: f64,
-    /// Own rate now, in thread-seconds a second.
+    /// This dispatcher's current rate, in thread-seconds per second.
     rate: f64,
-    /// Own rate at the executor's start, in thread-seconds a second.
+    /// This dispatcher's rate at the executor's start, in thread-seconds per second.
     initial_rate: f64,
-    /// Own rate for all executors in slow start together, in thread-seconds a second.
+    /// This dispatcher's rate for all executors in slow start together, in thread-seconds per second.
     total_rate: f64,
     /// Mean work of all requests, in thread-seconds.
     mean_work: f64,
@@ -71,8 +71,8 @@
 }
 
 impl SlowStartAdmission {
-    /// Fills the buckets and decides by `chance`, uniform from 0 to 1. Tokens are spent whether the request
-    /// is admitted or not: its chance is what they come to over its work.
+    /// Refills the buckets and decides by `chance`, uniform from 0 to 1. The tokens are spent whether or not
+    /// the request is admitted; the admission probability is the spent tokens divided by its work.
     fn admit(
         &mut self,
         buckets: &mut WarmingBuckets,
@@ -101,8 +101,8 @@
 }
 
 impl Balancer {
-    /// Whether a request may go to the executor that was drawn for it: always to a warm one, by chance to one
-    /// in slow start.
+    /// Whether a request may be sent to the executor drawn for it: always if the executor is warm, with a
+    /// probability if it is in slow start.
     pub(super) fn admit_to_warming(&mut self, id: RequestId, i: usize) -> bool {
         let Some(rate) = self.warming_rate(&self.executors[i]) else { return true };
         let chance = self.chance();
@@ -126,12 +126,13 @@
         }
     }
 
-    /// What a request counts as at an executor in slow start, in thread-seconds.
+    /// Work of a request as counted for an executor in slow start, in thread-seconds.
     fn slow_start_work(&self, request: &Request) -> f64 {
         request.predicted_cost.max(LEAST_OF_CLASS_MEAN * self.class_mean(request.class))
     }
 
-    /// An executor in slow start takes no request that would alone be a large part of its budget.
+    /// Whether a request is small enough for an executor: in slow start, a single request must not use a
+    /// large fraction of the budget.
     pub(super) fn slow_start_allows(&self, request: &Request, executor: &Executor) -> bool {
         let Some(rate) = self.warming_rate(executor) else { return true };
         let largest =
@@ -139,8 +140,8 @@
         self.slow_start_work(request) <= largest
     }
 
-    /// Work that an executor in slow start may get from all dispatchers and from this one, in thread-seconds
-    /// a second; `None` for a warm executor.
+    /// Maximum rate of work for an executor in slow start, from all dispatchers and from this one; `None` for
+    /// a warm executor.
     pub(super) fn warming_rate(&self, executor: &Executor) -> Option<WarmingRate> {
         let slow_start = &self.settings.slow_start;
         let started = executor.warming_since?;
@@ -152,8 +153,8 @@
         Some(WarmingRate { all_dispatchers: rate, own: rate * self.slow_start_share() })
     }
 
-    /// Work that all executors in slow start may get from this dispatcher, in thread-seconds a second: the
-    /// sum of what `warming_rate` has for each.
+    /// Maximum rate of work from this dispatcher for all executors in slow start together, in thread-seconds
+    /// per second: the sum of their `warming_rate`s.
     fn total_warming_rate(&self) -> f64 {
         let slow_start = &self.settings.slow_start;
         let (cores, core_seconds) = self.executor_index.warming_cores(&self.settings.kinds, self.now);
@@ -163,14 +164,15 @@
         BUDGET_UTILIZATION * slow_start.overload_factor * present_cores * self.slow_start_share()
     }
 
-    /// This dispatcher's share of the budget: that of the traffic, but an equal part at most, as shares are
-    /// misjudged.
+    /// This dispatcher's share of the budget: its share of the traffic, but at most an equal share, because
+    /// the traffic share is only an estimate.
     fn slow_start_share(&self) -> f64 {
         let equal_share = 1.0 / f64::from(self.settings.dispatchers);
         self.load.traffic_share.min(equal_share)
     }
 
-    /// Share of its capacity that an executor has: it grows from `initial_fraction` to 1 over the ramp.
+    /// Fraction of its full capacity that an executor has; it grows from `initial_fraction` to 1 over the
+    /// ramp.
     pub(crate) fn capacity_fraction(&self, executor: &Executor) -> f64 {
         let Some(started) = executor.warming_since else { return 1.0 };
         let slow_start = &self.settings.slow_start;
@@ -181,7 +183,7 @@
         slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * done
     }
 
-    /// Executors whose ramp is over are warm from now on.
+    /// Marks executors whose ramp is over as warm.
     pub(super) fn finish_slow_starts(&mut self) {
         let latest_start = self.now.saturating_sub(self.settings.slow_start.ramp);
         while let Some(i) = self.executor_index.started_by(latest_start) {
--- a/src/balancer/unresponsive.rs
+++ b/src/balancer/unresponsive.rs
@@ -1,22 +1,23 @@
-//! Unresponsive executors and attempts: when no message for too long means that none will come.
+//! Detection of unresponsive executors and attempts by the time since their last message.
 
 use crate::api::{DurationUs, RequestId, TimestampUs};
 use crate::balancer::outlier_detection::EjectionReason;
 use crate::state::{Attempt, Balancer, Executor};
 
-/// Silence for this multiple of the time to the next expected message.
+/// Tolerated silence as a multiple of the time until the next expected message.
 const EXPECTED_MESSAGE_MULTIPLE: f64 = 3.0;
-/// The shortest silence that tells anything.
+/// Lower bound of the tolerated silence.
 const MIN_SILENCE_US: DurationUs = 700_000;
-/// Silence for this multiple of the executor's usual interval between messages.
+/// Tolerated silence as a multiple of the executor's usual interval between messages.
 const MESSAGE_INTERVAL_MULTIPLE: f64 = 8.0;
-/// The longest interval that counts as usual: one that is rarely used is not silent because of it.
+/// Upper bound of the usual interval in seconds, so that rare use of an executor does not prolong the
+/// tolerance.
 const MAX_MESSAGE_INTERVAL_S: f64 = 0.3;
-/// Weight of one interval in the usual one.
+/// Weight of a new interval in the usual interval.
 const MESSAGE_INTERVAL_WEIGHT: f64 = 0.1;
 
 impl Executor {
-    /// Records a message from the executor, and the interval since the one before.
+    /// Records a message from the executor and the interval since the previous one.
     pub(crate) fn record_message(&mut self, now: TimestampUs) {
         let interval_s = (now - self.last_message_at) as f64 / 1e6;
         self.message_interval.add(interval_s, MESSAGE_INTERVAL_WEIGHT);
@@ -25,8 +26,8 @@
 }
 
 impl Attempt {
-    /// Whether an attempt has missed several progress messages. Its executor may answer all others and never
-    /// have received this one, so that its own silence alone tells.
+    /// Whether an attempt has missed several progress messages. This depends on the attempt alone, because
+    /// the executor may respond to all others and never have received this one.
     pub(super) fn is_unresponsive(&self, now: TimestampUs, progress_interval: Option<DurationUs>) -> bool {
         let silence = now.saturating_sub(self.last_message_at);
         let allowed = |interval: DurationUs| {
@@ -37,8 +38,8 @@
 }
 
 impl Balancer {
-    /// Ejects executors that have become unresponsive, and retries what is in flight there: beside the
-    /// attempt if hedging is allowed, else in its place.
+    /// Ejects executors that have become unresponsive. Their attempts in flight are hedged if that is
+    /// allowed, and otherwise cancelled and retried.
     pub(super) fn check_responsiveness(&mut self) {
         self.count_examined(self.executors.active.len());
         for index in Vec::from_iter(self.executors.active.iter().copied()) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Whether an executor that is listed has sent nothing for longer than its next message should take.
+    /// Whether a listed executor has sent nothing, although a message about one of its attempts is overdue.
     fn is_unresponsive(&self, executor: &Executor) -> bool {
         let in_flight = &executor.attempts_in_flight;
         executor.present
@@ -80,7 +81,7 @@
     }
 }
 
-/// Silence of an executor that is usual, by the intervals between its messages.
+/// Tolerated silence of an executor by the usual interval between its messages.
 fn usual_silence(executor: &Executor) -> DurationUs {
     let interval_s = executor.message_interval.value.min(MAX_MESSAGE_INTERVAL_S);
     (interval_s * MESSAGE_INTERVAL_MULTIPLE * 1e6) as DurationUs
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -144,7 +144,7 @@
     pub(crate) fn record_report(&mut self, executor: ExecutorId, report: Option<Report>) {
         let Some((position, report)) = self.executors.position(executor).zip(report) else { return };
         let load = report.util.or(report.inflight).or(report.memory).or(report.disks);
-        self.load.reports_tell_load = Some(load.is_some());
+        self.load.reports_state_load = Some(load.is_some());
         self.executors[position].record_report(report.sane(), self.now);
         self.mark_active(position);
     }
