--- a/src/balancer/selection/affinity.rs
+++ b/src/balancer/selection/affinity.rs
@@ -4,7 +4,7 @@
 
 use super::candidates::SAMPLE_SIZE;
 use crate::api::{Class, ClassId, ExecutorId};
-use crate::state::{Balancer, Executor, Part, Request, mix, rendezvous_hash};
+use crate::state::{Balancer, Executor, Part, Request, rendezvous_hash, splitmix64};
 
 /// Number of preferred executors of a table group: two, in case one is busy.
 const PREFERRED_EXECUTORS: usize = 2;
@@ -67,7 +67,7 @@
         if self.executor_index.count(Part::All, is_open) <= SAMPLE_SIZE {
             return self.executor_index.all(is_open);
         }
-        self.executor_index.window(Part::All, is_open, mix(group), SAMPLE_SIZE)
+        self.executor_index.window(Part::All, is_open, splitmix64(group), SAMPLE_SIZE)
     }
 
     /// Weight factor that keeps unrestricted classes away from executors that restricted classes need.
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -83,9 +83,9 @@
         let window_work = request.rate * request.window_s;
         let initial_window_work = request.initial_rate * request.window_s;
         let most_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
-        buckets.share.fill(now, request.initial_rate, initial_window_work);
-        buckets.admission.fill(now, request.rate, most_saved);
-        self.tokens.fill(now, request.total_rate, request.total_rate * request.window_s);
+        buckets.share.refill_at_rate(now, request.initial_rate, initial_window_work);
+        buckets.admission.refill_at_rate(now, request.rate, most_saved);
+        self.tokens.refill_at_rate(now, request.total_rate, request.total_rate * request.window_s);
 
         let spent = buckets.admission.level.min(request.work).min(self.tokens.level);
         buckets.admission.level -= spent;
--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -1,4 +1,4 @@
-//! The decisions' actions become commands for the network.
+//! Translates the balancer's actions into commands for the network.
 
 use super::pending_request::Attempt;
 use super::{Answer, AttemptId, AttemptTerms, BACKOFF_MS, Command, Dispatch};
@@ -8,21 +8,21 @@
 use std::collections::VecDeque;
 
 impl<R> Dispatch<R> {
-    /// Hands an event to the decisions, and the events that their actions cause, until none is left.
+    /// Passes an event to the balancer, then the events that its actions cause, until there are none left.
     pub(super) fn run(&mut self, now: Micros, event: Event) -> Vec<Command<R>> {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
             self.balancer.handle(now, event, &mut actions);
             for action in actions {
-                events.extend(self.act(now, action));
+                events.extend(self.carry_out(now, action));
             }
         }
         std::mem::take(&mut self.commands)
     }
 
-    /// Carries an action out; the event that it causes at once, if any.
-    fn act(&mut self, now: Micros, action: Action) -> Option<Event> {
+    /// Carries out an action and returns the event that it causes immediately, if any.
+    fn carry_out(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
             Action::SetTerms { request, memory_mb, priority } => self.set_terms(request, memory_mb, priority),
             Action::Send { request, executor, timeout } => return self.send(now, request, executor, timeout),
@@ -38,7 +38,8 @@
             }
             Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
             Action::Log(line) => tracing::info!("{line}"),
-            // The endpoint list is pushed to us, idle connections are closed by the network, and there are no peers.
+            // Not needed here: endpoint lists are pushed, the network closes idle connections, and balancers do not
+            // gossip.
             Action::Watch
             | Action::Unwatch
             | Action::FetchEndpointList
@@ -48,7 +49,7 @@
         None
     }
 
-    /// Sets the terms of a request's next attempts, and the priority of those that are outstanding.
+    /// Sets the terms of a request's future attempts, and the priority of its outstanding ones.
     fn set_terms(&mut self, request: u64, memory_mb: f64, priority: u8) {
         let Some(pending) = self.pending.get_mut(&request) else { return };
         pending.memory_mb = memory_mb;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Starts an attempt of a request; if it may have no more, the event that this one was not sent.
+    /// Starts an attempt of a request. If its attempts are used up, returns the event that this one was not sent.
     fn send(
         &mut self,
         now: Micros,
@@ -71,7 +72,7 @@
         timeout: Option<Micros>,
     ) -> Option<Event> {
         let Some(pending) = self.pending.get_mut(&request).filter(|pending| !pending.closed) else {
-            must!(false, "a send for a request that is over");
+            must!(false, "the balancer sent an attempt for a finished request");
             return None;
         };
         let attempt_id = AttemptId { request, attempt: pending.attempts.len() as u32 };
@@ -103,7 +104,7 @@
         None
     }
 
-    /// Cancels an attempt; the event that it ended, if it was outstanding.
+    /// Cancels an attempt and returns the event of its end, if it was outstanding.
     fn cancel(&mut self, now: Micros, attempt_id: AttemptId) -> Option<Event> {
         let event = self.finish(now, attempt_id, Outcome::Cancelled, None)?;
         self.commands.push(Command::StopAttempt(attempt_id));
@@ -118,7 +119,7 @@
     }
 }
 
-/// An attempt that was decided on and never sent.
+/// The event for an attempt that the balancer decided on but that was not sent.
 fn not_sent(attempt_id: AttemptId, executor: ExecutorId) -> Event {
     Event::AttemptFinished(AttemptFinished {
         request: attempt_id.request,
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -1,4 +1,4 @@
-//! Timers and deadlines, the one final answer of a request, and what is forgotten after it.
+//! Timers and deadlines, the final answer of a request, and its removal afterwards.
 
 use super::pending_request::PendingRequest;
 use super::{Answer, AttemptId, BACKOFF_MS, Command, Dispatch, LoadReport};
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 
 impl<R> Dispatch<R> {
-    /// Runs the timers that are due, and ends the requests whose deadline has passed.
+    /// Fires the timers that are due and ends the requests whose deadline has passed.
     pub fn tick(&mut self, now: Micros) -> Vec<Command<R>> {
         let mut commands = Vec::new();
         while let Some(token) = self.next_timer(now) {
@@ -17,7 +17,7 @@
         commands
     }
 
-    /// Takes the token of the next timer that is due.
+    /// Removes the next timer that is due and returns its token.
     fn next_timer(&mut self, now: Micros) -> Option<u64> {
         let (due_at, token) = self.timers.peek().map(|Reverse(timer)| *timer)?;
         if due_at > now {
@@ -27,7 +27,7 @@
         Some(token)
     }
 
-    /// Answers the requests whose deadline has passed; all else that is due waits for [`Dispatch::tick`].
+    /// Answers the requests whose deadline has passed, but does not fire timers; [`Dispatch::tick`] does that.
     pub fn end_expired(&mut self, now: Micros) -> Vec<Command<R>> {
         let mut commands = Vec::new();
         while let Some((deadline, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
@@ -37,26 +37,26 @@
         commands
     }
 
-    /// This dispatcher ends all requests at this point, in microseconds: what takes longer is not begun, but refused
-    /// at once.
+    /// Sets the time at which this dispatcher shuts down and ends all requests, in microseconds. Requests that would
+    /// take longer are not started but rejected at once.
     pub fn set_shutdown_time(&mut self, at: Micros) {
         self.balancer.set_shutdown_deadline(at);
     }
 
-    /// Gives every pending request its answer now: refused where that is harmless, else failed.
+    /// Answers every pending request now: rejects it if a retry is harmless, fails it otherwise.
     pub fn end_all(&mut self, now: Micros) -> Vec<Command<R>> {
         let unanswered = self.pending.iter().filter(|(_, pending)| !pending.closed);
         let ids: Vec<u64> = unanswered.map(|(id, _)| *id).collect();
         ids.into_iter().flat_map(|id| self.close(now, id, EndReason::Stopping)).collect()
     }
 
-    /// This dispatcher's lease on a request is lost: its attempts are stopped, and its client gets an answer.
+    /// Handles the loss of this dispatcher's lease on a request: stops its attempts and answers its client.
     pub fn release(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
         self.stop_and_close(now, id, EndReason::LeaseLost)
     }
 
     /// Stops the outstanding attempts of a request whose deadline has passed or whose lease is lost, and answers it.
-    /// Where its deadline has passed, no further attempt of it begins.
+    /// After the deadline, no further attempt starts.
     fn stop_and_close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
         let Some(pending) = self.pending.get(&id) else { return Vec::new() };
         let outstanding: Vec<u32> = pending.outstanding_attempts().collect();
@@ -76,13 +76,14 @@
         commands
     }
 
-    /// How an attempt ended that is stopped: at the deadline, one that was stopped before its first byte never ran.
+    /// The outcome of an attempt that is stopped here. One that is stopped at the deadline before its first byte was
+    /// written never ran.
     fn outcome_of_stopped(&mut self, attempt_id: AttemptId, reason: EndReason) -> Outcome {
         let never_begun = self.outstanding(attempt_id).is_some_and(|attempt| !attempt.begun);
         if reason == EndReason::Deadline && never_begun { Outcome::ConnectFailed } else { Outcome::Timeout }
     }
 
-    /// Ends a request whose answer the decisions did not give.
+    /// Ends a request that the balancer has not answered.
     fn close(&mut self, now: Micros, id: u64, reason: EndReason) -> Vec<Command<R>> {
         let Some(pending) = self.pending.get(&id).filter(|pending| !pending.closed) else {
             return Vec::new();
@@ -96,9 +97,9 @@
         commands
     }
 
-    /// A request is over, answered or with its client gone: of its attempts that wait to be written none may begin
-    /// any more. Called wherever a request is closed, whatever the decisions cancel besides. Without it, an attempt
-    /// whose connection comes up later would run for a request that was refused or cancelled.
+    /// Withdraws the attempts of a closed request that have not been written yet. Called wherever a request is closed,
+    /// in addition to cancellations by the balancer. Otherwise, an attempt whose connection is established later would
+    /// run for a request that was already rejected or cancelled.
     pub(super) fn withdraw(&mut self, id: u64) {
         let outstanding = self.pending.get(&id).into_iter().flat_map(PendingRequest::outstanding_attempts);
         let withdrawals =
@@ -106,7 +107,7 @@
         self.commands.extend(withdrawals);
     }
 
-    /// Records the end of an attempt; the event that reports it to the decisions.
+    /// Records the end of an attempt and returns the event that reports it to the balancer.
     pub(super) fn finish(
         &mut self,
         now: Micros,
@@ -129,10 +130,10 @@
         }))
     }
 
-    /// The one place that gives a final answer.
+    /// Gives a request its final answer; the only function that does so.
     pub(super) fn answer(&mut self, now: Micros, id: u64, answer: Answer<R>, reason: EndReason) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        if !must!(!pending.closed, "a second answer") {
+        if !must!(!pending.closed, "a request was answered twice") {
             return;
         }
         pending.closed = true;
@@ -147,7 +148,7 @@
         self.commands.push(Command::Answer(id, answer));
     }
 
-    /// Forgets a request if it is over.
+    /// Removes a request if it is finished.
     pub(super) fn forget(&mut self, id: u64) {
         if !self.pending.get(&id).is_some_and(PendingRequest::is_over) {
             return;
--- a/src/dispatch/counters.rs
+++ b/src/dispatch/counters.rs
@@ -1,29 +1,29 @@
-//! Counts since the start.
+//! Counters since the start of the process.
 
 use crate::api::EndCounts;
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests accepted.
     pub taken: u64,
     /// Requests answered with a result.
     pub served: u64,
-    /// Requests refused.
+    /// Requests rejected.
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests whose client disconnected before their answer.
+    /// Requests whose client disconnected before the answer.
     pub left: u64,
-    /// Attempts decided on.
+    /// Attempts started.
     pub attempts: u64,
-    /// Attempts stopped at their request's deadline or with its lease.
+    /// Attempts stopped at their request's deadline or at the loss of its lease.
     pub expired: u64,
     /// Attempts lost with their connection.
     pub lost: u64,
     /// Attempts that never reached an executor.
     pub never_sent: u64,
-    /// Probes decided on.
+    /// Probes started.
     pub probes: u64,
     /// Final answers by reason.
     pub ends: EndCounts,
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -1,31 +1,31 @@
-//! The listed executors, and watch events on them.
+//! Listed executors and their watch events.
 
 use super::{Command, Dispatch};
 use crate::api::{Endpoint, EndpointListKind, Event, ExecutorId, Micros, Readiness};
 
-/// An executor as the endpoint list has it.
+/// An executor in the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedExecutor {
     /// Its id.
     pub executor: ExecutorId,
-    /// Its zone, an index.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its kind, an index.
+    /// Index of its kind.
     pub kind: usize,
     /// Its cell.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ExecutorState,
     /// Its size relative to others of its kind.
     pub size: f64,
-    /// The point at which its process started, in microseconds of this process's clock, if it started late.
+    /// Start time of its process, in microseconds of this process's clock, if it started recently.
     pub started: Option<Micros>,
-    /// Its share of the work beside others of its kind; `None` is the usual, 1.
+    /// Traffic weight relative to other executors of its kind; `None` means 1.
     pub weight: Option<f64>,
 }
 
 impl ListedExecutor {
-    /// The same as the decisions take it.
+    /// The entry as the balancer takes it.
     fn endpoint(&self) -> Endpoint {
         Endpoint {
             executor: self.executor,
@@ -44,52 +44,52 @@
     }
 }
 
-/// Whether an executor takes requests.
+/// Whether an executor accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutorState {
-    /// It takes requests.
+    /// It accepts requests.
     Up,
-    /// It takes no new requests and completes its work.
+    /// It completes its current work and accepts no new requests.
     Draining,
     /// Its process is gone.
     Removed,
 }
 
-/// What an endpoint list is.
+/// How an endpoint list relates to the known list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// The list as it was last known before the start.
+    /// The list as last known before the start.
     Restored,
-    /// The whole list: who is not on it is gone.
+    /// The complete list: executors that are not in it are removed.
     Replaced,
-    /// The executors that changed.
+    /// Only the executors that changed.
     Changed,
 }
 
-/// The executors' capacity as the decisions see it, in cores.
+/// The executors' capacity as seen by the balancer, in cores.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct FleetCapacity {
-    /// Of all executors that are listed as up.
+    /// Capacity of all executors that are listed as up.
     pub listed: f64,
-    /// Of those that are healthy.
+    /// Capacity of the healthy ones.
     pub usable: f64,
-    /// Of those that are healthy, each reduced while it is warming up.
+    /// Current capacity of the healthy ones, reduced for those in slow start.
     pub warm: f64,
 }
 
 impl<R> Dispatch<R> {
-    /// The executors' capacity now.
+    /// The current capacity of the executors.
     pub fn fleet_capacity(&self, now: Micros) -> FleetCapacity {
         let cores = self.balancer.fleet_cores(now);
         FleetCapacity { listed: cores.listed, usable: cores.healthy, warm: cores.warm }
     }
 
-    /// Busy cores of all listed executors, by their load reports.
+    /// Estimated number of busy cores of all listed executors, based on load reports.
     pub fn busy_cores(&self, now: Micros) -> f64 {
         self.balancer.load.mean_load * self.fleet_capacity(now).listed
     }
 
-    /// The number of listed executors, and of those that are avoided now: draining, unresponsive or ejected.
+    /// The number of listed executors, and of those that are currently avoided: draining, unresponsive or ejected.
     pub fn listed_and_avoided(&self, now: Micros) -> (usize, usize) {
         self.balancer.listed_and_avoided(now)
     }
--- a/src/dispatch/interface.rs
+++ b/src/dispatch/interface.rs
@@ -1,55 +1,55 @@
-//! What the network reports to the decisions, and what it is asked to do.
+//! The interface to the network: events that it reports, and commands that it carries out.
 
 use super::{AttemptId, AttemptProgress, ExecutorId, LoadReport};
 use crate::api::Micros;
 
-/// How an attempt ended; `R` is the result as the network holds it.
+/// How an attempt ended; `R` is the network's representation of a result.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd<R> {
-    /// The whole result is here.
+    /// The complete result arrived.
     Served(R),
-    /// The executor rejected it: it never ran.
+    /// The executor rejected it; it never ran.
     Rejected,
-    /// It never ran, which says nothing of the executor's health.
+    /// It never ran, for a reason that is unrelated to the executor's health.
     NotRun,
     /// The executor reported an error; it may have run.
     Error,
-    /// It never reached the executor whole. To the decisions this is a failed connection, which ejects the executor.
+    /// It was not sent completely. The balancer treats this as a failed connection, which ejects the executor.
     NeverSent,
-    /// Its connection was lost before the executor said anything on it; it may have run.
+    /// Its connection was lost before the executor sent anything on it; it may have run.
     ConnectionLost,
-    /// Its connection became unusable: a malformed answer, an answer cut off, unresponsive, or reset after
-    /// messages. The attempt may have run, and that says nothing of the executor's health.
+    /// Its connection became unusable: a malformed or truncated response, no messages, or a reset after messages.
+    /// The attempt may have run; the executor's health is unknown.
     ConnectionUnusable,
 }
 
 /// How a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ProbeOutcome {
-    /// The executor runs, perhaps with a load report.
+    /// The executor is up; with its load report, if it sent one.
     Up(Option<LoadReport>),
-    /// The executor says that it takes no requests.
+    /// The executor reported that it accepts no requests.
     Down,
-    /// No connection came up.
+    /// The connection could not be established.
     Unreachable,
-    /// The connection was lost, or was unresponsive while others were not, which says nothing of the executor.
+    /// The connection was lost, or unresponsive while others were not. The executor's health is unknown.
     Unknown,
-    /// Nothing came in time.
+    /// No response in time.
     TimedOut,
 }
 
-/// What the network reports.
+/// An event reported by the network.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NetworkEvent<R> {
-    /// An attempt ended; with the executor's load report where its answer carried one.
+    /// An attempt ended; with the executor's load report, if the response carried one.
     AttemptEnded(AttemptId, AttemptEnd<R>, Option<LoadReport>),
-    /// The first byte of an attempt was written: from here on it may run.
+    /// The first byte of an attempt was written: it may run from now on.
     AttemptBegun(AttemptId),
-    /// The executor reported the progress of an attempt that is outstanding.
+    /// The executor reported the progress of an outstanding attempt.
     AttemptProgressed(AttemptId, AttemptProgress),
-    /// A probe ended; the span since it was sent, in microseconds.
+    /// A probe finished; with the time since it was sent, in microseconds.
     ProbeFinished(ExecutorId, ProbeOutcome, Micros),
-    /// The client of a request has disconnected.
+    /// The client of a request disconnected.
     ClientDisconnected(u64),
 }
 
@@ -58,9 +58,9 @@
 pub enum Answer<R> {
     /// The result.
     Served(R),
-    /// A retry is harmless, after so many milliseconds.
+    /// Rejected: a retry is harmless after this many milliseconds.
     Refused(u64),
-    /// Failed: it may have run.
+    /// Failed: the request may have run.
     Failed,
 }
 
@@ -71,45 +71,45 @@
     pub memory_mb: f64,
     /// Priority, 0 to 3.
     pub priority: u8,
-    /// The point at which the dispatcher stops waiting, in microseconds.
+    /// The time at which the dispatcher stops waiting, in microseconds.
     pub deadline: Micros,
-    /// The point by which its first byte has to be written, in microseconds; else the attempt ends as never sent,
-    /// because a rule on retries allows it no longer.
+    /// The time by which the first byte must be written, in microseconds. After it, the rules for retries no longer
+    /// allow the attempt, and it ends as never sent.
     pub begin_by: Micros,
 }
 
-/// What the network has to do, in order.
+/// A command for the network. Commands are carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command<R> {
     /// Send an attempt.
     StartAttempt {
         /// The attempt.
         attempt_id: AttemptId,
-        /// The executor that gets it.
+        /// The executor to send it to.
         executor: ExecutorId,
-        /// Its memory, priority and times.
+        /// Its memory grant, priority and deadlines.
         terms: AttemptTerms,
     },
-    /// Cancel an attempt; nothing more is reported of it.
+    /// Cancel an attempt and report nothing more about it.
     StopAttempt(AttemptId),
-    /// The attempt's request is over: if no byte of the attempt was written yet, none may be, and it ends as never
-    /// sent. One that was begun goes on.
+    /// The attempt's request is closed: if no byte of the attempt was written yet, do not write any and end it as never
+    /// sent. An attempt that has begun continues.
     WithdrawAttempt(AttemptId),
-    /// A new priority, 0 to 3, for an attempt that is outstanding.
+    /// Set the priority, 0 to 3, of an outstanding attempt.
     SetPriority(AttemptId, u8),
     /// Probe an executor.
     Probe(ExecutorId),
-    /// The one final answer of a request.
+    /// Deliver the final answer of a request.
     Answer(u64, Answer<R>),
-    /// A request whose client had disconnected is over. Only where [`Dispatch::report_abandoned`] asked for it.
+    /// A request whose client had disconnected is finished. Only if [`Dispatch::report_abandoned`] was called.
     ///
     /// [`Dispatch::report_abandoned`]: super::Dispatch::report_abandoned
     ReportAbandoned {
         /// The request.
         request: u64,
-        /// Its result, if it was served all the same.
+        /// Its result, if it was served nevertheless.
         result: Option<R>,
-        /// Whether it is certain that no attempt of it ran.
+        /// Whether it is certain that none of its attempts ran.
         never_ran: bool,
     },
 }
--- a/src/dispatch/network_events.rs
+++ b/src/dispatch/network_events.rs
@@ -1,4 +1,4 @@
-//! What the network's events lead to.
+//! Handling of the network's events.
 
 use super::{
     Answer, AttemptEnd, AttemptId, AttemptProgress, Command, Dispatch, LoadReport, NetworkEvent, ProbeOutcome,
@@ -7,7 +7,7 @@
 use crate::must;
 
 impl<R> Dispatch<R> {
-    /// Handles an event of the network; what it has to do now.
+    /// Handles an event of the network and returns the commands for it.
     pub fn handle(&mut self, now: Micros, event: NetworkEvent<R>) -> Vec<Command<R>> {
         match event {
             NetworkEvent::AttemptEnded(id, end, load) => self.attempt_ended(now, id, end, load),
@@ -75,20 +75,20 @@
         end: AttemptEnd<R>,
         load: Option<LoadReport>,
     ) -> Vec<Command<R>> {
-        // An attempt may end while the command to stop it is carried out: its end is known already.
+        // An attempt may end while the command to stop it is being carried out; its end was already recorded.
         let Some(executor) = self.outstanding(id).map(|attempt| attempt.executor) else { return Vec::new() };
         let outcome = self.outcome_of(now, id, end);
         let event = self.finish(now, id, outcome, load);
         let is_its_end =
             matches!(&event, Some(Event::AttemptFinished(finished)) if finished.executor == executor);
-        must!(is_its_end, "an attempt that was outstanding has no end to report");
+        must!(is_its_end, "the end of an outstanding attempt was not reported");
         let mut commands = event.map_or_else(Vec::new, |event| self.run(now, event));
         self.forget(id.request);
         commands.append(&mut self.commands);
         commands
     }
 
-    /// What the end of an attempt is to the decisions. A result becomes the answer.
+    /// The outcome to report to the balancer for the end of an attempt. A result also answers the request.
     fn outcome_of(&mut self, now: Micros, id: AttemptId, end: AttemptEnd<R>) -> Outcome {
         match end {
             AttemptEnd::Served(result) => {
@@ -108,7 +108,7 @@
             }
             AttemptEnd::ConnectionUnusable => {
                 self.count_lost(id);
-                // To the decisions a time-out is what may have run and says nothing of the executor's health.
+                // A timeout tells the balancer that the attempt may have run, and nothing about the executor's health.
                 Outcome::Timeout
             }
         }
--- a/src/dispatch/request_class.rs
+++ b/src/dispatch/request_class.rs
@@ -1,27 +1,26 @@
-//! What has to be known of a request's class here.
+//! The properties of request classes that the facade needs.
 
 use crate::api::{Class, Idempotency, KeyScope, Micros};
 
-/// A budget may be this much above the class's whole deadline, in microseconds, for rounding; more is no valid budget.
+/// Tolerance for rounding by which a time budget may exceed the class's client timeout, in microseconds.
 const BUDGET_TOLERANCE: Micros = 1_000_000;
 
-/// What has to be known of a request's class here.
+/// The properties of a request class that the facade needs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestClass {
-    /// Whether refusing a request is harmless whatever ran.
+    /// Whether a retry by the client is harmless even if an attempt ran.
     pub(super) idempotent: bool,
-    /// The span for which executors recognise a repeat, in microseconds, where an idempotency key makes repeats
-    /// harmless.
+    /// Time for which executors recognise a duplicate, in microseconds, in classes with idempotency keys.
     pub(super) repeat_window: Option<Micros>,
-    /// The longest valid budget, in microseconds.
+    /// The longest valid time budget, in microseconds.
     pub(super) max_budget: Micros,
-    /// Whether requests of a key run in order, and their clients space them.
+    /// Whether requests with the same key run in order, and clients space them.
     pub(super) keeps_order: bool,
 }
 
 impl RequestClass {
-    /// What the settings say of a class.
-    pub(super) fn of(class: &Class) -> RequestClass {
+    /// Derives the properties from the settings of a class.
+    pub(super) fn new(class: &Class) -> RequestClass {
         let (idempotent, repeat_window) = match class.idempotency {
             Idempotency::Idempotent => (true, None),
             Idempotency::IdempotencyKey { scope, window } => (scope == KeyScope::All, Some(window)),
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -1,4 +1,4 @@
-//! How a request is submitted, held or rejected.
+//! Submits, holds or rejects requests.
 
 use super::client_request::{arrival, time_budget};
 use super::pending_request::PendingRequest;
@@ -9,22 +9,22 @@
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
-/// The priority of attempts for which the decisions set no other.
+/// Priority of attempts for which the balancer has not set one.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// Why a request can't be accepted at all: its client's mistake, which is answered with this text.
+/// Why a request is invalid. This is an error of the client, which gets the text as its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitError {
-    /// The settings have no such class.
+    /// The class is not configured.
     UnknownClass,
-    /// The budget is zero, or longer than the class allows.
+    /// The time budget is zero or longer than the class allows.
     InvalidBudget,
-    /// The id was used before.
+    /// The id was already used.
     ReusedId,
 }
 
 impl SubmitError {
-    /// The text for the client.
+    /// The error message for the client.
     pub fn text(self) -> &'static str {
         match self {
             SubmitError::UnknownClass => "unknown class",
@@ -43,22 +43,24 @@
 impl Error for SubmitError {}
 
 impl<R> Dispatch<R> {
-    /// Checks whether a request can be accepted at all: its class, its budget, and an id that was not used.
+    /// Validates the class, the time budget and the id of a request.
     fn validate(&mut self, request: &Request) -> Result<RequestClass, SubmitError> {
         let class = *self.classes.get(request.class).ok_or(SubmitError::UnknownClass)?;
         if request.client_wait == 0 || request.client_wait > class.max_budget {
             return Err(SubmitError::InvalidBudget);
         }
-        // Ids are new with every request, retries too. One that comes again, pending or not, would run what must not
-        // run twice, and its answer would be taken for the other's: so it is an error.
+        // Every request has a new id, including retries. Accepting an id again, pending or not, could run a request
+        // twice that must not, and mix up the two answers.
         if self.recent_ids.put(request.id, ()).is_some() || self.pending.contains_key(&request.id) {
             return Err(SubmitError::ReusedId);
         }
         Ok(class)
     }
 
-    /// Counts a request as refused before any decision: it never ran, so a retry is harmless. Errors if it is not
-    /// valid.
+    /// Counts a request as rejected without consulting the balancer. It never ran, so a retry is harmless.
+    ///
+    /// # Errors
+    /// The request is invalid.
     pub fn reject(&mut self, request: &Request, reason: EndReason) -> Result<(), SubmitError> {
         self.validate(request)?;
         self.counters.taken += 1;
@@ -68,14 +70,19 @@
         Ok(())
     }
 
-    /// Submits a request: it is sent, queued or answered by the commands that this returns or that come later. Errors
-    /// if it is not valid.
+    /// Submits a request. The commands returned here and later send, queue or answer it.
+    ///
+    /// # Errors
+    /// The request is invalid.
     pub fn submit(&mut self, now: Micros, request: &Request) -> Result<Vec<Command<R>>, SubmitError> {
         self.adopt(now, request, 0, None)
     }
 
-    /// Submits a request that a lost dispatcher held, which made `earlier_attempts` of it and had admitted it under
-    /// `admitted_under`, if those settings were others. Errors if it is not valid.
+    /// Submits a request of a lost dispatcher, which had made `earlier_attempts` attempts and had admitted it under the
+    /// settings `admitted_under`, if they differ from the current ones.
+    ///
+    /// # Errors
+    /// The request is invalid.
     pub fn adopt(
         &mut self,
         now: Micros,
@@ -91,13 +98,16 @@
         let commands = self.run(now, arrival(request));
         if let Some(settings) = own_settings {
             let restored = self.balancer.update_settings(settings);
-            must!(restored.is_ok(), "own settings were in use");
+            must!(restored.is_ok(), "the previous settings were rejected");
         }
         Ok(commands)
     }
 
-    /// Decides by other settings of the same classes, tenants and executor kinds from now on; what is pending ends as
-    /// it was admitted. An error changes nothing.
+    /// Replaces the settings. Classes, tenants and executor kinds must be the same. Pending requests complete under the
+    /// settings that admitted them.
+    ///
+    /// # Errors
+    /// The new settings are invalid; the previous ones stay in effect.
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let settings = settings_for_sockets(settings);
         let retry_start_window = settings.retry_budget.map(|budget| budget.send_delay);
@@ -106,18 +116,21 @@
         Ok(())
     }
 
-    /// Submits a request that the decisions get later, once the peers agree. It is pending from now on: it counts
-    /// among the open requests, its id is used up, and its deadline is that of a request submitted now. Errors are
-    /// those of [`Dispatch::submit`]. Where too many requests are open it is refused at once, and not held.
+    /// Submits a request that is passed to the balancer later, once the peers agree. It is pending from now on: it
+    /// counts as an open request, its id is used, and its deadline is that of a request submitted now. If too many
+    /// requests are open, it is rejected at once and not held.
+    ///
+    /// The caller that holds a request should call [`Dispatch::admit`] or [`Dispatch::answer_held`] once; no other
+    /// caller may do so for its id. The call is not required:
     ///
-    /// Whoever holds a request owes it one call, of [`Dispatch::admit`] or of [`Dispatch::answer_held`]; nobody
-    /// else may call either for its id. The call may come at once or later, and none has to come:
+    /// - At its deadline, [`Dispatch::tick`] rejects the request with a backoff, which is harmless because it had no
+    ///   attempt. [`Dispatch::release`] and [`Dispatch::end_all`] do the same before the deadline.
+    /// - If its client disconnects, the request ends without an answer.
     ///
-    /// - at its deadline, [`Dispatch::tick`] refuses it with a backoff, which is harmless, as no attempt of it was
-    ///   made; so do [`Dispatch::release`] and [`Dispatch::end_all`] before that;
-    /// - once its client has disconnected it is over, with no answer.
+    /// After any of these events the request is no longer held, and either call does nothing.
     ///
-    /// After any of these it is held no more, and either call does nothing.
+    /// # Errors
+    /// The request is invalid, as in [`Dispatch::submit`].
     pub fn hold(&mut self, now: Micros, request: &Request) -> Result<Vec<Command<R>>, SubmitError> {
         if !self.accept(now, request, 0)? {
             self.held_requests.insert(request.id, request.clone());
@@ -125,9 +138,9 @@
         Ok(std::mem::take(&mut self.commands))
     }
 
-    /// Submits a held request to the decisions, with what is left until its deadline. For whoever held it alone, and
-    /// once: for an id that is not held it does nothing. At its deadline or later it is not submitted any more, and
-    /// [`Dispatch::tick`] refuses it.
+    /// Passes a held request to the balancer with the time left until its deadline. To be called once, by the caller
+    /// that holds it; does nothing for an id that is not held. From its deadline on, the request is not passed on, and
+    /// [`Dispatch::tick`] rejects it.
     pub fn admit(&mut self, now: Micros, id: u64) -> Vec<Command<R>> {
         let Some(request) = self.held_requests.remove(&id) else { return Vec::new() };
         let Some(pending) = self.pending.get(&id).filter(|pending| !pending.closed) else {
@@ -144,9 +157,9 @@
         self.run(now, event)
     }
 
-    /// Answers a held request without the decisions. For whoever held it alone, and once: for an id that is not held
-    /// it does nothing. The answer has to be true by itself: refused only where it never ran or may run twice. An
-    /// answer past the deadline still counts if [`Dispatch::tick`] has not refused the request yet.
+    /// Answers a held request without consulting the balancer. To be called once, by the caller that holds it; does
+    /// nothing for an id that is not held. The caller may reject the request only if it never ran or may run twice. An
+    /// answer after the deadline still counts if [`Dispatch::tick`] has not rejected the request yet.
     pub fn answer_held(&mut self, now: Micros, id: u64, answer: Answer<R>) -> Vec<Command<R>> {
         let held = self.held_requests.remove(&id).is_some();
         if held && self.pending.get(&id).is_some_and(|pending| !pending.closed) {
@@ -156,7 +169,7 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Makes a valid request pending; whether it was refused at once, as too many are open.
+    /// Makes a valid request pending. Returns whether it was rejected at once because too many requests are open.
     fn accept(
         &mut self,
         now: Micros,
--- a/src/dispatch/tests/admission_policy.rs
+++ b/src/dispatch/tests/admission_policy.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Executor 5 of kind 0 and 6 of kind 1; loads go to one kind alone.
+/// Settings with two kinds of executors, which restrict the class of loads to one of them.
 fn bound(kind: &str) -> Settings {
     let text = SETTINGS
         .replace(r#""kinds":["k"]"#, r#""kinds":["old","new"]"#)
@@ -16,10 +16,10 @@
         .find_map(|o| if let Command::StartAttempt { executor, .. } = o { Some(*executor) } else { None })
 }
 
-// A request of a lost dispatcher was admitted by the policy before this one. It ends under that, and nothing that
-// arrives beside or after it does.
+// A request taken over from a lost dispatcher may have been admitted under an earlier policy. It completes under that
+// policy; requests that arrive at the same time or later do not.
 #[test]
-fn a_request_taken_over_goes_by_the_settings_that_it_was_admitted_by() {
+fn a_request_taken_over_completes_under_the_settings_that_admitted_it() {
     let mut d: Dispatch<()> = Dispatch::new(bound("new"), 9, 7).unwrap();
     let of = |executor, kind| ListedExecutor { kind, ..listed(executor, ExecutorState::Up) };
     d.apply_watch_event(1_000, WatchEvent::Restored, &[of(5, 0), of(6, 1)]);
--- a/src/dispatch/tests/completion.rs
+++ b/src/dispatch/tests/completion.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-// A day was lost to one answer that came after its client had left: the end has to come well before the
-// client's, and with it one answer, the right one, and the command to stop what is outstanding. What was begun may
-// have run; what was not has not, and its client may retry.
+// Guards against an answer after the client's timeout, which once failed a whole day of the simulation. A request has
+// to end well before its client gives up, with exactly one answer and a command to stop its outstanding attempt. An
+// attempt that has begun may have run, so the request fails; otherwise it is rejected, and the client may retry.
 #[test]
-fn a_request_ends_once_and_well_before_its_client_leaves() {
+fn a_request_is_answered_once_well_before_its_client_gives_up() {
     for (begun, answer) in [(true, Answer::Failed), (false, Answer::Refused(BACKOFF_MS))] {
         let mut d = dispatch();
         let attempt_id = AttemptId { request: 1, attempt: 0 };
@@ -16,7 +16,7 @@
         let mut given = Vec::new();
         while d.open_requests() > 0 {
             let now = d.next_due().unwrap();
-            assert!(now + 200_000 < 2_000 + BUDGET, "the end comes too near to the client's");
+            assert!(now + 200_000 < 2_000 + BUDGET, "the request ends too close to the client's timeout");
             given.extend(d.tick(now));
         }
         assert!(given.contains(&Command::StopAttempt(attempt_id)));
@@ -25,9 +25,9 @@
     }
 }
 
-// In the middle of a long turn only answers that are due are given; timers wait for the turn's end.
+// During a long turn of the event loop, only expired requests are answered; timers wait for the end of the turn.
 #[test]
-fn what_is_due_is_answered_without_its_timers() {
+fn expired_requests_are_answered_without_firing_timers() {
     let mut d = dispatch();
     let mut keyed = request(1, BUDGET);
     keyed.key = Some(9);
--- a/src/dispatch/tests/endpoints.rs
+++ b/src/dispatch/tests/endpoints.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-// Preferred executors of a table group are drawn by the executor's number: every dispatcher has to compute the same
-// one, at any time.
+// Preferred executors of a table group depend on executor ids, so every dispatcher has to derive the same id at any
+// time.
 #[test]
-fn an_executors_number_comes_from_its_uid_alone() {
+fn an_executor_id_depends_on_the_uid_only() {
     assert_eq!(executor_id("s-00c41f7a"), 0x00c4_1f7a);
     assert_eq!(executor_id("toy-1"), executor_id("toy-1"));
     assert_ne!(executor_id("toy-1"), executor_id("toy-2"));
     assert_ne!(executor_id("s-00c41f7a9"), 0x00c4_1f7a);
 }
 
-// Listed executors may come without a time of start: one that appears warms up from then on, one that only changes
-// its weight or comes back in the middle of its drain does not.
+// Entries may lack a start time. An executor that appears begins its slow start then; one that only changes its weight
+// or returns from draining does not.
 #[test]
-fn a_new_executor_warms_up_and_a_changed_one_does_not() {
+fn a_new_executor_begins_a_slow_start_and_a_changed_one_does_not() {
     let mut d = dispatch();
     let with_weight = |executor, state, weight| ListedExecutor { weight, ..listed(executor, state) };
     for (at, state, weight) in [
@@ -27,14 +27,15 @@
             &[with_weight(5, state, weight), with_weight(6, ExecutorState::Up, weight)],
         );
     }
-    let cold: Vec<_> = d.balancer.executors.iter().map(|e| (e.endpoint.executor, e.warming_since)).collect();
-    assert_eq!(cold, [(5, None), (6, Some(2_000))]);
+    let warming: Vec<_> =
+        d.balancer.executors.iter().map(|e| (e.endpoint.executor, e.warming_since)).collect();
+    assert_eq!(warming, [(5, None), (6, Some(2_000))]);
 }
 
-// Executors are replaced all day. Those that went were counted for ever, which skewed the draw, and their table
-// grew; an attempt that is still outstanding on one keeps its place.
+// Executors are replaced continuously. Removed executors were once kept forever, which skewed the draw and grew the
+// table. They are removed from the table, except while an attempt is still outstanding on them.
 #[test]
-fn executors_that_went_are_forgotten_once_nothing_is_out_on_them() {
+fn removed_executors_are_dropped_once_no_attempt_is_outstanding_on_them() {
     let mut d = dispatch();
     submit(&mut d, 2_000, 1);
     for n in 5..60 {
--- a/src/dispatch/tests/held_requests.rs
+++ b/src/dispatch/tests/held_requests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Holds a request; its deadline.
+/// Holds a request and returns its deadline.
 fn hold(d: &mut Dispatch<()>, now: Micros, id: u64) -> Micros {
     assert!(d.hold(now, &request(id, BUDGET)).unwrap().is_empty());
     let due = d.pending[&id].deadline;
-    assert!(now < due && due + 200_000 < now + BUDGET, "the end comes too near to the client's");
+    assert!(now < due && due + 200_000 < now + BUDGET, "the request ends too close to the client's timeout");
     due
 }
 
-// Agreement of the peers may never come. A request that waits for it has to be refused in time, as it never ran, and
-// agreement that comes after that must neither run it nor answer it a second time.
+// The peers may never agree. A request that waits for them has to be rejected in time, as it never ran. A later
+// agreement must neither run it nor answer it again.
 #[test]
-fn a_held_request_is_refused_once_at_its_deadline() {
+fn a_held_request_is_rejected_once_at_its_deadline() {
     let mut d = dispatch();
     let due = hold(&mut d, 2_000, 1);
     assert!(answers(&d.tick(due - 1)).is_empty() && d.open_requests() == 1);
@@ -23,10 +23,10 @@
     assert!(d.pending.is_empty() && d.held_requests.is_empty() && d.deadlines.is_empty());
 }
 
-// Agreement that comes at the deadline itself, ahead of the tick, must not start what is over in the same moment, nor
-// take its answer away. Before that the request goes on as any other, once.
+// Agreement exactly at the deadline, before the tick, must not start the expired request nor prevent its answer. Before
+// the deadline, the request is admitted exactly once.
 #[test]
-fn a_request_admitted_at_its_deadline_is_refused_all_the_same() {
+fn a_request_admitted_at_its_deadline_is_still_rejected() {
     let mut d = dispatch();
     let due = hold(&mut d, 2_000, 1);
     assert!(d.admit(due, 1).is_empty());
--- a/src/dispatch/tests/submission.rs
+++ b/src/dispatch/tests/submission.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-// More requests than memory allows were once accepted. Beyond the limit they have to be refused before any decision,
-// and an id that is pending must not be accepted twice.
+// Guards against accepting more requests than fit into memory: beyond the limit they are rejected without consulting
+// the balancer. The id of a pending request must not be accepted again.
 #[test]
-fn what_is_too_much_is_refused_before_a_decision() {
+fn requests_beyond_the_limit_are_rejected_without_a_decision() {
     let mut d = dispatch();
     submit(&mut d, 2_000, 1);
     submit(&mut d, 2_000, 2);
     assert_eq!(answers(&submit(&mut d, 2_000, 3)), [&Answer::Refused(BACKOFF_MS)]);
     let again = request(1, 1);
     assert!(d.submit(2_000, &again).is_err());
-    // A client that disconnected is owed nothing, also when a result comes later.
+    // A client that disconnected gets no answer, even if a result arrives later.
     assert!(answers(&d.handle(3_000, NetworkEvent::ClientDisconnected(1))).is_empty());
     let end = NetworkEvent::AttemptEnded(AttemptId { request: 1, attempt: 0 }, AttemptEnd::Served(()), None);
     assert!(answers(&d.handle(4_000, end)).is_empty() && !d.pending.contains_key(&1));
-    // A connection may be lost with an attempt whose stop is being carried out: a second end is ignored.
+    // A connection may be lost while the command to stop its attempt is carried out: the second end is ignored.
     assert!(
         d.handle(
             4_000,
@@ -26,7 +26,7 @@
         )
         .is_empty()
     );
-    // An attempt that was begun may have run, one that was not never did.
+    // An attempt that has begun may have run; any other never ran.
     assert!(d.handle(4_500, NetworkEvent::AttemptBegun(AttemptId { request: 2, attempt: 0 })).is_empty());
     assert_eq!(answers(&d.end_all(5_000)), [&Answer::Failed]);
     submit(&mut d, 6_000, 4);
@@ -35,10 +35,10 @@
     assert!(given.iter().any(withdrawn) && answers(&given) == [&Answer::Refused(BACKOFF_MS)]);
 }
 
-// Two loads of one key must not run side by side: the next one waits until the KILL of the one before
-// has had time to arrive.
+// Two loads with the same key must not run concurrently: the second waits until the KILL of the first has had time to
+// arrive.
 #[test]
-fn a_key_rests_after_an_attempt_that_was_lost() {
+fn a_key_has_a_quiet_period_after_a_lost_attempt() {
     let mut d = dispatch();
     let keyed = |id, budget| Request { key: Some(9), ..request(id, budget) };
     assert_eq!(d.submit(2_000, &keyed(1, BUDGET)).unwrap().len(), 1);
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,21 +1,22 @@
-//! What must hold is asserted in debug builds and counted in release builds.
+//! Invariants: asserted in debug builds; counted and logged in release builds.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static BROKEN: AtomicU64 = AtomicU64::new(0);
 
-/// How often something that must hold did not, since the start.
+/// Number of invariant violations since the start of the process.
 pub fn broken() -> u64 {
     BROKEN.load(Ordering::Relaxed)
 }
 
-/// Counts one case; the macro [`must!`](crate::must) calls it.
+/// Counts and logs a violation; called by the macro [`must!`](crate::must).
 pub fn count(what: &str) {
     BROKEN.fetch_add(1, Ordering::Relaxed);
     tracing::error!(what, "invariant broken");
 }
 
-/// Asserts in debug builds; in release builds counts and logs what did not hold. Its value is the condition.
+/// Checks an invariant: panics on a violation in debug builds, counts and logs it in release builds. Evaluates to the
+/// condition.
 #[macro_export]
 macro_rules! must {
     ($cond:expr, $what:expr) => {{
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -1,4 +1,4 @@
-//! An executor, as far as this dispatcher knows it.
+//! The state that a dispatcher keeps per executor.
 
 use super::executor_index::IndexEntry;
 use super::mean::Mean;
@@ -7,56 +7,56 @@
 use crate::balancer::slow_start::WarmingBuckets;
 use std::collections::BTreeSet;
 
-/// An executor: its entry in the endpoint list, its last load report, and what this dispatcher has in flight
-/// there and has learned of it.
+/// An executor: its entry in the endpoint list, its last load report, this dispatcher's attempts in flight on it,
+/// and learned statistics.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Executor {
     /// Its entry in the endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// The endpoint list names it.
+    /// Whether the endpoint list contains it.
     pub(crate) present: bool,
-    /// The classes that it is open to, a bit each. Executors that are open to the same classes are a pool.
+    /// Bit mask of the classes that it is eligible for. Executors with the same mask form a pool.
     pub(crate) pool: u64,
-    /// Where it stands in the executor index; `None` if it takes no requests.
+    /// Its entry in the executor index; `None` if it accepts no requests.
     pub(crate) index_entry: Option<IndexEntry>,
-    /// Cores.
+    /// Number of cores.
     pub(crate) cores: f64,
     /// Its last load report.
     pub(crate) report: Report,
-    /// When the last report came, or load was estimated in its place.
+    /// When the last report was received, or the load was last estimated from latency instead.
     pub(crate) report_received_at: TimestampUs,
     /// Threads of this dispatcher's attempts in flight.
     pub(crate) in_flight_threads: f64,
     /// Memory granted to this dispatcher's attempts in flight, in MB.
     pub(crate) granted_mb: f64,
-    /// `in_flight_threads` when the last report was made.
+    /// `in_flight_threads` at the time of the last report.
     pub(crate) in_flight_threads_at_report: f64,
     /// `in_flight_threads` at the last tick.
     pub(crate) in_flight_threads_at_tick: f64,
-    /// This dispatcher's attempts in flight, by request and number of the attempt.
+    /// This dispatcher's attempts in flight, as request id and attempt number.
     pub(crate) attempts_in_flight: BTreeSet<(RequestId, u32)>,
-    /// Latency over that of the same requests elsewhere.
+    /// Latency relative to comparable requests on other executors.
     pub(crate) relative_latency: Mean,
-    /// Natural logarithm of time taken over time expected, lately, where reports tell of no load.
+    /// Natural logarithm of the recent ratio of observed to expected latency, if reports state no load.
     pub(crate) latency_ratio: Option<f64>,
-    /// When its last message came.
+    /// When its last message was received.
     pub(crate) last_message_at: TimestampUs,
-    /// Time between its messages, in seconds.
+    /// Interval between its messages, in seconds.
     pub(crate) message_interval: Mean,
     /// Its errors, rejections and ejections.
     pub(crate) health: ExecutorHealth,
-    /// When it started, if that was lately: it is in slow start until the ramp is over.
+    /// Start time, if recent: the executor is in slow start until the ramp is over.
     pub(crate) warming_since: Option<TimestampUs>,
-    /// Work that it may be sent while it is in slow start.
+    /// Limits on the work that it may be sent in slow start.
     pub(crate) warming_buckets: WarmingBuckets,
-    /// When the probe that is in flight was sent.
+    /// When the probe in flight was sent.
     pub(crate) probe_sent_at: Option<TimestampUs>,
-    /// Something was sent to this process: a connection is there.
+    /// Whether anything was sent to its current process, so that a connection exists.
     pub(crate) connected: bool,
 }
 
 impl Executor {
-    /// An executor that nothing was sent to yet; `warming_since` is when it started, if that was lately.
+    /// An executor that nothing was sent to yet; `warming_since` is its start time, if recent.
     pub(crate) fn new(
         endpoint: Endpoint,
         cores: f64,
@@ -69,7 +69,7 @@
         executor
     }
 
-    /// Forgets what held of the process before.
+    /// Resets the state that belongs to the previous process.
     pub(crate) fn restart(&mut self, now: TimestampUs, warming_since: Option<TimestampUs>) {
         self.warming_since = warming_since;
         self.health.reset_after_restart();
@@ -79,29 +79,29 @@
         self.warming_buckets = WarmingBuckets::new(now);
     }
 
-    /// Whether it is in one of the zones and of one of the kinds of machine; `None` allows all.
+    /// Whether its zone and its kind of machine are allowed; `None` allows all.
     pub(crate) fn is_within(&self, zones: &Option<Vec<ZoneId>>, kinds: &Option<Vec<KindId>>) -> bool {
         zones.as_ref().is_none_or(|allowed| allowed.contains(&self.endpoint.zone))
             && kinds.as_ref().is_none_or(|allowed| allowed.contains(&self.endpoint.kind))
     }
 
-    /// Whether the endpoint list has it as taking requests.
+    /// Whether it is in the endpoint list and accepts requests.
     pub(crate) fn listed(&self) -> bool {
         self.present && self.endpoint.readiness == Readiness::Active
     }
 
-    /// Whether the endpoint list has it no longer.
+    /// Whether it is absent from the endpoint list or marked as removed.
     pub(crate) fn has_departed(&self) -> bool {
         !self.present || self.endpoint.readiness == Readiness::Removed
     }
 
-    /// When its slow start began, while that lasts. A start that lies ahead counts as now.
+    /// When its slow start began, if it is not over. A start time in the future counts as now.
     pub(crate) fn slow_start_began(&self, ramp: DurationUs, now: TimestampUs) -> Option<TimestampUs> {
         let started = self.warming_since.filter(|started| now < started + ramp)?;
         Some(started.min(now))
     }
 
-    /// Counts an attempt in that is sent now.
+    /// Adds an attempt in flight.
     pub(crate) fn start_attempt(&mut self, attempt: (RequestId, u32), threads: f64, granted_mb: f64) {
         self.attempts_in_flight.insert(attempt);
         self.connected = true;
@@ -109,15 +109,15 @@
         self.granted_mb += granted_mb;
     }
 
-    /// Counts an attempt out that is over.
+    /// Removes an attempt that is no longer in flight.
     pub(crate) fn finish_attempt(&mut self, attempt: (RequestId, u32), threads: f64, granted_mb: f64) {
         self.attempts_in_flight.remove(&attempt);
         self.in_flight_threads -= threads;
         self.granted_mb -= granted_mb;
     }
 
-    /// Stores a load report. Equal values are the same old report; a new one tells of a moment ago, not of
-    /// now, so that it counts the threads of the last tick.
+    /// Stores a load report. Unchanged values are taken for the same report. A new report describes a recent moment,
+    /// not the present, so it is associated with the threads in flight at the last tick.
     pub(crate) fn record_report(&mut self, report: Report, now: TimestampUs) {
         if report != self.report {
             self.in_flight_threads_at_report = self.in_flight_threads_at_tick;
--- a/src/state/executor_index.rs
+++ b/src/state/executor_index.rs
@@ -1,5 +1,5 @@
-//! The index over the table of executors, kept as the list changes: what a decision needs of the whole list
-//! without walking it, and hash rings that a part of the list is taken from.
+//! The index over the executor table, updated incrementally with the endpoint list. It provides the aggregates of the
+//! whole list that decisions need, and hash rings from which subsets of the list are taken.
 
 use super::Balancer;
 use super::executor::Executor;
@@ -7,19 +7,19 @@
 use crate::api::{ExecutorId, Kind, KindId, SlowStart, TimestampUs};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the index holds of a listed executor.
+/// The index entry of a listed executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct IndexEntry {
-    /// The classes that it is open to, a bit each.
+    /// Bit mask of the classes that it is eligible for.
     pool: u64,
     /// Its kind of machine.
     kind: KindId,
-    /// When it started, while it is in slow start.
+    /// Start time, if it is in slow start.
     warming_since: Option<TimestampUs>,
 }
 
 impl IndexEntry {
-    /// The entry that an executor should have now; `None` for one that takes no requests.
+    /// The entry that an executor should have now; `None` if it accepts no requests.
     fn of(executor: &Executor, slow_start: &SlowStart, now: TimestampUs) -> Option<IndexEntry> {
         let began = executor.slow_start_began(slow_start.ramp, now);
         let warming_since = began.filter(|_| slow_start.overload_window > 0);
@@ -28,30 +28,30 @@
     }
 }
 
-/// The executors of one kind that are in slow start.
+/// Aggregates over the executors of one kind that are in slow start.
 #[derive(Debug, Default)]
 struct WarmingKind {
-    /// How many there are.
+    /// Their number.
     executors: u64,
-    /// Sum of their times of start, in microseconds.
+    /// Sum of their start times, in microseconds.
     starts: u128,
 }
 
-/// The index. Executors are given by their positions in the executor table.
+/// The executor index. Executors are identified by their positions in the executor table.
 #[derive(Debug, Default)]
 pub(crate) struct ExecutorIndex {
-    /// Listed executors by the classes that they are open to.
+    /// Listed executors by pool.
     pools: BTreeMap<u64, PoolRings>,
-    /// Executors in slow start, by their start.
+    /// Executors in slow start, ordered by start time.
     starts: BTreeSet<(TimestampUs, usize)>,
-    /// Sums over the executors in slow start.
+    /// Aggregates over the executors in slow start, by kind.
     warming: BTreeMap<KindId, WarmingKind>,
-    /// How many executors are listed.
+    /// Number of listed executors.
     listed: usize,
 }
 
 impl ExecutorIndex {
-    /// Replaces the entry of an executor, which is at `index` in the table; `None` stands for no entry.
+    /// Replaces the entry of the executor at `index` in the table; `None` means no entry.
     pub(crate) fn replace(
         &mut self,
         index: usize,
@@ -64,7 +64,7 @@
             self.remove(on_ring, entry);
         }
         if let Some(entry) = after {
-            self.count_in(index, entry).insert(on_ring);
+            self.add_to_aggregates(index, entry).insert(on_ring);
         }
         self.pools.retain(|_, pool| !pool.is_empty());
     }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Counts an executor in and returns the ring that it belongs on.
-    fn count_in(&mut self, index: usize, entry: IndexEntry) -> &mut HashRing {
+    /// Adds an executor to the aggregates and returns the ring that it belongs to.
+    fn add_to_aggregates(&mut self, index: usize, entry: IndexEntry) -> &mut HashRing {
         self.listed += 1;
         if let Some(since) = entry.warming_since {
             self.starts.insert((since, index));
@@ -103,17 +103,17 @@
         }
     }
 
-    /// How many executors are listed.
+    /// Number of listed executors.
     pub(crate) fn listed(&self) -> usize {
         self.listed
     }
 
-    /// An executor in slow start that started at this time or before.
+    /// The executor in slow start with the earliest start, if it started at `time` or before.
     pub(crate) fn started_by(&self, time: TimestampUs) -> Option<usize> {
         self.starts.first().filter(|(since, _)| *since <= time).map(|(_, index)| *index)
     }
 
-    /// Cores of all executors in slow start, and the sum of these cores times the seconds since each one's
+    /// Number of cores of all executors in slow start, and the sum of each one's cores times the seconds since its
     /// start.
     pub(crate) fn warming_cores(&self, kinds: &[Kind], now: TimestampUs) -> (f64, f64) {
         self.warming.iter().fold((0.0, 0.0), |(all_cores, core_seconds), (kind, warming)| {
@@ -123,46 +123,46 @@
         })
     }
 
-    /// The pools that fit.
-    fn pools(&self, fits: impl Fn(u64) -> bool) -> impl Iterator<Item = &PoolRings> {
-        self.pools.iter().filter(move |(pool, _)| fits(**pool)).map(|(_, rings)| rings)
+    /// The pools that match a filter.
+    fn pools(&self, filter: impl Fn(u64) -> bool) -> impl Iterator<Item = &PoolRings> {
+        self.pools.iter().filter(move |(pool, _)| filter(**pool)).map(|(_, rings)| rings)
     }
 
-    /// How many executors a part of the pools that fit has.
-    pub(crate) fn count(&self, part: Part, fits: impl Fn(u64) -> bool) -> usize {
-        self.pools(fits).flat_map(|pool| pool.rings(part)).map(HashRing::len).sum()
+    /// Number of executors in a part of the matching pools.
+    pub(crate) fn count(&self, part: Part, filter: impl Fn(u64) -> bool) -> usize {
+        self.pools(filter).flat_map(|pool| pool.rings(part)).map(HashRing::len).sum()
     }
 
-    /// Cores of the listed executors in the pools that fit.
-    pub(crate) fn cores(&self, kinds: &[Kind], fits: impl Fn(u64) -> bool) -> f64 {
+    /// Cores of the listed executors in the matching pools.
+    pub(crate) fn cores(&self, kinds: &[Kind], filter: impl Fn(u64) -> bool) -> f64 {
         let cores = |(kind, count): (&KindId, &usize)| *count as f64 * kinds[*kind].cores;
-        self.pools(fits).flat_map(|pool| &pool.kinds).map(cores).sum()
+        self.pools(filter).flat_map(|pool| &pool.kinds).map(cores).sum()
     }
 
-    /// All executors of the pools that fit, in no order.
-    pub(crate) fn all(&self, fits: impl Fn(u64) -> bool) -> Vec<usize> {
-        let rings = self.pools(fits).flat_map(|pool| pool.rings(Part::All));
+    /// All executors of the matching pools, in no particular order.
+    pub(crate) fn all(&self, filter: impl Fn(u64) -> bool) -> Vec<usize> {
+        let rings = self.pools(filter).flat_map(|pool| pool.rings(Part::All));
         rings.flat_map(HashRing::executors).collect()
     }
 
-    /// At most so many executors of a part of the pools that fit, the nearest from a ring position on.
+    /// Up to `limit` executors in a part of the matching pools, those that follow a ring position most closely.
     pub(crate) fn window(
         &self,
         part: Part,
-        fits: impl Fn(u64) -> bool,
+        filter: impl Fn(u64) -> bool,
         from: u64,
-        most: usize,
+        limit: usize,
     ) -> Vec<usize> {
-        let rings = self.pools(fits).flat_map(|pool| pool.rings(part));
-        let mut nearest: Vec<RingEntry> = rings.flat_map(|ring| ring.window(from, most)).collect();
+        let rings = self.pools(filter).flat_map(|pool| pool.rings(part));
+        let mut nearest: Vec<RingEntry> = rings.flat_map(|ring| ring.window(from, limit)).collect();
         nearest.sort_unstable();
-        nearest.truncate(most);
+        nearest.truncate(limit);
         nearest.into_iter().map(|entry| entry.executor).collect()
     }
 }
 
 impl Balancer {
-    /// Updates the index wherever an executor's list entry, presence or slow start has changed.
+    /// Updates the index after an executor's list entry, presence or slow start may have changed.
     pub(crate) fn update_index(&mut self, index: usize) {
         let executor = &mut self.executors[index];
         let after = IndexEntry::of(executor, &self.settings.slow_start, self.now);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Builds the index anew, as a complete list or a sweep asks for.
+    /// Rebuilds the index, after a complete list or a sweep of the table.
     pub(crate) fn rebuild_index(&mut self) {
         self.executor_index = ExecutorIndex::default();
         for index in 0..self.executors.len() {
@@ -181,18 +181,18 @@
             executor.index_entry = IndexEntry::of(executor, &self.settings.slow_start, self.now);
             if let Some(entry) = executor.index_entry {
                 let on_ring = RingEntry::new(executor.endpoint.executor, index);
-                self.executor_index.count_in(index, entry).push_unsorted(on_ring);
+                self.executor_index.add_to_aggregates(index, entry).push_unsorted(on_ring);
             }
         }
         self.executor_index.sort();
     }
 
-    /// Counts executors that a decision looked at.
+    /// Counts executors that a decision examined.
     pub(crate) fn count_examined(&self, executors: usize) {
         self.examined.set(self.examined.get() + executors as u64);
     }
 
-    /// How many executors decisions have looked at so far: what they cost, whatever the machine.
+    /// Number of executors that decisions have examined so far, a machine-independent measure of their cost.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
--- a/src/state/executor_index/tests.rs
+++ b/src/state/executor_index/tests.rs
@@ -14,8 +14,8 @@
     }))
 }
 
-/// The index as changes left it, beside a plain table of the same.
-fn played(changes: &[(usize, Option<IndexEntry>)]) -> (ExecutorIndex, BTreeMap<usize, IndexEntry>) {
+/// Applies changes to an index and to a plain table of the same entries.
+fn apply_changes(changes: &[(usize, Option<IndexEntry>)]) -> (ExecutorIndex, BTreeMap<usize, IndexEntry>) {
     let (mut index, mut table) = (ExecutorIndex::default(), BTreeMap::new());
     for (executor, after) in changes {
         let before = table.remove(executor);
@@ -26,12 +26,11 @@
 }
 
 proptest! {
-    // The index is kept up with every change of the list instead of being computed. A sum that drifts from
-    // the list would skew each decision from then on: it has to be what a walk over the whole list would
-    // find.
+    // The index is updated incrementally. An aggregate that drifts from the list would skew every later decision, so
+    // it has to equal the result of a walk over the whole list.
     #[test]
-    fn sums_are_those_of_a_walk(changes in proptest::collection::vec((0..30usize, entry()), 0..200)) {
-        let (index, table) = played(&changes);
+    fn aggregates_equal_those_of_a_walk(changes in proptest::collection::vec((0..30usize, entry()), 0..200)) {
+        let (index, table) = apply_changes(&changes);
         let walk = |fits: fn(&IndexEntry) -> bool| table.values().filter(move |entry| fits(entry));
         let even = |pool: u64| pool % 2 == 0;
         prop_assert_eq!(index.listed(), table.len());
@@ -55,21 +54,21 @@
         prop_assert_eq!(index.started_by(NOW), first.map(|(_, i)| i));
     }
 
-    // A draw from a long list sees only a window of it. It has to hold the nearest executors, each once, and
-    // all of them where it is as long as the ring.
+    // A draw from a long list considers only a window of it. The window has to contain the nearest executors, each
+    // once, and all of them if it is as long as the ring.
     #[test]
-    fn windows_are_the_nearest_on_the_ring(
+    fn windows_contain_the_nearest_executors_on_the_ring(
         changes in proptest::collection::vec((0..30usize, entry()), 0..100),
         from in any::<u64>(),
-        most in 0..40usize,
+        limit in 0..40usize,
     ) {
-        let (index, table) = played(&changes);
+        let (index, table) = apply_changes(&changes);
         let mut nearest: Vec<(u64, usize)> =
             table.keys().map(|i| (ring_position(*i as ExecutorId).wrapping_sub(from), *i)).collect();
         nearest.sort_unstable();
-        nearest.truncate(most);
+        nearest.truncate(limit);
         let nearest: Vec<usize> = nearest.into_iter().map(|(_, i)| i).collect();
-        prop_assert_eq!(index.window(Part::All, |_| true, from, most), nearest);
+        prop_assert_eq!(index.window(Part::All, |_| true, from, limit), nearest);
         let mut all = index.all(|_| true);
         all.sort_unstable();
         prop_assert_eq!(all, table.keys().copied().collect::<Vec<_>>());
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -1,4 +1,4 @@
-//! The table of executors: found by id or by position, swept of those that are gone.
+//! The table of executors, with lookup by id or position, and removal of departed executors.
 
 use super::Balancer;
 use super::executor::Executor;
@@ -7,19 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// A table of up to so many executors is swept with every event that brings a new one.
+/// A table of up to this many executors is swept on every event that adds an executor.
 const SWEEP_ALWAYS_UP_TO: usize = 128;
-/// A larger table is swept once one in so many of its executors is not listed.
+/// A larger table is swept when at least one in this many of its executors is not listed.
 const SWEEP_ONE_UNLISTED_IN: usize = 8;
 
-/// All executors that are known. Positions in the table change with a sweep, ids never do.
+/// All known executors. Positions in the table change with a sweep; ids never change.
 #[derive(Debug, Default)]
 pub(crate) struct ExecutorTable {
     executors: Vec<Executor>,
     positions: BTreeMap<ExecutorId, usize>,
-    /// Positions of executors that anything was sent to or reported by; the others are as the list has them.
+    /// Positions of executors that sent or were sent anything. The others have no state beyond the list entry.
     pub(crate) active: BTreeSet<usize>,
-    /// When departed executors were last looked for.
+    /// Time of the last check whether a sweep is due.
     last_sweep: Option<TimestampUs>,
 }
 
@@ -38,12 +38,12 @@
 }
 
 impl ExecutorTable {
-    /// How many executors are in the table, listed or not.
+    /// Number of executors in the table, listed or not.
     pub(crate) fn len(&self) -> usize {
         self.executors.len()
     }
 
-    /// All executors, by position.
+    /// All executors in order of position.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Executor> + Clone {
         self.executors.iter()
     }
@@ -53,14 +53,14 @@
         self.positions.get(&executor).copied()
     }
 
-    /// Changes each active executor.
+    /// Applies a change to each active executor.
     pub(crate) fn for_each_active(&mut self, mut change: impl FnMut(&mut Executor)) {
         for position in &self.active {
             change(&mut self.executors[*position]);
         }
     }
 
-    /// Marks all executors absent that a complete list does not name.
+    /// Marks executors as present or absent according to a complete list.
     pub(crate) fn mark_absent_except(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<ExecutorId> = endpoints.iter().map(|endpoint| endpoint.executor).collect();
         for executor in &mut self.executors {
@@ -76,8 +76,8 @@
         position
     }
 
-    /// Whether a sweep is due at `now`: one for each event, and for a large table only if enough is to be
-    /// removed, as a sweep walks the whole table.
+    /// Whether a sweep is due at `now`: at most one per event and, as a sweep walks the whole table, for a large table
+    /// only if enough executors are not listed.
     fn is_sweep_due(&mut self, listed: usize, now: TimestampUs) -> bool {
         if self.last_sweep.replace(now) == Some(now) {
             return false;
@@ -86,8 +86,8 @@
         self.len() <= SWEEP_ALWAYS_UP_TO || unlisted * SWEEP_ONE_UNLISTED_IN >= self.len()
     }
 
-    /// Removes the executors that are gone and not in use. Returns the new position of each former one,
-    /// `None` for those removed; nothing if all stay.
+    /// Removes departed executors that are not in use. Returns the new position for each old one, with `None` for
+    /// removed executors, or `None` altogether if nothing was removed.
     fn remove_departed(&mut self, in_use: &BTreeSet<usize>) -> Option<Vec<Option<usize>>> {
         let is_kept = |(position, executor): (usize, &Executor)| {
             !executor.has_departed() || !executor.attempts_in_flight.is_empty() || in_use.contains(&position)
@@ -109,8 +109,8 @@
 }
 
 impl Balancer {
-    /// Adds an executor to the table or updates its entry, and returns its position. `restarted` is when it
-    /// started, if the list tells of a start.
+    /// Adds an executor to the table or updates its entry, and returns its position. `restarted` is its start time, if
+    /// the list reports a new start.
     pub(crate) fn update_executor(&mut self, endpoint: Endpoint, restarted: Option<TimestampUs>) -> usize {
         let Some(position) = self.executors.position(endpoint.executor) else {
             if self.executors.is_sweep_due(self.executor_index.listed(), self.now) {
@@ -128,8 +128,8 @@
         position
     }
 
-    /// Guards against a table that grows all day as executors are replaced, and with it whatever counts them:
-    /// those that are gone are removed once no open request refers to them.
+    /// Removes departed executors once no open request refers to them. Otherwise the table, and everything that counts
+    /// its entries, would grow without bound as executors are replaced.
     fn sweep_executors(&mut self) {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         let in_use = attempts.map(|attempt| attempt.executor).collect();
@@ -149,12 +149,12 @@
         self.mark_active(position);
     }
 
-    /// Something was sent to an executor or came from it.
+    /// Marks an executor as active, because something was sent to it or received from it.
     pub(crate) fn mark_active(&mut self, position: usize) {
         self.executors.active.insert(position);
     }
 
-    /// Records an attempt that is sent now, with its request and its executor.
+    /// Records a new attempt in its request and its executor.
     pub(crate) fn record_attempt(&mut self, id: RequestId, index: usize, memory_grant_mb: f64, priority: u8) {
         let now = self.now;
         let request = self.request_mut(id);
@@ -167,8 +167,8 @@
         self.executors[index].start_attempt((id, number), threads, memory_grant_mb);
     }
 
-    /// Records the outcome of an attempt with its request and its executor, and returns the executor's index;
-    /// `None` if the attempt is unknown or has an outcome already.
+    /// Records the outcome of an attempt in its request and its executor, and returns the executor's index. Returns
+    /// `None` if the attempt is unknown or already has an outcome.
     pub(crate) fn record_attempt_outcome(
         &mut self,
         id: RequestId,
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -1,21 +1,21 @@
-//! What all executors come to: how many there are, and their cores.
+//! Aggregates over the executors of the endpoint list: counts and cores.
 
 use crate::api::{Micros, Readiness};
 use crate::state::{Balancer, Executor};
 
-/// Cores of the executors on the endpoint list that take requests.
+/// Cores of the listed executors that accept requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FleetCores {
     /// Cores of all of them.
     pub(crate) listed: f64,
     /// Cores of those that are neither ejected nor unresponsive.
     pub(crate) healthy: f64,
-    /// The same, an executor in slow start counted by the fraction of its capacity that it has.
+    /// Like `healthy`, with executors in slow start counted by their current capacity fraction.
     pub(crate) warm: f64,
 }
 
 impl Balancer {
-    /// Executors on the list, and of these those that take nothing new now: draining, unresponsive or ejected.
+    /// Number of executors in the list, and of those that get no new requests: draining, unresponsive or ejected.
     pub(crate) fn listed_and_avoided(&self, now: Micros) -> (usize, usize) {
         let is_listed =
             |executor: &&Executor| executor.present && executor.endpoint.readiness != Readiness::Removed;
@@ -26,7 +26,7 @@
         (listed.clone().count(), listed.filter(is_avoided).count())
     }
 
-    /// Cores of the executors that take requests.
+    /// Cores of the executors that accept requests.
     pub(crate) fn fleet_cores(&self, now: Micros) -> FleetCores {
         let mut sum = FleetCores::default();
         for executor in self.executors.iter().filter(|executor| executor.listed()) {
@@ -40,7 +40,7 @@
 }
 
 impl Executor {
-    /// Neither ejected nor unresponsive.
+    /// Whether it is neither ejected nor unresponsive.
     fn is_healthy(&self, now: Micros) -> bool {
         !self.health.unresponsive && !self.health.is_ejected(now)
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher remembers, and the arithmetic of its parts. It decides nothing: every decision and every
-//! constant stands in `src/balancer/`.
+//! The state of a balancer and its arithmetic. This module contains no decisions: these, and all their constants,
+//! are in `src/balancer/`.
 
 mod executor;
 mod executor_index;
@@ -14,7 +14,7 @@
 pub(crate) use executor::Executor;
 pub(crate) use executor_index::ExecutorIndex;
 pub(crate) use executor_table::ExecutorTable;
-pub(crate) use hash_ring::{Part, mix};
+pub(crate) use hash_ring::{Part, splitmix64};
 pub(crate) use mean::Mean;
 pub(crate) use random::{draw_weighted, rendezvous_hash};
 pub(crate) use request::{Attempt, Request};
@@ -29,37 +29,35 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// The decisions of one dispatcher: its settings, what it has learned and what is open.
+/// The load balancer of one dispatcher: its settings, learned statistics and open requests.
 pub struct Balancer {
-    /// What the dispatcher is configured with.
+    /// The current settings.
     pub(crate) settings: Settings,
-    /// Source of its random draws.
+    /// Random number generator for draws.
     pub(crate) rng: Pcg64Mcg,
     /// Time of the event that is being handled.
     pub(crate) now: TimestampUs,
-    /// It has had its first event.
+    /// Whether the first event has been handled.
     pub(crate) started: bool,
-    /// Which requests are admitted.
     pub(crate) admission: AdmissionRules,
-    /// What requests cost.
     pub(crate) cost_model: CostModel,
-    /// How loaded the executors are.
+    /// Estimated load of the executors.
     pub(crate) load: LoadModel,
-    /// How far the rules of admission close.
+    /// How far the admission rules close.
     pub(crate) pressure: Pressure,
     pub(crate) probe_budget: ProbeBudget,
     pub(crate) slow_start: SlowStartAdmission,
     pub(crate) executors: ExecutorTable,
     pub(crate) executor_index: ExecutorIndex,
-    /// Where its subset of the executors begins.
+    /// Position on the hash ring at which the dispatcher's subset of the executors begins.
     pub(crate) ring_position: u64,
-    /// Executors that decisions have looked at.
+    /// Number of executors that decisions have examined.
     pub(crate) examined: Cell<u64>,
     /// Open requests.
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Requests of a key, which run one at a time.
+    /// Queues of requests with the same key, which run one at a time.
     pub(crate) key_queues: KeyQueues,
-    /// Where the next tick goes on among the attempts in flight, if one tick doesn't check them all.
+    /// Where the next tick continues among the attempts in flight, if one tick does not check them all.
     pub(crate) attempts_checked: usize,
     /// Counts retries against the retry budget.
     pub(crate) retry_limiter: RetryLimiter,
@@ -67,18 +65,18 @@
     pub(crate) resumed_at: TimestampUs,
     /// Requests that wait for probes.
     pub(crate) awaiting_probes: Vec<RequestId>,
-    /// An endpoint list has come.
+    /// Whether an endpoint list has been received.
     pub(crate) endpoint_list_loaded: bool,
-    /// When this dispatcher shuts down; the greatest value while it doesn't.
+    /// When this dispatcher shuts down; the maximum value if no shutdown is scheduled.
     pub(crate) shutdown_deadline: TimestampUs,
-    /// The time of the shutdown has changed since key queues were checked.
+    /// Whether the shutdown deadline has changed since all key queues were checked.
     pub(crate) shutdown_deadline_changed: bool,
     /// Actions of the event that is being handled.
     pub(crate) actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// One that has seen nothing; `seed` feeds its draws.
+    /// A balancer without state, for valid settings; `seed` initializes its random number generator.
     pub(crate) fn empty(settings: Settings, seed: u64) -> Balancer {
         Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -92,7 +90,7 @@
             slow_start: SlowStartAdmission::default(),
             executors: ExecutorTable::default(),
             executor_index: ExecutorIndex::default(),
-            ring_position: mix(seed),
+            ring_position: splitmix64(seed),
             examined: Cell::new(0),
             requests: BTreeMap::new(),
             key_queues: KeyQueues::default(),
@@ -109,7 +107,7 @@
     }
 
     pub(crate) fn request_mut(&mut self, id: RequestId) -> &mut Request {
-        self.requests.get_mut(&id).expect("an open request")
+        self.requests.get_mut(&id).expect("the request is open")
     }
 
     pub(crate) fn log(&mut self, line: String) {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -2,55 +2,55 @@
 
 use crate::api::{Arrival, Class, ClassId, DurationUs, ExecutorId, KindId, Outcome, TimestampUs, ZoneId};
 
-/// An open request: it has no answer yet, or attempts that are in flight.
+/// An open request: it is unanswered or has attempts in flight.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Request {
     /// Its class.
     pub(crate) class: ClassId,
-    /// Its key, if its class keeps the order of a key.
+    /// Its key, if its class keeps order.
     pub(crate) key: Option<u64>,
-    /// The group of tables that it reads.
+    /// The table group that it reads.
     pub(crate) table_group: u64,
-    /// Executors that have its table group cached, or should.
+    /// Preferred executors of its table group, for cache affinity.
     pub(crate) preferred_executors: Vec<ExecutorId>,
     /// When it arrived.
     pub(crate) arrived_at: TimestampUs,
     /// When its client gives up.
     pub(crate) deadline: TimestampUs,
-    /// Until when an answer earns the whole weight.
+    /// When its latency objective ends.
     pub(crate) objective_ends_at: TimestampUs,
     /// Predicted cost, in thread-seconds.
     pub(crate) predicted_cost: f64,
-    /// Estimated cost as it arrived, in thread-seconds.
+    /// The client's estimate of the cost, in thread-seconds.
     pub(crate) estimated_cost: Option<f64>,
-    /// Estimated memory as it arrived, in MB.
+    /// The client's estimate of the memory, in MB.
     pub(crate) estimated_memory_mb: Option<f64>,
-    /// Memory that its latest attempt was granted, in MB; 0 leaves it to the executor.
+    /// Memory granted to its latest attempt, in MB; 0 leaves the amount to the executor.
     pub(crate) memory_grant_mb: f64,
-    /// Priority of what is in flight, 0 to 3.
+    /// Priority of its attempts, 0 to 3.
     pub(crate) priority: u8,
     /// Its attempts, in the order in which they were sent.
     pub(crate) attempts: Vec<Attempt>,
-    /// Until when it waits for probes, if it ever did.
+    /// End of its wait for probes, if it ever waited.
     pub(crate) probe_wait_until: Option<TimestampUs>,
-    /// What it was expected to take when it joined its key's queue.
+    /// Its expected run time when it joined its key's queue.
     pub(crate) expected_run: DurationUs,
-    /// It has its final answer, or its client has left.
+    /// Whether it has its final answer or its client disconnected.
     pub(crate) answered: bool,
-    /// Its answer is being streamed to the client.
+    /// Whether its response is being streamed to the client.
     pub(crate) streaming: bool,
-    /// It was counted as late for its class.
+    /// Whether it was counted as late for its class.
     pub(crate) counted_late: bool,
     /// The only zones allowed, by the settings that admitted it.
     pub(crate) only_zones: Option<Vec<ZoneId>>,
     /// The only kinds of machine allowed, by the settings that admitted it.
     pub(crate) only_kinds: Option<Vec<KindId>>,
-    /// Attempts allowed, by the settings that admitted it.
+    /// Maximum number of attempts, by the settings that admitted it.
     pub(crate) max_attempts: u32,
 }
 
 impl Request {
-    /// A request as it arrives; `latency_objective` is a span here, in microseconds.
+    /// A newly arrived request; `latency_objective` is the time from its arrival.
     pub(crate) fn new(
         arrival: &Arrival,
         now: TimestampUs,
@@ -78,25 +78,25 @@
         }
     }
 
-    /// Attempts in flight that are not cancelled, by their number.
+    /// Numbers of the attempts in flight that are not cancelled.
     pub(crate) fn live_attempts(&self) -> Vec<u32> {
         let is_live = |attempt: &Attempt| attempt.outcome.is_none() && !attempt.cancelled;
         let numbered = self.attempts.iter().enumerate();
         numbered.filter(|(_, attempt)| is_live(attempt)).map(|(number, _)| number as u32).collect()
     }
 
-    /// How many attempts have no outcome yet, cancelled ones included.
+    /// Number of attempts without an outcome, including cancelled ones.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
     }
 
-    /// No attempt can have run.
+    /// Whether it is certain that no attempt ran.
     pub(crate) fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
-    /// Whether another attempt may be sent beside or in place of this one: nothing else is in flight, and the
-    /// client has received nothing yet.
+    /// Whether another attempt may be sent in addition to or in place of this one: no other attempt is in flight, and
+    /// the client has received nothing yet.
     pub(crate) fn may_replace(&self, attempt: u32) -> bool {
         !self.answered && !self.streaming && self.live_attempts() == [attempt]
     }
@@ -105,23 +105,23 @@
 /// An attempt of a request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Attempt {
-    /// Where it was sent, by index in the table of executors.
+    /// Position of its executor in the executor table.
     pub(crate) executor: usize,
     /// When it was sent.
     pub(crate) sent_at: TimestampUs,
     /// How it ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
-    /// Reported progress: 0 at its start, 1 is the whole.
+    /// Reported progress, from 0 to 1.
     pub(crate) progress: f64,
-    /// When progress was reported last, or it was sent.
+    /// When progress was last reported; initially, when it was sent.
     pub(crate) progress_at: TimestampUs,
-    /// When its last message came, or it was sent.
+    /// When its last message was received; initially, when it was sent.
     pub(crate) last_message_at: TimestampUs,
-    /// It was called off.
+    /// Whether it was cancelled.
     pub(crate) cancelled: bool,
-    /// Its executor has reported that it spills to disk.
+    /// Whether its executor reported that it spilled to disk.
     pub(crate) spilled: bool,
-    /// Memory that it was granted, in MB.
+    /// Granted memory, in MB.
     pub(crate) memory_grant_mb: f64,
 }
 
@@ -138,11 +138,12 @@
         }
     }
 
-    /// Records how far it is; the seconds that a whole would take at the pace since the last time.
+    /// Records the progress and returns the total run time, in seconds, projected from the pace since the previous
+    /// report.
     pub(crate) fn record_progress(&mut self, now: TimestampUs, progress: f64) -> f64 {
         let span_s = (now - self.progress_at) as f64 / 1e6;
-        let whole_s = span_s / (progress - self.progress).max(0.001);
+        let total_s = span_s / (progress - self.progress).max(0.001);
         (self.progress, self.progress_at) = (progress, now);
-        whole_s
+        total_s
     }
 }
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -2,30 +2,30 @@
 
 use crate::api::Micros;
 
-/// Fills at `rate` up to a burst, both in the unit of what is taken.
+/// A token bucket; rate and burst are in the unit of the tokens taken.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TokenBucket {
-    /// Tokens there are; below 0 it is in debt.
+    /// Available tokens; negative if the bucket is in debt.
     pub(crate) level: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub(crate) rate: f64,
-    /// The most tokens there may be.
+    /// Maximum number of tokens.
     pub(crate) burst: f64,
-    /// When it was filled last.
+    /// When it was last refilled.
     pub(crate) updated_at: Micros,
 }
 
 impl TokenBucket {
-    /// Fills up to `most` tokens, at its rate since the last time.
-    pub(crate) fn refill(&mut self, now: Micros, most: f64) {
+    /// Refills at the bucket's rate for the time since the last refill, up to `limit` tokens.
+    pub(crate) fn refill(&mut self, now: Micros, limit: f64) {
         let seconds = now.saturating_sub(self.updated_at) as f64 / 1e6;
-        self.level = (self.level + self.rate * seconds).min(most);
+        self.level = (self.level + self.rate * seconds).min(limit);
         self.updated_at = now;
     }
 
-    /// Fills up to `most` tokens, at `rate` since the last time and from now on.
-    pub(crate) fn fill(&mut self, now: Micros, rate: f64, most: f64) {
+    /// Sets the rate, then refills at it for the time since the last refill, up to `limit` tokens.
+    pub(crate) fn refill_at_rate(&mut self, now: Micros, rate: f64, limit: f64) {
         self.rate = rate;
-        self.refill(now, most);
+        self.refill(now, limit);
     }
 }
