--- a/src/balancer/load/pool.rs
+++ b/src/balancer/load/pool.rs
@@ -43,7 +43,7 @@
     pub(super) saturation: f64,
 }
 
-/// The load of one executor, as far as it is known.
+/// The estimated load of one executor.
 pub(super) struct ExecutorLoad {
     /// Confidence in the report, 0 to 1.
     pub(super) confidence: f64,
--- a/src/balancer/selection/affinity.rs
+++ b/src/balancer/selection/affinity.rs
@@ -38,9 +38,9 @@
         let yields = self.settings.classes[class].yields_to_loads;
         let loads = self.settings.classes.iter().position(|other| yields && other.loads);
         let class = loads.unwrap_or(class);
-        let among = self.affinity_candidates(class, group);
-        self.count_examined(among.len());
-        let mut scored: Vec<(f64, ExecutorId)> = among
+        let candidates = self.affinity_candidates(class, group);
+        self.count_examined(candidates.len());
+        let mut scored: Vec<(f64, ExecutorId)> = candidates
             .into_iter()
             .map(|i| &self.executors[i])
             .map(|executor| (self.affinity_score(class, group, executor), executor.endpoint.executor))
--- a/src/dispatch/endpoints.rs
+++ b/src/dispatch/endpoints.rs
@@ -51,7 +51,7 @@
     Up,
     /// It completes its current work and accepts no new requests.
     Draining,
-    /// Its process is gone.
+    /// It is no longer part of the fleet.
     Removed,
 }
 
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -1,18 +1,18 @@
-//! Which requests are admitted, which are rejected at once, and what makes pressure.
+//! Admission control and the sources of pressure.
 
 use crate::common::*;
-use crate::{bound, two_kinds, under_pressure};
+use crate::{restricted_class, two_kinds, under_pressure};
 use ottercroft::api::*;
 
 #[test]
-fn an_expensive_request_is_rejected_at_once_under_pressure_and_a_light_one_is_admitted() {
+fn under_pressure_expensive_requests_are_rejected_and_cheap_ones_admitted() {
     let mut rig = Rig::new(settings(), 2);
     under_pressure(&mut rig);
     let (_, actions) = rig.arrive(1, 30.0);
-    let advice = refused(&actions).expect("rejected on arrival");
-    assert!(advice.is_some_and(|t| t > 0 && t <= 2 * S), "advice when to return: {advice:?}");
+    let retry_after = refused(&actions).expect("rejected on arrival");
+    assert!(retry_after.is_some_and(|t| t > 0 && t <= 2 * S), "Retry-After: {retry_after:?}");
     let (_, actions) = rig.arrive(0, 0.02);
-    assert!(sent_to(&actions).is_some(), "light requests match no rule");
+    assert!(sent_to(&actions).is_some(), "cheap requests match no rule");
 }
 
 #[test]
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn buckets_stay_open_until_the_class_has_outcomes() {
+fn all_requests_are_admitted_until_their_class_has_outcomes() {
     let mut rig = Rig::new(settings(), 2);
     for _ in 0..20 {
         let (_, actions) = rig.arrive(1, 50.0);
@@ -45,7 +45,7 @@
         if let Some(executor) = sent_to(&actions) {
             rig.finish(request, 0, executor, Outcome::Ok, cost);
         } else {
-            // Closed by pressure: the cost is learned from requests with a light estimate.
+            // Rejected due to pressure: the cost is learned from requests with a low estimate instead.
             let (request, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 1, 0.1) });
             rig.finish(request, 0, sent_to(&actions).unwrap(), Outcome::Ok, cost);
         }
@@ -54,10 +54,10 @@
     assert!(sent_to(&rig.arrive_as(arrival_of(8)).1).is_some());
 }
 
-/// Where lateness alone made pressure, requests were rejected long after the executors were idle.
-/// Lateness is forgotten faster while executors have spare capacity.
+/// Guards against rejections long after an overload, which happened when pressure came from lateness alone. Lateness
+/// decays faster while executors have spare capacity.
 #[test]
-fn pressure_from_lateness_eases_when_executors_have_room() {
+fn pressure_from_lateness_decays_while_executors_have_spare_capacity() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -73,10 +73,10 @@
     assert!(sent_to(&rig.arrive(1, 6.0).1).is_some());
 }
 
-/// Executors out of memory made requests wait at half their utilization, and no pressure was seen. The memory in use
-/// makes pressure, as utilization says nothing of that queue.
+/// Executors without free memory queue requests at half utilization, which went unnoticed. The memory in use raises
+/// pressure, because utilization does not reflect that queue.
 #[test]
-fn memory_that_runs_out_makes_pressure_where_requests_wait_for_it() {
+fn exhausted_memory_raises_pressure_if_requests_queue_for_it() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(1, 30, 2.0);
     rig.pass(2 * S);
@@ -88,24 +88,24 @@
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
 }
 
-/// Executors had a third of their cores busy and all of their disks: nothing was rejected and all answers were late.
+/// With a third of the cores but all disks busy, nothing was rejected and all answers were late.
 #[test]
-fn busy_disks_make_pressure() {
+fn busy_disks_raise_pressure() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(1, 30, 2.0);
     rig.pass(2 * S);
-    let jammed = Some(Report { util: Some(0.3), disks: Some(1.05), ..Report::default() });
+    let saturated = Some(Report { util: Some(0.3), disks: Some(1.05), ..Report::default() });
     for executor in [1, 2] {
-        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report: jammed });
+        rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report: saturated });
     }
     rig.pass(200 * MS);
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
 }
 
-/// The executors of a class bound to one kind were full, and classes free to go elsewhere were rejected with it.
+/// When the executors of a class restricted to one kind were full, unrestricted classes were rejected as well.
 #[test]
-fn a_full_pool_of_a_bound_class_rejects_that_class_alone() {
-    let mut rig = two_kinds(bound());
+fn a_full_pool_of_a_restricted_class_rejects_only_that_class() {
+    let mut rig = two_kinds(restricted_class());
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
     rig.pass(2 * S);
@@ -119,10 +119,10 @@
     assert!(sent_to(&rig.arrive(0, 2.0).1).is_some_and(|e| e < 3));
 }
 
-/// A tenant with 73% of all traffic went over its quota and got nothing at all from pressure 0.4, not even its quota:
-/// executors stood idle while its requests were rejected.
+/// A tenant with 73% of all traffic exceeded its quota and from pressure 0.4 on got nothing at all, not even its quota:
+/// executors were idle while its requests were rejected.
 #[test]
-fn a_tenant_over_its_quota_still_gets_a_part_of_it_at_half_pressure() {
+fn a_tenant_over_its_quota_still_gets_part_of_it_at_half_pressure() {
     let tenants = vec![Tenant { quota_per_s: 40.0 }];
     let mut rig = Rig::new(Settings { tenants, over_quota_weight: 0.1, ..settings() }, 2);
     rig.teach(0, 30, 0.2);
@@ -140,12 +140,11 @@
         }
         rig.pass(20 * MS);
     }
-    // Some four of its twenty a second pass, not all and not none.
+    // About four of its twenty requests per second are admitted, neither all nor none.
     assert!((8..60).contains(&sends[1]), "{sends:?}");
 }
 
-/// How many of 600 requests of the only class are rejected while executors are a little over the load at which pressure
-/// begins.
+/// Number of rejections among 600 requests of the only class, at a load slightly above the point where pressure begins.
 fn rejections(priority_weight: f64) -> usize {
     let mut settings = settings();
     settings.classes.truncate(1);
@@ -153,7 +152,7 @@
     let mut rig = Rig::new(settings, 4);
     rig.teach(0, 30, 0.2);
     let busy = Report { util: Some(1.0), inflight: Some(16.0), ..Report::default() };
-    let mut passes = |_: &usize| {
+    let mut is_rejected = |_: &usize| {
         let (request, actions) = rig.arrive(0, 0.2);
         rig.pass(20 * MS);
         if let Some(executor) = sent_to(&actions) {
@@ -161,12 +160,12 @@
         }
         refused(&actions).is_some()
     };
-    (0..600).filter(|n| passes(n)).count()
+    (0..600).filter(|n| is_rejected(n)).count()
 }
 
-/// A class with a priority weight of 0 was shed at the first pressure, and without pressure its bucket held NaN, as 0 was
-/// divided by 0. The weight sets classes against each other; a class alone is treated alike whatever its weight.
+/// A class with a priority weight of 0 was shed at the slightest pressure, and without pressure its bucket contained
+/// NaN from a division of 0 by 0. Weights only compare classes, so a single class is treated alike whatever its weight.
 #[test]
-fn a_class_without_priority_weight_is_shed_no_sooner_than_the_same_class_alone() {
+fn the_priority_weight_of_a_single_class_does_not_change_its_rejections() {
     assert_eq!([0.0, 1e-9, 7.0].map(rejections), [rejections(1.0); 3]);
 }
--- a/tests/balancer/attempts.rs
+++ b/tests/balancer/attempts.rs
@@ -4,16 +4,16 @@
 use ottercroft::api::*;
 
 #[test]
-fn a_failed_attempt_is_retried_on_another_executor_at_once() {
+fn a_failed_attempt_is_retried_immediately_on_another_executor() {
     let mut rig = Rig::new(settings(), 3);
     let (request, actions) = rig.arrive(0, 0.2);
     let first = sent_to(&actions).unwrap();
-    let again = sent_to(&rig.finish(request, 0, first, Outcome::Error, 0.001)).expect("one more try");
+    let again = sent_to(&rig.finish(request, 0, first, Outcome::Error, 0.001)).expect("retried");
     assert_ne!(first, again);
 }
 
-// Without a stated retry budget every overloaded executor looked unresponsive, and hedged requests for all that
-// was stuck there made the overload worse. The default budget bounds them.
+// Without a configured retry budget, overloaded executors looked unresponsive, and hedging all their requests made the
+// overload worse. The default budget limits hedged requests.
 #[test]
 fn hedged_requests_stay_within_the_default_retry_budget() {
     let mut rig = Rig::new(Settings { retry_budget: None, ..settings() }, 3);
@@ -24,8 +24,8 @@
     assert!(hedged.count() <= 3 + 30);
 }
 
-// A bad query plan makes an attempt run for many times its expected time. It is cancelled, and the request is
-// sent to another executor, whether or not the executor reports progress.
+// A bad query plan makes an attempt run for a multiple of its expected time. It is cancelled and retried on another
+// executor, whether or not the executor reports progress.
 #[test]
 fn a_runaway_attempt_is_cancelled_and_retried() {
     for progress in [None, Some(500 * MS)] {
@@ -38,7 +38,7 @@
         let mut all = vec![];
         for i in 1..=20 {
             all.extend(rig.pass(100 * MS));
-            // Other requests are served meanwhile: the executor is not silent.
+            // Other requests are served meanwhile, so that the executor does not look unresponsive.
             for _ in 0..4 {
                 let (other, actions) = rig.arrive(0, 0.05);
                 if let Some(e) = sent_to(&actions) {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn priorities_rise_for_cheap_requests_and_grants_follow_reported_needs() {
+fn cheap_requests_get_higher_priority_and_grants_follow_reported_needs() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -72,12 +72,12 @@
     let light = terms(&rig.arrive(0, 0.1).1).unwrap();
     let heavy = terms(&rig.arrive(1, 6.0).1).unwrap();
     assert!(light.1 > heavy.1);
-    // Estimated 100, reported 100 each time: the grant comes down from a quarter over to near the need.
+    // Estimates and reported needs are 100: the grant falls from the initial 125 to near 100.
     assert!(light.0 > 95.0 && light.0 < 115.0, "{light:?}");
 }
 
-// An executor may lose one request and send progress of all others. The attempt that sends nothing is retried
-// elsewhere, long before its deadline; the one that sends progress is left alone.
+// An executor may lose one request and report progress of all others. The attempt without progress messages is retried
+// on another executor long before its deadline; the one with progress messages is not.
 #[test]
 fn an_unresponsive_attempt_is_retried_on_another_executor() {
     let mut rig = Rig::new(Settings { progress_interval: Some(500 * MS), ..settings() }, 3);
@@ -115,9 +115,9 @@
     assert!(!again(answering));
 }
 
-// Links may lose a fifth of all attempts. Where no retry budget is stated, each lost one is retried.
+// Network links may lose a fifth of all attempts. With the default retry budget, each lost attempt is retried.
 #[test]
-fn a_fifth_of_attempts_lost_is_retried() {
+fn the_default_retry_budget_covers_a_loss_of_one_fifth_of_attempts() {
     let mut rig = Rig::new(Settings { retry_budget: None, ..settings() }, 3);
     for n in 0..60 {
         let (request, actions) = rig.arrive(0, 0.1);
--- a/tests/balancer/health.rs
+++ b/tests/balancer/health.rs
@@ -1,12 +1,12 @@
-//! Executors that fail, become unresponsive, drain or warm up.
+//! Executors that fail, become unresponsive, drain or are in slow start.
 
 use crate::common::*;
 use ottercroft::api::*;
 
-// An executor that answers errors at once looks idle and cheap, and drew most requests. It is ejected, and its
-// errors do not lower the costs that are learned.
+// An executor that immediately returns errors looks idle and cheap, and attracted most requests. It is ejected, and its
+// errors do not lower the learned cost.
 #[test]
-fn a_fast_failing_executor_is_ejected_and_does_not_cheapen_its_class() {
+fn a_fast_failing_executor_is_ejected_and_does_not_lower_the_cost_of_its_class() {
     let mut rig = Rig::new(settings(), 4);
     rig.teach(0, 40, 0.2);
     let mut late_sends_to_failing = 0;
@@ -27,8 +27,7 @@
     assert!(late_sends_to_failing <= 3, "{late_sends_to_failing} first attempts at the failing executor");
 }
 
-// An executor accepts requests and answers nothing more. It is ejected, and what it holds is sent to another
-// executor once.
+// An executor accepts requests but stops responding. It is ejected, and its requests in flight are hedged once.
 #[test]
 fn an_unresponsive_executor_is_ejected_and_its_requests_are_hedged() {
     let mut rig = Rig::new(settings(), 3);
@@ -53,7 +52,7 @@
 }
 
 #[test]
-fn a_draining_executor_gets_nothing_new() {
+fn a_draining_executor_gets_no_new_requests() {
     let mut rig = Rig::new(settings(), 2);
     let endpoints = vec![Endpoint { readiness: Readiness::Draining, ..endpoint(1) }];
     rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
@@ -61,11 +60,11 @@
         assert_eq!(sent_to(&rig.arrive(0, 0.1).1), Some(2));
     }
     rig.event(Event::EndpointList { kind: EndpointListKind::Replace, endpoints: vec![] });
-    assert!(refused(&rig.arrive(0, 0.1).1).is_some(), "no executor: rejected at once");
+    assert!(refused(&rig.arrive(0, 0.1).1).is_some(), "rejected at once without executors");
 }
 
-// Each reset was taken for a restart of the executor, and slow start shut most of a fleet whose links were bad
-// (i95b913). Only the endpoint list says that an executor has restarted.
+// Connection resets were taken for restarts, so bad network links put most of a fleet into slow start (i95b913). Only
+// the endpoint list reports restarts.
 #[test]
 fn resets_do_not_start_a_slow_start() {
     let mut rig = Rig::new(settings(), 1);
@@ -73,13 +72,13 @@
     rig.pass(2 * S);
     let (request, actions) = rig.arrive(0, 0.2);
     rig.finish(request, 0, sent_to(&actions).unwrap(), Outcome::Reset, 0.01);
-    // A warming executor of 8 cores would take some 13 of these from this dispatcher in the window.
+    // An executor of 8 cores in slow start would admit about 13 of these from this dispatcher in the window.
     let sent = (0..30).filter(|_| sent_to(&rig.arrive(0, 0.05).1).is_some()).count();
     assert_eq!(sent, 30);
 }
 
 #[test]
-fn a_warming_executor_gets_little() {
+fn an_executor_in_slow_start_gets_few_requests() {
     let mut rig = Rig::new(settings(), 1);
     rig.teach(0, 30, 0.2);
     rig.pass(2 * S);
@@ -88,7 +87,7 @@
         kind: EndpointListKind::Update,
         endpoints: vec![Endpoint { started, ..endpoint(1) }],
     });
-    // Saved up at 1.4 thread-seconds a second for this dispatcher at most: some 10 of these, of 0.2 each, in 1.5 s.
+    // This dispatcher's tokens accumulate at 1.4 thread-seconds per second at most: about 10 requests of 0.2 in 1.5 s.
     let mut sent = 0;
     for _ in 0..60 {
         rig.pass(25 * MS);
@@ -97,19 +96,20 @@
     assert!((3..=14).contains(&sent), "{sent}");
 }
 
-// A dispatcher that has just started gets its first endpoint list with the times of start. It took executors that
-// had started a moment ago for warm, as nothing had changed for it, and overloaded them.
+// A newly started dispatcher receives start times in its first endpoint list. It treated recently started executors as
+// warm, because nothing had changed in its view, and overloaded them.
 #[test]
-fn an_executor_that_is_warming_up_in_the_first_list_gets_little() {
+fn an_executor_in_slow_start_in_the_first_list_gets_few_requests() {
     let sent = |since: Micros| {
         let mut rig = Rig::new(settings(), 0);
-        rig.dispatcher = ottercroft::Balancer::new(settings(), 1).expect("good settings");
+        rig.dispatcher = ottercroft::Balancer::new(settings(), 1).expect("valid settings");
         let endpoints = vec![Endpoint { started: Some(rig.now - since), ..endpoint(1) }];
         rig.event(Event::EndpointList { kind: EndpointListKind::Restored, endpoints });
         rig.pass(2 * S);
         (0..60).filter(|_| sent_to(&rig.arrive(0, 0.2).1).is_some()).count()
     };
-    // 2.5 x 0.34 x 8 cores x 1.5 s push it over: 51 of these, half of them for one of two dispatchers.
-    assert!(sent(S) <= 25, "{} of 60 within a moment to one that started a second ago", sent(S));
-    assert_eq!(sent(60 * S), 60, "one that started long ago is warm");
+    // The executor fails at 2.5 x 0.34 x 8 cores x 1.5 s: 51 of these requests, half of them for one of two
+    // dispatchers.
+    assert!(sent(S) <= 25, "{} of 60 sent at once to an executor that started a second ago", sent(S));
+    assert_eq!(sent(60 * S), 60, "an executor that started long ago is warm");
 }
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -1,11 +1,11 @@
-//! Where a request goes.
+//! Executor selection.
 
 use crate::common::*;
-use crate::{bound, two_kinds};
+use crate::{restricted_class, two_kinds};
 use ottercroft::api::*;
 
 #[test]
-fn draw_prefers_the_executor_that_reports_less() {
+fn the_executor_with_the_lower_reported_load_is_preferred() {
     let mut rig = Rig::new(settings(), 2);
     for e in [1, 2] {
         let report = Some(Report { util: Some(if e == 1 { 0.95 } else { 0.1 }), ..Report::default() });
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn own_threads_alone_count_where_nothing_is_reported() {
+fn only_own_threads_count_without_load_reports() {
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..settings() }, 4);
     let mut count = [0; 5];
     for group in 0..40 {
@@ -32,7 +32,7 @@
     assert!(count[1..].iter().all(|n| (6..=14).contains(n)), "{count:?}");
 }
 
-/// Found on the bench: zeroing own threads whenever a report arrived forgot what had just been sent.
+/// Resetting the count of own threads on every report lost requests that had just been sent (found on the bench).
 #[test]
 fn an_old_report_does_not_hide_own_threads() {
     let mut rig = Rig::new(settings(), 2);
@@ -44,15 +44,15 @@
     for _ in 0..40 {
         let (_, actions) = rig.arrive(0, 0.2);
         on_one += u32::from(sent_to(&actions) == Some(1));
-        // Executor 1 repeats the same old report after each send.
+        // Executor 1 sends the same old report after each request.
         rig.event(Event::ProbeFinished { executor: 1, outcome: Outcome::Ok, latency: MS, report: idle });
     }
     assert!(on_one <= 28, "{on_one} of 40 went to the executor with the old report");
 }
 
-// Weights are set by hand in a list from files: without effect on the draw they would be a comment.
+// Operators set weights in list files. Guards against weights that have no effect on the draw.
 #[test]
-fn a_listed_weight_scales_what_an_executor_is_sent() {
+fn a_listed_weight_scales_the_traffic_of_an_executor() {
     let mut rig = Rig::new(settings(), 2);
     let endpoints = vec![Endpoint { weight: Some(0.2), ..endpoint(1) }];
     rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
@@ -67,9 +67,10 @@
     assert!(sent[0] > 10 && sent[0] * 3 < sent[1], "{sent:?}");
 }
 
-/// Found on the bench (main-dc): executors that tell only the memory they granted were drawn as if all were alike.
+/// Executors that report only their granted memory were drawn as if all had the same load (found on the bench,
+/// main-dc).
 #[test]
-fn granted_memory_stands_for_threads_where_nothing_else_is_told() {
+fn load_is_derived_from_granted_memory_if_nothing_else_is_reported() {
     let mut rig = Rig::new(settings(), 2);
     rig.teach(0, 10, 0.2);
     let mut on_one = 0;
@@ -84,12 +85,12 @@
         rig.pass(20 * MS);
         rig.finish(q, 0, e, Outcome::Ok, 0.02);
     }
-    assert!(on_one <= 12, "{on_one} of 60 to the fuller executor");
+    assert!(on_one <= 12, "{on_one} of 60 went to the executor with more granted memory");
 }
 
-/// Found on the bench (main-dc): loads and the requests that stand still meanwhile shared the preferred executors of their group.
+/// Loads and the requests that are blocked by them had the same preferred executors (found on the bench, main-dc).
 #[test]
-fn loads_and_those_that_stand_still_meanwhile_go_apart() {
+fn loads_and_the_requests_that_they_block_go_to_different_executors() {
     let mut s = Settings { reports: Reports::Off, ..settings() };
     (s.classes[0].yields_to_loads, s.classes[1].loads) = (true, true);
     let mut rig = Rig::new(s, 6);
@@ -108,31 +109,32 @@
     assert!(of(1) > 60 && of(0) < 24, "{count:?}");
 }
 
-/// Found on the bench (main-dc): executors that alone may take a bound class were filled with what could go elsewhere.
+/// Unrestricted classes filled the only executors that a restricted class may use (found on the bench, main-dc).
 #[test]
-fn classes_free_to_go_elsewhere_leave_the_executors_of_a_bound_class() {
-    let mut rig = two_kinds(Settings { reports: Reports::Off, ..bound() });
-    let on_bound = (0..80).filter(|&group| {
+fn unrestricted_classes_avoid_the_executors_of_a_restricted_class() {
+    let mut rig = two_kinds(Settings { reports: Reports::Off, ..restricted_class() });
+    let on_reserved = (0..80).filter(|&group| {
         let (q, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, 0, 0.2) });
         let e = sent_to(&actions).expect("sent");
         rig.finish(q, 0, e, Outcome::Ok, 0.2);
         e > 2
     });
-    let n = on_bound.count();
+    let n = on_reserved.count();
     assert!((1..32).contains(&n), "{n} of 80");
 }
 
-// Reports come late, and an executor that swallows requests reports few: what this dispatcher has out on it is there at
-// least, whatever the report says.
+// Reports are delayed, and an executor that loses requests reports few. Its load is at least that of this dispatcher's
+// attempts in flight on it, whatever the report states.
 #[test]
-fn an_executor_holds_no_less_than_what_is_out_on_it() {
+fn the_load_of_an_executor_is_at_least_that_of_own_attempts_in_flight() {
     let mut rig = Rig::new(settings(), 2);
     let sent = |all: &[Action]| {
         let executor =
             |a: &Action| if let Action::Send { executor, .. } = a { Some(*executor) } else { None };
         all.iter().find_map(executor).unwrap()
     };
-    let ask = |rig: &mut Rig, keep: Option<ExecutorId>| {
+    // Sends a request and serves it, unless it was sent to the executor `keep`.
+    let send_one = |rig: &mut Rig, keep: Option<ExecutorId>| {
         let (request, actions) = rig.arrive(1, 2.0);
         let executor = sent(&actions);
         if keep != Some(executor) {
@@ -144,34 +146,34 @@
         let report = Some(Report { inflight: Some(inflight), ..Report::default() });
         rig.event(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
     };
-    let mut out = 0;
-    while out < 12 {
+    let mut in_flight = 0;
+    while in_flight < 12 {
         report(&mut rig, 1, 0.0);
-        out += u32::from(ask(&mut rig, Some(1)) == 1);
+        in_flight += u32::from(send_one(&mut rig, Some(1)) == 1);
     }
     rig.pass(200 * MS);
     let mut to_first = 0;
     for n in 0..40 {
         report(&mut rig, 1, 0.01 * f64::from(n));
         report(&mut rig, 2, 6.0);
-        to_first += u32::from(ask(&mut rig, None) == 1);
+        to_first += u32::from(send_one(&mut rig, None) == 1);
     }
-    assert!(to_first < 20, "{to_first} of 40 went where twelve are out");
+    assert!(to_first < 20, "{to_first} of 40 went to the executor with twelve in flight");
 }
 
-/// Found on both sites: a far executor was drawn two times for three of a near one as busy, and what crossed
-/// cost more than the refusals of the day.
+/// On both sites, an executor in another zone was drawn two times for every three of a local one with the same load,
+/// and the cross-zone traffic cost more than the day's rejections.
 #[test]
-fn a_far_executor_is_drawn_when_the_near_one_is_clearly_busier() {
-    let far = |near: f64| {
+fn an_executor_in_another_zone_is_drawn_only_if_the_local_one_is_clearly_busier() {
+    let drawn_across_zones = |local_util: f64| {
         let mut rig = Rig::new(Settings { cross_zone_price: 0.02, ..settings() }, 2);
         let endpoints = vec![Endpoint { zone: 1, ..endpoint(2) }];
         rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints });
-        let told = |util| Some(Report { util: Some(util), ..Report::default() });
+        let report = |util| Some(Report { util: Some(util), ..Report::default() });
         let drawn = (0..60).filter(|_| {
-            for (executor, util) in [(1, near), (2, 0.3)] {
+            for (executor, util) in [(1, local_util), (2, 0.3)] {
                 let outcome = Outcome::Ok;
-                rig.event(Event::ProbeFinished { executor, outcome, latency: MS, report: told(util) });
+                rig.event(Event::ProbeFinished { executor, outcome, latency: MS, report: report(util) });
             }
             let (q, actions) = rig.arrive(0, 0.2);
             let e = sent_to(&actions).unwrap();
@@ -181,6 +183,6 @@
         });
         drawn.count()
     };
-    let (alike, busier) = (far(0.3), far(0.95));
-    assert!(alike <= 16 && busier >= 30, "{alike} and {busier} of 60");
+    let (same_load, local_busier) = (drawn_across_zones(0.3), drawn_across_zones(0.95));
+    assert!(same_load <= 16 && local_busier >= 30, "{same_load} and {local_busier} of 60");
 }
--- a/tests/module_size.rs
+++ b/tests/module_size.rs
@@ -1,8 +1,8 @@
-//! A newcomer finds the way through the decisions: their files are short, each says what it is for.
+//! Checks that the files of the balancer are short and state their purpose.
 
 use std::path::Path;
 
-/// The files below a folder, by path from the root, with their text.
+/// The files below a folder: paths relative to the repository root, with their text.
 fn files_below(folder: &str) -> Vec<(String, String)> {
     let entries = std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join(folder)).unwrap();
     let mut found = Vec::new();
@@ -17,20 +17,20 @@
     found
 }
 
-/// The files of the decisions.
+/// The files of the balancer.
 fn files() -> Vec<(String, String)> {
     files_below("src/balancer")
 }
 
-// Guards against files of decisions that grow long or do not say what they decide. The limit of 1,000 lines in all, which
-// stood here too, was the platform's and is gone.
+// Keeps the files of the balancer short, each with a first line that states its purpose. A former limit of 1,000 lines
+// in total was a requirement of the platform and no longer exists.
 #[test]
-fn files_of_decisions_are_short_and_say_what_they_are_for() {
+fn balancer_files_are_short_and_state_their_purpose() {
     let files = files();
     assert!(!files.is_empty());
     for (name, text) in &files {
         let purpose = text.lines().next().and_then(|l| l.strip_prefix("//! ")).unwrap_or("");
-        assert!(purpose.len() > 20, "{name} does not say what it is for");
+        assert!(purpose.len() > 20, "{name} does not state its purpose");
         let lines = text.lines().count();
         assert!(lines <= 250, "{name}: {lines} lines");
         for (i, line) in text.lines().enumerate() {
@@ -39,14 +39,14 @@
     }
 }
 
-// Guards against a file of decisions that the platform does not count: it reads those named under `policy`.
+// The platform counts the files listed under `policy`; no file of the balancer may be missing there.
 #[test]
-fn every_file_of_the_balancer_is_named_as_policy() {
+fn every_balancer_file_is_listed_as_policy() {
     let manifest = include_str!("../deploy/balancer.toml");
     let policy = manifest.lines().find(|l| l.starts_with("policy = [")).expect("a line of policy files");
-    let mut named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
-    let mut there: Vec<String> = files().into_iter().map(|(name, _)| name).collect();
-    named.sort_unstable();
-    there.sort_unstable();
-    assert_eq!(named, there);
+    let mut listed: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
+    let mut existing: Vec<String> = files().into_iter().map(|(name, _)| name).collect();
+    listed.sort_unstable();
+    existing.sort_unstable();
+    assert_eq!(listed, existing);
 }
--- a/tests/no_customer.rs
+++ b/tests/no_customer.rs
@@ -1,8 +1,9 @@
-//! A class is known by what the settings say of it: no customer's names stand in the program or its examples.
+//! Checks that the program and its examples contain no customer's class names: classes are known by their settings
+//! only.
 
 use std::path::Path;
 
-/// Classes of the customers that the program has met.
+/// Class names of known customers.
 const CLASSES: [&str; 3] = ["consulta-corta", "reporte-largo", "carga-noche"];
 
 fn search(folder: &Path, files: &mut usize, found: &mut Vec<String>) {
@@ -22,9 +23,9 @@
     }
 }
 
-// Guards against a decision, a log line or a figure that is made for one customer, and examples that look like it.
+// Guards against decisions, log lines or metrics that are specific to one customer, and against such examples.
 #[test]
-fn no_class_of_a_customer_is_named_in_the_program_or_its_examples() {
+fn no_customer_class_is_named_in_the_program_or_its_examples() {
     let (mut files, mut found) = (0, Vec::new());
     for folder in ["src", "examples", "deploy"] {
         search(&Path::new(env!("CARGO_MANIFEST_DIR")).join(folder), &mut files, &mut found);
--- a/tests/slow_start_budget/dispatcher.rs
+++ b/tests/slow_start_budget/dispatcher.rs
@@ -1,76 +1,79 @@
-//! One dispatcher of a fleet: a decision module, its clients and what its executors answer, in virtual time.
+//! Simulates one dispatcher of a fleet in virtual time: its balancer, its clients and the responses of its executors.
 
 use crate::common::*;
 use crate::count::Sent;
-use crate::scene::{BEFORE, Scene};
+use crate::scene::{BEFORE, Scenario};
 use ottercroft::Balancer;
 use ottercroft::api::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// When it begins, and when executors 1 up to the number of cold ones start anew.
+/// When the simulation begins.
 const BEGIN: Micros = 100 * S;
+/// When the executors in slow start restart; these have the lowest ids, from 1.
 const START: Micros = BEGIN + BEFORE;
 
 #[derive(Debug, Clone)]
-enum Next {
+enum SimEvent {
     Arrival,
-    Gossip,
-    Restart,
+    StartNotice,
+    DispatcherRestart,
     Timer(u64),
     ProbeFinished(ExecutorId),
-    Over(RequestId, u32, Outcome),
+    AttemptFinished(RequestId, u32, Outcome),
 }
 
-/// A request that is open: its work, its class, and where its attempts went.
-struct Open {
+/// An open request: its work, its class, and the executor, start time and in-flight state of each attempt.
+struct OpenRequest {
     work: f64,
     class: ClassId,
     attempts: Vec<(ExecutorId, Micros, bool)>,
 }
 
 struct DispatcherRun<'a> {
-    scene: &'a Scene,
+    scenario: &'a Scenario,
     balancer: Balancer,
     rng: Pcg64Mcg,
     now: Micros,
     rate: f64,
     notified: bool,
-    next: BTreeMap<(Micros, u64), Next>,
-    planned: u64,
-    open: BTreeMap<RequestId, Open>,
+    events: BTreeMap<(Micros, u64), SimEvent>,
+    /// Number of events scheduled so far; also used as a source of request ids.
+    scheduled: u64,
+    open: BTreeMap<RequestId, OpenRequest>,
     sent: Vec<Sent>,
 }
 
-/// What one dispatcher sends to cold executors within the ramp.
-pub fn play(scene: &Scene, seed: u64) -> Vec<Sent> {
+/// Simulates one dispatcher and returns what it sends to executors in slow start.
+pub fn simulate(scenario: &Scenario, seed: u64) -> Vec<Sent> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xC01D);
-    let balancer = Balancer::new(scene.settings(), rng.next_u64()).expect("good settings");
+    let balancer = Balancer::new(scenario.settings(), rng.next_u64()).expect("valid settings");
     let mut run = DispatcherRun {
-        scene,
+        scenario,
         balancer,
         rng,
         now: BEGIN,
         rate: 0.0,
         notified: false,
-        next: BTreeMap::new(),
-        planned: 0,
+        events: BTreeMap::new(),
+        scheduled: 0,
         open: BTreeMap::new(),
         sent: vec![],
     };
-    run.rate = scene.rate * if run.chance() < 0.1 { 4.0 } else { 2.0 / 3.0 };
-    let late = if run.chance() < scene.late { (run.chance() * 1e6) as Micros } else { 0 };
-    run.plan(START - BEGIN + late, Next::Gossip);
-    if run.chance() < scene.restarted {
-        let after = run.chance() * scene.played as f64 / 2.0;
-        run.plan(START - BEGIN + late + after as Micros, Next::Restart);
+    run.rate = scenario.rate * if run.chance() < 0.1 { 4.0 } else { 2.0 / 3.0 };
+    let delay = if run.chance() < scenario.late_fraction { (run.chance() * 1e6) as Micros } else { 0 };
+    run.schedule(START - BEGIN + delay, SimEvent::StartNotice);
+    if run.chance() < scenario.restarted_fraction {
+        let after = run.chance() * scenario.duration as f64 / 2.0;
+        run.schedule(START - BEGIN + delay + after as Micros, SimEvent::DispatcherRestart);
     }
-    run.list(EndpointListKind::Restored);
-    run.plan_arrival();
-    while let Some(((at, _), next)) = run.next.pop_first().filter(|((at, _), _)| *at < START + scene.played) {
+    run.send_endpoint_list(EndpointListKind::Restored);
+    run.schedule_arrival();
+    let end = START + scenario.duration;
+    while let Some(((at, _), event)) = run.events.pop_first().filter(|((at, _), _)| *at < end) {
         run.now = at;
-        run.step(next);
+        run.step(event);
     }
     run.sent
 }
@@ -80,78 +83,80 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn plan(&mut self, after: Micros, next: Next) {
-        self.planned += 1;
-        self.next.insert((self.now + after, self.planned), next);
+    fn schedule(&mut self, after: Micros, event: SimEvent) {
+        self.scheduled += 1;
+        self.events.insert((self.now + after, self.scheduled), event);
     }
 
-    fn plan_arrival(&mut self) {
-        let woken = START + self.scene.quiet * self.scene.rule.slow_start.overload_window;
-        let times = if self.scene.quiet > 0 && self.now >= woken { 4.0 } else { 1.0 };
-        let mut after = (-(1.0 - self.chance()).ln() / (self.rate * times) * 1e6) as Micros;
-        if (START..woken).contains(&(self.now + after)) {
-            after = woken - self.now + after % (100 * MS);
+    fn schedule_arrival(&mut self) {
+        let quiet_until = START + self.scenario.quiet_windows * self.scenario.rule.slow_start.overload_window;
+        let rate_factor = if self.scenario.quiet_windows > 0 && self.now >= quiet_until { 4.0 } else { 1.0 };
+        let mut after = (-(1.0 - self.chance()).ln() / (self.rate * rate_factor) * 1e6) as Micros;
+        if (START..quiet_until).contains(&(self.now + after)) {
+            after = quiet_until - self.now + after % (100 * MS);
         }
-        self.plan(after, Next::Arrival);
+        self.schedule(after, SimEvent::Arrival);
     }
 
-    /// Tells the whole list, or of those that started anew.
-    fn list(&mut self, kind: EndpointListKind) {
-        let (rule, notified) = (self.scene.rule, self.notified);
-        let cold = |e: ExecutorId| e <= rule.warming_executors;
-        let all = (1..=rule.warming_executors + self.scene.warm_executors)
-            .filter(|e| cold(*e) || kind != EndpointListKind::Update)
-            .map(|e| Endpoint { started: (notified && cold(e)).then_some(START), ..endpoint(e) });
-        self.handle(Event::EndpointList { kind, endpoints: all.collect() });
+    /// Sends the balancer the complete list, or an update with the restarted executors.
+    fn send_endpoint_list(&mut self, kind: EndpointListKind) {
+        let (rule, notified) = (self.scenario.rule, self.notified);
+        let is_warming = |e: ExecutorId| e <= rule.warming_executors;
+        let endpoints = (1..=rule.warming_executors + self.scenario.warm_executors)
+            .filter(|e| is_warming(*e) || kind != EndpointListKind::Update)
+            .map(|e| Endpoint { started: (notified && is_warming(e)).then_some(START), ..endpoint(e) });
+        self.handle(Event::EndpointList { kind, endpoints: endpoints.collect() });
     }
 
-    fn step(&mut self, next: Next) {
-        match next {
-            Next::Gossip => {
+    fn step(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::StartNotice => {
                 self.notified = true;
-                self.list(EndpointListKind::Update);
+                self.send_endpoint_list(EndpointListKind::Update);
             }
-            Next::Restart => {
-                // Another process in its place: nothing of it is known, and what it had out is its clients' loss.
+            SimEvent::DispatcherRestart => {
+                // A new process replaces the dispatcher: its state and its attempts in flight are lost.
                 let seed = self.rng.next_u64();
-                self.balancer = Balancer::new(self.scene.settings(), seed).expect("good settings");
-                self.next.retain(|_, n| matches!(n, Next::Arrival));
+                self.balancer = Balancer::new(self.scenario.settings(), seed).expect("valid settings");
+                self.events.retain(|_, event| matches!(event, SimEvent::Arrival));
                 self.open.clear();
-                self.list(EndpointListKind::Restored);
+                self.send_endpoint_list(EndpointListKind::Restored);
             }
-            Next::Timer(token) => self.handle(Event::Timer { token }),
-            Next::Arrival => self.arrive(),
-            Next::ProbeFinished(executor) => {
-                // Cold executors look idle, warm ones well used.
-                let inflight = Some(if executor <= self.scene.rule.warming_executors { 0.0 } else { 8.0 });
+            SimEvent::Timer(token) => self.handle(Event::Timer { token }),
+            SimEvent::Arrival => self.arrive(),
+            SimEvent::ProbeFinished(executor) => {
+                // Executors in slow start look idle, warm ones busy.
+                let inflight = Some(if executor <= self.scenario.rule.warming_executors { 0.0 } else { 8.0 });
                 let report = Some(Report { inflight, ..Report::default() });
                 self.handle(Event::ProbeFinished { executor, outcome: Outcome::Ok, latency: MS, report });
             }
-            Next::Over(request, attempt, outcome) => self.over(request, attempt, outcome),
+            SimEvent::AttemptFinished(request, attempt, outcome) => {
+                self.finish_attempt(request, attempt, outcome);
+            }
         }
     }
 
-    /// A request: its work is up to half more or less than its class's mean, its estimate rough.
+    /// Submits a request whose work is within 50% of its class's mean, with an estimate within 30% of its work.
     fn arrive(&mut self) {
-        self.plan_arrival();
-        let class = usize::from(self.chance() < self.scene.dear);
-        let work = self.scene.work[class] * (0.5 + self.chance());
+        self.schedule_arrival();
+        let class = usize::from(self.chance() < self.scenario.expensive_fraction);
+        let work = self.scenario.work[class] * (0.5 + self.chance());
         let estimate = work * (0.7 + 0.6 * self.chance());
-        let (request, group) = (self.planned, self.rng.next_u64() % 20);
-        self.open.insert(request, Open { work, class, attempts: vec![] });
+        let (request, group) = (self.scheduled, self.rng.next_u64() % 20);
+        self.open.insert(request, OpenRequest { work, class, attempts: vec![] });
         self.handle(Event::Arrival(Arrival { table_group: group, ..arrival(request, class, estimate) }));
     }
 
-    /// An attempt is over, unless it was so before.
-    fn over(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
-        let Some(o) = self.open.get_mut(&request) else { return };
-        let (executor, at, out) = &mut o.attempts[attempt as usize];
-        if !std::mem::replace(out, false) {
+    /// Reports the end of an attempt, unless it has already ended.
+    fn finish_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
+        let Some(open) = self.open.get_mut(&request) else { return };
+        let (executor, sent_at, in_flight) = &mut open.attempts[attempt as usize];
+        if !std::mem::replace(in_flight, false) {
             return;
         }
         let done = outcome == Outcome::Ok;
-        let reported_cost = done.then_some(ReportedCost { thread_seconds: o.work, memory_mb: 100.0 });
-        let (executor, latency) = (*executor, self.now - *at);
+        let reported_cost = done.then_some(ReportedCost { thread_seconds: open.work, memory_mb: 100.0 });
+        let (executor, latency) = (*executor, self.now - *sent_at);
         let event = AttemptFinished {
             request,
             attempt,
@@ -168,36 +173,36 @@
     fn handle(&mut self, event: Event) {
         let mut actions = vec![];
         self.balancer.handle(self.now, event, &mut actions);
-        for a in actions {
-            match a {
+        for action in actions {
+            match action {
                 Action::Send { request, executor, .. } => self.send(request, executor),
                 Action::Probe { executor } => {
-                    self.reach(executor, self.scene.rule.mean_work);
-                    self.plan(MS, Next::ProbeFinished(executor));
+                    self.record_sent(executor, self.scenario.rule.mean_work);
+                    self.schedule(MS, SimEvent::ProbeFinished(executor));
                 }
                 Action::Cancel { request, attempt } => {
-                    self.plan(MS, Next::Over(request, attempt, Outcome::Cancelled));
+                    self.schedule(MS, SimEvent::AttemptFinished(request, attempt, Outcome::Cancelled));
                 }
-                Action::SetTimer { token, after } => self.plan(after, Next::Timer(token)),
+                Action::SetTimer { token, after } => self.schedule(after, SimEvent::Timer(token)),
                 _ => {}
             }
         }
     }
 
     fn send(&mut self, request: RequestId, executor: ExecutorId) {
-        let fails = self.chance() < self.scene.failing;
-        let o = self.open.get_mut(&request).expect("an open request");
-        let (n, work, class) = (o.attempts.len() as u32, o.work, o.class);
-        o.attempts.push((executor, self.now, true));
-        let takes = (work / f64::from(class as u32 + 1) * 1e6) as Micros;
-        let (after, outcome) = if fails { (5 * MS, Outcome::Error) } else { (takes, Outcome::Ok) };
-        self.plan(after, Next::Over(request, n, outcome));
-        self.reach(executor, work);
+        let fails = self.chance() < self.scenario.failing_fraction;
+        let open = self.open.get_mut(&request).expect("the request is open");
+        let (attempt, work, class) = (open.attempts.len() as u32, open.work, open.class);
+        open.attempts.push((executor, self.now, true));
+        let run_time = (work / f64::from(class as u32 + 1) * 1e6) as Micros;
+        let (after, outcome) = if fails { (5 * MS, Outcome::Error) } else { (run_time, Outcome::Ok) };
+        self.schedule(after, SimEvent::AttemptFinished(request, attempt, outcome));
+        self.record_sent(executor, work);
     }
 
-    /// Counts what reaches a cold executor; a probe as a request of mean work.
-    fn reach(&mut self, executor: ExecutorId, work: f64) {
-        if executor <= self.scene.rule.warming_executors && self.now >= START {
+    /// Records what is sent to an executor in slow start. A probe counts as a request of mean work.
+    fn record_sent(&mut self, executor: ExecutorId, work: f64) {
+        if executor <= self.scenario.rule.warming_executors && self.now >= START {
             self.sent.push(Sent { at: self.now - START, executor, work, notified: self.notified });
         }
     }
--- a/tests/slow_start_budget/main.rs
+++ b/tests/slow_start_budget/main.rs
@@ -1,9 +1,9 @@
-//! What all dispatchers together send to a cold executor, over any window of the length that the settings name, at
-//! any time of the ramp: the budget N, and no more beyond it than 2 x root of N + 2. N is multiple x present capacity
-//! x window over the mean work of a request, the present capacity that at the window's first moment.
+//! Checks the work that all dispatchers together send to an executor in slow start: in any window of the configured
+//! length, at any time of the ramp, at most N + 2 x sqrt(N) + 2 requests of mean work. The budget N is the overload
+//! factor x current capacity x window / mean work of a request, with the capacity at the beginning of the window.
 //!
-//! Each dispatcher is a decision module of its own with its own seed; they share nothing. Seeds are fixed. Run with
-//! `--nocapture` for the table of docs/large-fleet.md.
+//! Each dispatcher has its own balancer with its own fixed seed; they do not communicate. Run with `--nocapture` for
+//! the table in docs/large-fleet.md.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,79 +13,86 @@
 mod settings_drawn;
 
 use common::{MS, S};
-use count::Sum;
+use count::WindowStats;
 use ottercroft::api::Micros;
-use scene::Scene;
+use scene::Scenario;
 
-/// Plays a scene on some seeds, prints its row of the table and holds each sum to its bound. In the mean no less than
-/// `least` of N is sent: a bound is no proof where nothing comes.
-fn holds(name: &str, scene: &Scene, seeds: u64, least: f64) {
-    let mut all = Sum::default();
-    (0..seeds).for_each(|seed| all.add(&scene.rule, scene.played, &scene.play(seed)));
-    println!("{}", all.row(name, scene.dispatchers));
-    assert!(all.mean() >= least, "{name}: {} of N in the mean, the executor stands idle", all.mean());
-    assert!(all.excess <= 0.0, "{name}: {:.1} requests beyond N + 2 root N + 2", all.excess);
-    assert!(!all.broken, "{name}: pushed over, two thirds of it by those that were notified");
+/// Simulates a scenario with a number of seeds, prints its row of the table and checks the bounds. On average at least
+/// the fraction `min_mean` of N has to be sent, as an upper bound proves nothing if nothing is sent.
+fn assert_bounds(name: &str, scenario: &Scenario, seeds: u64, min_mean: f64) {
+    let mut stats = WindowStats::default();
+    (0..seeds).for_each(|seed| stats.add(&scenario.rule, scenario.duration, &scenario.simulate(seed)));
+    println!("{}", stats.row(name, scenario.dispatchers));
+    assert!(
+        stats.mean() >= min_mean,
+        "{name}: {} of N on average, the executor is nearly idle",
+        stats.mean()
+    );
+    assert!(stats.excess <= 0.0, "{name}: {:.1} requests beyond N + 2 x sqrt(N) + 2", stats.excess);
+    assert!(
+        !stats.violated,
+        "{name}: the executor fails, with two thirds of the work from notified dispatchers"
+    );
 }
 
-/// One size of fleet, in each scene: how often it is played, and how much of the ramp.
-fn fleet_of(dispatchers: u32, seeds: u64, played: Micros) {
-    let busy = Scene { played, ..Scene::busy(dispatchers) };
-    holds("busy", &busy, seeds, 0.1);
-    // Dispatchers that have just started know a cold executor from the first list that they get.
-    holds("started anew", &Scene { restarted: 1.0, ..busy }, seeds, 0.1);
-    holds("notified late", &Scene::late(dispatchers), seeds, 0.01);
-    holds("woken", &Scene::woken(dispatchers), seeds.min(4), 0.01);
+/// Checks all scenarios for one fleet size, with the number of seeds and the duration of the busy scenarios.
+fn check_fleet(dispatchers: u32, seeds: u64, duration: Micros) {
+    let busy = Scenario { duration, ..Scenario::busy(dispatchers) };
+    assert_bounds("busy", &busy, seeds, 0.1);
+    // Restarted dispatchers learn of an executor in slow start from their first endpoint list.
+    assert_bounds("started anew", &Scenario { restarted_fraction: 1.0, ..busy }, seeds, 0.1);
+    assert_bounds("notified late", &Scenario::notified_late(dispatchers), seeds, 0.01);
+    assert_bounds("woken", &Scenario::burst_after_quiet(dispatchers), seeds.min(4), 0.01);
 }
 
 const RAMP: Micros = 14 * S;
 
 #[test]
 fn one() {
-    fleet_of(1, 12, RAMP);
+    check_fleet(1, 12, RAMP);
 }
 
 #[test]
 fn two() {
-    fleet_of(2, 12, RAMP);
+    check_fleet(2, 12, RAMP);
 }
 
 #[test]
 fn three() {
-    fleet_of(3, 12, RAMP);
+    check_fleet(3, 12, RAMP);
 }
 
 #[test]
 fn twenty() {
-    fleet_of(20, 6, RAMP);
+    check_fleet(20, 6, RAMP);
 }
 
 #[test]
 fn thirty() {
-    fleet_of(30, 4, RAMP);
+    check_fleet(30, 4, RAMP);
 }
 
 #[test]
 fn sixty() {
-    fleet_of(60, 2, RAMP);
+    check_fleet(60, 2, RAMP);
 }
 
 #[test]
 fn three_hundred() {
-    fleet_of(300, 1, RAMP / 2);
+    check_fleet(300, 1, RAMP / 2);
 }
 
-// Lists as long as a large fleet has, of which each dispatcher looks at a part: what is saved for a cold executor by all
-// that look at it seldom must not come together.
+// In a long list, each dispatcher considers only a sample. The tokens that many dispatchers save up for an executor
+// that they rarely sample must not be spent at the same time.
 #[test]
 fn three_hundred_with_a_long_list() {
-    let scene = Scene::busy(300);
-    let rule = count::Rule { warming_executors: 200, ..scene.rule };
-    let long = Scene { rule, warm_executors: 200, played: 4_500 * MS, rate: 50.0, ..scene };
-    holds("long list", &long, 1, 0.05);
+    let busy = Scenario::busy(300);
+    let rule = count::Rule { warming_executors: 200, ..busy.rule };
+    let long_list = Scenario { rule, warm_executors: 200, duration: 4_500 * MS, rate: 50.0, ..busy };
+    assert_bounds("long list", &long_list, 1, 0.05);
 }
 
 #[test]
 fn a_thousand() {
-    fleet_of(1000, 1, 4_500 * MS);
+    check_fleet(1000, 1, 4_500 * MS);
 }
--- a/tests/slow_start_budget/scene.rs
+++ b/tests/slow_start_budget/scene.rs
@@ -1,72 +1,75 @@
-//! What happens to a fleet: its size, its traffic, its troubles, and the rule that it is held to.
+//! Scenarios: the size, traffic and faults of a fleet, and the slow-start rule that it has to keep.
 
 use crate::common::*;
 use crate::count::{Rule, Sent};
 use crate::dispatcher;
 use ottercroft::api::*;
 
-/// How long the fleet serves before the executors start anew.
+/// Time that the fleet serves before the executors restart.
 pub const BEFORE: Micros = 2 * S;
 
 #[derive(Debug, Clone, Copy)]
-pub struct Scene {
+pub struct Scenario {
     pub dispatchers: u32,
     pub warm_executors: u32,
     pub rule: Rule,
-    /// The part of the ramp that is played.
-    pub played: Micros,
-    /// Requests a second of a dispatcher, in the mean; one in ten sees four times as much, the rest two thirds.
+    /// Simulated time from the executors' restart.
+    pub duration: Micros,
+    /// Mean requests per second of a dispatcher. One in ten gets four times as many, the others two thirds.
     pub rate: f64,
-    /// One in how many requests is dear, and the work of a cheap one and a dear one.
-    pub dear: f64,
+    /// Fraction of expensive requests.
+    pub expensive_fraction: f64,
+    /// Mean work of a cheap and of an expensive request.
     pub work: [f64; 2],
-    /// The part that is notified late, up to a second; that starts anew within the ramp; attempts that fail.
-    pub late: f64,
-    pub restarted: f64,
-    pub failing: f64,
-    /// For so many windows from the start no request comes; then four times as many as usual.
-    pub quiet: u64,
+    /// Fraction of dispatchers that are notified of the restart with a delay of up to a second.
+    pub late_fraction: f64,
+    /// Fraction of dispatchers that restart within the ramp.
+    pub restarted_fraction: f64,
+    /// Fraction of attempts that fail.
+    pub failing_fraction: f64,
+    /// Number of windows from the restart without arrivals, which are followed by four times the usual rate.
+    pub quiet_windows: u64,
 }
 
-impl Scene {
-    /// Two of six executors cold, and more requests than all can do; a tenth of the dispatchers starts anew, one in
-    /// ten attempts fails.
-    pub fn busy(dispatchers: u32) -> Scene {
-        let (dear, work) = (0.2, [0.1, 1.0]);
+impl Scenario {
+    /// Two of six executors in slow start, and more requests than the fleet can serve. A tenth of the dispatchers
+    /// restart, and a tenth of the attempts fail.
+    pub fn busy(dispatchers: u32) -> Scenario {
+        let (expensive_fraction, work) = (0.2, [0.1, 1.0]);
         let slow_start = settings().slow_start;
-        Scene {
+        Scenario {
             dispatchers,
             warm_executors: 4,
             rule: Rule {
                 slow_start,
                 cores: 8.0,
-                mean_work: work[0] + dear * (work[1] - work[0]),
+                mean_work: work[0] + expensive_fraction * (work[1] - work[0]),
                 warming_executors: 2,
             },
-            played: slow_start.ramp,
+            duration: slow_start.ramp,
             rate: 10.0 + 300.0 / f64::from(dispatchers),
-            dear,
+            expensive_fraction,
             work,
-            late: 0.0,
-            restarted: 0.1,
-            failing: 0.1,
-            quiet: 0,
+            late_fraction: 0.0,
+            restarted_fraction: 0.1,
+            failing_fraction: 0.1,
+            quiet_windows: 0,
         }
     }
 
-    /// Requests for six tenths of what the six can do, over all dispatchers, a tenth of which is notified up to a second
-    /// late. What these send before counts too; the rule is broken only if two thirds are of those notified.
-    pub fn late(dispatchers: u32) -> Scene {
-        let s = Scene::busy(dispatchers);
-        let all = 0.6 * 6.0 * s.rule.cores / s.rule.mean_work;
-        Scene { rate: all / f64::from(dispatchers), late: 0.1, ..s }
+    /// Load of 60% of the capacity of the six executors; a tenth of the dispatchers are notified up to a second late.
+    /// What these send before counts too, but the rule is violated only if two thirds are from notified dispatchers.
+    pub fn notified_late(dispatchers: u32) -> Scenario {
+        let busy = Scenario::busy(dispatchers);
+        let total_rate = 0.6 * 6.0 * busy.rule.cores / busy.rule.mean_work;
+        Scenario { rate: total_rate / f64::from(dispatchers), late_fraction: 0.1, ..busy }
     }
 
-    /// Quiet for five windows after the start, then all dispatchers busy at once, for two: what each saved for a cold
-    /// executor comes together.
-    pub fn woken(dispatchers: u32) -> Scene {
-        let s = Scene::busy(dispatchers);
-        Scene { quiet: 5, played: 7 * s.rule.slow_start.overload_window, ..s }
+    /// Five windows without arrivals after the restart, then two with a burst at all dispatchers, which spend the
+    /// tokens that they saved up for an executor in slow start at the same time.
+    pub fn burst_after_quiet(dispatchers: u32) -> Scenario {
+        let busy = Scenario::busy(dispatchers);
+        Scenario { quiet_windows: 5, duration: 7 * busy.rule.slow_start.overload_window, ..busy }
     }
 
     pub fn settings(&self) -> Settings {
@@ -77,8 +80,8 @@
         s
     }
 
-    /// All that the fleet sends to cold executors.
-    pub fn play(&self, seed: u64) -> Vec<Sent> {
-        (0..self.dispatchers).flat_map(|d| dispatcher::play(self, seed << 32 | u64::from(d))).collect()
+    /// Simulates the fleet and returns everything that it sends to executors in slow start.
+    pub fn simulate(&self, seed: u64) -> Vec<Sent> {
+        (0..self.dispatchers).flat_map(|d| dispatcher::simulate(self, seed << 32 | u64::from(d))).collect()
     }
 }
--- a/tests/slow_start_budget/settings_drawn.rs
+++ b/tests/slow_start_budget/settings_drawn.rs
@@ -1,24 +1,24 @@
-//! The same bound under settings drawn at will: the rule follows from them, whatever they are.
+//! Checks the same bounds under random settings, with the rule derived from the settings.
 
 use crate::common::*;
-use crate::count::{Rule, Sum};
-use crate::scene::Scene;
+use crate::count::{Rule, WindowStats};
+use crate::scene::Scenario;
 use ottercroft::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn scenes() -> impl Strategy<Value = Scene> {
-    let cold = (0.2..0.7, 8u64..12, 1.5..4.0, 500u64..2_000);
+fn scenarios() -> impl Strategy<Value = Scenario> {
+    let slow_start = (0.2..0.7, 8u64..12, 1.5..4.0, 500u64..2_000);
     let mix = (0.05..0.5, 0.05..0.3, 2.0..20.0);
     let fleet = (prop::sample::select(vec![3u32, 8, 20, 30, 60, 100]), 1u32..4, 3u32..8, 2.0..15.0);
-    (cold, mix, fleet, prop::sample::select(vec![4.0, 8.0, 16.0]), prop::sample::select(vec![0, 3, 5]))
+    (slow_start, mix, fleet, prop::sample::select(vec![4.0, 8.0, 16.0]), prop::sample::select(vec![0, 3, 5]))
         .prop_map(
             |(
                 (initial_fraction, ramp, overload_factor, window_ms),
-                (dear, cheap, times),
-                (dispatchers, warming_executors, warm, rate),
+                (expensive_fraction, cheap, cost_ratio),
+                (dispatchers, warming_executors, warm_executors, rate),
                 cores,
-                quiet,
+                quiet_windows,
             )| {
                 let slow_start = SlowStart {
                     initial_fraction,
@@ -26,36 +26,36 @@
                     overload_factor,
                     overload_window: window_ms * MS,
                 };
-                let work = [cheap, cheap * times];
-                let mean_work = work[0] + dear * (work[1] - work[0]);
-                Scene {
+                let work = [cheap, cheap * cost_ratio];
+                let mean_work = work[0] + expensive_fraction * (work[1] - work[0]);
+                Scenario {
                     rule: Rule { slow_start, cores, mean_work, warming_executors },
-                    quiet,
-                    played: (quiet + 3) * slow_start.overload_window,
-                    warm_executors: warm,
+                    quiet_windows,
+                    duration: (quiet_windows + 3) * slow_start.overload_window,
+                    warm_executors,
                     rate,
-                    dear,
+                    expensive_fraction,
                     work,
-                    ..Scene::busy(dispatchers)
+                    ..Scenario::busy(dispatchers)
                 }
             },
         )
 }
 
-/// Forty draws from a fixed seed, so that the verdict is the same each time.
+/// Checks forty random settings from a fixed seed, so that the result is deterministic.
 #[test]
-fn settings_drawn_at_will() {
+fn random_settings_keep_the_bounds() {
     let config = Config { cases: 40, failure_persistence: None, max_shrink_iters: 0, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let idle = std::cell::Cell::new(0);
-    let held = TestRunner::new_with_rng(config, rng).run(&scenes(), |scene| {
-        let mut sum = Sum::default();
-        sum.add(&scene.rule, scene.played, &scene.play(1));
-        println!("{} N {:.1}", sum.row("drawn", scene.dispatchers), scene.rule.budget(0));
-        idle.set(idle.get() + u32::from(sum.mean() < 0.01));
-        prop_assert!(sum.excess <= 0.0, "{:.1} requests beyond the bound", sum.excess);
+    let result = TestRunner::new_with_rng(config, rng).run(&scenarios(), |scenario| {
+        let mut stats = WindowStats::default();
+        stats.add(&scenario.rule, scenario.duration, &scenario.simulate(1));
+        println!("{} N {:.1}", stats.row("drawn", scenario.dispatchers), scenario.rule.budget(0));
+        idle.set(idle.get() + u32::from(stats.mean() < 0.01));
+        prop_assert!(stats.excess <= 0.0, "{:.1} requests beyond the bound", stats.excess);
         Ok(())
     });
-    held.unwrap();
-    assert!(idle.get() <= 4, "{} draws in which next to nothing came", idle.get());
+    result.unwrap();
+    assert!(idle.get() <= 4, "{} random settings with hardly any work sent", idle.get());
 }
--- a/tests/small_share/admission.rs
+++ b/tests/small_share/admission.rs
@@ -1,8 +1,8 @@
-//! Which requests are admitted and rejected where a dispatcher has a small share of the traffic.
+//! Admission control by a dispatcher with a small share of the traffic.
 
 use super::*;
 
-/// The bucket of a dispatcher with a small traffic share held less than one request, and rejected it for ever.
+/// The token bucket of a dispatcher with a small traffic share held less than one request, and rejected it forever.
 #[test]
 fn a_small_share_admits_an_expensive_request_without_pressure() {
     let mut rig = Rig::new(fleet(300), 40);
@@ -14,9 +14,9 @@
     }
 }
 
-/// Each dispatcher's part of the slow-start budget was under one request, so that nobody sent anything to the executor.
+/// Each dispatcher's share of the slow-start budget was less than one request, so none of them sent anything.
 #[test]
-fn three_hundred_dispatchers_together_use_a_warming_executor_within_its_budget() {
+fn three_hundred_dispatchers_together_use_an_executor_in_slow_start_within_its_budget() {
     let mut sent: Vec<(Micros, f64)> = vec![];
     for seed in 0..300 {
         let mut rig = Rig::seeded(fleet(300), 2, seed);
@@ -34,20 +34,23 @@
             rig.finish(request, 0, executor, Outcome::Ok, 0.2);
         }
     }
-    let c = fleet(300).slow_start;
-    let budget = c.overload_factor * c.initial_fraction * 8.0 * c.overload_window as f64 / 1e6;
+    let rule = fleet(300).slow_start;
+    let budget = rule.overload_factor * rule.initial_fraction * 8.0 * rule.overload_window as f64 / 1e6;
     let window = |from: Micros| {
-        sent.iter().filter(|(t, _)| *t >= from && *t < from + c.overload_window).map(|(_, w)| w).sum::<f64>()
+        sent.iter()
+            .filter(|(t, _)| *t >= from && *t < from + rule.overload_window)
+            .map(|(_, w)| w)
+            .sum::<f64>()
     };
-    let most = (0..40).map(|i| window(i * 100 * MS)).fold(0.0, f64::max);
-    assert!(most <= budget, "{most} of {budget}");
-    assert!(most > 0.1 * budget, "{most} of {budget}: the executor stands idle");
+    let peak = (0..40).map(|i| window(i * 100 * MS)).fold(0.0, f64::max);
+    assert!(peak <= budget, "{peak} of {budget}");
+    assert!(peak > 0.1 * budget, "{peak} of {budget}: the executor is nearly idle");
 }
 
-/// Once an overload had begun, no request of a class ended well. The class never had its eight outcomes, and its
-/// buckets stayed open for good. Attempts count however they end.
+/// In an overload no request of a class succeeded. Only successes counted as outcomes, so the class never had the
+/// required eight, and its rules stayed open. Attempts count whatever their outcome.
 #[test]
-fn buckets_of_a_class_close_though_none_of_its_requests_ends_well() {
+fn rules_of_a_class_close_even_if_none_of_its_requests_succeeds() {
     let mut rig = Rig::new(fleet(2), 2);
     rig.teach(0, 30, 0.2);
     for _ in 0..8 {
@@ -63,9 +66,9 @@
     assert!(refused(&rig.arrive(1, 20.0).1).is_some());
 }
 
-/// In a heavy overload the requests under half their class's mean were alone more than the fleet could serve.
+/// In a heavy overload, the requests below half their class's mean cost alone exceeded the capacity of the fleet.
 #[test]
-fn heavy_overload_closes_below_half_the_mean() {
+fn in_a_heavy_overload_requests_below_half_the_mean_cost_are_rejected() {
     let mut rig = Rig::new(fleet(2), 2);
     rig.teach(0, 30, 0.2);
     rig.teach(1, 30, 2.0);
@@ -79,7 +82,7 @@
 }
 
 #[test]
-fn sizes_are_no_limit() {
+fn requests_are_served_at_any_fleet_size() {
     for (dispatchers, executors) in [(300, 43), (1, 1)] {
         let mut rig = Rig::new(fleet(dispatchers), executors);
         rig.teach(0, 20, 0.2);
--- a/tests/small_share/affinity.rs
+++ b/tests/small_share/affinity.rs
@@ -1,8 +1,9 @@
-//! Preferred executors of table groups, the same at all dispatchers though these share nothing.
+//! Preferred executors of table groups, which all dispatchers choose alike without communication.
 
 use super::*;
 
-/// Found on the bench: 11% of reads were warm at size. Dispatchers prefer the same executors though they share nothing.
+/// In a large fleet only 11% of reads hit warm caches (found on the bench). Dispatchers choose the same preferred
+/// executors without communication.
 #[test]
 fn dispatchers_agree_on_the_preferred_executors_of_a_table_group() {
     let mut count = [0; 21];
@@ -16,12 +17,13 @@
         }
     }
     count.sort_unstable();
-    assert!(count[19] + count[20] > 100, "two executors of twenty take half of 200: {count:?}");
+    assert!(count[19] + count[20] > 100, "two executors of twenty get half of 200 requests: {count:?}");
 }
 
-/// Found on the bench: a fixed affinity weight kept a third of a group's requests together on 14 executors, an eighth on 60.
+/// With a fixed affinity weight, the preferred executors got a third of a group's requests in a fleet of 14 executors
+/// but an eighth in one of 60 (found on the bench).
 #[test]
-fn preferred_executors_take_the_same_part_of_a_group_at_any_size() {
+fn preferred_executors_get_the_same_fraction_of_a_group_at_any_fleet_size() {
     for executors in [14, 60] {
         let mut count = vec![0; executors as usize + 1];
         for seed in 0..40 {
@@ -39,10 +41,10 @@
     }
 }
 
-/// Found by an incident on the bench (id4c00a): four table groups drew all requests, their preferred executors were full and always
-/// the three executors with a known load, so that the idle rest was never probed.
+/// Incident on the bench (id4c00a): all requests read four table groups, whose preferred executors were full. These
+/// were always the three executors with a known load, so the idle others were never probed.
 #[test]
-fn full_preferred_executors_do_not_keep_the_rest_from_being_probed() {
+fn other_executors_are_probed_if_the_preferred_ones_are_full() {
     let mut count = [0; 13];
     for seed in 0..30 {
         let mut rig = Rig::seeded(Settings { reports: Reports::Off, ..fleet(300) }, 12, seed);
--- a/tests/small_share/grants.rs
+++ b/tests/small_share/grants.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// A dispatcher that sees few outcomes kept granting too little memory, and 45% of its requests spilled to disk. One
-/// spill note raises the next grant.
+/// A dispatcher that sees few outcomes kept granting too little memory, and 45% of its requests spilled to disk. A
+/// single spill message raises the next grant.
 #[test]
-fn one_spill_note_raises_the_next_grant() {
+fn a_single_spill_message_raises_the_next_grant() {
     let mut rig = Rig::new(Settings { reports_cost: false, ..fleet(300) }, 3);
     let grant = |actions: &[Action]| {
         actions
@@ -24,8 +24,8 @@
     assert!(after > 1.2 * before, "{before} then {after}");
 }
 
-/// With neither progress notes nor reported needs the grant fell a little with every answer, until most requests spilled
-/// and the disks were saturated on a quiet day.
+/// With neither progress messages nor reported needs, the grant fell slightly with every response, until most requests
+/// spilled and the disks were saturated on a day with little traffic.
 #[test]
 fn grants_do_not_fall_where_spills_are_not_reported() {
     let mut rig = Rig::new(Settings { reports_cost: false, progress_interval: None, ..fleet(2) }, 3);
--- a/tests/small_share/main.rs
+++ b/tests/small_share/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of hundreds of dispatchers, each of which sees a small share of the traffic: what one does, and what
-//! all do together.
+//! Fleets of hundreds of dispatchers, each with a small share of the traffic: the behaviour of a single dispatcher and
+//! of all together.
 
 mod admission;
 mod affinity;
--- a/tests/small_share/reports_without_load.rs
+++ b/tests/small_share/reports_without_load.rs
@@ -1,8 +1,8 @@
-//! Executors whose reports state no load: latencies of own requests stand in for it.
+//! Executors whose reports state no load: the load is estimated from latencies of own requests instead.
 
 use super::*;
 
-/// Executors that send progress notes, and reports that state no load.
+/// Settings for executors that send progress messages, and reports that state no load.
 fn without_load_reports() -> Settings {
     Settings { progress_interval: Some(500 * MS), reports_cost: false, ..fleet(300) }
 }
@@ -30,7 +30,7 @@
     Some(executor)
 }
 
-/// Each request made three probes whose answers stated no load: they cost points and were of no use.
+/// Each request caused three probes whose responses stated no load: they cost service points and were useless.
 #[test]
 fn executors_are_not_probed_where_reports_state_no_load() {
     let mut rig = Rig::new(without_load_reports(), 40);
@@ -42,10 +42,10 @@
     assert_eq!(probes(&rig), before);
 }
 
-/// With no load reported, pressure came from lateness alone, which comes too late. The latency ratio of own requests
-/// makes pressure before, and none once it is old.
+/// Without load reports, pressure came from lateness alone, which lags too far behind. The latency ratio of own
+/// requests raises pressure earlier, and loses its effect as it gets old.
 #[test]
-fn the_latency_ratio_of_own_requests_makes_pressure_and_is_forgotten() {
+fn the_latency_ratio_of_own_requests_raises_pressure_until_it_is_old() {
     let mut rig = Rig::new(without_load_reports(), 4);
     for group in 0..30 {
         serve_at_ratio(&mut rig, 0, group, 1.0);
@@ -55,7 +55,7 @@
         serve_at_ratio(&mut rig, 0, group, 4.0);
     }
     rig.pass(100 * MS);
-    assert!(refused(&rig.arrive(0, 2.0).1).is_some(), "all are slow");
+    assert!(refused(&rig.arrive(0, 2.0).1).is_some(), "pressure while all executors are slow");
     rig.pass(60 * S);
-    assert!(sent_to(&rig.arrive(0, 2.0).1).is_some(), "old latencies make no pressure");
+    assert!(sent_to(&rig.arrive(0, 2.0).1).is_some(), "no pressure from old latencies");
 }
