--- a/src/dispatch/client_request.rs
+++ b/src/dispatch/client_request.rs
@@ -33,7 +33,7 @@
     /// Its id; never reused.
     pub id: u64,
     /// The id that the client keeps across its retries (`ask` on the wire); used only if peers are configured.
-    pub ask: Option<u64>,
+    pub client_request_id: Option<u64>,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant (`acct` on the wire); `None` if the client named none or one that is not configured.
@@ -41,25 +41,25 @@
     /// Its key, in classes that keep order.
     pub key: Option<u64>,
     /// Total time that the client waits, as stated by it, in microseconds.
-    pub client_wait: Micros,
+    pub client_timeout: Micros,
     /// Remaining time that the client waits, in microseconds.
-    pub budget: Micros,
+    pub time_budget: Micros,
     /// Estimated work in thread-seconds.
-    pub thread_seconds: Option<f64>,
+    pub estimated_thread_seconds: Option<f64>,
     /// Estimated memory in MB.
-    pub memory_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// Its table group.
-    pub group: u64,
+    pub table_group: u64,
     /// Whether the client marked it as a retry.
-    pub repeated: bool,
+    pub is_repeat: bool,
     /// Whether the client may have delayed sending it; its time budget then assumes the maximum delay.
-    pub held_back: bool,
+    pub held_by_client: bool,
 }
 
 /// Time within which a request must end here so that its client receives the answer, in microseconds.
-pub(super) fn time_budget(request: &Request) -> Micros {
-    let margin = ANSWER_MARGIN.min(request.budget / ANSWER_MARGIN_FRACTION);
-    request.budget.saturating_sub(margin).max(1)
+pub(super) fn dispatch_time_budget(request: &Request) -> Micros {
+    let margin = ANSWER_MARGIN.min(request.time_budget / ANSWER_MARGIN_FRACTION);
+    request.time_budget.saturating_sub(margin).max(1)
 }
 
 /// The arrival event of a request for the balancer.
@@ -69,11 +69,11 @@
         class: request.class,
         tenant: request.tenant,
         key: request.key,
-        time_budget: time_budget(request),
-        estimated_thread_seconds: sanitize_estimate(request.thread_seconds, MAX_THREAD_SECONDS),
-        estimated_memory_mb: sanitize_estimate(request.memory_mb, MAX_MEMORY_MB),
-        table_group: request.group,
-        is_repeat: request.repeated,
-        held_by_client: request.held_back,
+        time_budget: dispatch_time_budget(request),
+        estimated_thread_seconds: sanitize_estimate(request.estimated_thread_seconds, MAX_THREAD_SECONDS),
+        estimated_memory_mb: sanitize_estimate(request.estimated_memory_mb, MAX_MEMORY_MB),
+        table_group: request.table_group,
+        is_repeat: request.is_repeat,
+        held_by_client: request.held_by_client,
     })
 }
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -1,6 +1,6 @@
 //! Submits, holds or rejects requests.
 
-use super::client_request::{arrival, time_budget};
+use super::client_request::{arrival, dispatch_time_budget};
 use super::pending_request::PendingRequest;
 use super::request_class::RequestClass;
 use super::{Answer, BACKOFF_MS, Command, Dispatch, Request, settings_for_sockets};
@@ -46,7 +46,7 @@
     /// Validates the class, the time budget and the id of a request.
     fn validate(&mut self, request: &Request) -> Result<RequestClass, SubmitError> {
         let class = *self.classes.get(request.class).ok_or(SubmitError::UnknownClass)?;
-        if request.client_wait == 0 || request.client_wait > class.max_budget {
+        if request.client_timeout == 0 || request.client_timeout > class.max_budget {
             return Err(SubmitError::InvalidBudget);
         }
         // Every request has a new id, including retries. Accepting an id again, pending or not, could run a request
@@ -180,7 +180,7 @@
         self.counters.taken += 1;
         let pending = PendingRequest {
             submitted_at: now,
-            deadline: now + time_budget(request),
+            deadline: now + dispatch_time_budget(request),
             idempotent: class.idempotent,
             repeat_window: class.repeat_window,
             closed: false,
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -28,17 +28,17 @@
 fn request(id: u64, budget: Micros) -> Request {
     Request {
         id,
-        ask: None,
+        client_request_id: None,
         class: 0,
         tenant: None,
         key: None,
-        client_wait: budget,
-        budget,
-        thread_seconds: None,
-        memory_mb: None,
-        group: 0,
-        repeated: false,
-        held_back: false,
+        client_timeout: budget,
+        time_budget: budget,
+        estimated_thread_seconds: None,
+        estimated_memory_mb: None,
+        table_group: 0,
+        is_repeat: false,
+        held_by_client: false,
     }
 }
 
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -79,8 +79,8 @@
         }
         while let Some(ArrivedRequest { client, mut request, arrival }) = self.requests.arrived.pop_front() {
             let now = self.clock.now();
-            request.held_back = arrival.held_back(request.budget) > 0;
-            request.budget = arrival.remaining_budget(request.budget, now);
+            request.held_by_client = arrival.held_back(request.time_budget) > 0;
+            request.time_budget = arrival.remaining_budget(request.time_budget, now);
             if let Some(job) = self.job_if_client_waits(client, request.id) {
                 self.begin_request(client, request, job, now);
             }
@@ -132,7 +132,7 @@
     /// Hands a request to the decisions, unless a retry storm or the fleet answers it or holds it.
     fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
-        let storm = self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.repeated));
+        let storm = self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.is_repeat));
         if let Some(Verdict::Refuse(wait)) = storm {
             return self.reject_request(key, &request, &job, wait, EndReason::DecidedOutside, now);
         }
@@ -182,7 +182,7 @@
             request = format_args!("{:016x}", request.id),
             class = &*job.kind,
             key = request.key.map(|key| tracing::field::display(format!("{key:016x}"))),
-            budget_ms = request.budget / 1_000,
+            budget_ms = request.time_budget / 1_000,
             late_ms = arrival.late_ms(),
             new_connection = on_new_connection,
             after_previous_ms = arrival.after_previous_ms(),
--- a/src/net/clients/session/request.rs
+++ b/src/net/clients/session/request.rs
@@ -24,18 +24,18 @@
     let request = Request {
         id: parse_id("rid", fields.required("rid")?)?,
         // Ours, and optional: one that can't be read is none, as for a dispatcher that does not know it.
-        ask: fields.get("ask").and_then(|text| parse_id("ask", text).ok()),
+        client_request_id: fields.get("ask").and_then(|text| parse_id("ask", text).ok()),
         class,
         // A tenant that the settings do not name is counted as none: its shares are not known.
         tenant: fields.get("acct").and_then(|name| names.tenants.get(name).copied()),
         key: fields.get("obj").map(|text| parse_id("obj", text)).transpose()?,
-        client_wait: budget,
-        budget,
-        thread_seconds: fields.number("est")?.map(|ms| ms / 1e3),
-        memory_mb: fields.number("space")?,
-        group: statement::table_group(statement.text).unwrap_or(0),
-        repeated: fields.number("try")?.is_some_and(|attempt| attempt > 1.0),
-        held_back: false,
+        client_timeout: budget,
+        time_budget: budget,
+        estimated_thread_seconds: fields.number("est")?.map(|ms| ms / 1e3),
+        estimated_memory_mb: fields.number("space")?,
+        table_group: statement::table_group(statement.text).unwrap_or(0),
+        is_repeat: fields.number("try")?.is_some_and(|attempt| attempt > 1.0),
+        held_by_client: false,
     };
     let token = fields.get("token").map(parse_token).transpose()?;
     let job = Job { kind: method.into(), statement: statement.text.into(), token: token.map(Into::into) };
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -61,17 +61,17 @@
         let budget = record.deadline.saturating_sub(now);
         let request = Request {
             id: record.rid,
-            ask: None,
+            client_request_id: None,
             class,
             tenant: record.tenant.map(usize::from),
             key: record.key,
-            client_wait: budget.max(1),
-            budget,
-            thread_seconds: record.work_s,
-            memory_mb: record.memory_mb,
-            group: record.group,
-            repeated: true,
-            held_back: false,
+            client_timeout: budget.max(1),
+            time_budget: budget,
+            estimated_thread_seconds: record.work_s,
+            estimated_memory_mb: record.memory_mb,
+            table_group: record.group,
+            is_repeat: true,
+            held_by_client: false,
         };
         let job = Job { kind, statement: statement.into(), token: None };
         self.requests.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -13,20 +13,23 @@
     fn attempt(&self, now: Micros, r: &Request, job: &Job, policy: u64) -> Try {
         let index = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
         Try {
-            ask: r.ask,
-            again: r.repeated,
+            ask: r.client_request_id,
+            again: r.is_repeat,
             record: Record {
                 rid: r.id,
                 class: index(r.class),
                 tenant: r.tenant.map(index),
                 key: r.key,
-                group: r.group,
-                work_s: r.thread_seconds,
-                memory_mb: r.memory_mb,
+                group: r.table_group,
+                work_s: r.estimated_thread_seconds,
+                memory_mb: r.estimated_memory_mb,
                 repeats: self.repeats.get(r.class).copied().unwrap_or(false),
                 // Another dispatcher would send it without its token: it does not send it at all.
-                statement: r.ask.filter(|_| job.token.is_none()).map(|_| job.statement.to_string()),
-                deadline: now + r.budget,
+                statement: r
+                    .client_request_id
+                    .filter(|_| job.token.is_none())
+                    .map(|_| job.statement.to_string()),
+                deadline: now + r.time_budget,
                 tried: Vec::new(),
                 policy,
             },
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -15,7 +15,7 @@
     pub(super) fn cap(&self, request: &mut Request) {
         let settings = self.rules.as_ref().and_then(|r| r.under(r.part.number()));
         if let Some(class) = settings.and_then(|s| s.classes.get(request.class)) {
-            request.budget = request.budget.min(class.client_timeout);
+            request.time_budget = request.time_budget.min(class.client_timeout);
         }
     }
 
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -166,17 +166,17 @@
             let wild = wild.get(self.world.below(150) as usize).copied();
             let request = Request {
                 id: r.id,
-                ask: None,
+                client_request_id: None,
                 class: r.class,
                 tenant: r.tenant,
                 key: r.key,
-                client_wait: r.time_budget,
-                budget: r.time_budget,
-                thread_seconds: wild.or(r.estimate_s),
-                memory_mb: wild.or(r.memory_mb),
-                group: r.group,
-                repeated: false,
-                held_back: false,
+                client_timeout: r.time_budget,
+                time_budget: r.time_budget,
+                estimated_thread_seconds: wild.or(r.estimate_s),
+                estimated_memory_mb: wild.or(r.memory_mb),
+                table_group: r.group,
+                is_repeat: false,
+                held_by_client: false,
             };
             let commands = self.dispatch.submit(now, &request).expect("a request like its class");
             self.act(commands);
