--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -3,7 +3,7 @@
 use super::pending_request::Attempt;
 use super::{Answer, AttemptId, AttemptTerms, BACKOFF_MS, Command, Dispatch};
 use crate::api::{Action, AttemptFinished, EndReason, Event, ExecutorId, Micros, Outcome};
-use crate::must;
+use crate::check_invariant;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
@@ -72,7 +72,7 @@
         timeout: Option<Micros>,
     ) -> Option<Event> {
         let Some(pending) = self.pending.get_mut(&request).filter(|pending| !pending.closed) else {
-            must!(false, "the balancer sent an attempt for a finished request");
+            check_invariant!(false, "the balancer sent an attempt for a finished request");
             return None;
         };
         let attempt_id = AttemptId { request, attempt: pending.attempts.len() as u32 };
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -3,7 +3,7 @@
 use super::pending_request::PendingRequest;
 use super::{Answer, AttemptId, BACKOFF_MS, Command, Dispatch, LoadReport};
 use crate::api::{AttemptFinished, EndReason, Event, Micros, Outcome};
-use crate::must;
+use crate::check_invariant;
 use std::cmp::Reverse;
 
 impl<R> Dispatch<R> {
@@ -133,7 +133,7 @@
     /// Gives a request its final answer; the only function that does so.
     pub(super) fn answer(&mut self, now: Micros, id: u64, answer: Answer<R>, reason: EndReason) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        if !must!(!pending.closed, "a request was answered twice") {
+        if !check_invariant!(!pending.closed, "a request was answered twice") {
             return;
         }
         pending.closed = true;
--- a/src/dispatch/network_events.rs
+++ b/src/dispatch/network_events.rs
@@ -4,7 +4,7 @@
     Answer, AttemptEnd, AttemptId, AttemptProgress, Command, Dispatch, LoadReport, NetworkEvent, ProbeOutcome,
 };
 use crate::api::{EndReason, Event, ExecutorId, Micros, Outcome};
-use crate::must;
+use crate::check_invariant;
 
 impl<R> Dispatch<R> {
     /// Handles an event of the network and returns the commands for it.
@@ -81,7 +81,7 @@
         let event = self.finish(now, id, outcome, load);
         let is_its_end =
             matches!(&event, Some(Event::AttemptFinished(finished)) if finished.executor == executor);
-        must!(is_its_end, "the end of an outstanding attempt was not reported");
+        check_invariant!(is_its_end, "the end of an outstanding attempt was not reported");
         let mut commands = event.map_or_else(Vec::new, |event| self.run(now, event));
         self.forget(id.request);
         commands.append(&mut self.commands);
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -5,7 +5,7 @@
 use super::request_class::RequestClass;
 use super::{Answer, BACKOFF_MS, Command, Dispatch, Request, settings_for_sockets};
 use crate::api::{EndReason, Event, Micros, Settings, SettingsError};
-use crate::must;
+use crate::check_invariant;
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
@@ -98,7 +98,7 @@
         let commands = self.run(now, arrival(request));
         if let Some(settings) = own_settings {
             let restored = self.balancer.update_settings(settings);
-            must!(restored.is_ok(), "the previous settings were rejected");
+            check_invariant!(restored.is_ok(), "the previous settings were rejected");
         }
         Ok(commands)
     }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -33,7 +33,7 @@
             feed_dials = feed.map_or(0, |f| f.dials),
             feed_bad_lines = feed.map_or(0, |f| f.bad_lines),
             free_buffers = self.pool.free(),
-            broken = invariant::broken(),
+            broken = invariant::violations(),
             "counters"
         );
         tracing::info!(reasons = %tally.ends, "request ends");
--- a/src/net/executors/answers.rs
+++ b/src/net/executors/answers.rs
@@ -1,9 +1,9 @@
 //! An outstanding attempt on a connection, and what its executor's answers do to it.
 
 use crate::api::Micros;
+use crate::check_invariant;
 use crate::codec::executor::{self, Note, Word};
 use crate::dispatch::{AttemptEnd, AttemptId, AttemptProgress};
-use crate::must;
 use crate::net::sockets::buffers::{Block, Pool};
 
 /// A result: its pages in order.
@@ -98,7 +98,7 @@
         return false;
     }
     let mut block = pool.block();
-    must!(block.append(page) == page.len(), "a page is larger than a buffer");
+    check_invariant!(block.append(page) == page.len(), "a page is larger than a buffer");
     s.rows.push(block);
     true
 }
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -3,8 +3,8 @@
 use super::connection_pool::NoConnection;
 use super::{Due, Executors, Job, PROBE_SLACK};
 use crate::api::Micros;
+use crate::check_invariant;
 use crate::dispatch::{AttemptEnd, AttemptId, AttemptTerms, ExecutorId, NetworkEvent, ProbeOutcome};
-use crate::must;
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::executors::answers::Stream;
 use crate::net::executors::connection::Outgoing;
@@ -43,7 +43,7 @@
         if terms.begin_by < terms.deadline {
             self.timers.set(terms.begin_by, Due::BeginBy(t));
         }
-        must!(self.attempt_connections.insert(t, key).is_none(), "an attempt was started twice");
+        check_invariant!(self.attempt_connections.insert(t, key).is_none(), "an attempt was started twice");
         self.write(key, now, poll);
     }
 
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -112,7 +112,7 @@
             *n = n.saturating_sub(1);
             *n
         });
-        crate::must!(left.is_some(), "a request ended under a version that none began under");
+        crate::check_invariant!(left.is_some(), "a request ended under a version that none began under");
         if left == Some(0) {
             self.count.remove(&version);
         }
