--- a/src/arrivals/key_spacing.rs
+++ b/src/arrivals/key_spacing.rs
@@ -1,56 +1,58 @@
-//! How long a client may have held a request back.
+//! Estimates how long a client may have delayed a request before sending it.
 //!
-//! The protocol has clients space the requests of one key: 60 ms lie between two writes, 250 ms if the earlier one
-//! came on a new connection. A client that wants to send more often queues its requests, and their budgets run
-//! meanwhile. A dispatcher sees nothing of a request before it is written; but requests that follow each other at
-//! just the spacing may have come out of such a queue, and all of a run of them may have been wanted when the run
-//! began.
+//! The protocol requires clients to space requests for the same key: at least 60 ms between two writes, or
+//! 250 ms if the earlier request opened a new connection. A client that generates requests faster than that
+//! queues them locally while their time budgets run. The dispatcher cannot see a request before it is
+//! written, but consecutive requests spaced at just the minimum interval may come from such a queue, and
+//! every request of such a run may have been issued when the run began.
 
 use super::Occurrence;
 use crate::api::Micros;
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// The least time between the writes of two requests of a key, in microseconds (protocol, "Clients to dispatchers").
+/// Minimum time between the writes of two requests for the same key, in microseconds (protocol, "Clients to
+/// dispatchers").
 const SPACING: Micros = 60_000;
-/// The same if the earlier one came on a new connection.
+/// Minimum time if the earlier request opened a new connection, in microseconds.
 const SPACING_AFTER_NEW_CONNECTION: Micros = 250_000;
-/// How much longer any time of the protocol may turn out, in microseconds.
+/// Tolerance that the protocol allows on any of its intervals, in microseconds.
 const SLACK: Micros = 50_000;
-/// A quarter of its budget is left to a request, however long its run is: a client that sends at just the spacing by
-/// itself, and holds nothing back, has to be served too.
+/// At least a quarter of the time budget is always kept, however long the run: a client that naturally sends
+/// at the minimum interval and delays nothing must still be served.
 const LEAST_BUDGET_DIVISOR: Micros = 4;
-/// Keys that are remembered: more than any spacing's time brings requests of.
+/// Capacity of the key cache; larger than the number of keys that arrive within any spacing interval.
 const REMEMBERED_KEYS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
 
-/// The last request of a key.
+/// The most recent request for a key.
 #[derive(Debug, Clone, Copy)]
 struct LastRequest {
     arrived: Occurrence,
     on_new_connection: bool,
-    /// When the run of requests at just the spacing began of which it is part.
+    /// Start of the run of minimally spaced requests that this request belongs to.
     run_began_at: Micros,
 }
 
-/// What follows from a request's distance to the previous one of its key.
+/// Timing of a request relative to the previous request for the same key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestSpacing {
-    /// The shortest possible span since the previous one, in microseconds; `None` for the first that is known.
+    /// Lower bound of the time since the previous request, in microseconds; `None` if no previous request is
+    /// known.
     pub since_previous: Option<Micros>,
-    /// The earliest point at which its client may have wanted to send it: when it came, unless it may have been held
-    /// back.
+    /// Earliest time at which the client may have issued the request: its arrival time, unless it may have
+    /// been delayed.
     pub wanted_at: Micros,
 }
 
 impl RequestSpacing {
-    /// The longest span for which its client may have held it back, in microseconds.
+    /// Upper bound of the client-side delay, in microseconds.
     pub fn held_back(&self, arrived: Occurrence, budget: Micros) -> Micros {
         let most = budget - budget / LEAST_BUDGET_DIVISOR;
         arrived.earliest.saturating_sub(self.wanted_at).min(most)
     }
 }
 
-/// The last request of each recently used key.
+/// Tracks the most recent request of each recently used key.
 pub struct KeySpacing(LruCache<u64, LastRequest>);
 
 impl Default for KeySpacing {
@@ -60,7 +62,7 @@
 }
 
 impl KeySpacing {
-    /// Records a request of a key, and returns what follows from its spacing.
+    /// Records a request and returns its timing relative to the previous request for the key.
     pub fn record(&mut self, key: u64, arrived: Occurrence, on_new_connection: bool) -> RequestSpacing {
         let previous = self.0.get(&key).copied();
         let held_back = previous.filter(|last| last.may_hold_back(arrived));
@@ -74,8 +76,9 @@
 }
 
 impl LastRequest {
-    /// Whether the next one came so soon that its client may have waited for the spacing. One that certainly came
-    /// sooner is of clients that keep no spacing, and hold nothing back.
+    /// Whether the next request followed closely enough that its client may have waited for the minimum
+    /// spacing. A request that certainly arrived sooner comes from clients that do not space their requests
+    /// and so delay nothing.
     fn may_hold_back(&self, next: Occurrence) -> bool {
         let spacing = if self.on_new_connection { SPACING_AFTER_NEW_CONNECTION } else { SPACING };
         let is_spaced = next.longest_since(self.arrived) >= SPACING - SLACK;
--- a/src/arrivals/key_spacing/tests.rs
+++ b/src/arrivals/key_spacing/tests.rs
@@ -8,8 +8,8 @@
     Occurrence::at(START + ms * MS)
 }
 
-/// When each request of the key may have been wanted, in milliseconds from the start; each tells when it came, and
-/// whether that was on a new connection.
+/// Earliest issue time of each request, in milliseconds from `START`. Each input is the arrival time in
+/// milliseconds and whether the request opened a new connection.
 fn wanted(requests: &[(Micros, bool)]) -> Vec<Micros> {
     let mut spacing = KeySpacing::default();
     let spaced = requests.iter().map(|(ms, new)| spacing.record(KEY, at(*ms), *new));
@@ -41,7 +41,7 @@
     assert_eq!(other, RequestSpacing { since_previous: None, wanted_at: START + 100 * MS });
 }
 
-// What was read late may have come sooner after the one before, and may have been held back.
+// A request that was read late may have arrived closer to the previous one, so it counts as possibly delayed.
 #[test]
 fn a_late_look_counts_at_its_worst() {
     let mut spacing = KeySpacing::default();
@@ -51,7 +51,7 @@
     assert_eq!(spaced, RequestSpacing { since_previous: Some(90 * MS), wanted_at: START });
 }
 
-// However long the run is, a quarter of the budget is left.
+// At least a quarter of the budget is kept, however long the run.
 #[test]
 fn something_is_always_left_of_a_budget() {
     let mut spacing = KeySpacing::default();
@@ -63,7 +63,7 @@
     assert!(held_back.eq(expected));
 }
 
-// Several clients that know nothing of each other may ask for one key at once.
+// Independent clients may request the same key at the same time.
 #[test]
 fn clients_that_keep_no_spacing_hold_nothing_back() {
     assert_eq!(wanted(&[(0, false), (5, false), (9, true), (12, false)]), [0, 5, 9, 12]);
--- a/src/arrivals/mod.rs
+++ b/src/arrivals/mod.rs
@@ -1,7 +1,8 @@
-//! When a request arrived, as far as that can be known. A client's budget runs from the moment at which it wanted to
-//! send; what is known here is when its bytes were read. This module bounds the time between.
+//! Bounds on request arrival times. A client's time budget starts when the client issues the request, but the
+//! dispatcher only knows when it read the bytes. This module bounds the difference.
 //!
-//! - `occurrence`: an event that was noticed some time after it happened.
+//! - `occurrence`: the time interval in which an event happened.
+//! - `key_spacing`: how long a client may have delayed a request for a key.
 //! - `key_spacing`: how long a client may have held back a request of a key.
 
 mod key_spacing;
--- a/src/arrivals/occurrence.rs
+++ b/src/arrivals/occurrence.rs
@@ -1,39 +1,39 @@
-//! An event that was noticed some time after it happened.
+//! The time interval in which an event happened.
 
 use crate::api::Micros;
 
-/// When something happened, as far as that is known: at some point from `earliest` to `latest`, in microseconds. A
-/// limit that has to be kept counts from the earliest point, a time that is granted from the latest.
+/// Time interval in which an event happened, from `earliest` to `latest`, in microseconds. Limits that must
+/// not be exceeded are measured from `earliest`; durations that are guaranteed are measured from `latest`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Occurrence {
-    /// The earliest point in time at which it may have happened.
+    /// Lower bound of the event's time.
     pub earliest: Micros,
-    /// The latest: usually when it was noticed.
+    /// Upper bound of the event's time, usually the time at which it was observed.
     pub latest: Micros,
 }
 
 impl Occurrence {
-    /// Something that was noticed at once.
+    /// An event that was observed when it happened.
     pub fn at(moment: Micros) -> Occurrence {
         Occurrence { earliest: moment, latest: moment }
     }
 
-    /// Something that happened between two points in time.
+    /// An event that happened between two points in time.
     pub fn between(earliest: Micros, latest: Micros) -> Occurrence {
         Occurrence { earliest: earliest.min(latest), latest }
     }
 
-    /// The same with an earlier bound.
+    /// Extends the interval so that it starts no later than `moment`.
     pub fn since(self, moment: Micros) -> Occurrence {
         Occurrence { earliest: self.earliest.min(moment), ..self }
     }
 
-    /// The longest time that can lie between an earlier occurrence and this one.
+    /// Upper bound of the time between an earlier event and this one.
     pub fn longest_since(self, earlier: Occurrence) -> Micros {
         self.latest.saturating_sub(earlier.earliest)
     }
 
-    /// The shortest time that can lie between an earlier occurrence and this one.
+    /// Lower bound of the time between an earlier event and this one.
     pub fn shortest_since(self, earlier: Occurrence) -> Micros {
         self.earliest.saturating_sub(earlier.latest)
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,8 +1,8 @@
-//! Time. Deadlines and waits are measured by the monotonic clock. The wall clock, which may be stepped by hours, is
-//! read only where a time comes from outside.
+//! Clocks. Deadlines and delays use the monotonic clock. The wall clock, which may be stepped by hours, is
+//! read only to convert timestamps that come from other machines.
 //!
-//! [`now`] counts microseconds from the Unix time at which this process first asked, so that its numbers can be read
-//! as times of the wall clock as long as nobody steps that.
+//! [`now`] starts at the Unix time of its first call in this process, so its values read as wall clock times
+//! unless the wall clock is stepped.
 
 mod start_times;
 mod wall;
@@ -16,7 +16,7 @@
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The moment at which this process first asked for the time, on both clocks.
+/// The first reading of both clocks in this process.
 struct Origin {
     instant: Instant,
     unix: Micros,
@@ -24,13 +24,13 @@
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-/// The time in microseconds, on a clock that never goes back and runs at the pace of real time.
+/// Monotonic time in microseconds.
 pub fn now() -> Micros {
     let origin = ORIGIN.get_or_init(|| Origin { instant: Instant::now(), unix: system_unix() });
     origin.unix + origin.instant.elapsed().as_micros() as Micros
 }
 
-/// The wall clock's time, in microseconds since 1970.
+/// Wall clock time, in microseconds since the Unix epoch.
 pub fn unix() -> Micros {
     stepped(system_unix())
 }
@@ -49,7 +49,7 @@
     tests::stepped(unix)
 }
 
-/// The monotonic clock, with the last time that it gave; tests have one that stands still until it is set.
+/// Monotonic clock that caches its last reading. Tests can use a manually driven clock.
 #[derive(Clone, Default)]
 pub struct Clock {
     last: Micros,
@@ -57,19 +57,19 @@
 }
 
 impl Clock {
-    /// A clock that gives the time in the cell, in microseconds.
+    /// A manually driven clock that reads its time, in microseconds, from a cell.
     pub fn manual(time: Rc<Cell<Micros>>) -> Clock {
         Clock { last: 0, manual: Some(time) }
     }
 
-    /// The time in microseconds; never less than the time before.
+    /// Current time in microseconds; never less than the previous reading.
     pub fn now(&mut self) -> Micros {
         let time = self.manual.as_ref().map_or_else(now, |time| time.get());
         self.last = self.last.max(time);
         self.last
     }
 
-    /// The last time that [`Clock::now`] gave.
+    /// The last value returned by [`Clock::now`].
     pub fn last(&self) -> Micros {
         self.last
     }
--- a/src/clock/start_times.rs
+++ b/src/clock/start_times.rs
@@ -1,28 +1,28 @@
-//! When executors started, by this process's clock.
+//! Executor start times on this process's monotonic clock.
 
 use super::WallClock;
 use crate::api::Micros;
 use std::collections::BTreeMap;
 
-/// What the endpoint list reported of one executor's start, and which moment that is.
+/// The start time that the endpoint list reported for an executor, and its monotonic equivalent.
 #[derive(Debug, Clone, Copy)]
 struct ReportedStart {
-    /// Unix time in milliseconds, by the wall clock of another machine.
+    /// Unix time in milliseconds, according to another machine's wall clock.
     reported_ms: u64,
-    /// By this process's clock.
+    /// Time on this process's monotonic clock.
     started_at: Micros,
 }
 
-/// When executors started, by uid. A start that was reported once stays the same moment however the wall clock is
-/// stepped afterwards: else an executor would seem to have restarted with every step, and be warmed up again.
+/// Start times by executor uid. A reported start time is converted once and kept, so that a later step of the
+/// wall clock does not make the executor look restarted and put it through slow start again.
 #[derive(Debug, Clone, Default)]
 pub struct ExecutorStartTimes {
     starts: BTreeMap<String, ReportedStart>,
 }
 
 impl ExecutorStartTimes {
-    /// When an executor started whose list entry reports this Unix time in milliseconds; `None` for 0, which says
-    /// that it started long ago.
+    /// Start time of an executor whose endpoint list entry reports this Unix time in milliseconds. 0 means
+    /// that the executor started long ago and gives `None`.
     pub fn started_at(
         &mut self,
         uid: &str,
@@ -42,17 +42,17 @@
         Some(started_at)
     }
 
-    /// Forgets the executors that `keeps` says no to.
+    /// Removes the executors for which `keeps` returns false.
     pub fn retain(&mut self, keeps: impl Fn(&str) -> bool) {
         self.starts.retain(|uid, _| keeps(uid));
     }
 
-    /// How many are kept.
+    /// Number of executors with a known start time.
     pub fn len(&self) -> usize {
         self.starts.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no start time is known.
     pub fn is_empty(&self) -> bool {
         self.starts.is_empty()
     }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -4,14 +4,15 @@
 const HOUR: i64 = 3_600_000_000;
 const SECOND: i64 = 1_000_000;
 
-/// By how much tests have stepped the wall clock of this process.
+/// Total offset by which tests have stepped this process's wall clock, in microseconds.
 static STEPPED: AtomicI64 = AtomicI64::new(0);
 
 pub(super) fn stepped(unix: Micros) -> Micros {
     unix.saturating_add_signed(STEPPED.load(Ordering::SeqCst))
 }
 
-/// Steps the wall clock, and back at the end. One at a time: it is the whole process's.
+/// Steps the wall clock and restores it on drop. The offset is global to the process, so only one instance
+/// exists at a time.
 pub(crate) struct SteppedWall {
     _one: std::sync::MutexGuard<'static, ()>,
 }
@@ -35,7 +36,8 @@
 
 const STEPS: [i64; 4] = [5 * SECOND, -5 * SECOND, HOUR, -HOUR];
 
-// The clock was the wall clock, kept from going back: it stood still for an hour, or ended everything at once.
+// The clock used to be the wall clock, only prevented from going backwards: a step back froze it for an hour,
+// and a step forward expired every request at once.
 #[test]
 fn the_clock_does_not_follow_steps_of_the_wall_clock() {
     let wall = SteppedWall::new();
@@ -57,7 +59,7 @@
         wall.observe(now, now);
         let after = now + 1_000;
         wall.observe(after, after.saturating_add_signed(step));
-        // Told by a machine that read its clock before the step, and by one that read it after.
+        // Reported by a machine that read its clock before the step, then by one that read it after.
         assert_eq!(wall.to_monotonic(after, started), started, "before a step of {step}");
         let told = started.saturating_add_signed(step);
         assert_eq!(wall.to_monotonic(after, told), started, "after a step of {step}");
--- a/src/clock/wall.rs
+++ b/src/clock/wall.rs
@@ -1,24 +1,26 @@
-//! The wall clock beside the monotonic one: how far they are apart, and how far they were before a step.
+//! Offset between the wall clock and the monotonic clock, including the offsets before recent steps.
 
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// A smaller difference between the clocks is a slow correction, not a step, in microseconds.
+/// Smallest change of the offset that counts as a step, in microseconds; smaller changes are gradual
+/// corrections.
 const LEAST_STEP: Micros = 500_000;
-/// The wall clock of another machine may be this far ahead of ours, in microseconds.
+/// Maximum time that another machine's wall clock may be ahead of ours, in microseconds.
 const MOST_AHEAD: Micros = 1_000_000;
-/// Offsets that are kept, of the time before the last steps.
+/// Number of offsets kept from before the most recent steps.
 const REMEMBERED_OFFSETS: usize = 8;
 
-/// How the wall clock has stood to the monotonic one.
+/// History of the offset between the wall clock and the monotonic clock.
 #[derive(Debug, Clone, Default)]
 pub struct WallClock {
-    /// Wall time less monotonic time, in microseconds: the present one, then those before its steps.
+    /// Wall clock time minus monotonic time, in microseconds: the current offset first, then those before
+    /// each step.
     offsets: VecDeque<i128>,
 }
 
 impl WallClock {
-    /// Notes both clocks as they are at one moment.
+    /// Records simultaneous readings of both clocks.
     pub fn observe(&mut self, now: Micros, unix: Micros) {
         let offset = i128::from(unix) - i128::from(now);
         match self.offsets.front_mut() {
@@ -33,9 +35,9 @@
         }
     }
 
-    /// When something happened, by the monotonic clock, of which another machine reported the wall time. It may have
-    /// been read before a step of the clock or after it: of all moments that are possible, the latest that is not in
-    /// the future.
+    /// Converts a wall clock time reported by another machine to monotonic time. The time may have been read
+    /// before or after a step, so every remembered offset is tried and the latest result that is not in the
+    /// future is used.
     pub fn to_monotonic(&self, now: Micros, unix: Micros) -> Micros {
         let latest = i128::from(now) + i128::from(MOST_AHEAD);
         let moments = self.offsets.iter().map(|offset| i128::from(unix) - offset);
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Which clients are accepted, and which idle ones are closed for them.
+//! Accepting client connections, and closing idle ones to make room.
 
 use super::CLIENT_BACKOFF;
 use super::client_error::ClientError;
@@ -11,25 +11,25 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Connections accepted in one batch.
+/// Maximum connections accepted in one batch.
 const BATCH: usize = 64;
-/// Batches that empty a full backlog. More would not end under a flood, which fills the backlog as fast as it is
-/// emptied.
+/// Number of batches that empty a full backlog. The loop is bounded because a connection flood refills the
+/// backlog as fast as it is emptied.
 const MOST_BATCHES: usize = BACKLOG.div_ceil(BATCH);
-/// A client that has just connected has this long to send something before it may be closed for another one.
+/// Time a newly connected client has to send something before it may be closed to make room.
 const CONNECT_PATIENCE: Micros = 100_000;
 
-/// Whether the backlog may hold further connections after a batch.
+/// Whether the backlog may contain more connections after a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Backlog {
     MayHoldMore,
-    /// It is empty, or accepting has paused.
+    /// The backlog is empty, or accepting is paused.
     Done,
 }
 
 impl DispatcherServer {
-    /// Accepts all that wait. A KILL may wait behind any number of other connections, and the request that it ends
-    /// must not begin: so the backlog is emptied before any request begins.
+    /// Accepts all pending connections. A KILL may be queued behind any number of other connections, and the
+    /// request it names must not start. The backlog is therefore drained before any request starts.
     pub(in crate::net) fn accept_clients(&mut self, now: Micros) {
         if self.accept_batches(now) == Backlog::MayHoldMore {
             self.listener.backlog_since.get_or_insert(self.poll_times.events_since());
@@ -66,22 +66,23 @@
         Backlog::MayHoldMore
     }
 
-    /// Begins a session on a new connection, or refuses it where no client can be closed for it.
+    /// Creates a session for a new connection, or refuses it if the client limit is reached and no idle
+    /// client can be closed.
     fn admit_client(&mut self, stream: TcpStream, now: Micros) {
         let id = self.sessions.take_connection_id();
         let is_full = self.sessions.served() >= self.descriptors.clients && !self.evict_idle_client(now);
-        // The client's first bytes may have come at any time since the backlog was last empty.
+        // The client's first bytes may have arrived at any time since the backlog was last empty.
         let noticed = self.poll_times.occurrence_noticed_at(now);
         let connected = self.listener.backlog_since.map_or(noticed, |since| noticed.since(since));
         let mut session = match Session::new(stream, &self.poll, &self.pool, id, &scramble(id), connected) {
             Ok(session) => session,
-            Err(e) => return tracing::warn!(client = id, error = %e, "client lost at its start"),
+            Err(e) => return tracing::warn!(client = id, error = %e, "client session setup failed"),
         };
         if is_full {
             session.close_with_error(self.too_many_connections(), now);
         }
         let key = self.sessions.insert(session);
-        // What the client wrote ahead is read now: its request came before later ones.
+        // Bytes that the client has already sent are read now, as its request precedes later ones.
         self.flush_client(key);
         self.read_client(key, now);
         self.close_excess_lingering(now);
@@ -96,7 +97,7 @@
         ClientError::TooManyConnections { backoff_ms: wait.div_ceil(1_000) }
     }
 
-    /// Accepts again after a pause.
+    /// Resumes accepting after a pause.
     pub(in crate::net) fn resume_accepting(&mut self, now: Micros) {
         match self.listener.resume(&self.poll, now) {
             Ok(()) => self.accept_clients(now),
@@ -104,16 +105,16 @@
         }
     }
 
-    /// Accepts all that wait and closes the listener: later connections are another process's. Closing it with
-    /// connections in the backlog would reset them.
+    /// Accepts all pending connections and closes the listener; later connections go to another process.
+    /// Closing it with connections in the backlog would reset them.
     pub(in crate::net) fn stop_accepting(&mut self, now: Micros) {
         self.listener.end_pause(&self.poll);
         self.accept_batches(now);
         self.listener.close(&self.poll);
     }
 
-    /// Out of descriptors: closes the newest client that has nothing open, unwritten or unread, so that the one
-    /// that waits can come in; false if none can be spared.
+    /// Closes the newest idle client to free a descriptor. Only a client without an open request and without
+    /// unwritten or unread data qualifies; returns false if there is none.
     pub(in crate::net) fn shed_idle_client(&mut self, now: Micros) -> bool {
         let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_PATIENCE).map(|_| *k);
         let all = self.sessions.by_key.iter().rev();
@@ -131,7 +132,7 @@
         true
     }
 
-    /// Where the feed or an attempt found no descriptor, an idle client goes for it.
+    /// Closes an idle client if the coordinator watch or an attempt ran out of descriptors.
     pub(in crate::net) fn free_descriptors(&mut self, now: Micros) {
         if std::mem::take(&mut self.executors.out_of_descriptors) {
             self.shed_idle_client(now);
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Lets the client go that can be spared best, for another to come in; false if none can.
+    /// Closes the idle client with the lowest eviction rank to make room for a new one; returns false if
+    /// there is none.
     pub(in crate::net) fn evict_idle_client(&mut self, now: Micros) -> bool {
         let rank = |(k, s): (&Key, &Session)| {
             s.eviction_rank(now, CONNECT_PATIENCE).filter(|(r, _)| *r > 0).map(|r| (r, *k))
@@ -158,7 +160,7 @@
         true
     }
 
-    /// Keeps those that only read their last bytes to their share: the longest of them is closed.
+    /// Closes the longest lingering connections until their number is within the limit.
     pub(in crate::net) fn close_excess_lingering(&mut self, now: Micros) {
         while self.sessions.lingering() > self.descriptors.lingering {
             let since = |(k, s): (&Key, &Session)| s.closing_since().map(|t| (t, *k));
@@ -168,7 +170,7 @@
     }
 }
 
-/// Bytes of the login handshake, which are printable and not 0; nothing here checks passwords.
+/// Authentication challenge of the login handshake: printable, non-zero bytes. Passwords are not checked.
 fn scramble(connection_id: u32) -> [u8; 20] {
     let mut bytes = [0; 20];
     (0u32..).zip(&mut bytes).for_each(|(i, byte)| *byte = 33 + (connection_id.rotate_left(i) % 90) as u8);
--- a/src/net/clients/client_error.rs
+++ b/src/net/clients/client_error.rs
@@ -1,42 +1,42 @@
-//! What a client is told besides results: every error with its number, its SQL state and its text.
+//! Errors sent to clients, each with its error number, SQL state and message.
 
 use crate::codec::mysql;
 use std::fmt;
 
-/// An answer to a client that is no result. Numbers, states and texts are the protocol's: clients tell a refusal,
-/// which they may repeat, from a failure by them.
+/// An error response. Numbers, SQL states and messages are defined by the protocol: clients use them to tell
+/// a rejection, which may be retried, from a failure.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(in crate::net) enum ClientError {
-    /// The connection is refused, as too many are open; `backoff_ms` is how long to wait before the next, in
-    /// milliseconds.
+    /// The connection is refused because too many are open; `backoff_ms` is the time to wait before
+    /// connecting again, in milliseconds.
     TooManyConnections { backoff_ms: u64 },
-    /// The request was refused and never ran; `backoff_ms` is how long to wait before the next attempt, in
+    /// The request was rejected and never ran; `backoff_ms` is the time to wait before retrying, in
     /// milliseconds.
     Refused { backoff_ms: u64 },
-    /// The request may have run, and no result of it will come.
+    /// The request may have run, but no result is available.
     Failed,
     /// The request was killed.
     Interrupted,
-    /// KILL names a connection that is not there.
+    /// KILL names a connection that does not exist.
     UnknownThread(String),
-    /// A second request came on a connection whose request is open.
+    /// The client sent a second request while its first one is open.
     SecondRequest,
-    /// A request of the same id is open on another connection.
+    /// A request with the same id is open on another connection.
     DuplicateRequestId,
-    /// The decisions accept no such request, and why.
+    /// The dispatch logic does not accept the request, for this reason.
     NotAccepted(String),
-    /// No whole command came in time.
+    /// No complete command arrived in time.
     Timeout,
-    /// The code of a command that this server does not have.
+    /// The client sent a command that is not supported, with this command code.
     UnknownCommand(u8),
-    /// A statement that is no request and none of the few that drivers send by themselves.
+    /// The statement is neither a request nor one of the few statements that drivers send on their own.
     NoRequestComment,
-    /// A field of a request's comment can't be used, and why.
+    /// A field in the request's comment is invalid, for this reason.
     Field { field: &'static str, fault: &'static str },
 }
 
 impl ClientError {
-    /// The error number and the SQL state.
+    /// The MySQL error number and SQL state.
     fn code(&self) -> (u16, &'static str) {
         match self {
             ClientError::TooManyConnections { .. } => (1040, "08004"),
--- a/src/net/clients/listener.rs
+++ b/src/net/clients/listener.rs
@@ -1,4 +1,4 @@
-//! The socket that clients connect to.
+//! The listening socket for clients.
 
 use crate::api::Micros;
 use crate::net::event_loop::poll::{Key, Poll};
@@ -7,44 +7,45 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// How long accepting pauses when descriptors or memory have run out. A KILL may wait in the backlog meanwhile, and it
-/// has to be read while the last look at the clients is still valid.
+/// Pause of accepting after descriptors or memory ran out. A KILL may be waiting in the backlog, and must be
+/// read while the last poll of the clients is still valid.
 const ACCEPT_PAUSE: Micros = CLIENT_POLL_VALID / 2;
 
-/// What the listener does.
+/// State of the listener.
 enum State {
-    /// The event loop watches it.
+    /// The socket is open and registered with the poller.
     Listening(Key, TcpListener),
-    /// It is open and not watched: it stays readable, and the loop would spin on it.
+    /// The socket is open but not registered: it stays readable, which would make the event loop spin.
     Paused { listener: TcpListener, resume_at: Micros },
-    /// Connections are refused, or go to another process on the same port.
+    /// The socket is closed: connections are refused, or go to another process on the same port.
     Closed,
 }
 
-/// The clients' listener.
+/// The client listener.
 pub(in crate::net) struct ClientListener {
     state: State,
     address: SocketAddr,
-    /// Since when connections may wait in the backlog: accepting stopped before it was empty.
+    /// Since when connections may be waiting in the backlog, if accepting stopped before the backlog was
+    /// empty.
     pub(super) backlog_since: Option<Micros>,
 }
 
 impl ClientListener {
-    /// Listens on an address, beside any other dispatcher on it.
+    /// Listens on an address, which may be shared with another dispatcher process.
     pub(in crate::net) fn bind(address: SocketAddr, poll: &Poll, now: Micros) -> io::Result<ClientListener> {
         let listener = listen::bind_shared(address)?;
         let key = poll.add(&listener, false)?;
         let address = listener.local_addr()?;
-        // Connections may have come since it was bound, which is before now.
+        // Connections may have arrived since the bind, which happened before `now`.
         Ok(ClientListener { state: State::Listening(key, listener), address, backlog_since: Some(now) })
     }
 
-    /// The address that clients connect to, also while it is closed.
+    /// The client address, also while the listener is closed.
     pub(in crate::net) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its key while the event loop watches it.
+    /// The poller key, while the socket is registered.
     pub(in crate::net) fn key(&self) -> Option<Key> {
         match &self.state {
             State::Listening(key, _) => Some(*key),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The socket, while it is watched.
+    /// The socket, while it is registered.
     pub(super) fn socket(&self) -> Option<&TcpListener> {
         match &self.state {
             State::Listening(_, listener) => Some(listener),
@@ -60,12 +61,12 @@
         }
     }
 
-    /// Whether no connection is accepted any more.
+    /// Whether the listener is closed.
     pub(in crate::net) fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed)
     }
 
-    /// The poll showed no new connection: the backlog is empty.
+    /// Records that the backlog is empty.
     pub(in crate::net) fn backlog_is_empty(&mut self) {
         self.backlog_since = None;
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Stops watching for a while; connections may wait in the backlog since `events_since`.
+    /// Pauses accepting; connections may have been waiting in the backlog since `events_since`.
     pub(super) fn pause(&mut self, poll: &Poll, now: Micros, events_since: Micros) {
         self.state = match std::mem::replace(&mut self.state, State::Closed) {
             State::Listening(_, listener) => {
@@ -90,7 +91,7 @@
         };
     }
 
-    /// Watches again after a pause. An error means that the pause goes on.
+    /// Resumes accepting after a pause. On an error the pause continues.
     pub(super) fn resume(&mut self, poll: &Poll, now: Micros) -> io::Result<()> {
         let State::Paused { listener, .. } = std::mem::replace(&mut self.state, State::Closed) else {
             return Ok(());
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Watches again after a pause, for the last time; one that can't be watched is closed.
+    /// Ends a pause before the listener is closed for good; closes the listener if it cannot be registered.
     pub(super) fn end_pause(&mut self, poll: &Poll) {
         self.state = match std::mem::replace(&mut self.state, State::Closed) {
             State::Paused { listener, .. } => {
@@ -117,7 +118,6 @@
         };
     }
 
-    /// Closes the socket.
     pub(super) fn close(&mut self, poll: &Poll) {
         if let State::Listening(_, listener) = std::mem::replace(&mut self.state, State::Closed) {
             poll.remove(&listener);
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -1,6 +1,10 @@
-//! The clients' side: connections, what is read from them, and how they end.
+//! Client connections: accepting, reading, answering and closing them.
 //!
-//! - `listener`, `accept`: connections that come in, and idle ones that are closed for them.
+//! - `listener`, `accept`: accepting connections, and closing idle ones to make room.
+//! - `session`: a single connection, from the greeting to its close.
+//! - `request_intake`: from a statement to the dispatch logic.
+//! - `arrival`: arrival details of a request.
+//! - `client_error`: errors sent to clients.
 //! - `session`: one connection, from its greeting to its last byte.
 //! - `request_intake`: from a statement to the decisions.
 //! - `arrival`: how a request came.
@@ -19,13 +23,13 @@
 use crate::net::event_loop::poll::Key;
 use client_error::ClientError;
 
-/// How long a refused client is asked to wait, where no rule says otherwise.
+/// Backoff sent to a rejected client unless another rule sets it, in microseconds.
 const CLIENT_BACKOFF: Micros = 200_000;
 
-/// Counters of clients' connections, since the start.
+/// Counters of client connections since the process started.
 #[derive(Debug, Clone, Copy, Default)]
 pub(in crate::net) struct ClientCounters {
-    /// Connections refused because there were too many.
+    /// Connections refused because too many were open.
     pub(in crate::net) refused: u64,
     /// Idle clients closed for new connections.
     pub(in crate::net) evicted: u64,
@@ -34,8 +38,8 @@
 }
 
 impl DispatcherServer {
-    /// Reads what a client sent, to its end, and processes it. Behind a request may lie that its client has gone, and
-    /// then it must not begin.
+    /// Reads everything a client has sent and processes it. Reading to the end detects a client that
+    /// disconnected right after its request; such a request must not start.
     pub(in crate::net) fn read_client(&mut self, key: Key, now: Micros) {
         let noticed = self.poll_times.occurrence_noticed_at(now);
         let Some(session) = self.sessions.by_key.get_mut(&key) else { return };
@@ -48,7 +52,8 @@
         self.process_commands(key, now);
     }
 
-    /// A client sent another statement while its request is open: it gets an error, and its connection closes.
+    /// Rejects a statement that a client sent while its request is open: the client gets an error and its
+    /// connection is closed.
     pub(in crate::net) fn reject_second_request(&mut self, key: Key, now: Micros) {
         let Some(session) = self.sessions.by_key.get_mut(&key) else { return };
         tracing::info!(client = session.id, reason = "second request", "client closed");
@@ -60,7 +65,7 @@
         self.flush_client(key);
     }
 
-    /// Ends clients' pauses that are over, and closes connections whose client owes something for too long.
+    /// Ends expired pauses of clients and closes connections whose time limits have expired.
     pub(in crate::net) fn process_client_timers(&mut self, now: Micros) {
         let keys: Vec<Key> = self.sessions.by_key.keys().copied().collect();
         for key in keys {
@@ -76,7 +81,8 @@
         }
     }
 
-    /// KILL QUERY from one client's connection, for the request of connection `id`. That session goes on.
+    /// Handles KILL QUERY for the request of connection `id`, sent by client `from`. The killed session stays
+    /// open.
     pub(in crate::net) fn kill_request(&mut self, from: Key, id: u32, now: Micros) {
         let target = self.sessions.by_id.get(&id).copied();
         if let Some(session) = self.sessions.by_key.get_mut(&from) {
@@ -96,7 +102,7 @@
         }
     }
 
-    /// Ends a request whose client no longer waits for it: no attempt of it begins from here on.
+    /// Abandons a request whose client no longer waits for it; no further attempt of it starts.
     pub(in crate::net) fn abandon_request(&mut self, request: u64, now: Micros) {
         if let Some(open) = self.requests.open.remove(&request) {
             self.log_abandoned(request, &open, now);
@@ -106,8 +112,9 @@
         self.client_left(now, request);
     }
 
-    /// Closes an idle connection, write side first. A close over unread bytes would reset the connection, and the
-    /// client would lose an answer that is still on its way: what crosses the end is read and dropped.
+    /// Closes an idle connection, write side first. Closing it with unread bytes would reset it, and the
+    /// client could lose an answer that is still in transit; bytes that arrive in the meantime are read and
+    /// discarded.
     pub(in crate::net) fn finish_client(&mut self, key: Key, now: Micros) {
         if let Some(session) = self.sessions.by_key.get_mut(&key) {
             session.finish(now);
@@ -115,7 +122,8 @@
         self.flush_client(key);
     }
 
-    /// Closes a connection at once, whose client has gone or had its time to read the last bytes.
+    /// Closes a connection immediately, because its client has disconnected or its time to read the last
+    /// bytes is over.
     pub(in crate::net) fn close_client(&mut self, key: Key, now: Micros) {
         let Some(session) = self.sessions.remove(key) else { return };
         let open = session.open;
@@ -125,7 +133,7 @@
         }
     }
 
-    /// Writes what waits for a client, as far as its socket takes it.
+    /// Writes pending output to a client, as far as its socket accepts it.
     pub(in crate::net) fn flush_client(&mut self, key: Key) {
         let now = self.clock.last();
         let Some(session) = self.sessions.by_key.get_mut(&key) else { return };
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -1,5 +1,5 @@
-//! From a client's statement to the decisions: a request is read, waits for the end of what came in this turn, and
-//! begins.
+//! Request intake: a request is read, queued until all input of this turn has been processed, and then
+//! submitted to the dispatch logic.
 
 use super::CLIENT_BACKOFF;
 use super::arrival::Arrival;
@@ -17,33 +17,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Display;
 
-/// A request that was read and has not begun.
+/// A request that was read but not yet submitted.
 pub(in crate::net) struct ArrivedRequest {
     client: Key,
     request: Request,
     arrival: Arrival,
 }
 
-/// A request that has no answer yet.
+/// A request without a final answer.
 pub(in crate::net) struct OpenRequest {
     pub(in crate::net) client: Key,
     pub(in crate::net) job: Job,
-    /// How it came; `None` for one that was taken over from a lost peer.
+    /// Arrival details; `None` for a request taken over from a lost peer.
     pub(in crate::net) arrival: Option<Arrival>,
 }
 
-/// All requests that have no answer yet.
+/// All requests without a final answer.
 #[derive(Default)]
 pub(in crate::net) struct Requests {
-    /// By id, from the moment when they were read.
+    /// Open requests by id, from the time they were read.
     pub(in crate::net) open: BTreeMap<u64, OpenRequest>,
-    /// Those that were read and have not begun, in the order in which they came.
+    /// Requests that were read but not yet submitted, in arrival order.
     pub(in crate::net) arrived: VecDeque<ArrivedRequest>,
     key_spacing: KeySpacing,
 }
 
 impl DispatcherServer {
-    /// Processes what a client sent, command by command, until a request is open or nothing whole is left.
+    /// Processes the commands a client has sent, until a request is open or no complete command is left.
     pub(in crate::net) fn process_commands(&mut self, key: Key, now: Micros) {
         while let Some(session) = self.sessions.by_key.get_mut(&key) {
             match session.next_command(&self.names, now) {
@@ -70,8 +70,8 @@
         self.flush_client(key);
     }
 
-    /// Begins the requests that were read, in order, unless their clients have gone meanwhile. Once this has taken so
-    /// long that more clients may have gone, the others wait for the next poll.
+    /// Submits the queued requests in arrival order, unless their clients have disconnected. If this takes so
+    /// long that more clients may have disconnected, the rest waits for the next poll.
     pub(in crate::net) fn begin_arrived_requests(&mut self) {
         if self.shutdown.gave_up() {
             let now = self.clock.now();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Refuses the requests that were read and can't begin any more: they never ran.
+    /// Rejects the queued requests, which can no longer be submitted and never ran.
     pub(in crate::net) fn reject_arrived_requests(&mut self, now: Micros) {
         while let Some(ArrivedRequest { client, request, .. }) = self.requests.arrived.pop_front() {
             if let Some(job) = self.job_if_client_waits(client, request.id) {
@@ -100,13 +100,13 @@
         }
     }
 
-    /// What an attempt of a request needs, if its client still waits for it.
+    /// The job of a request, if its client is still waiting for it.
     fn job_if_client_waits(&self, client: Key, request: u64) -> Option<Job> {
         let waits = self.sessions.by_key.get(&client).is_some_and(|s| s.open == Some(request));
         self.requests.open.get(&request).filter(|_| waits).map(|o| o.job.clone())
     }
 
-    /// Refuses a request before any decision.
+    /// Rejects a request before it is submitted to the dispatch logic.
     fn reject_request(
         &mut self,
         key: Key,
@@ -129,7 +129,8 @@
         self.process_commands(key, now);
     }
 
-    /// Hands a request to the decisions, unless a retry storm or the fleet answers it or holds it.
+    /// Submits a request to the dispatch logic, unless overload control rejects it or the fleet holds or
+    /// answers it.
     fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
         let storm = self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.repeated));
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Answers a request that the decisions do not accept as one: a mistake of its client's.
+    /// Reports a client error for a request that the dispatch logic did not accept.
     fn report_client_error(&mut self, key: Key, why: impl Display, now: Micros) {
         if let Some(session) = self.sessions.by_key.get_mut(&key) {
             session.open = None;
@@ -166,7 +167,8 @@
         }
     }
 
-    /// Queues a request with how it came. It begins once everything that came in this turn has been processed.
+    /// Queues a request with its arrival details. It is submitted once all input of this turn has been
+    /// processed.
     fn enqueue_arrived(
         &mut self,
         client: Key,
@@ -193,8 +195,8 @@
         self.requests.arrived.push_back(ArrivedRequest { client, request, arrival });
     }
 
-    /// Logs how an abandoned request came and how far it was: a client that leaves close to the end of its budget
-    /// would have been answered too late.
+    /// Logs the arrival details and progress of an abandoned request: a client that leaves shortly before its
+    /// budget ends would have been answered too late.
     pub(in crate::net) fn log_abandoned(&self, id: u64, open: &OpenRequest, now: Micros) {
         let Some(progress) = self.dispatch.progress(now, id) else { return };
         let arrival = open.arrival.as_ref();
@@ -214,7 +216,8 @@
     }
 }
 
-/// A fingerprint of a request's class and statement, for overload control: a repeat brings both under a new id.
+/// Fingerprint of a request's class and statement, which overload control uses to recognize a repeat under a
+/// new request id.
 pub(in crate::net) fn request_fingerprint(job: &Job) -> storm::Asker {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -1,4 +1,4 @@
-//! What is written to a client.
+//! Writing answers to a client.
 
 use super::Session;
 use crate::codec::mysql::{Error, Server};
@@ -8,29 +8,29 @@
 use crate::net::sockets::buffers::Block;
 use std::net::Shutdown;
 
-/// Names of the columns of every result.
+/// Column names of every result set.
 const RESULT_COLUMNS: [&str; 3] = ["c1", "c2", "c3"];
 
 impl Session {
-    /// Has the protocol's server side write packets, and queues them.
+    /// Encodes protocol packets and queues them.
     pub(super) fn write_packets(&mut self, write: impl FnOnce(&mut Server, &mut Vec<u8>)) {
         let mut bytes = Vec::new();
         write(&mut self.server, &mut bytes);
         self.outbox.append(&bytes);
     }
 
-    /// Answers with OK.
+    /// Queues an OK packet.
     pub fn answer_ok(&mut self) {
         self.write_packets(|server, out| server.ok(out));
     }
 
-    /// Answers with an error.
+    /// Queues an error packet.
     pub fn answer_error(&mut self, error: impl Into<Error>) {
         let error = error.into();
         self.write_packets(|server, out| server.error(&error, out));
     }
 
-    /// Gives the open request its final answer.
+    /// Queues the final answer of the open request.
     pub fn answer(&mut self, answer: &Answer<Vec<Block>>) {
         (self.open, self.mistakes_in_a_row) = (None, 0);
         match answer {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Answers with a result. A page is lines of fields with tabs between, as executors send it.
+    /// Queues a result set. A page holds newline-terminated rows with tab-separated fields, as executors send
+    /// them.
     fn answer_rows(&mut self, pages: &[Block]) {
         self.write_packets(|server, out| server.columns(&RESULT_COLUMNS, out));
         for page in pages {
@@ -53,7 +54,7 @@
         self.write_packets(|server, out| server.end_of_part(out));
     }
 
-    /// Answers with one row of named values.
+    /// Queues a result set with a single row of named values.
     pub(super) fn answer_values(&mut self, values: &[(String, String)]) {
         let names: Vec<&str> = values.iter().map(|(name, _)| name.as_str()).collect();
         self.write_packets(|server, out| {
@@ -63,16 +64,17 @@
         });
     }
 
-    /// Whether all that was answered is written.
+    /// Whether all queued output has been written.
     pub fn is_flushed(&self) -> bool {
         self.outbox.is_empty()
     }
 
-    /// Writes what can be written. False once the connection is gone.
+    /// Writes as much pending output as the socket accepts. Returns false if the connection is lost.
     pub fn flush(&mut self, poll: &Poll) -> bool {
         let Ok(done) = self.outbox.flush(&mut self.stream) else { return false };
         if done && self.closing_since.is_some() && !std::mem::replace(&mut self.write_side_closed, true) {
-            // The client still gets the last bytes if it was sending: the rest is read and dropped.
+            // Shutting down only the write side lets a client that is still sending receive the last bytes;
+            // its data is read and discarded.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         let watched = (self.paused_until.is_none(), !done);
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -1,6 +1,11 @@
-//! A client's connection.
+//! A client connection.
 //!
-//! - `statements`: what a client's statement means.
+//! - `statements`: interpretation of a client's statements.
+//! - `request`: parsing of a request from a statement's comment.
+//! - `reading`: reading from the connection.
+//! - `answers`: writing to the connection.
+//! - `lifecycle`: time limits and closing.
+//! - `sessions`: all client connections.
 //! - `request`: a request, as a statement's comment describes it.
 //! - `reading`: what is read from it.
 //! - `answers`: what is written to it.
@@ -27,65 +32,67 @@
 use std::io;
 use std::net::TcpStream;
 
-/// After a mistake a client is not read for this long, in microseconds, and twice as long after each further one.
+/// Base duration of the read pause after a client error, in microseconds; it doubles with each consecutive
+/// error.
 const MISTAKE_PAUSE: Micros = 10_000;
-/// After so many mistakes in a row its connection closes.
+/// The connection closes after this many consecutive client errors.
 const MOST_MISTAKES: u32 = 8;
-/// Length of a quit command: the packet's header and the command byte.
+/// Length of a quit command: the packet header and the command byte.
 const QUIT_LENGTH: usize = 5;
 
-/// A command of a client's that its session can't answer by itself.
+/// A client command that the session cannot answer on its own.
 #[derive(Debug)]
 pub enum ClientCommand {
-    /// A request, and what an attempt of it needs.
+    /// A request, and the job that its attempts execute.
     Request(Request, Job),
-    /// The request of the connection with this id is to be given up.
+    /// KILL for the open request of the connection with this id.
     Kill(u32),
-    /// The connection is to be closed.
+    /// The client asked to close the connection.
     Close,
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Session {
     stream: TcpStream,
     key: Key,
-    /// The connection id in the greeting, by which KILL names it.
+    /// Connection id sent in the greeting; KILL refers to it.
     pub id: u32,
     server: Server,
     inbox: Inbox,
     outbox: Outbox,
-    /// The request that is open.
+    /// Id of the open request.
     pub open: Option<u64>,
-    /// When anything was last read from it or answered on it.
+    /// Time of the last read or answer.
     pub active_at: Micros,
     /// When it connected.
     connected_at: Micros,
-    /// Since when bytes may wait in the socket that were not read; `None` while it is watched for them.
+    /// Since when unread bytes may be waiting in the socket; `None` while the socket is watched for reading.
     unread_since: Option<Micros>,
-    /// When the bytes that were read last came.
+    /// When the most recently read bytes arrived.
     received: Occurrence,
-    /// Since when a part of its next packet has been here.
+    /// Since when a partial packet has been in the inbox.
     partial_since: Option<Micros>,
-    /// Whether it ever sent a whole command beside its login.
+    /// Whether the client has sent a complete command after its login.
     sent_command: bool,
-    /// Whether it ever sent a request.
+    /// Whether the client has sent a request.
     sent_request: bool,
-    /// Mistakes of the client's in a row.
+    /// Number of consecutive client errors.
     mistakes_in_a_row: u32,
-    /// Until when it is not read, after a mistake.
+    /// End of the read pause after a client error.
     paused_until: Option<Micros>,
-    /// Since when nothing more is taken from it. It closes once all is written, and what crossed its end is read.
+    /// When the connection began to close. It closes once all output is written and the data that the client
+    /// sent in the meantime is read.
     closing_since: Option<Micros>,
-    /// Bytes read and dropped since then.
+    /// Bytes read and discarded since the connection began to close.
     discarded_bytes: usize,
-    /// Whether all was written since then, and our side was shut down.
+    /// Whether all output has been written since then and the write side is shut down.
     write_side_closed: bool,
-    /// Whether it is watched for reading and for writing.
+    /// Whether the socket is watched for reading and for writing.
     watched: (bool, bool),
 }
 
 impl Session {
-    /// Begins a session on a new connection, and queues the greeting.
+    /// Creates a session for a new connection and queues the greeting.
     pub fn new(
         stream: TcpStream,
         poll: &Poll,
@@ -126,28 +133,29 @@
         })
     }
 
-    /// When the last byte of what was read came: a request's budget runs from there.
+    /// When the last byte read arrived; a request's time budget starts there.
     pub fn received(&self) -> Occurrence {
         self.received
     }
 
-    /// Notes that a request was taken. Returns whether it is the first of this connection.
+    /// Records that a request was accepted. Returns whether it is the first one on this connection.
     pub fn take_first_request(&mut self) -> bool {
         !std::mem::replace(&mut self.sent_request, true)
     }
 
-    /// Whether the client sent more than a quit command, which it may not do while its request is open.
+    /// Whether the client has sent anything other than a quit command, which is not allowed while its request
+    /// is open.
     pub fn sends_while_open(&self) -> bool {
         let bytes = self.inbox.bytes();
         bytes.len() >= QUIT_LENGTH && !is_quit(bytes)
     }
 
-    /// Whether the client sent the quit command while its request is open.
+    /// Whether the client has sent a quit command while its request is open.
     pub fn has_quit(&self) -> bool {
         self.open.is_some() && is_quit(self.inbox.bytes())
     }
 
-    /// The next command that the session can't answer by itself; those that it can, it answers.
+    /// Answers commands that the session can handle itself, and returns the next one that it cannot.
     pub fn next_command(&mut self, names: &Names, now: Micros) -> Option<ClientCommand> {
         while self.open.is_none() && self.closing_since.is_none() && self.paused_until.is_none() {
             let (length, is_login, interpretation) = match self.server.next(self.inbox.bytes()) {
@@ -178,7 +186,8 @@
         None
     }
 
-    /// Answers a mistake of the client's at once, and reads on only after a pause: some clients repeat it for ever.
+    /// Answers a client error immediately and then pauses reading, because some clients repeat the same error
+    /// forever.
     pub fn reject_mistake(&mut self, error: impl Into<Error>, now: Micros) {
         self.mistakes_in_a_row += 1;
         if self.mistakes_in_a_row >= MOST_MISTAKES {
@@ -189,13 +198,13 @@
         self.unread_since = Some(self.received.earliest);
     }
 
-    /// Closes it.
+    /// Deregisters and closes the connection.
     pub fn close(self, poll: &Poll) {
         poll.remove(&self.stream);
     }
 }
 
-/// Whether bytes are a quit command and nothing more.
+/// Whether the bytes are exactly one quit command.
 fn is_quit(bytes: &[u8]) -> bool {
     matches!(bytes, [1, 0, 0, _, 1])
 }
--- a/src/net/clients/session/reading.rs
+++ b/src/net/clients/session/reading.rs
@@ -1,15 +1,16 @@
-//! What is read from a client.
+//! Reading from a client.
 
 use super::Session;
 use crate::arrivals::Occurrence;
 use crate::net::sockets::system_calls;
 use std::io;
 
-/// Bytes that a client may send after its connection was closed for it, while it reads the last answer.
+/// Maximum number of bytes discarded from a closing connection while the client reads its last answer.
 const MOST_DISCARDED: usize = 256 * 1024;
 
 impl Session {
-    /// Reads once; `noticed` is when the bytes came that a watched socket holds. False once the client has gone.
+    /// Reads once; `noticed` bounds the arrival time of the bytes in a watched socket. Returns false if the
+    /// client has disconnected.
     pub fn read(&mut self, noticed: Occurrence) -> bool {
         if self.closing_since.is_some() {
             return self.discard();
@@ -28,8 +29,8 @@
         }
     }
 
-    /// Reads once from a connection that closes, and drops what came. False once the client has gone, or has sent too
-    /// much.
+    /// Reads once from a closing connection and discards the bytes. Returns false if the client has
+    /// disconnected or has sent more than [`MOST_DISCARDED`].
     fn discard(&mut self) -> bool {
         let mut bytes = [0; 4096];
         match system_calls::read(&mut self.stream, &mut bytes) {
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Reads until nothing more is there. False if the client has closed its connection or its write side: a request
-    /// that it sent before that is not begun.
+    /// Reads until the socket is empty. Returns false if the client has closed its connection or its write
+    /// side; a request that it sent before doing so is not started.
     pub fn read_to_end(&mut self) -> bool {
         while self.closing_since.is_none() && self.paused_until.is_none() && !self.inbox.full() {
             match self.inbox.fill(&mut self.stream) {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Whether a read found nothing now and may find something later.
+/// Whether a failed read may succeed later.
 fn may_read_later(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
--- a/src/net/clients/session/request.rs
+++ b/src/net/clients/session/request.rs
@@ -1,4 +1,4 @@
-//! A request, as the comment ahead of a client's statement describes it.
+//! Parsing of a request from the comment that precedes a client's statement.
 
 use crate::api::Micros;
 use crate::codec::statement::{self, Statement};
@@ -7,14 +7,14 @@
 use crate::net::executors::connection::Job;
 use crate::settings::Names;
 
-/// The largest number that a field may hold: a budget of eleven days in milliseconds, a petabyte in megabytes.
+/// Largest value of a numeric field: a budget of eleven days in milliseconds, or a petabyte in megabytes.
 const LARGEST_NUMBER: f64 = 1e9;
-/// The longest idempotency token that is passed on, in bytes: a UUID in text, twice over.
+/// Maximum length of an idempotency token, in bytes: twice the length of a UUID in text form.
 const LONGEST_TOKEN: usize = 72;
-/// The digits of an id.
+/// Number of hex digits of an id.
 const ID_DIGITS: usize = 16;
 
-/// Parses a request, and what an attempt of it needs. Fields that are not known are ignored.
+/// Parses a request and its job. Unknown fields are ignored.
 pub(super) fn parse(statement: &Statement<'_>, names: &Names) -> Result<(Request, Job), ClientError> {
     let fields = Fields(statement);
     let method = fields.required("method")?;
@@ -23,10 +23,11 @@
     let budget = (budget_ms * 1e3) as Micros;
     let request = Request {
         id: parse_id("rid", fields.required("rid")?)?,
-        // Ours, and optional: one that can't be read is none, as for a dispatcher that does not know it.
+        // An optional field of our own: an invalid value is ignored, as it is by a dispatcher that does not
+        // know the field.
         ask: fields.get("ask").and_then(|text| parse_id("ask", text).ok()),
         class,
-        // A tenant that the settings do not name is counted as none: its shares are not known.
+        // A tenant that is not in the settings is treated as none, since it has no configured share.
         tenant: fields.get("acct").and_then(|name| names.tenants.get(name).copied()),
         key: fields.get("obj").map(|text| parse_id("obj", text)).transpose()?,
         client_wait: budget,
@@ -42,7 +43,7 @@
     Ok((request, job))
 }
 
-/// The fields of a statement's comment.
+/// The fields of a statement's leading comment.
 struct Fields<'a>(&'a Statement<'a>);
 
 impl<'a> Fields<'a> {
@@ -68,7 +69,7 @@
     number.ok_or(fault(field, "not a number"))
 }
 
-/// An id of 16 hex digits, in lower case.
+/// Parses an id of 16 lowercase hex digits.
 fn parse_id(field: &'static str, text: &str) -> Result<u64, ClientError> {
     let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
     let is_id = text.len() == ID_DIGITS && text.bytes().all(is_digit);
@@ -76,7 +77,8 @@
     id.ok_or(fault(field, "not 16 hex digits"))
 }
 
-/// An idempotency token, which is passed on as it came: a word that executors can't take for anything else of a line.
+/// Validates an idempotency token, which is forwarded unchanged: a single word that executors cannot mistake
+/// for another part of the line.
 fn parse_token(text: &str) -> Result<&str, ClientError> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     let is_token = !text.is_empty() && text.len() <= LONGEST_TOKEN && text.bytes().all(is_plain);
--- a/src/net/clients/session/sessions.rs
+++ b/src/net/clients/session/sessions.rs
@@ -1,32 +1,32 @@
-//! All clients' connections.
+//! All client connections.
 
 use super::Session;
 use crate::net::event_loop::poll::Key;
 use std::collections::BTreeMap;
 
-/// The clients' connections, by key and by the id that greetings tell.
+/// Client connections, by poller key and by connection id.
 pub struct Sessions {
-    /// By key at the poller.
+    /// Sessions by poller key.
     pub by_key: BTreeMap<Key, Session>,
-    /// Keys by connection id.
+    /// Poller keys by connection id.
     pub by_id: BTreeMap<u32, Key>,
     next_connection_id: u32,
 }
 
 impl Sessions {
-    /// None yet. Connection ids count up from `first_connection_id`.
+    /// An empty set. Connection ids count up from `first_connection_id`.
     pub fn new(first_connection_id: u32) -> Sessions {
         Sessions { by_key: BTreeMap::new(), by_id: BTreeMap::new(), next_connection_id: first_connection_id }
     }
 
-    /// The id of the next connection.
+    /// Allocates the id of the next connection.
     pub fn take_connection_id(&mut self) -> u32 {
         let id = self.next_connection_id;
         self.next_connection_id = id.wrapping_add(1);
         id
     }
 
-    /// Adds one, and returns its key.
+    /// Adds a session and returns its key.
     pub fn insert(&mut self, session: Session) -> Key {
         let key = session.key;
         self.by_id.insert(session.id, key);
@@ -34,22 +34,22 @@
         key
     }
 
-    /// How many are closing, and only read their last bytes.
+    /// Number of closing connections.
     pub fn lingering(&self) -> usize {
         self.by_key.values().filter(|s| s.is_closing()).count()
     }
 
-    /// How many are served.
+    /// Number of connections that are not closing.
     pub fn served(&self) -> usize {
         self.by_key.len() - self.lingering()
     }
 
-    /// Whether everything was read that a client sent.
+    /// Whether the session exists and has no unread data; a closing session counts as having none.
     pub fn has_nothing_unread(&self, key: Key) -> bool {
         self.by_key.get(&key).is_some_and(|s| s.is_closing() || !s.has_unread())
     }
 
-    /// Removes one.
+    /// Removes a session.
     pub fn remove(&mut self, key: Key) -> Option<Session> {
         let session = self.by_key.remove(&key)?;
         self.by_id.remove(&session.id);
--- a/src/net/clients/session/statements.rs
+++ b/src/net/clients/session/statements.rs
@@ -1,4 +1,4 @@
-//! What a client's statement means.
+//! Interpretation of client commands and statements.
 
 use super::{ClientCommand, request};
 use crate::codec::mysql::{self, Command, Error};
@@ -6,17 +6,17 @@
 use crate::net::clients::client_error::ClientError;
 use crate::settings::Names;
 
-/// What a client's command means to its session.
+/// How the session handles a command.
 pub(in crate::net) enum Interpretation {
-    /// It is answered with OK.
+    /// Answer with OK.
     Ok,
-    /// It is answered with a row of these names and values.
+    /// Answer with a single row of these names and values.
     Values(Vec<(String, String)>),
-    /// The session can't answer it by itself.
+    /// Pass the command on: the session cannot answer it on its own.
     Command(ClientCommand),
 }
 
-/// Interprets a command, or says what is wrong with it.
+/// Interprets a command; returns an error for the client if it is invalid.
 pub(in crate::net) fn interpret(command: &Command<'_>, names: &Names) -> Result<Interpretation, Error> {
     match command {
         Command::Login | Command::Ping => Ok(Interpretation::Ok),
@@ -27,7 +27,8 @@
     }
 }
 
-/// A statement: a request if its comment says so, else one of the few that drivers send by themselves.
+/// Interprets a statement: a request if its leading comment has request fields, otherwise one of the few
+/// statements that drivers send on their own.
 pub(in crate::net) fn query(sql: &str, names: &Names) -> Result<Interpretation, Error> {
     let statement = statement::split(sql);
     if statement.fields.contains_key("method") || statement.fields.contains_key("rid") {
@@ -51,8 +52,8 @@
     }
 }
 
-/// Values of a SELECT that reads no table: the variables that drivers ask for, and nothing else. A number would
-/// look like a result that no executor made.
+/// Values of a SELECT without a table: only the variables that drivers query. A literal is not evaluated, as
+/// its result would look like one from an executor.
 fn constants(list: &str) -> Option<Vec<(String, String)>> {
     let value = |item: &str| {
         let words: Vec<&str> = item.split_whitespace().collect();
--- a/src/net/clients/session/tests.rs
+++ b/src/net/clients/session/tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-// Shares are per tenant, and the decisions can only keep them where the network passes `acct` on: it was
-// read nowhere, so a site with shares had every request counted as nobody's.
+// Tenant shares depend on the `acct` field. It was not parsed once, so that on a site with shares every
+// request was counted without a tenant.
 #[test]
 fn the_tenant_a_request_names_is_passed_on() {
     assert_eq!(tenant(",acct=cafe"), Some(1));
@@ -25,7 +25,7 @@
     assert_eq!(tenant(""), None);
 }
 
-/// A session and its client's socket; the greeting is read off.
+/// A session and its client's socket, with the greeting already read.
 fn connected(poll: &Poll, pool: &Pool) -> (Session, TcpStream) {
     let at = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(at.local_addr().unwrap()).unwrap();
@@ -38,8 +38,9 @@
     (s, client)
 }
 
-// A connection was closed over what its client had just written: that resets it, and a small answer that the system
-// still held goes along. It ends write side first, and what crosses its end is read, dropped and never begun.
+// Closing a connection with unread client data resets it and discards an answer that is still in the kernel's
+// send buffer. The session instead shuts down its write side first, and reads and discards what arrives in
+// the meantime without starting it.
 #[test]
 fn what_crosses_the_end_of_a_connection_resets_nothing_and_is_not_taken() {
     use std::io::Write;
@@ -63,7 +64,8 @@
     assert_eq!(client.read(&mut [0]).unwrap(), 0, "no reset");
 }
 
-// After a standstill a client's request and its end lie behind each other: reading once shows only the request.
+// After a stall, a client's request and its end of stream are both pending: a single read shows only the
+// request.
 #[test]
 fn reading_on_finds_the_end_behind_a_request() {
     use std::io::Write;
--- a/src/net/event_loop/event_source.rs
+++ b/src/net/event_loop/event_source.rs
@@ -1,16 +1,16 @@
-//! A side of the dispatcher with sockets and timers of its own.
+//! A component with its own sockets and timers.
 
 use crate::api::Micros;
 use crate::net::event_loop::poll::{Key, Poll};
 
-/// What the event loop has to know of a side to poll and schedule it.
+/// Interface through which the event loop polls and schedules a component.
 pub trait EventSource {
-    /// Whether a key is one of its sockets.
+    /// Whether the key belongs to one of this component's sockets.
     fn owns(&self, key: Key) -> bool;
 
-    /// When [`EventSource::tick`] has something to do next; `None` if never.
+    /// When [`EventSource::tick`] is next due; `None` if never.
     fn next_due(&self) -> Option<Micros>;
 
-    /// Does what is due.
+    /// Processes expired timers.
     fn tick(&mut self, now: Micros, poll: &Poll);
 }
--- a/src/net/event_loop/events.rs
+++ b/src/net/event_loop/events.rs
@@ -1,4 +1,4 @@
-//! What happens on one event, by whose socket it is.
+//! Dispatch of a socket event to the component that owns the socket.
 
 use crate::api::Micros;
 use crate::net::DispatcherServer;
@@ -6,12 +6,14 @@
 use crate::net::event_loop::poll::Key;
 
 impl DispatcherServer {
-    /// Whether a key is of the signals, the clients' listener or a client, which are processed before all others.
+    /// Whether the key belongs to the signal stream, the client listener or a client; these are processed
+    /// before all others.
     pub(super) fn is_client_side(&self, key: Key) -> bool {
         self.listener.key() == Some(key) || key == self.signals.0 || self.sessions.by_key.contains_key(&key)
     }
 
-    /// Hands an event to the side whose socket it is; one whose socket was closed earlier in this turn is nobody's.
+    /// Passes an event to the owner of its socket. An event whose socket was closed earlier in this turn is
+    /// ignored.
     pub(super) fn dispatch_event(&mut self, event: polling::Event) {
         let now = self.clock.now();
         let key = event.key;
@@ -46,7 +48,8 @@
         }
     }
 
-    /// A reload goes first: it may take long, and the time of SIGTERM is bounded by the poll, not by now.
+    /// A reload is processed first: it may take long, and the arrival time of SIGTERM is derived from the
+    /// poll times rather than from the current time.
     fn process_signals(&mut self, now: Micros) {
         let raised = self.signals.1.take();
         if raised.reload {
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -1,11 +1,15 @@
-//! The event loop: one thread polls all sockets and processes what came in a fixed order.
+//! The event loop: a single thread polls all sockets and processes their events in a fixed order.
 //!
-//! Everything that came is processed before any request begins. Signals and the clients' side go first, so that
-//! clients that have gone are known; then executors, endpoint lists and operators, so that ended attempts and
-//! draining executors are known. Then the requests begin that came in this turn, then what the clock makes due. No
-//! attempt begins by an old look at the clients (`executors::client_poll`).
+//! All input is processed before any request starts. Signals and clients come first, so that disconnected
+//! clients are known; then executors, endpoint lists and operators, so that finished attempts and draining
+//! executors are known. Then the requests read in this turn start, followed by expired timers. No attempt
+//! starts on the basis of an outdated poll of the clients (`executors::client_poll`).
 //!
-//! - `poll`: readiness of sockets.
+//! - `poll`: socket readiness.
+//! - `poll_times`: when the sockets were polled.
+//! - `events`: dispatch of socket events.
+//! - `schedule`, `timers`: periodic work and timers.
+//! - `event_source`: interface of components with their own sockets and timers.
 //! - `poll_times`: when the sockets were polled.
 //! - `events`: what happens on one event.
 //! - `schedule`, `timers`: what is due when.
@@ -29,13 +33,13 @@
 use std::io;
 use std::time::Duration;
 
-/// A turn that works for longer than this, or whose poll oversleeps by more, is logged.
+/// A turn that takes longer than this, or whose poll oversleeps by more, is logged; in microseconds.
 const SLOW_TURN: Micros = 20_000;
 
 impl DispatcherServer {
-    /// Serves until SIGTERM, and then until all requests that were taken have their answer.
+    /// Serves until SIGTERM, and then until every accepted request has its answer.
     pub fn run(&mut self) -> io::Result<()> {
-        // One poll shows all sockets that are ready, however many there are.
+        // Sized so that one poll returns all ready sockets.
         let mut events = polling::Events::with_capacity(self.descriptors.most_open());
         loop {
             let now = self.clock.now();
@@ -51,7 +55,7 @@
         Ok(())
     }
 
-    /// Polls once and processes what came and what is due.
+    /// Polls once, then processes events and expired timers.
     fn run_turn(&mut self, events: &mut polling::Events) -> io::Result<()> {
         let before = self.clock.now();
         let wait = self.next_due().saturating_sub(before);
@@ -69,8 +73,8 @@
         Ok(())
     }
 
-    /// Processes all events of a poll that began at `before`. Signals and clients come first: after them everything is
-    /// known that clients did up to that moment.
+    /// Processes all events of a poll that began at `before`. Signals and clients come first: afterwards
+    /// everything that clients did up to `before` is known.
     fn process_events(&mut self, events: &polling::Events, before: Micros) {
         self.tick_in_flight(self.poll_times.polled_at());
         self.tick_control(self.poll_times.polled_at());
@@ -80,25 +84,28 @@
         }
         let (clients, others): (Vec<_>, Vec<_>) =
             events.iter().partition(|event| self.is_client_side(event.key));
-        // Known connections before new ones: of two requests of a key the one on a new connection is the later one,
-        // as the next after such a one comes no sooner than 250 ms (protocol).
+        // Existing connections come before new ones: of two requests for a key, the one on a new connection
+        // is the later one, because the protocol requires at least 250 ms between a request on a new
+        // connection and the next one.
         let (new, known): (Vec<_>, Vec<_>) =
             clients.into_iter().partition(|event| Some(event.key) == listener);
         known.into_iter().chain(new).for_each(|event| self.process_event(event));
         self.executors.clients_polled(before);
-        // At once: with little processor time the other events would take so long that the look were too old again.
+        // Done immediately: with little CPU time, the remaining events could take so long that the client
+        // poll would be outdated again.
         self.executors.begin_after_poll(&self.poll);
         others.into_iter().for_each(|event| self.process_event(event));
         self.poll_times.processed_until = before;
     }
 
-    /// Processes one event. Answers that are due wait for this one at most, not for all events of the turn.
+    /// Processes one event. Expired requests are answered after each event rather than after all events of
+    /// the turn.
     fn process_event(&mut self, event: polling::Event) {
         self.dispatch_event(event);
         self.expire_due_requests();
     }
 
-    /// Answers the requests whose time is over.
+    /// Answers requests whose deadline has passed.
     pub(in crate::net) fn expire_due_requests(&mut self) {
         let now = self.clock.now();
         let commands = self.dispatch.end_expired(now);
@@ -107,7 +114,7 @@
         }
     }
 
-    /// The sides that have sockets and timers of their own.
+    /// The components with their own sockets and timers.
     fn event_sources(&self) -> impl Iterator<Item = &dyn EventSource> {
         let feed = self.coordinator_watch.as_ref().map(|f| f as &dyn EventSource);
         let in_flight = self.in_flight.as_ref().map(|h| h as &dyn EventSource);
@@ -115,7 +122,7 @@
         std::iter::once(&self.executors as &dyn EventSource).chain(feed).chain(operators).chain(in_flight)
     }
 
-    /// When the next turn has something to do without any event.
+    /// When the next turn is due if no event occurs.
     fn next_due(&self) -> Micros {
         if self.executors.awaits_client_poll() || !self.requests.arrived.is_empty() {
             return self.clock.last();
@@ -132,7 +139,7 @@
         due.into_iter().chain(event_sources).flatten().fold(longest_sleep, Micros::min)
     }
 
-    /// Does what the clock makes due.
+    /// Processes everything that is due by now.
     fn process_timers(&mut self) {
         let now = self.clock.now();
         let commands = self.dispatch.tick(now);
@@ -163,7 +170,7 @@
         self.run_periodic_work(now);
     }
 
-    /// Does what the schedule has due.
+    /// Runs the periodic tasks that are due.
     fn run_periodic_work(&mut self, now: Micros) {
         if self.schedule.clients.take_due(now) {
             self.wall_clock.observe(now, clock::unix());
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -1,4 +1,4 @@
-//! Readiness of sockets, by the polling crate.
+//! Socket readiness, based on the polling crate.
 
 use crate::net::sockets::system_calls::{self, Call};
 use polling::{Event, Events, PollMode, Poller};
@@ -8,47 +8,47 @@
 use std::os::fd::{AsFd, AsRawFd, BorrowedFd, RawFd};
 use std::time::Duration;
 
-/// Names a socket that is polled. Keys are never used twice, so that a late event can't reach another socket.
+/// Identifies a registered socket. Keys are never reused, so a late event cannot reach another socket.
 pub type Key = usize;
 
-/// The longest span after which a change is tried again for which the system had no memory.
+/// Maximum delay before a registration change is retried that failed for lack of kernel memory.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the system is asked to do with a socket.
+/// A registration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Change {
     Add,
     Modify,
 }
 
-/// The sockets that are polled.
+/// The registered sockets.
 pub struct Poll {
     poller: Poller,
     next: Cell<Key>,
-    /// Changes for which the system had no memory yet.
+    /// Changes to retry, for which the kernel lacked memory.
     pending: RefCell<BTreeMap<RawFd, (Change, Event)>>,
 }
 
 impl Poll {
-    /// Polls no socket yet.
+    /// Creates a poller without sockets.
     pub fn new() -> io::Result<Poll> {
         Ok(Poll { poller: Poller::new()?, next: Cell::new(1), pending: RefCell::default() })
     }
 
-    /// Watches a socket for reading, and for writing if asked. It has to be given to [`Poll::remove`] before
-    /// it is closed.
+    /// Registers a socket for reading, and optionally for writing. It must be passed to [`Poll::remove`]
+    /// before it is closed.
     pub fn add(&self, socket: &(impl AsRawFd + AsFd), writable: bool) -> io::Result<Key> {
         let key = self.next.replace(self.next.get() + 1);
         self.change(socket.as_raw_fd(), Change::Add, Event::new(key, true, writable))?;
         Ok(key)
     }
 
-    /// Changes whether a socket is watched for writing.
+    /// Enables or disables watching a socket for writing.
     pub fn writable(&self, key: Key, socket: &impl AsFd, writable: bool) -> io::Result<()> {
         self.interest(key, socket, true, writable)
     }
 
-    /// Changes what a socket is watched for.
+    /// Changes the readiness that a socket is watched for.
     pub fn interest(&self, key: Key, socket: &impl AsFd, readable: bool, writable: bool) -> io::Result<()> {
         let fd = socket.as_fd().as_raw_fd();
         let waits_to_be_added = matches!(self.pending.borrow().get(&fd), Some((Change::Add, _)));
@@ -56,7 +56,7 @@
         self.change(fd, change, Event::new(key, readable, writable))
     }
 
-    /// Stops watching a socket.
+    /// Deregisters a socket.
     pub fn remove(&self, socket: &impl AsFd) {
         let pending = self.pending.borrow_mut().remove(&socket.as_fd().as_raw_fd());
         if matches!(pending, Some((Change::Add, _))) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Waits for events, for a span of `most` at the longest. An interrupted call returns without any.
+    /// Waits for events, at most for `most`. An interrupted call returns without events.
     pub fn wait(&self, events: &mut Events, most: Duration) -> io::Result<()> {
         events.clear();
         self.retry_pending();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Asks the system; if it has no memory for the change, it is asked again before the next waits.
+    /// Applies a change; if the kernel lacks memory for it, it is retried before the next wait.
     fn change(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
         match self.apply(fd, change, event) {
             Err(e) if system_calls::is_temporary(&e) => {
@@ -104,9 +104,9 @@
     #[allow(unsafe_code)]
     fn apply(&self, fd: RawFd, change: Change, event: Event) -> io::Result<()> {
         system_calls::inject_poller_fault(if change == Change::Add { Call::Watch } else { Call::Rewatch })?;
-        // SAFETY: polling asks that a source is deleted from the poller before it is dropped, and a borrowed
-        // descriptor has to be open. Every owner in `net` keeps its socket beside its key and calls `remove` at the
-        // one place where it closes it, which also takes it out of `pending`.
+        // SAFETY: polling requires that a source is deleted from the poller before it is dropped, and a
+        // borrowed descriptor must be open. Every owner in `net` keeps its socket together with its key and
+        // calls `remove` at the single place where it closes the socket, which also drops it from `pending`.
         unsafe {
             match change {
                 Change::Add => self.poller.add_with_mode(fd, event, PollMode::Level),
--- a/src/net/event_loop/schedule.rs
+++ b/src/net/event_loop/schedule.rs
@@ -1,18 +1,18 @@
-//! Periodic work of the event loop.
+//! Periodic tasks of the event loop.
 
 use crate::api::Micros;
 
-/// Period of closing connections to executors that have been idle for long.
+/// Period of closing executor connections that have been idle for long, in microseconds.
 const SWEEP_PERIOD: Micros = 1_000_000;
-/// Period of the log line `counters`.
+/// Period of the log line `counters`, in microseconds.
 const COUNTERS_PERIOD: Micros = 10_000_000;
-/// Period of the work on clients: pauses end, and time limits of what they owe.
+/// Period of checking client pauses and time limits, in microseconds.
 const CLIENTS_PERIOD: Micros = 100_000;
 
-/// Work that is done again and again.
+/// A periodic task.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::net) struct Periodic {
-    /// Span from one run to the next, in microseconds.
+    /// Interval between runs, in microseconds.
     period: Micros,
     /// When the next run is due.
     due_at: Micros,
@@ -23,7 +23,8 @@
         Periodic { period, due_at: now + period }
     }
 
-    /// Whether a run is due now. If so, the next is due a period from now: runs that were missed are not made up for.
+    /// Whether a run is due now. If so, the next one is scheduled a full period from now; missed runs are not
+    /// caught up.
     pub(in crate::net) fn take_due(&mut self, now: Micros) -> bool {
         let is_due = self.due_at <= now;
         if is_due {
@@ -38,19 +39,19 @@
     }
 }
 
-/// The event loop's periodic work.
+/// The periodic tasks of the event loop.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::net) struct Schedule {
-    /// Closes idle connections to executors.
+    /// Closes idle executor connections.
     pub(in crate::net) sweep: Periodic,
-    /// Looks after clients, whose period is the shortest.
+    /// Checks clients; has the shortest period.
     pub(in crate::net) clients: Periodic,
     /// Logs the counters.
     pub(in crate::net) counters: Periodic,
 }
 
 impl Schedule {
-    /// The first run of each is a period from now.
+    /// Schedules the first run of each task one period from now.
     pub(in crate::net) fn new(now: Micros) -> Schedule {
         Schedule {
             sweep: Periodic::starting(now, SWEEP_PERIOD),
--- a/src/net/event_loop/timers.rs
+++ b/src/net/event_loop/timers.rs
@@ -1,9 +1,10 @@
-//! Timers of many kinds in one queue.
+//! A timer queue.
 
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// Timers by due time. They are not cancelled: whoever takes one checks whether it still matters.
+/// Timers ordered by due time. Timers are not cancelled: the caller checks whether an expired timer is still
+/// relevant.
 pub struct Timers<T>(BTreeSet<(Micros, T)>);
 
 impl<T> Default for Timers<T> {
@@ -13,7 +14,7 @@
 }
 
 impl<T: Ord + Copy> Timers<T> {
-    /// Sets a timer for a point in time.
+    /// Sets a timer.
     pub fn set(&mut self, at: Micros, what: T) {
         self.0.insert((at, what));
     }
@@ -23,7 +24,7 @@
         self.0.first().map(|(t, _)| *t)
     }
 
-    /// Takes a timer that is due by now.
+    /// Removes and returns a timer that is due by `now`.
     pub fn due(&mut self, now: Micros) -> Option<T> {
         let first = *self.0.first().filter(|(t, _)| *t <= now)?;
         self.0.remove(&first);
--- a/src/net/sockets/buffers.rs
+++ b/src/net/sockets/buffers.rs
@@ -1,4 +1,5 @@
-//! Buffers of one size, which are reused from a pool: no connection allocates while the pool lasts.
+//! Fixed-size buffers that are reused from a pool, so that connections do not allocate while the pool has
+//! free buffers.
 
 use crate::net::sockets::system_calls;
 use std::cell::RefCell;
@@ -6,39 +7,39 @@
 use std::io::{self, Read, Write};
 use std::rc::Rc;
 
-/// The size of every buffer in bytes: the largest packet, line or page fits in one.
+/// Size of a buffer, in bytes; fits the largest packet, line or page.
 pub const BLOCK: usize = 16 * 1024;
 
-/// Free buffers, shared by all connections.
+/// Pool of free buffers, shared by all connections.
 #[derive(Clone)]
 pub struct Pool {
     free: Rc<RefCell<Vec<Box<[u8]>>>>,
-    /// The most free buffers that are kept; further ones go back to the system.
+    /// Maximum number of free buffers to keep; further ones are deallocated.
     most_free: usize,
 }
 
 impl Pool {
-    /// An empty pool. It keeps free buffers up to so many bytes in all.
+    /// Creates an empty pool that keeps up to this many bytes of free buffers.
     pub fn new(bytes: usize) -> Pool {
         Pool { free: Rc::default(), most_free: bytes / BLOCK }
     }
 
-    /// Takes an empty buffer, or makes one.
+    /// Takes an empty buffer from the pool, or allocates one.
     pub fn block(&self) -> Block {
         let bytes = self.free.borrow_mut().pop().unwrap_or_else(|| vec![0; BLOCK].into_boxed_slice());
         Block { bytes, start: 0, end: 0, pool: self.clone() }
     }
 
-    /// How many buffers are free.
+    /// Number of free buffers.
     pub fn free(&self) -> usize {
         self.free.borrow().len()
     }
 }
 
-/// One buffer. It returns to its pool when it is dropped.
+/// A buffer that returns to its pool when dropped.
 pub struct Block {
     bytes: Box<[u8]>,
-    /// The unread bytes lie from `start` to `end`.
+    /// Unread bytes are in `start..end`.
     start: usize,
     end: usize,
     pool: Pool,
@@ -59,7 +60,7 @@
         &self.bytes[self.start..self.end]
     }
 
-    /// Appends as many bytes as fit, and returns how many.
+    /// Appends as many bytes as fit and returns their number.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
         let n = bytes.len().min(BLOCK - self.end);
         self.bytes[self.end..self.end + n].copy_from_slice(&bytes[..n]);
@@ -68,7 +69,7 @@
     }
 }
 
-/// Bytes that were received and not understood yet: one block at most.
+/// Received bytes that are not yet parsed; at most one block.
 pub struct Inbox {
     pool: Pool,
     block: Option<Block>,
@@ -85,12 +86,12 @@
         self.block.as_ref().map_or(&[], Block::bytes)
     }
 
-    /// Whether nothing more fits.
+    /// Whether the buffer is full.
     pub fn full(&self) -> bool {
         self.bytes().len() == BLOCK
     }
 
-    /// Drops bytes from the front; an empty buffer returns to the pool.
+    /// Removes bytes from the front; an empty buffer returns to the pool.
     pub fn consume(&mut self, n: usize) {
         if let Some(block) = &mut self.block {
             block.start = (block.start + n).min(block.end);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Reads once, and returns how many bytes came; 0 is the end of the stream. It must not be full.
+    /// Reads once and returns the number of bytes; 0 means end of stream. The inbox must not be full.
     pub fn fill(&mut self, stream: &mut impl Read) -> io::Result<usize> {
         let block = self.block.get_or_insert_with(|| self.pool.block());
         if block.start > 0 {
@@ -116,11 +117,11 @@
     }
 }
 
-/// Bytes that wait to be written.
+/// Bytes to be written.
 pub struct Outbox {
     pool: Pool,
     blocks: VecDeque<Block>,
-    /// Whether some bytes of what waits were written.
+    /// Whether part of the pending bytes has been written.
     begun: bool,
 }
 
@@ -130,23 +131,23 @@
         Outbox { pool: pool.clone(), blocks: VecDeque::new(), begun: false }
     }
 
-    /// Whether all was written.
+    /// Whether nothing is pending.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Whether what waits was written in part.
+    /// Whether the pending bytes have been written in part.
     pub fn begun(&self) -> bool {
         self.begun
     }
 
-    /// Drops what waits.
+    /// Discards the pending bytes.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.begun = false;
     }
 
-    /// Adds bytes.
+    /// Queues bytes.
     pub fn append(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let n = self.blocks.back_mut().map_or(0, |block| block.append(bytes));
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Writes as much as the stream takes. True once all is written.
+    /// Writes as much as the stream accepts. Returns true once nothing is pending.
     pub fn flush(&mut self, stream: &mut impl Write) -> io::Result<bool> {
         while let Some(block) = self.blocks.front_mut() {
             match system_calls::write(stream, block.bytes()) {
--- a/src/net/sockets/buffers/tests.rs
+++ b/src/net/sockets/buffers/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-// A buffer that did not come back would be a leak that grows with every connection.
+// A buffer that does not return to the pool is a leak that grows with every connection.
 #[test]
 fn buffers_go_round() {
     let pool = Pool::new(4 * BLOCK);
--- a/src/net/sockets/descriptors.rs
+++ b/src/net/sockets/descriptors.rs
@@ -1,23 +1,23 @@
-//! How many of the file descriptors that the configuration allows each side may have.
+//! Division of the configured file descriptor limit between kinds of connections.
 //!
-//! Without shares, idle clients took all descriptors while the coordinator was down, and the connection to it could
-//! not be opened again when it came back.
+//! Without separate shares, idle clients used up all descriptors while the coordinator was down, and the
+//! connection to the coordinator could not be reopened when it came back.
 
 use std::num::NonZeroUsize;
 
-/// Descriptors that every dispatcher has open besides: standard streams (3), the poller (3), the signals' stream with
-/// its writing ends (4), the listener, the feed with the one before it (2), a file that is read, and one just
-/// accepted.
+/// Descriptors that every dispatcher needs in addition: standard streams (3), the poller (3), the signal
+/// stream with its write ends (4), the listener, the coordinator watch and its predecessor (2), a file being
+/// read, and one newly accepted connection.
 const OWN_DESCRIPTORS: usize = 15;
-/// Descriptors that connections to executors leave free beyond their share.
+/// Descriptors that are left free beyond the share of executor connections.
 const EXECUTOR_MARGIN: usize = 24;
 
-/// The most connections of each kind.
+/// Maximum number of connections of each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::net) struct DescriptorShares {
-    /// Clients that are served. The protocol has them hold a third of the descriptors at most.
+    /// Clients being served. The protocol allows clients at most a third of the descriptors.
     pub(in crate::net) clients: usize,
-    /// Clients beyond them that only read their last bytes.
+    /// Further clients whose connections are closing.
     pub(in crate::net) lingering: usize,
     /// Connections to executors.
     pub(in crate::net) executors: usize,
@@ -26,7 +26,7 @@
 }
 
 impl DescriptorShares {
-    /// Shares out so many descriptors.
+    /// Divides a total number of descriptors.
     pub(in crate::net) fn new(total: usize) -> DescriptorShares {
         let lingering = (total / 16).clamp(1, 16);
         DescriptorShares {
@@ -37,14 +37,15 @@
         }
     }
 
-    /// All that may be open at once.
+    /// Maximum number of descriptors open at the same time.
     pub(in crate::net) fn most_open(&self) -> NonZeroUsize {
         let own = NonZeroUsize::MIN.saturating_add(OWN_DESCRIPTORS - 1);
         own.saturating_add(self.clients + self.lingering + self.executors + self.callers)
     }
 }
 
-/// With fewer in all, the shares do not fit together; the newest idle client is then closed for whoever needs one.
+/// Minimum total for which the shares fit. With fewer descriptors, the newest idle client is closed when a
+/// descriptor is needed.
 pub(in crate::net) const LEAST_TOTAL: usize = 64;
 
 const _: () = assert!(OWN_DESCRIPTORS < LEAST_TOTAL);
--- a/src/net/sockets/descriptors/tests.rs
+++ b/src/net/sockets/descriptors/tests.rs
@@ -2,8 +2,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    // Idle clients filled the descriptors while discovery was down, and the feed found none when it came back: the
-    // shares of all sides together have to fit, whatever the configuration allows.
+    // Idle clients used up the descriptors while discovery was down, and none was left for the coordinator
+    // watch when discovery came back. The shares together must fit within any configured limit.
     #[test]
     fn all_shares_fit_together(all in LEAST_TOTAL..100_000usize) {
         let d = DescriptorShares::new(all);
--- a/src/net/sockets/dial.rs
+++ b/src/net/sockets/dial.rs
@@ -5,7 +5,8 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Begins to connect; the socket is writable once it is up or has failed.
+/// Starts a non-blocking connect; the socket becomes writable once the connection is established or has
+/// failed.
 pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = system_calls::socket(Domain::for_address(to))?;
     socket.set_nonblocking(true)?;
@@ -14,7 +15,7 @@
     Ok(socket.into())
 }
 
-/// Whether a connection was established, once its socket is writable.
+/// Checks the result of a connect once the socket is writable.
 pub fn up(stream: &TcpStream) -> io::Result<()> {
     match stream.take_error()? {
         Some(e) => Err(e),
@@ -22,7 +23,7 @@
     }
 }
 
-/// Whether an error means that this process or the system has no descriptor left.
+/// Whether an error means that the process or the system is out of file descriptors.
 pub fn out_of_descriptors(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
--- a/src/net/sockets/listen.rs
+++ b/src/net/sockets/listen.rs
@@ -3,15 +3,16 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// How many connections may wait to be accepted.
+/// Length of the accept backlog.
 pub(in crate::net) const BACKLOG: usize = 1024;
 
-/// Listens on the client address, beside a process of the next version during an upgrade (`SO_REUSEPORT`).
+/// Listens on the client address, which a process of the next version may share during an upgrade
+/// (`SO_REUSEPORT`).
 pub fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address, true)
 }
 
-/// Listens on an address of this process alone; a restart finds it free.
+/// Listens on an address exclusively. `SO_REUSEADDR` lets a restarted process bind it immediately.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address, false)
 }
--- a/src/net/sockets/mod.rs
+++ b/src/net/sockets/mod.rs
@@ -1,6 +1,9 @@
-//! Sockets and what they share: buffers, system calls, and the file descriptors that each side may have.
+//! Sockets and their shared infrastructure: buffers, system calls and file descriptor limits.
 //!
-//! - `listen`, `dial`: how connections come in and go out.
+//! - `listen`, `dial`: incoming and outgoing connections.
+//! - `buffers`: unparsed input and pending output.
+//! - `descriptors`: maximum number of connections of each kind.
+//! - `system_calls`: wrappers that classify temporary failures and inject faults in tests.
 //! - `buffers`: what was read and not understood yet, and what waits to be written.
 //! - `descriptors`: how many connections each side may have.
 //! - `system_calls`: which failures of a call are temporary; tests make calls fail here.
--- a/src/net/sockets/system_calls.rs
+++ b/src/net/sockets/system_calls.rs
@@ -1,11 +1,11 @@
-//! The system calls of the loop, in one place: which of their failures pass by themselves, and where tests have them
-//! fail.
+//! Wrappers of the event loop's system calls: they classify failures as temporary or permanent, and let tests
+//! inject faults.
 
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// A kind of system call.
+/// Kinds of system calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::net) enum Call {
     Accept,
@@ -17,13 +17,14 @@
     Rewatch,
 }
 
-/// Whether memory or buffers have run out for a moment: the same call may succeed later.
+/// Whether the kernel is temporarily out of memory or buffers: the same call may succeed later.
 pub(in crate::net) fn is_temporary(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::ENOMEM | libc::ENOBUFS | libc::ENOSPC))
 }
 
-/// Whether accept failed because it was interrupted, or the new connection has ended already: the next call may
-/// succeed. Linux passes network errors of the new connection to accept, and asks for another call then.
+/// Whether accept failed because it was interrupted or because the new connection has already ended: the next
+/// call may succeed. Linux reports pending network errors of the new connection through accept and recommends
+/// a retry.
 pub(in crate::net) fn may_accept_again(e: &io::Error) -> bool {
     let network = [
         libc::ECONNABORTED,
@@ -41,32 +42,32 @@
     e.raw_os_error().is_some_and(|code| network.contains(&code))
 }
 
-/// Whether a connect failed on this side, before anything reached the other: it says nothing of the other side's
-/// health.
+/// Whether a connect failed locally, before anything reached the remote side; the error says nothing about
+/// the remote side's health.
 pub(in crate::net) fn is_local_failure(e: &io::Error) -> bool {
     let ours =
         [libc::EMFILE, libc::ENFILE, libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENETDOWN, libc::EAGAIN];
     is_temporary(e) || e.raw_os_error().is_some_and(|code| ours.contains(&code))
 }
 
-/// A read or write that lacked memory counts as one that would block: the socket stays ready, and is tried again.
+/// Maps a temporary lack of memory to `WouldBlock`: the socket stays ready, and the call is retried.
 fn would_block_if_temporary(e: io::Error) -> io::Error {
     if is_temporary(&e) { io::ErrorKind::WouldBlock.into() } else { e }
 }
 
-/// The next connection of a listener.
+/// Accepts a connection.
 pub(in crate::net) fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     inject_fault(Call::Accept)?;
     listener.accept().map(|(stream, _)| stream)
 }
 
-/// A socket for an outgoing connection.
+/// Creates a TCP socket.
 pub(in crate::net) fn socket(domain: Domain) -> io::Result<Socket> {
     inject_fault(Call::Socket)?;
     Socket::new(domain, Type::STREAM, None)
 }
 
-/// Begins to connect. An interrupted call goes on by itself, as one that would block does.
+/// Starts a non-blocking connect. An interrupted call continues in the background like one that would block.
 pub(in crate::net) fn connect(socket: &Socket, to: &SockAddr) -> io::Result<()> {
     let begun = socket.connect(to);
     match inject_fault(Call::Connect).and(begun) {
@@ -75,13 +76,13 @@
     }
 }
 
-/// Reads what is there.
+/// Reads available bytes.
 pub(in crate::net) fn read(stream: &mut impl Read, bytes: &mut [u8]) -> io::Result<usize> {
     let most = shortened(bytes.len());
     inject_fault(Call::Read).and_then(|()| stream.read(&mut bytes[..most])).map_err(would_block_if_temporary)
 }
 
-/// Looks at what is there; `None` if nothing is.
+/// Number of bytes a peek returns (0 at end of stream); `None` if no data is available.
 pub(in crate::net) fn peek(stream: &TcpStream) -> io::Result<Option<usize>> {
     loop {
         match inject_fault(Call::Read).and_then(|()| stream.peek(&mut [0])) {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Writes what is taken.
+/// Writes as many bytes as the stream accepts.
 pub(in crate::net) fn write(stream: &mut impl Write, bytes: &[u8]) -> io::Result<usize> {
     let most = shortened(bytes.len());
     inject_fault(Call::Write).and_then(|()| stream.write(&bytes[..most])).map_err(would_block_if_temporary)
@@ -109,7 +110,7 @@
     length
 }
 
-/// Has a call to the poller fail where a test wants it.
+/// Fails a poller call if a test has injected a fault.
 pub(in crate::net) fn inject_poller_fault(call: Call) -> io::Result<()> {
     inject_fault(call)
 }
--- a/src/net/sockets/system_calls/tests.rs
+++ b/src/net/sockets/system_calls/tests.rs
@@ -1,16 +1,16 @@
-//! Calls that fail as a test wants, on the thread that it runs on.
+//! Fault injection for system calls, per thread.
 
 use super::Call;
 use std::cell::RefCell;
 use std::io;
 
-/// Every so many calls of a kind fail with an error, or bring and take one byte.
+/// Makes one in `one_in` calls of a kind fail with an error, or transfer a single byte.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::net) struct FaultPlan {
     pub(in crate::net) call: Call,
-    /// The error's number; `None` has reads and writes be short.
+    /// The error number; `None` makes reads and writes short.
     pub(in crate::net) error: Option<i32>,
-    /// One in so many calls.
+    /// Period of the fault, in calls.
     pub(in crate::net) one_in: u32,
 }
 
@@ -18,17 +18,17 @@
     static PLAN: RefCell<Option<(FaultPlan, u32, u32)>> = const { RefCell::new(None) };
 }
 
-/// From now on calls on this thread fail so.
+/// Installs a fault plan for this thread.
 pub(in crate::net) fn install(plan: FaultPlan) {
     PLAN.with(|p| *p.borrow_mut() = Some((plan, 0, 0)));
 }
 
-/// How many calls failed on this thread.
+/// Number of calls on this thread that failed.
 pub(in crate::net) fn failed() -> u32 {
     PLAN.with(|p| p.borrow().map_or(0, |(.., failed)| failed))
 }
 
-/// Whether this call is one that fails.
+/// The plan, if this call is to fail.
 fn next_fault(call: Call, short: bool) -> Option<FaultPlan> {
     PLAN.with(|p| {
         let mut p = p.borrow_mut();
