--- a/src/arrivals/mod.rs
+++ b/src/arrivals/mod.rs
@@ -3,7 +3,6 @@
 //!
 //! - `occurrence`: the time interval in which an event happened.
 //! - `key_spacing`: how long a client may have delayed a request for a key.
-//! - `key_spacing`: how long a client may have held back a request of a key.
 
 mod key_spacing;
 mod occurrence;
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -5,10 +5,6 @@
 //! - `request_intake`: from a statement to the dispatch logic.
 //! - `arrival`: arrival details of a request.
 //! - `client_error`: errors sent to clients.
-//! - `session`: one connection, from its greeting to its last byte.
-//! - `request_intake`: from a statement to the decisions.
-//! - `arrival`: how a request came.
-//! - `client_error`: what clients are told besides results.
 
 mod accept;
 mod arrival;
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -6,11 +6,6 @@
 //! - `answers`: writing to the connection.
 //! - `lifecycle`: time limits and closing.
 //! - `sessions`: all client connections.
-//! - `request`: a request, as a statement's comment describes it.
-//! - `reading`: what is read from it.
-//! - `answers`: what is written to it.
-//! - `lifecycle`: its time limits, and how it ends.
-//! - `sessions`: all of them.
 
 mod answers;
 mod lifecycle;
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -1,4 +1,4 @@
-//! Executes the commands of the decisions: attempts, probes and final answers.
+//! Executes the commands of the dispatch logic: attempts, probes and final answers.
 
 use super::DispatcherServer;
 use super::clients::request_intake::{OpenRequest, request_fingerprint};
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 
 impl DispatcherServer {
-    /// Executes commands, and those that their events cause, until none is left.
+    /// Executes commands and the commands that result from their events, until none is left.
     pub(super) fn execute(&mut self, commands: Vec<Command<Rows>>) {
         let mut commands = VecDeque::from(commands);
         loop {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Starts an attempt, unless its client has left since it was decided or this dispatcher has no right to send
-    /// it: then nothing goes out, and the decisions learn so.
+    /// Starts an attempt, unless the client has disconnected since the decision or this dispatcher has no
+    /// lease to send it. In that case nothing is sent and the dispatch logic is notified.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -67,7 +67,8 @@
         self.executors.events.push_back(event);
     }
 
-    /// Ends a request with its final answer: counts it, and writes it to the client if that is still there.
+    /// Ends a request with its final answer: updates the counters, and writes the answer to the client if it
+    /// is still connected.
     fn end_request(&mut self, now: Micros, request: u64, mut answer: Answer<Rows>) {
         let Some(OpenRequest { client, job, .. }) = self.requests.open.remove(&request) else { return };
         self.end_in_flight(now, request, &answer);
@@ -90,7 +91,7 @@
         self.answer_client(now, client, request, &answer);
     }
 
-    /// Writes an answer to the client that waits for it, and goes on with what that client has sent since.
+    /// Writes an answer to the waiting client, and processes what the client has sent in the meantime.
     fn answer_client(&mut self, now: Micros, client: Key, request: u64, answer: &Answer<Rows>) {
         let session = self.sessions.by_key.get_mut(&client);
         let Some(session) = session.filter(|session| session.open == Some(request)) else { return };
@@ -101,7 +102,7 @@
         self.close_if_idle_while_leaving(client, now);
     }
 
-    /// Lets the overload control see time pass, and logs a new phase.
+    /// Advances overload control and logs a change of phase.
     pub(super) fn watch_storm(&mut self, now: Micros) {
         let Some(storm) = &mut self.storm else { return };
         let fleet = self.dispatch.fleet_capacity(now);
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -1,10 +1,10 @@
-//! The log lines that count what was done since the start.
+//! Periodic log lines with counters since the start of the process.
 
 use crate::invariant;
 use crate::net::DispatcherServer;
 
 impl DispatcherServer {
-    /// Logs the counters of all sides, each since the start.
+    /// Logs the counters of all components since the start of the process.
     pub(in crate::net) fn log_counters(&self) {
         let tally = &self.dispatch.counters;
         let wire = &self.executors.counters;
--- a/src/net/endpoint_updates.rs
+++ b/src/net/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! The endpoint list on its way to the decisions: from the coordinator's watch or from files, with operators' bans
-//! and start times by this process's clock.
+//! Applies endpoint list updates, from the coordinator or from files, to the dispatch logic. Operators' bans
+//! and start times on this process's clock are merged in.
 
 use super::DispatcherServer;
 use super::endpoint_lists::{self, EndpointLists};
@@ -10,7 +10,7 @@
 use crate::dispatch::{ExecutorState, ListedExecutor, WatchEvent, executor_id};
 
 impl DispatcherServer {
-    /// An event of the coordinator's watch.
+    /// Applies an event from the coordinator.
     pub(super) fn update(&mut self, now: Micros, update: Update) {
         let Some(endpoints) = update.endpoints else { return };
         if self.endpoint_lists.is_some() {
@@ -21,7 +21,7 @@
         self.apply_endpoint_list(now, event, &endpoints.targets);
     }
 
-    /// Calls the lists from files, and applies a bounded number of the entries that wait.
+    /// Runs `what` on the file-based endpoint lists, then applies a bounded number of pending entries.
     pub(super) fn with_endpoint_lists(
         &mut self,
         now: Micros,
@@ -40,20 +40,20 @@
         }
     }
 
-    /// Applies a watch event. Start times by the wall clock become times of this process's clock.
+    /// Applies a watch event, converting wall clock start times to this process's clock.
     pub(super) fn apply_endpoint_list(&mut self, now: Micros, event: WatchEvent, targets: &[Target]) {
         self.wall_clock.observe(now, clock::unix());
         let start_times = &mut self.start_times;
         let by_own_clock = |target: &Target| {
             let started = start_times.started_at(&target.uid, target.boot_ms, now, &self.wall_clock);
-            // To the nearest millisecond, the unit on the wire.
+            // Rounded to the nearest millisecond, the unit on the wire.
             Target { boot_ms: started.map_or(0, |at| (at + 500) / 1_000), ..target.clone() }
         };
         let targets: Vec<Target> = targets.iter().map(by_own_clock).collect();
         self.update_endpoints(now, event, &targets);
     }
 
-    /// Applies entries whose start times are by this process's clock.
+    /// Applies entries whose start times are already on this process's clock.
     pub(super) fn update_endpoints(&mut self, now: Micros, event: WatchEvent, targets: &[Target]) {
         let applies = |target: &&Target| event != WatchEvent::Restored || target.state != State::Removed;
         let listed: Vec<ListedExecutor> =
@@ -64,9 +64,9 @@
         self.execute(commands);
     }
 
-    /// An entry as the decisions take it; `None`, with a log line, if it can't be used.
+    /// Converts an entry for the dispatch logic. Logs an error and returns `None` if the entry is unusable.
     fn listed_executor(&self, target: &Target) -> Option<ListedExecutor> {
-        // A removal may name the executor alone: the rest of its entry is the last one known.
+        // A removal may contain only the uid; the other fields are taken from the last known entry.
         let known = self.endpoints.get(&target.uid).filter(|_| target.state == State::Removed);
         let completed = known.map(|known| Target { state: target.state, ..known.clone() });
         let target = completed.as_ref().unwrap_or(target);
@@ -89,7 +89,8 @@
         })
     }
 
-    /// The state of an executor. One that is banned or out for maintenance drains, whatever the list says.
+    /// The effective state of an executor: one that is banned or out for maintenance is draining, whatever
+    /// the list says.
     fn executor_state(&self, target: &Target) -> ExecutorState {
         match target.state {
             State::Up if self.bans.banned(&target.uid) || self.held_back(&target.uid) => {
@@ -101,8 +102,8 @@
         }
     }
 
-    /// When an executor started, in microseconds. One that an operator or the maintenance plan let back warms up from
-    /// then, whatever the list says.
+    /// The effective start time of an executor, in microseconds. An executor that an operator or the
+    /// maintenance plan put back into service goes through slow start from then on, whatever the list says.
     fn started_at(&self, target: &Target) -> Option<Micros> {
         let listed_ms = target.boot_ms;
         let onlined_ms = self.onlined_at_ms.get(&target.uid).copied().unwrap_or(0);
@@ -110,7 +111,7 @@
         Some(started_ms).filter(|ms| *ms > 0).map(|ms| ms * 1000)
     }
 
-    /// Keeps the latest entry of each listed executor, and drops what belongs to those that are gone.
+    /// Stores the latest entry of each listed executor, and drops the state of executors that are gone.
     fn keep_endpoints(&mut self, event: WatchEvent, targets: &[Target]) {
         if event != WatchEvent::Changed {
             self.endpoints.clear();
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -10,10 +10,6 @@
 //! - `events`: dispatch of socket events.
 //! - `schedule`, `timers`: periodic work and timers.
 //! - `event_source`: interface of components with their own sockets and timers.
-//! - `poll_times`: when the sockets were polled.
-//! - `events`: what happens on one event.
-//! - `schedule`, `timers`: what is due when.
-//! - `event_source`: what the loop has to know of a side with sockets and timers of its own.
 
 pub mod event_source;
 mod events;
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -1,7 +1,8 @@
-//! Work in hand and the fleet's record of it, where our settings name peers: requests pass by here on their way
-//! to the decisions and back.
+//! In-flight requests and the fleet's replicated record of them, if the settings name peers. Requests are
+//! recorded here on their way to the dispatch logic, and their results on the way back.
 //!
-//! `requests` is their way past the record, `moves` what the record has done of itself.
+//! - `requests`: recording of requests, attempts and results.
+//! - `moves`: actions that the record itself initiates.
 
 mod moves;
 mod requests;
@@ -20,36 +21,36 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The record of work in hand, and the links that it is agreed on.
+/// The replicated record of in-flight requests, and the connections to the peers that agree on it.
 pub struct InFlight {
     pub(super) takeover: Takeover,
     pub(super) peers: Peers,
-    /// The names of the classes, by index.
+    /// Class names, by index.
     classes: Vec<Rc<str>>,
-    /// Which classes may repeat, by index.
+    /// Whether a class may run more than once, by index.
     repeats: Vec<bool>,
-    /// Cores of each kind, by index.
+    /// Cores of each kind of machine, by index.
     cores: Vec<f64>,
-    /// Machines that are taken out for work.
+    /// Machines taken out for maintenance.
     pub(super) maintenance: Maintenance,
 }
 
-/// What the settings know of the classes: names and whether they may repeat, by index.
+/// Request classes and machine kinds, as the settings define them.
 pub struct Classes {
-    /// Names.
+    /// Class names, by index.
     pub names: Vec<Rc<str>>,
-    /// Whether a class may run more than once.
+    /// Whether a class may run more than once, by index.
     pub repeats: Vec<bool>,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per request.
     pub attempts: usize,
     /// Cores of each kind of machine, by index.
     pub cores: Vec<f64>,
-    /// How long a machine warms up.
+    /// Duration of slow start.
     pub ramp: Micros,
 }
 
 impl Classes {
-    /// Of the platform's settings.
+    /// Extracts them from the platform's settings.
     pub fn of(settings: &Settings, names: &Names) -> Classes {
         let name =
             |i: usize| names.classes.iter().find(|(_, n)| **n == i).map_or("", |(name, _)| name.as_str());
@@ -64,12 +65,12 @@
 }
 
 impl InFlight {
-    /// Which of the peers this is.
+    /// This dispatcher's peer number.
     pub(super) fn me(&self) -> Peer {
         self.takeover.fleet.me()
     }
 
-    /// Listens for peers.
+    /// Starts listening for peers.
     pub fn start(
         o: &options::Peers,
         classes: Classes,
@@ -118,7 +119,7 @@
         Ok(InFlight { takeover, peers, classes: names, repeats, cores, maintenance })
     }
 
-    /// Cores of a machine of a kind; those of the smallest where its kind is not known.
+    /// Cores of a machine of this kind; if the kind is unknown, those of the smallest kind.
     pub(super) fn cores_of(&self, kind: Option<usize>) -> f64 {
         let known = kind.and_then(|k| self.cores.get(k)).copied();
         known.unwrap_or_else(|| self.cores.iter().copied().fold(f64::MAX, f64::min).min(1e6))
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -1,4 +1,4 @@
-//! What the record has done of itself: moves that come of time and of peers' words, and the end.
+//! Actions initiated by the replicated record, because of timers, peers' messages or the shutdown.
 
 use crate::api::Micros;
 use crate::dispatch::{Command, Request};
@@ -9,23 +9,23 @@
 use crate::takeover::Move;
 use fleet::ledger::Record;
 
-/// No client's key: keys count from 1.
+/// Placeholder key of a request without a client; poller keys count from 1.
 const NOBODY: Key = 0;
 
 impl DispatcherServer {
-    /// Lets the record do what is due, before anything else of a turn and after all: a lease that ran out while
-    /// this process stood still is over before it is acted on.
+    /// Processes the record's timers, both at the beginning and at the end of a turn: a lease that expired
+    /// while this process was stalled must be noticed before anything is done under it.
     pub(in crate::net) fn tick_in_flight(&mut self, now: Micros) {
         let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.next_due() <= now) else {
             return;
         };
         in_flight.takeover.tick(now);
-        // What was lost with the time that has passed is known before anything else is done.
+        // Leases lost in the meantime must be known before anything else is done.
         self.tick_policy(now);
         self.move_in_flight(now);
     }
 
-    /// What peers said, what comes of it, and what is said to them, until nothing is left.
+    /// Exchanges messages with peers and carries out the resulting actions, until none is left.
     pub(in crate::net) fn move_in_flight(&mut self, now: Micros) {
         loop {
             let Some(in_flight) = &mut self.in_flight else { return };
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes a request of a lost peer in hand; its result waits for its client.
+    /// Takes over a request of a lost peer; its result is kept for its client.
     fn adopt(&mut self, now: Micros, record: &Record) -> Vec<Command<Rows>> {
         let Some(in_flight) = &mut self.in_flight else { return Vec::new() };
         let (class, statement) = (usize::from(record.class), record.statement.clone().unwrap_or_default());
@@ -92,17 +92,17 @@
         }
     }
 
-    /// Whether a machine gets nothing new, as the plan has it out for work.
+    /// Whether the maintenance plan keeps new requests off a machine.
     pub(in crate::net) fn held_back(&self, uid: &str) -> bool {
         self.in_flight.as_ref().is_some_and(|h| h.maintenance.holds_back(uid))
     }
 
-    /// Since when a machine is back from work that it was out for, in milliseconds; 0 if it was not.
+    /// When a machine returned from maintenance, in milliseconds; 0 if it was not out.
     pub(in crate::net) fn cold_ms(&self, uid: &str) -> u64 {
         self.in_flight.as_ref().map_or(0, |h| h.maintenance.cold_ms(uid))
     }
 
-    /// At the end: what is still owned is given back at once.
+    /// Hands leases back to the fleet on shutdown.
     pub(in crate::net) fn leave_fleet(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         in_flight.takeover.fleet.leave(now);
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request past the record: in, out to an executor, and back.
+//! Recording of requests in the replicated record: their arrival, their attempts and their results.
 
 use super::InFlight;
 use crate::api::Micros;
@@ -24,7 +24,8 @@
                 work_s: r.thread_seconds,
                 memory_mb: r.memory_mb,
                 repeats: self.repeats.get(r.class).copied().unwrap_or(false),
-                // Another dispatcher would send it without its token: it does not send it at all.
+                // Another dispatcher would send the request without its idempotency token, so the statement
+                // is left out and it does not send it at all.
                 statement: r.ask.filter(|_| job.token.is_none()).map(|_| job.statement.to_string()),
                 deadline: now + r.budget,
                 tried: Vec::new(),
@@ -38,7 +39,7 @@
     rows.iter().map(|b| b.bytes().to_vec()).collect()
 }
 
-/// Pages in buffers, as far as they fit: they came from buffers of the same size.
+/// Copies pages into buffers; each page fits, because it came from a buffer of the same size.
 fn rows(pages: &Pages, pool: &Pool) -> Rows {
     let block = |page: &Vec<u8>| {
         let mut block: Block = pool.block();
@@ -49,7 +50,7 @@
 }
 
 impl DispatcherServer {
-    /// What becomes of a request that is admitted: whether the decisions get it now.
+    /// Registers an admitted request with the record. Returns whether it may be submitted now.
     pub(in crate::net) fn begin_in_flight(&mut self, now: Micros, request: &Request, job: &Job) -> Gate {
         let policy = self.policy_number();
         let Some(in_flight) = &mut self.in_flight else { return Gate::Go };
@@ -57,7 +58,7 @@
         in_flight.takeover.arrives(now, attempt)
     }
 
-    /// Whether an attempt may go out; one that may not is let go of.
+    /// Whether an attempt may be sent under the lease; if not, the request is released.
     pub(in crate::net) fn lease_allows_send(
         &mut self,
         now: Micros,
@@ -73,7 +74,7 @@
         may
     }
 
-    /// A request has its answer.
+    /// Records the final answer of a request.
     pub(in crate::net) fn end_in_flight(&mut self, now: Micros, request: u64, answer: &Answer<Rows>) {
         let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.follows(request)) else { return };
         let reply = match answer {
@@ -85,7 +86,7 @@
         in_flight.takeover.answered(now, request, reply);
     }
 
-    /// A reply as the network holds it.
+    /// Converts a recorded reply to an answer.
     pub(in crate::net) fn answer_of(&self, reply: Reply) -> Answer<Rows> {
         match reply {
             Reply::Served(pages) => Answer::Served(rows(&pages, &self.pool)),
@@ -94,21 +95,21 @@
         }
     }
 
-    /// A request that passed the gate could not be taken.
+    /// Ends the record of a request that the dispatch logic did not accept.
     pub(in crate::net) fn end_in_flight_unasked(&mut self, now: Micros, request: u64) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.takeover.answered(now, request, Reply::Refused(0));
         }
     }
 
-    /// The client of a request has left.
+    /// Records that the client of a request has disconnected.
     pub(in crate::net) fn client_left(&mut self, now: Micros, request: u64) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.takeover.left(now, request);
         }
     }
 
-    /// A request whose client had left is over.
+    /// Records the outcome of a request whose client had disconnected.
     pub(in crate::net) fn report_abandoned(
         &mut self,
         now: Micros,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,17 +1,18 @@
-//! The dispatcher on real sockets: one loop, clients on one side, executors and the coordinator on the other.
+//! The networked dispatcher: a single event loop that serves clients and talks to executors and the
+//! coordinator.
 //!
-//! - `setup`: how a [`DispatcherServer`] comes to be.
-//! - `event_loop`: the order in which everything is done.
-//! - `clients`: clients' connections, and what becomes of a request until the decisions have it.
-//! - `executors`: connections to executors, and the attempts on them.
-//! - `coordinator_watch`, `endpoint_lists`: where the endpoint list comes from.
-//! - `commands`: executes the commands of the decisions.
-//! - `endpoint_updates`: the endpoint list on its way to the decisions.
-//! - `admin`, `maintenance`: operators' calls and what they change.
+//! - `setup`: construction of a [`DispatcherServer`].
+//! - `event_loop`: polling, and the order in which events are processed.
+//! - `clients`: client connections, and request intake up to the dispatch logic.
+//! - `executors`: executor connections and their attempts.
+//! - `coordinator_watch`, `endpoint_lists`: sources of the endpoint list.
+//! - `commands`: execution of the dispatch logic's commands.
+//! - `endpoint_updates`: applying the endpoint list to the dispatch logic.
+//! - `admin`, `maintenance`: operators' calls and maintenance.
 //! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: other dispatchers, and the control group.
 //! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
-//! - `counters`: what is logged every 10 s.
-//! - `sockets`: what all sides need of sockets.
+//! - `counters`: counters logged every 10 s.
+//! - `sockets`: shared socket infrastructure.
 
 mod admin;
 mod clients;
@@ -70,18 +71,18 @@
 use sockets::descriptors::DescriptorShares;
 use std::collections::BTreeMap;
 
-/// Reads the configuration, when SIGHUP asks for it again.
+/// Reads the configuration again on SIGHUP.
 pub type LoadConfig = fn() -> Result<Config, ConfigError>;
 
-/// A dispatcher: its listener takes connections from [`DispatcherServer::new`] on, and [`DispatcherServer::run`]
-/// serves.
+/// A dispatcher. Its listener accepts connections once [`DispatcherServer::new`] returns;
+/// [`DispatcherServer::run`] serves them.
 pub struct DispatcherServer {
     poll: Poll,
     poll_times: PollTimes,
     schedule: Schedule,
     clock: Clock,
     wall_clock: WallClock,
-    /// When executors started, as the endpoint list says, by this process's clock.
+    /// Executor start times from the endpoint list, on this process's clock.
     start_times: ExecutorStartTimes,
     pool: Pool,
     descriptors: DescriptorShares,
@@ -90,32 +91,32 @@
     listener: ClientListener,
     sessions: Sessions,
     client_counters: ClientCounters,
-    /// Requests that have no answer yet.
+    /// Requests without a final answer.
     requests: Requests,
     executors: Executors,
-    /// The connection to the coordinator, unless endpoint lists from files stand instead of it.
+    /// The connection to the coordinator, unless file-based endpoint lists replace it.
     coordinator_watch: Option<CoordinatorWatch>,
     endpoint_lists: Option<EndpointLists>,
     storm: Option<Storm>,
-    /// Replicated requests of a fleet, where our settings name peers.
+    /// Replicated requests of the fleet, if the settings name peers.
     in_flight: Option<InFlight>,
-    /// The connection to a member of the control group, where our settings name one.
+    /// The connection to a member of the control group, if the settings name one.
     control: Option<ControlLink>,
-    /// The policy by which all dispatchers admit requests, where our settings say that it is agreed on.
+    /// The fleet-wide admission policy, if the settings enable it.
     rules: Option<Rules>,
     signals: (Key, Signals),
     load_config: LoadConfig,
     shutdown: Shutdown,
-    /// The operators' address, where the configuration names one.
+    /// The listener for operators, if the configuration names an address.
     admin_listener: Option<AdminListener>,
-    /// Since when `LEAVE` holds, until `JOIN`.
+    /// When `LEAVE` was received; `None` after `JOIN`.
     leaving: Option<Micros>,
     figures: Figures,
     bans: Bans,
-    /// The file that hands bans to the next process.
+    /// The file that carries bans over to the next process.
     bans_file: BansFile,
-    /// The last entry of each executor on the endpoint list, by uid.
+    /// The latest endpoint list entry of each executor, by uid.
     endpoints: BTreeMap<String, Target>,
-    /// When executors on the list were let back by `ONLINE`, by uid, in milliseconds.
+    /// When executors on the list were put back into service by `ONLINE`, by uid, in milliseconds.
     onlined_at_ms: BTreeMap<String, u64>,
 }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -1,5 +1,6 @@
-//! What all dispatchers of the fleet admit requests by, where our settings say so: requests pass by here before all
-//! else, and wait here while a change takes hold. It is learned from a fleet of peers or from a control group.
+//! Admission under the fleet-wide policy, if the settings enable it. Every request passes this check first,
+//! and is held while a policy change takes effect. The policy is replicated by a fleet of peers or by a
+//! control group.
 
 use super::DispatcherServer;
 use super::executors::{Job, Rows};
@@ -11,7 +12,7 @@
 use fleet::policy::{Act, Gate as Door, Policies, PolicyRecord};
 
 impl DispatcherServer {
-    /// A request whose client would wait longer than the policy allows is given up when that says.
+    /// Limits a request's budget to the client timeout of its class under the policy.
     pub(super) fn cap(&self, request: &mut Request) {
         let settings = self.rules.as_ref().and_then(|r| r.under(r.part.number()));
         if let Some(class) = settings.and_then(|s| s.classes.get(request.class)) {
@@ -19,24 +20,24 @@
         }
     }
 
-    /// Where the policy is learned from: the members of a control group, or the log of a fleet of peers.
+    /// The source of the policy: a control group, or the replicated log of the peers.
     fn policy_record(&self) -> Option<&dyn PolicyRecord> {
         let control = self.control.as_ref().map(|c| &c.follower as &dyn PolicyRecord);
         control.or_else(|| self.in_flight.as_ref().map(|h| &h.takeover.fleet as &dyn PolicyRecord))
     }
 
-    /// What is agreed on the policy, as far as it is known here.
+    /// The agreed policy state, as far as it is known here.
     pub(super) fn policies(&self) -> Option<&Policies> {
         self.policy_record()?.policies()
     }
 
-    /// The number of the policy that is acted by; 0 where none is agreed on.
+    /// Number of the policy applied here; 0 if none is agreed on.
     pub(super) fn policy_number(&self) -> u64 {
         self.rules.as_ref().map_or(0, |r| r.part.number())
     }
 
-    /// What a request that arrives meets, by a look at the clock of this very moment; `None` where no policy is agreed
-    /// on at all.
+    /// The admission decision for a new request, based on the current time; `None` if no policy is
+    /// configured.
     pub(super) fn door(&mut self) -> Option<Door> {
         self.rules.as_ref()?;
         let now = self.clock.now();
@@ -44,7 +45,7 @@
         Some(self.rules.as_ref()?.door(holder))
     }
 
-    /// What becomes of a request that arrives: whether the decisions get it now.
+    /// Applies the admission decision to a new request. Returns whether the request may be submitted now.
     pub(super) fn gate(&mut self, now: Micros, request: &Request, job: &Job) -> Gate {
         match self.door() {
             None => self.begin_in_flight(now, request, job),
@@ -73,7 +74,8 @@
 
     fn hold_for_policy(&mut self, rid: u64, request: Option<Request>) {
         let Some(rules) = &mut self.rules else { return };
-        // Those whose clients have left go: as many wait as are open, and no more.
+        // Requests whose clients have disconnected are dropped, so that the queue stays proportional to the
+        // number of open requests.
         if rules.held.len() > self.requests.open.len() + 1_024 {
             rules.held.retain(|h| self.requests.open.contains_key(&h.rid));
         }
@@ -81,7 +83,7 @@
         rules.held.push_back(Held { rid, request });
     }
 
-    /// A request that is on the fleet's record goes to the decisions, unless a change is taking hold.
+    /// Submits a recorded request to the dispatch logic, unless a policy change is taking effect.
     pub(super) fn admit_recorded(&mut self, now: Micros, rid: u64) -> Vec<Command<Rows>> {
         match self.door() {
             Some(Door::Hold) => {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Looks at what the fleet holds alike, says what is to be said of it, and lets requests go that waited.
+    /// Applies the fleet's policy state, sends votes and other commands, and releases held requests.
     pub(super) fn tick_policy(&mut self, now: Micros) {
         let Some(rules) = &mut self.rules else { return };
         let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
@@ -147,7 +149,7 @@
             }
         }
         if holder.is_some() == rules.fallen_back {
-            // A lease came or went, and with it the right to act by what the fleet holds.
+            // A lease was acquired or lost, and with it the right to act under the agreed policy.
             let stricter = rules.terms.without_lease == WithoutLease::Stricter;
             rules.fallen_back = holder.is_none();
             if stricter {
@@ -170,7 +172,7 @@
         self.answer_policy_calls(now);
     }
 
-    /// Lets go of what waited, in its order, once it may be told by what it is admitted.
+    /// Releases held requests in order, once it is known which policy admits them.
     fn release(&mut self, now: Micros) {
         let door = self.door();
         if door == Some(Door::Hold) {
@@ -200,7 +202,7 @@
     }
 }
 
-/// Tells of an admission, for whoever wants to see that no two policies hold at once.
+/// Logs an admission, so that tests can verify that no two policies are in force at the same time.
 fn told(rid: u64, number: u64) {
     tracing::debug!(target: "ottercroft::policies", request = format_args!("{rid:016x}"), policy = number, "admitted");
 }
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the policy that the fleet holds alike.
+//! Operators' calls concerning the fleet-wide policy.
 
 use super::DispatcherServer;
 use super::policy_status::status;
@@ -13,46 +13,46 @@
 use fleet::policy::{Command, MOST_TEXT, Policies, Policy as Agreed, PolicyRecord, Waiting};
 use std::io::Read as _;
 
-/// A call is answered within a second, agreed or not.
+/// Time limit for agreement, in microseconds; a call must be answered within a second in any case.
 const AGREED: Micros = 800_000;
-/// What an operator's call waits for.
+/// Condition that an operator's call waits for.
 pub(super) enum For {
-    /// The change proposed here at this time is under way; another one excludes it.
+    /// The change proposed here at this time is under way; a different change under way excludes it.
     Proposed(Micros),
-    /// The change proposed here at this time is under way or waits for its turn.
+    /// The change proposed here at this time is under way or queued.
     Queued(Micros),
-    /// The change of this number is over.
+    /// The change with this number has ended.
     Over(u64),
 }
 
-/// An operator's call that waits to be agreed.
+/// An operator's call that waits for agreement.
 struct WaitingCall {
     caller: Key,
     what: For,
     until: Micros,
 }
 
-/// What a call is judged by.
+/// State that a call is validated against.
 pub(super) struct CallContext<'a> {
     pub(super) policies: &'a Policies,
     pub(super) terms: &'a PolicyTerms,
-    /// What a policy is applied to, and the names in it.
+    /// The base settings that a policy is applied to, and the names defined in them.
     pub(super) base: &'a Settings,
     pub(super) names: &'a Names,
     pub(super) me: Peer,
-    /// The number of the policy that is acted by here.
+    /// Number of the policy applied here.
     pub(super) number: u64,
-    /// A change that comes while another is under way waits, with at least this number.
+    /// If set, a change proposed while another is under way is queued, with at least this number.
     pub(super) queue_from: Option<u64>,
 }
 
-/// The calls that wait to be agreed.
+/// Calls that wait for agreement.
 #[derive(Default)]
 pub(super) struct PolicyCalls {
     waiting: Vec<WaitingCall>,
 }
 
-/// A policy's text from its file, if it is one.
+/// Reads a policy from a regular file.
 fn read(path: &str) -> Result<String, String> {
     let told = |e: std::io::Error| format!("{}: {e}", shown(path));
     let file = std::fs::File::open(path).map_err(told)?;
@@ -71,7 +71,8 @@
 }
 
 impl CallContext<'_> {
-    /// What is to be agreed for a call and what it waits for; else its answer.
+    /// Converts a call to the command to agree on and the condition to wait for; an `Err` is the immediate
+    /// answer.
     pub(super) fn command(&self, now: Micros, ask: &Ask) -> Result<(Command, For), String> {
         let policies = self.policies;
         let limits = [self.terms.vote_limit, self.terms.close_limit].map(|d| d.as_micros() as Micros);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The proposal of a file. What is wrong with it here is told at once, and the fleet is not asked.
+    /// Builds a proposal from a file. Errors found here are reported at once, without asking the fleet.
     fn proposal(&self, at: Micros, path: &str, limits: [Micros; 2]) -> Result<Command, String> {
         let text = read(path).map_err(|e| format!("-ERR {e}"))?;
         let faults = |all: Vec<Fault>| all.iter().map(Fault::to_string).collect::<Vec<_>>();
@@ -119,17 +120,17 @@
 }
 
 impl PolicyCalls {
-    /// Whether none waits.
+    /// Whether no call is waiting.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Keeps a call until it is agreed.
+    /// Queues a call until its condition holds.
     pub(super) fn wait(&mut self, caller: Key, what: For, now: Micros) {
         self.waiting.push(WaitingCall { caller, what, until: now + AGREED });
     }
 
-    /// The answers of the calls that have come to be agreed, and of those whose time is up.
+    /// Removes the calls whose condition holds or whose time limit has passed, and returns their answers.
     pub(super) fn answers(&mut self, now: Micros, policies: &Policies, me: Peer) -> Vec<(Key, String)> {
         let mut answers = Vec::new();
         self.waiting.retain(|w| {
@@ -142,7 +143,7 @@
     }
 }
 
-/// What came of what a call waits for, if anything did.
+/// The answer to a call, once its condition is decided.
 fn outcome(what: &For, policies: &Policies, me: Peer) -> Option<String> {
     match *what {
         For::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
@@ -161,14 +162,15 @@
     }
 }
 
-/// A change that was taken: whether it is put to the vote or waits.
+/// The answer for an accepted change, which is either voted on or queued.
 fn queued(number: u64, policies: &Policies) -> String {
     let waits = policies.waiting().any(|w| w.policy.number == number);
     if waits { format!("+OK proposed {number}, waiting") } else { format!("+OK proposed {number}") }
 }
 
 impl DispatcherServer {
-    /// Carries out a call on the policy: its answer, or none as long as it waits to be agreed.
+    /// Handles an operator's call concerning the policy. Returns the answer, or `None` while the call waits
+    /// for agreement.
     pub(super) fn policy_call(&mut self, caller: Key, now: Micros, ask: &Ask) -> Option<String> {
         if self.control.is_some() && *ask != Ask::Status {
             return Some("-ERR this dispatcher follows a control group: ask one of its members".into());
@@ -201,7 +203,7 @@
         context.command(now, ask)
     }
 
-    /// Answers the calls that have come to be agreed, and those whose time is up.
+    /// Answers the calls whose condition holds or whose time limit has passed.
     pub(super) fn answer_policy_calls(&mut self, now: Micros) {
         let Some(policies) = self.policies().filter(|_| self.has_policy_calls()).cloned() else { return };
         let Some(rules) = &mut self.rules else { return };
--- a/src/net/policy_status.rs
+++ b/src/net/policy_status.rs
@@ -1,11 +1,11 @@
-//! What operators are told of the policy that is agreed on.
+//! The policy status shown to operators.
 
 use crate::api::Micros;
 use crate::settings::hcl::shown;
 use fleet::policy::{Policies, Stage};
 use std::fmt::Write as _;
 
-/// Faults shown of one vote.
+/// Maximum number of faults shown per vote.
 const SHOWN: usize = 4;
 
 /// The answer to `POLICY STATUS`.
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,12 +1,12 @@
-//! SIGHUP: the configuration is read again.
+//! Configuration reload on SIGHUP.
 
 use crate::api::Micros;
 use crate::net::DispatcherServer;
 use crate::settings::config::Config;
 
 impl DispatcherServer {
-    /// Reads the configuration again and follows the coordinator that it names. Open requests stay, and other settings
-    /// take a restart to change. A file that can't be used changes nothing.
+    /// Reads the configuration again and switches to the coordinator that it names. Open requests are kept;
+    /// other settings require a restart. An invalid file changes nothing.
     pub(in crate::net) fn reload_configuration(&mut self, now: Micros) {
         let usable = |c: Config| {
             let coordinator = c.coordinator;
@@ -16,7 +16,7 @@
             Ok((coordinator, settings)) => {
                 self.figures.sighup_applied.inc();
                 tracing::info!(%coordinator, "configuration reloaded");
-                // Where the fleet holds one policy, a file at one dispatcher changes nothing of it.
+                // Under an agreed policy, a changed settings file at a single dispatcher has no effect.
                 if let Some(rules) = self.rules.as_ref().filter(|r| r.base != settings) {
                     let number = rules.part.number();
                     tracing::warn!(
--- a/src/net/rules.rs
+++ b/src/net/rules.rs
@@ -1,4 +1,4 @@
-//! One dispatcher's share in the policy that its fleet holds alike: what it acts by, and what waits for a change.
+//! A dispatcher's view of the fleet-wide policy: the settings in effect, and requests held during a change.
 
 use super::policy_calls::PolicyCalls;
 use crate::api::Micros;
@@ -11,39 +11,39 @@
 use fleet::{Holder, Peer};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Settings kept ready: those of the policy in force, of the ones before it that work in hand may be under, and of the
-/// one that is under way.
+/// Number of prepared settings to keep: those of the policy in force, of earlier policies that in-flight
+/// requests may be under, and of the pending policy.
 const READY: usize = machine::PAST + 2;
 
-/// A request that waits for a change to take hold or to be given up.
+/// A request held until a policy change takes effect or is given up.
 pub(super) struct Held {
     pub(super) rid: u64,
-    /// None if it is on the fleet's record already.
+    /// `None` if the request is already in the fleet's record.
     pub(super) request: Option<Request>,
 }
 
-/// One dispatcher's share in the fleet's policy.
+/// A dispatcher's view of the fleet-wide policy.
 pub struct Rules {
     pub(super) part: Part,
     me: Peer,
     pub(super) terms: PolicyTerms,
-    /// What a refusal for want of a lease tells a client to wait, in milliseconds.
+    /// Backoff sent to clients when a request is rejected for lack of a lease, in milliseconds.
     pub(super) backoff_ms: u64,
-    /// What the settings say, which is policy 0.
+    /// The configured settings, which are policy 0.
     pub(super) base: Settings,
-    /// By number.
+    /// Prepared settings by policy number.
     ready: BTreeMap<u64, Settings>,
     pub(super) held: VecDeque<Held>,
-    /// Acts by what the last two policies known here both allow, as it has no lease.
+    /// Whether the fallback without a lease is in effect: the combination of the last two known policies.
     pub(super) fallen_back: bool,
-    /// Operators' calls that wait to be agreed.
+    /// Operators' calls that wait for agreement.
     pub(super) calls: PolicyCalls,
-    /// Requests that waited, and that were refused for want of a lease or of a policy.
+    /// Number of requests held, and of requests rejected for lack of a lease or a policy.
     pub(super) tally: [u64; 2],
 }
 
 impl Rules {
-    /// Acts by the settings until the fleet says something else.
+    /// Starts with the configured settings, until the fleet agrees on a policy.
     pub fn new(terms: PolicyTerms, me: Peer, backoff_ms: u64, base: Settings) -> Rules {
         Rules {
             part: Part::default(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What a request that arrives meets, with the lease that holds at this very moment.
+    /// The admission decision for a new request, given the lease held now.
     pub fn door(&self, holder: Option<Holder>) -> Door {
         match (self.part.gate(holder), self.terms.without_lease) {
             (Door::Refuse, WithoutLease::Stricter) if holder.is_none() => Door::Admit(self.part.number()),
@@ -67,17 +67,17 @@
         }
     }
 
-    /// Which peer this is.
+    /// This dispatcher's peer number.
     pub fn me(&self) -> Peer {
         self.me
     }
 
-    /// The settings under the policy of a number, if it is still known.
+    /// The settings under the policy with this number, if they are still kept.
     pub fn under(&self, number: u64) -> Option<&Settings> {
         self.ready.get(&number)
     }
 
-    /// Looks at the fleet's state: what is to be done.
+    /// Compares the local state with the fleet's policy state and returns the actions to take.
     pub(super) fn look(
         &mut self,
         now: Micros,
@@ -87,8 +87,8 @@
     ) -> Vec<Act> {
         let Rules { part, ready: all, base, .. } = self;
         let acts = part.look(now, self.me, holder, agreed, &mut |p| make_ready(p, base, names, all));
-        // One that took part in no vote, as it was away, makes it ready now. What it can't make sense of was checked by
-        // all who had a lease then, and by no other build than they have.
+        // A dispatcher that missed the vote prepares the settings now. Faults are not expected: every
+        // dispatcher that had a lease at the time, running the same build, has checked the policy.
         for act in &acts {
             if let Act::InForce(p) = act
                 && !all.contains_key(&p.number)
@@ -111,7 +111,8 @@
         acts
     }
 
-    /// What it acts by without a lease: what the one in force and the one under way, as far as known, both allow.
+    /// The settings to use without a lease: what the policy in force and the pending one, if known, both
+    /// allow.
     pub(super) fn fallback(&self) -> Option<Settings> {
         let current = self.under(self.part.number())?;
         let next = self.ready.range(self.part.number() + 1..).next_back();
@@ -119,7 +120,7 @@
     }
 }
 
-/// Has the settings under a policy at hand; what is wrong with it here.
+/// Prepares the settings under a policy; returns the faults found.
 fn make_ready(p: &Policy, base: &Settings, names: &Names, all: &mut BTreeMap<u64, Settings>) -> Vec<String> {
     match ready(p, base, names) {
         Ok(settings) => {
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher is set up, from its configuration to a listener that takes connections.
+//! Construction of a dispatcher from its configuration.
 
 use super::admin::bans_file::BansFile;
 use super::admin::listener::AdminListener;
@@ -34,19 +34,20 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Free buffers are kept up to this part of the memory that the configuration allows.
+/// Free buffers may use this fraction of the configured memory (divisor).
 const BUFFER_MEMORY_DIVISOR: f64 = 8.0;
-/// The longest wait that clients honour, where neither the settings nor the configuration say it.
+/// Default for the longest backoff that clients honour, in microseconds, if neither the settings nor the
+/// configuration define it.
 const DEFAULT_LONGEST_WAIT: Micros = 1_000_000;
 
-/// Puts what was attempted before an error's text.
+/// Prefixes an error with the operation that failed.
 pub(super) fn context<E: Display>(what: &str) -> impl Fn(E) -> io::Error + '_ {
     move |e| io::Error::other(format!("{what}: {e}"))
 }
 
 impl DispatcherServer {
-    /// Sets a dispatcher up: from here on its address takes connections. `load_config` reads the configuration again
-    /// when SIGHUP asks for it.
+    /// Creates a dispatcher, whose address accepts connections from then on. `load_config` reads the
+    /// configuration again on SIGHUP.
     pub fn new(
         config: Config,
         options: Options,
@@ -87,7 +88,8 @@
         let control = options.control.as_ref().map(|c| ControlLink::new(c, &config.name, seed ^ now, now));
         let me = in_flight.as_ref().map_or(0, InFlight::me);
         let rules = agreed.map(|(terms, backoff_ms)| Rules::new(terms, me, backoff_ms, base_settings));
-        // Connection ids start anywhere: a KILL meant for another incarnation or dispatcher must not hit.
+        // Connection ids start at a pseudorandom value, so that a KILL meant for another incarnation or
+        // dispatcher does not match a connection here.
         let first_connection_id = (seed ^ (seed >> 32) ^ now) as u32;
         let mut server = DispatcherServer {
             poll,
@@ -128,8 +130,8 @@
         Ok(server)
     }
 
-    /// Starts the endpoint lists from files, where the settings name some. Returns the endpoints to begin with: those
-    /// of the lists, or else `known` of the coordinator.
+    /// Starts the file-based endpoint lists, if the settings name any. Returns the initial endpoints: those
+    /// of the lists, or otherwise `known` from the coordinator.
     fn start_lists(
         &mut self,
         lists: Option<options::Lists>,
@@ -174,9 +176,9 @@
     ShutdownDeadlines::new(settings.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0))
 }
 
-/// The terms of the policy that dispatchers agree on, and the wait of clients that are refused meanwhile, in
-/// milliseconds: the time that a lease takes to run out. A control group goes before peers; `None` where nothing is
-/// agreed on.
+/// The terms of the fleet-wide policy, and the backoff of clients that are rejected without a lease, in
+/// milliseconds: the duration of a lease. A control group takes precedence over peers; `None` if no policy is
+/// configured.
 fn agreed_policy(options: &Options) -> Option<(options::PolicyTerms, u64)> {
     if let Some(control) = &options.control {
         return Some((control.policy, control.timing.follower_lease / 1_000));
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -1,12 +1,12 @@
-//! The way from SIGTERM to the end of the process.
+//! Shutdown, from SIGTERM to the end of the process.
 //!
-//! | since SIGTERM | what happens to requests |
+//! | Time since SIGTERM | Effect on requests |
 //! | --- | --- |
-//! | at once | new ones are still taken; one that is expected to run past the give-up is rejected |
-//! | [`ACCEPT_REQUESTS_FOR`] | the backlog is accepted and read once more, the listener is closed |
-//! | from then on | a client connection that is idle is closed |
-//! | [`ShutdownDeadlines::give_up_after`] | what is open gets its answer: refused if it never ran, else failed |
-//! | [`ShutdownDeadlines::end_after`], or once no client is left | the process ends |
+//! | 0 | New requests are accepted; a request that is expected to run past the give-up time is rejected. |
+//! | [`ACCEPT_REQUESTS_FOR`] | The backlog is accepted and read a last time, and the listener is closed. |
+//! | after that | Idle client connections are closed. |
+//! | [`ShutdownDeadlines::give_up_after`] | Open requests are answered: rejected if they never ran, otherwise failed. |
+//! | [`ShutdownDeadlines::end_after`], or once no client is left | The process exits. |
 
 use crate::api::Micros;
 use crate::arrivals::Occurrence;
@@ -14,57 +14,62 @@
 use crate::net::clients::session::Session;
 use crate::net::event_loop::poll::Key;
 
-/// The platform kills the process no sooner after SIGTERM than the longest deadline of any class and this.
+/// The platform kills the process no sooner than the longest class deadline plus this margin after SIGTERM,
+/// in microseconds.
 const KILL_MARGIN: Micros = 700_000;
-/// The platform takes a longer deadline as this.
+/// Longer class deadlines count as this value for the platform, in microseconds.
 const LONGEST_DEADLINE: Micros = 3_000_000;
-/// Open requests are given up this long before the kill: their answers have to be written by then.
+/// Open requests are given up this long before the kill, so that their answers can be written in time; in
+/// microseconds.
 const GIVE_UP_BEFORE_KILL: Micros = 600_000;
-/// The process ends this long before the kill.
+/// The process exits this long before the kill, in microseconds.
 const END_BEFORE_KILL: Micros = 300_000;
-/// New requests are taken for this long after SIGTERM: the platform lets connections come for 0.4 s and requests on
-/// open ones for 0.2 s more, and loses nothing that arrives after 0.7 s.
+/// New requests are accepted for this long after SIGTERM, in microseconds: the platform lets connections
+/// arrive for 0.4 s and requests on open connections for 0.2 s more, and loses nothing that arrives after 0.7
+/// s.
 const ACCEPT_REQUESTS_FOR: Micros = 700_000;
-/// The longest sleep of the event loop during the shutdown, whose time limits have no timers of their own.
+/// Maximum sleep of the event loop during the shutdown, whose time limits have no timers of their own; in
+/// microseconds.
 pub(in crate::net) const POLL_INTERVAL: Micros = 20_000;
 
-/// Time limits of the shutdown, as spans since SIGTERM in microseconds.
+/// Time limits of the shutdown, in microseconds after SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::net) struct ShutdownDeadlines {
     /// When open requests are given up.
     pub(in crate::net) give_up_after: Micros,
-    /// When the process ends, whoever is still connected.
+    /// When the process exits, regardless of open connections.
     pub(in crate::net) end_after: Micros,
 }
 
 impl ShutdownDeadlines {
-    /// For the longest deadline of any class.
+    /// Computes the time limits from the longest class deadline.
     pub(in crate::net) fn new(longest_deadline: Micros) -> ShutdownDeadlines {
         let kill_after = longest_deadline.min(LONGEST_DEADLINE) + KILL_MARGIN;
-        // A request that came while new ones were taken has a moment at least.
+        // Requests are not given up while new ones are still accepted.
         let give_up_after = (kill_after - GIVE_UP_BEFORE_KILL).max(ACCEPT_REQUESTS_FOR);
         ShutdownDeadlines { give_up_after, end_after: (kill_after - END_BEFORE_KILL).max(give_up_after) }
     }
 }
 
-/// How far the shutdown is.
+/// Progress of the shutdown.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::net) struct Shutdown {
     deadlines: ShutdownDeadlines,
-    /// When SIGTERM came, once it was noticed. The platform's kill counts from when it came, so that deadlines count
-    /// from the earliest moment, and the time in which requests are still taken from the latest.
+    /// When SIGTERM arrived, once it was observed. The platform's kill timer starts at the arrival, so the
+    /// deadlines are measured from the earliest possible time, and the time for accepting requests from the
+    /// latest.
     requested: Option<Occurrence>,
-    /// Whether open requests have been given up; requests that are read from then on are refused.
+    /// Whether open requests have been given up; requests read after that are rejected.
     gave_up: bool,
 }
 
 impl Shutdown {
-    /// Before any SIGTERM.
+    /// State before SIGTERM.
     pub(in crate::net) fn new(deadlines: ShutdownDeadlines) -> Shutdown {
         Shutdown { deadlines, requested: None, gave_up: false }
     }
 
-    /// Whether SIGTERM was noticed.
+    /// Whether SIGTERM was observed.
     pub(in crate::net) fn is_requested(&self) -> bool {
         self.requested.is_some()
     }
@@ -88,7 +93,7 @@
 }
 
 impl DispatcherServer {
-    /// SIGTERM was noticed; a further one changes nothing.
+    /// Starts the shutdown after SIGTERM; further signals have no effect.
     pub(in crate::net) fn begin_shutdown(&mut self, came: Occurrence) {
         if self.shutdown.is_requested() {
             return;
@@ -99,7 +104,7 @@
         self.dispatch.set_shutdown_time(came.earliest + self.shutdown.deadlines.give_up_after);
     }
 
-    /// Does what the shutdown has due by now. Returns whether the dispatcher is at its end.
+    /// Carries out the shutdown steps that are due. Returns whether the event loop should end.
     pub(in crate::net) fn advance_shutdown(&mut self, now: Micros) -> bool {
         if self.shutdown.has_to_give_up(now) {
             self.give_up_open_requests(now);
@@ -114,8 +119,8 @@
         self.sessions.by_key.is_empty() || self.shutdown.has_to_end(now)
     }
 
-    /// Takes what was written in time and closes the listener. Clients are read before it, as in any turn, and after
-    /// it, as accepting takes time.
+    /// Reads everything that was sent in time and closes the listener. Clients are read before accepting, as
+    /// in any turn, and again afterwards, because accepting takes time.
     fn take_last_requests(&mut self, now: Micros) {
         self.read_all_clients(now);
         self.stop_accepting(now);
@@ -128,7 +133,7 @@
         all.into_iter().for_each(|key| self.read_client(key, now));
     }
 
-    /// Answers all open requests, once. Whatever is read later is refused as it comes.
+    /// Answers all open requests, once. Requests read later are rejected as they arrive.
     fn give_up_open_requests(&mut self, now: Micros) {
         if std::mem::replace(&mut self.shutdown.gave_up, true) {
             return;
@@ -138,7 +143,7 @@
         self.reject_arrived_requests(now);
     }
 
-    /// Ends the connections of idle clients. One that asked in this very moment is read first, and answered.
+    /// Closes idle client connections. A client with unread data is read first, and its request is answered.
     fn close_idle_clients(&mut self, now: Micros) {
         let is_idle = |session: &Session| session.open.is_none() && session.is_flushed();
         let idle: Vec<Key> =
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM shuts the process down, SIGHUP has it read its configuration again.
+//! Signal handling: SIGTERM shuts the process down, SIGHUP makes it reload its configuration.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
@@ -14,30 +14,31 @@
     reload: Arc<AtomicBool>,
 }
 
-/// Signals raised since they were last taken; several of a kind count as one.
+/// Signals raised since the last call of [`Signals::take`]; several of a kind count as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Raised {
     /// SIGTERM: shut down.
     pub(super) terminate: bool,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub(super) reload: bool,
 }
 
 impl Signals {
-    /// Catches signals from here on; one that comes before the event loop runs is kept until it does.
+    /// Installs the signal handlers; a signal that arrives before the event loop runs is kept.
     pub fn new() -> io::Result<Signals> {
         let (stream, write) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
         let signals = Signals { stream, terminate: Arc::default(), reload: Arc::default() };
         for (signal, raised) in [(SIGTERM, &signals.terminate), (SIGHUP, &signals.reload)] {
-            // Handlers run in this order: the flag stands before the loop wakes.
+            // Handlers run in registration order, so the flag is set before the event loop wakes up.
             flag::register(signal, raised.clone())?;
             pipe::register(signal, write.try_clone()?)?;
         }
         Ok(signals)
     }
 
-    /// Signals that a test raises, without a signal: the flag for SIGTERM, and the stream that wakes the loop.
+    /// Signals that a test raises without a real signal: the flag for SIGTERM, and the stream that wakes the
+    /// event loop.
     #[cfg(test)]
     pub(super) fn raised_by_hand() -> io::Result<(Signals, Arc<AtomicBool>, UnixStream)> {
         let (stream, write) = UnixStream::pair()?;
@@ -47,7 +48,7 @@
         Ok((signals, terminate, write))
     }
 
-    /// Empties the stream and takes what was raised.
+    /// Drains the stream and returns the raised signals.
     pub(super) fn take(&mut self) -> Raised {
         let mut bytes = [0; 64];
         while matches!(self.stream.read(&mut bytes), Ok(n) if n == bytes.len()) {}
--- a/src/net/sockets/mod.rs
+++ b/src/net/sockets/mod.rs
@@ -4,9 +4,6 @@
 //! - `buffers`: unparsed input and pending output.
 //! - `descriptors`: maximum number of connections of each kind.
 //! - `system_calls`: wrappers that classify temporary failures and inject faults in tests.
-//! - `buffers`: what was read and not understood yet, and what waits to be written.
-//! - `descriptors`: how many connections each side may have.
-//! - `system_calls`: which failures of a call are temporary; tests make calls fail here.
 
 pub(in crate::net) mod buffers;
 pub(in crate::net) mod descriptors;
