--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -1,4 +1,5 @@
-//! System calls that fail in the ways that Linux documents: each request that was taken gets exactly one whole answer.
+//! Injected system call failures, as documented by Linux: each accepted request gets exactly one complete
+//! answer.
 
 use super::*;
 use crate::net::sockets::dial;
@@ -7,25 +8,25 @@
 use std::io;
 use std::net::TcpListener;
 
-/// What a client got: one answer for each of its requests, and nothing besides.
+/// Sends six requests and returns their answers; asserts that each gets exactly one answer.
 fn ask_all(dispatcher: &RunningDispatcher, client: u64, without_descriptors: bool) -> Vec<(u64, Got)> {
     let mut all = Vec::new();
     for n in 0..6 {
         let rid = 0x1000 * (client + 1) + n;
         let class = CLASSES[(n % 3) as usize];
-        // A new connection for each, as accept is among what fails.
+        // Each request uses a new connection, because accept is one of the failing calls.
         let mut c = Client::says(dispatcher.address, &request(class, rid, 10_000));
         assert_eq!(c.got(), Got::Ok, "logged in");
         all.push((rid, c.got()));
         let next = c.try_ask("SET NAMES utf8mb4").map_or(Got::Closed, |()| c.got());
-        // One that rests may be closed for its descriptor.
+        // An idle connection may be closed to free its descriptor.
         let closed = without_descriptors && next == Got::Closed;
         assert!(closed || next == Got::Ok, "one answer to {rid:x}, and the next, not {next:?}");
     }
     all
 }
 
-/// Plays clients against a dispatcher of which one in so many calls of a kind fails.
+/// Runs clients against a dispatcher in which one in `one_in` calls of a kind fails.
 fn each_request_has_one_answer(call: Call, error: Option<i32>, one_in: u32) {
     let plan = FaultPlan { call, error, one_in };
     let mut dispatcher =
@@ -106,7 +107,7 @@
     }
 }
 
-// A dial that fails on our own side was blamed on the executor, which was left out for it.
+// A connect that failed locally used to be attributed to the executor, which was then taken out of service.
 #[test]
 fn a_dial_that_fails_on_our_side_says_nothing_of_the_executor() {
     for error in [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENETUNREACH, libc::EAGAIN, libc::ENOMEM] {
@@ -117,7 +118,7 @@
     }
 }
 
-// A broken connection to an executor shows as any of these: what may run twice is sent again, the rest is failed.
+// A broken executor connection can report any of these errors: idempotent requests are retried, others fail.
 #[test]
 fn executors_connections_that_break() {
     for error in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET] {
@@ -128,7 +129,7 @@
             let class = CLASSES[(rid % 3) as usize];
             let mut c = Client::says(dispatcher.address, &request(class, rid, 10_000));
             let answers = [c.got(), c.got()];
-            // A client whose own connection broke is owed nothing; a load runs once at most in any case.
+            // A client whose own connection broke gets no answer; a load runs at most once in any case.
             let told = answers.iter().filter(|a| matches!(a, Got::Rows(_) | Got::Error(..))).count();
             assert!(told <= 1, "{error}: {answers:?}");
             assert!(class != "load" || dispatcher.run_count(rid) <= 1);
@@ -138,8 +139,8 @@
     }
 }
 
-// A connect that was interrupted goes on by itself, and was taken as failed: the request went elsewhere, and the executor
-// was blamed.
+// An interrupted connect continues in the background. It used to be treated as failed: the request went to
+// another executor, and the failure was attributed to this one.
 #[test]
 fn an_interrupted_connect_goes_on() {
     install(FaultPlan { call: Call::Connect, error: Some(libc::EINTR), one_in: 1 });
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -1,4 +1,5 @@
-//! A whole dispatcher on a thread of the test, so that its system calls can fail and its wall clock can be stepped.
+//! Tests of a complete dispatcher on a thread, so that its system calls can fail and its wall clock can be
+//! stepped.
 
 mod failing_calls;
 mod stepped_clock;
@@ -19,10 +20,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Classes by effect.
+/// One class per effect.
 const CLASSES: [&str; 3] = ["read", "load", "keyed"];
 
-/// A dispatcher that serves on a thread.
+/// A dispatcher running on its own thread.
 struct RunningDispatcher {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -33,7 +34,8 @@
 }
 
 impl RunningDispatcher {
-    /// Serves with two executors, each of which takes so long for a request; `before` runs on its thread.
+    /// Starts a dispatcher with two executors that take `work` per request; `before` runs on the dispatcher's
+    /// thread.
     fn start(work: Duration, settings: &Quiet, before: impl FnOnce() + Send + 'static) -> RunningDispatcher {
         let feed = Feed::at("127.0.0.1:0", 1).unwrap();
         let executors: Vec<Executor> = (0..2).map(|_| Executor::new(move |_| work).unwrap()).collect();
@@ -57,18 +59,18 @@
         RunningDispatcher { address, stop, wake, thread: Some(thread), _feed: feed, executors }
     }
 
-    /// As SIGTERM does.
+    /// Triggers the shutdown, as SIGTERM does.
     fn terminate(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         self.wake.write_all(&[1]).unwrap();
     }
 
-    /// Waits for its end. Returns how many of its system calls failed.
+    /// Waits for the dispatcher to exit. Returns how many of its system calls failed.
     fn join(&mut self) -> u32 {
         self.thread.take().unwrap().join().expect("it ends in order")
     }
 
-    /// How often executors were sent a request.
+    /// Number of times a request was sent to an executor.
     fn run_count(&self, rid: u64) -> usize {
         let id = format!("{rid:016x}");
         self.executors.iter().flat_map(Executor::pulls).filter(|p| p.id == id).count()
@@ -79,7 +81,7 @@
     format!("/* method={class},rid={rid:016x},budget={budget_ms},est=10.0 */ SELECT a FROM sales_7.t")
 }
 
-/// Whether an answer is one whole result that an executor made for this request.
+/// Whether an answer is one complete result made by an executor for this request.
 fn is_result(got: &Got, rid: u64) -> bool {
     let Got::Rows(rows) = got else { return false };
     rows.len() == 2 && rows[0][0] == "fields" && rows[1][0] == "statement" && rid > 0
--- a/src/net/tests/stepped_clock.rs
+++ b/src/net/tests/stepped_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock is stepped while a dispatcher serves, and while it ends: spans are of real time.
+//! Wall clock steps while a dispatcher serves and shuts down: durations are measured in real time.
 
 use super::*;
 use crate::clock::tests::SteppedWall;
@@ -6,10 +6,11 @@
 const SECOND: i64 = 1_000_000;
 const STEPS: [i64; 4] = [5 * SECOND, -5 * SECOND, 3_600 * SECOND, -3_600 * SECOND];
 
-/// Longer than anything here takes, far shorter than a step of an hour.
+/// Longer than any operation here takes, and far shorter than a step of an hour.
 const SOON: Duration = Duration::from_secs(4);
 
-// A step forward ended every request that was open, a step back kept those that hang open for as long.
+// A step forward used to expire every open request, and a step back extended hanging requests by the same
+// time.
 #[test]
 fn requests_keep_their_time() {
     let wall = SteppedWall::new();
@@ -21,7 +22,7 @@
         }
         wall.step(step);
         assert!(is_result(&client.got(), rid), "step of {step}");
-        // One that can't be answered in time has its answer in time all the same.
+        // A request that cannot be served in time is still answered by its deadline.
         let mut hangs = Client::asks(dispatcher.address, &request("read", rid + 100, 300));
         let begun = Instant::now();
         assert!(matches!(hangs.got(), Got::Error(1203, _)));
@@ -31,8 +32,8 @@
     }
 }
 
-// The time limits of a shutdown followed the wall clock: a step forward ended a load that had time left, and a step back
-// kept the process longer than the platform waits.
+// The time limits of the shutdown used to follow the wall clock: a step forward ended a load that had time
+// left, and a step back kept the process running longer than the platform waits.
 #[test]
 fn a_drain_takes_its_time() {
     let wall = SteppedWall::new();
--- a/tests/clients/crowds.rs
+++ b/tests/clients/crowds.rs
@@ -1,16 +1,17 @@
-//! Crowds and descriptors: what others hold must not keep out who is owed something.
+//! Many clients and few descriptors: idle connections must not block the coordinator watch or other requests.
 
 use super::*;
 use std::io::Write;
 use std::net::TcpStream;
 
-// Idle clients filled the descriptors while discovery was down. Once it is back the list is followed again, and a
-// request is served by an executor that only the new list names.
+// Idle clients used to take all descriptors while discovery was down. Once it is back, the dispatcher must
+// follow the list again and serve a request on an executor that only the new list names.
 #[test]
 fn a_crowd_of_idle_clients_keeps_neither_discovery_nor_requests_out() {
     let executor = Executor::new();
     for limit in [64, 40] {
-        // Below what the shares need, the newest idle client is closed for the feed.
+        // With fewer descriptors than the shares need, the newest idle client is closed for the coordinator
+        // watch.
         let program = env!("CARGO_BIN_EXE_ottercroft");
         let mut launch = Launch::new("sh", env!("CARGO_TARGET_TMPDIR"))
             .with(&["-c", &format!("ulimit -n {limit} && exec {program}")]);
@@ -41,8 +42,8 @@
     }
 }
 
-// Where the settings permit no probes, a connection that owed word was probed all the same, at a price that nobody
-// pays there. What follows the pull of a request that is never answered is its KILL, by the dispatcher's own clock.
+// A silent connection used to be probed even if the settings do not permit probes. The command after the PULL
+// of an unanswered request must be its KILL, sent at the dispatcher's own deadline.
 #[test]
 fn nothing_is_probed_where_probes_are_not_permitted() {
     let executor = Executor::new();
@@ -55,8 +56,8 @@
     assert!(matches!(client.got(), Got::Error(1105, _)), "it may have run");
 }
 
-// All places are taken by requests that run, and more clients come than may linger, each with its request written before it
-// is accepted: what was read has an answer, on a connection that is new, too.
+// All client slots are taken by running requests, and more clients connect than may linger, each with its
+// request already written. A request that was read must be answered, also on a new connection.
 #[test]
 fn a_request_on_a_connection_too_many_is_refused_and_not_only_closed() {
     let executor = Executor::new();
@@ -64,7 +65,7 @@
     launch.settings = Quiet::default().json();
     launch.sockets = 64;
     let (dispatcher, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
-    // As many as a dispatcher with these descriptors serves.
+    // The client limit of a dispatcher with this many descriptors.
     let mut busy: Vec<Client> =
         (0x10..0x2c).map(|n| Client::asks(dispatcher.address, &request("read", &format!("{n:x}")))).collect();
     dispatcher.stands_still();
@@ -74,7 +75,7 @@
     more.iter().for_each(|client| arrived(&client.stream));
     dispatcher.goes_on();
     for client in &mut more {
-        // The greeting is a packet of its own kind; behind it comes the refusal.
+        // The greeting comes first, followed by the rejection.
         let mut all = Vec::new();
         let ended = std::io::Read::read_to_end(&mut client.stream, &mut all);
         assert!(all.windows(8).any(|w| w == b"backoff="), "{ended:?} after {} bytes", all.len());
--- a/tests/clients/keyed.rs
+++ b/tests/clients/keyed.rs
@@ -1,12 +1,13 @@
-//! A class whose repeats are known by a token.
+//! Classes whose repeats are recognized by an idempotency token.
 
 use super::*;
 
 const KEYED: (&str, &str) =
     (r#""effect":"read_like"}"#, r#""effect":"idempotency_key","group":"all","dedupWindow":5.0}"#);
 
-// Executors know a repeat by the token that its client gave; a request of a keyed class that came without it was void,
-// and a deployment with such a class served nothing. Every attempt takes it along as it came.
+// Executors recognize a repeat by the client's token, and answer VOID to a request of a keyed class without
+// one. The token used to be dropped, so such a class was never served. Every attempt must carry the token
+// unchanged.
 #[test]
 fn a_keyed_request_takes_its_token_along_on_every_attempt() {
     let executor = Executor::new();
@@ -23,7 +24,8 @@
     assert_eq!(client.got(), row());
 }
 
-// A token goes into a line of words: one that could be read as more of it is an error, and is never passed on.
+// The token is part of a line of words: one that could be parsed as more of the line must be rejected and
+// never forwarded.
 #[test]
 fn a_token_that_is_no_word_is_an_error() {
     let executor = Executor::new();
--- a/tests/clients/leaving.rs
+++ b/tests/clients/leaving.rs
@@ -1,10 +1,10 @@
-//! A client that has gone starts no attempt, wherever its request stands.
+//! No attempt starts for a client that has disconnected, whatever the state of its request.
 
 use super::*;
 use std::io::Write;
 use std::net::Shutdown;
 
-/// How a client goes.
+/// How a client abandons its request.
 enum Goes {
     Kills,
     Closes,
@@ -13,8 +13,8 @@
     Quits,
 }
 
-/// A request waits for a connection that is still coming up while its client goes; then the connection comes up, and
-/// the first that is sent on it has to be the next client's.
+/// The client abandons a request that waits for an executor connection being established. Once the connection
+/// is up, the first request sent on it must be the next client's.
 fn goes_while_its_connection_comes_up(class: &str, how: &Goes, cancel: bool) {
     let executor = Executor::new();
     let mut launch = launch();
@@ -44,8 +44,9 @@
     assert_eq!(next.got(), row());
 }
 
-// What must not run twice is not called off when its client goes, as it may be running: so one that still waited for
-// its connection was sent once that came up, up to the dial's time-out after the client had gone.
+// A non-idempotent request is not cancelled when its client leaves, because it may be running. One that was
+// still waiting for its connection used to be sent once that was up, as late as the dial timeout after the
+// client had left.
 #[test]
 fn what_may_not_run_twice_is_not_begun_for_a_client_that_has_gone() {
     for how in [Goes::Kills, Goes::Closes, Goes::Resets, Goes::Shuts, Goes::Quits] {
@@ -53,7 +54,8 @@
     }
 }
 
-// Where the settings permit no cancel, nothing is called off, and what could run again was begun too.
+// If the settings do not permit cancellation, nothing is cancelled, and even idempotent requests used to
+// start.
 #[test]
 fn nothing_is_begun_for_a_client_that_has_gone_where_nothing_may_be_cancelled() {
     for class in ["read", "keyed", "load"] {
@@ -61,8 +63,8 @@
     }
 }
 
-// A request that waits for a connection while the dispatcher ends was answered as failed, as if it might have run. It
-// never did, and its client is told that to come again is harmless.
+// A request still waiting for its connection at shutdown used to be answered as failed, as if it might have
+// run. It never ran, so the client must be told that a retry is safe.
 #[test]
 fn what_was_never_sent_is_refused_at_the_end() {
     let executor = Executor::new();
--- a/tests/clients/standstill.rs
+++ b/tests/clients/standstill.rs
@@ -1,15 +1,15 @@
-//! The program stands still, or its machine does, and much comes meanwhile: what ended is heeded before anything new
-//! begins, in whatever order it came.
+//! The process or its machine is suspended while several events arrive. Disconnects and cancellations must be
+//! processed before any request starts, whatever their order of arrival.
 
 use super::*;
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// Long enough that whoever went meanwhile has been gone for longer than anything may begin after it.
+/// Longer than an attempt may start after its client has left.
 const STILL: Duration = Duration::from_millis(400);
 
-/// Stops the program, has this done, and lets it go on once it has been still for long enough.
+/// Suspends the process, runs `what`, and resumes the process after [`STILL`].
 fn while_still(dispatcher: &Dispatcher, what: impl FnOnce()) {
     dispatcher.stands_still();
     what();
@@ -17,7 +17,8 @@
     dispatcher.goes_on();
 }
 
-/// A dispatcher with an executor, and the connection between them, up and idle: whatever begins is written at once.
+/// A dispatcher with an established idle connection to an executor, so that a started attempt is written
+/// immediately.
 fn with_idle_connection(executor: &Executor) -> (Dispatcher, Coordinator, Peer) {
     let (dispatcher, coordinator) = quiet(&[("e1", executor.address)]);
     let mut client = Client::asks(dispatcher.address, &request("read", "a0"));
@@ -34,7 +35,7 @@
     client
 }
 
-/// Asks for one more, and sees that its request is the first that goes out.
+/// Sends another request and asserts that it is the first one to reach the executor.
 fn next_is_first(dispatcher: &Dispatcher, peer: &mut Peer) {
     let mut next = Client::asks(dispatcher.address, &request("read", "af"));
     let pull = peer.command().unwrap();
@@ -43,7 +44,8 @@
     assert_eq!(next.got(), row());
 }
 
-// A request and its client's end lay in one socket; the request was read alone, and began for nobody.
+// A request and the client's end of stream were both pending in a socket. Only the request used to be read,
+// and it started for a client that had left.
 #[test]
 fn a_request_whose_client_closed_behind_it_does_not_begin() {
     let executor = Executor::new();
@@ -62,14 +64,14 @@
     next_is_first(&dispatcher, &mut peer);
 }
 
-// A KILL comes on a connection of its own, which may not even have been accepted when the request it is for is read;
-// that began, and was called off in the next moment.
+// A KILL arrives on its own connection, which may not even be accepted when the killed request is read. The
+// request used to start and to be cancelled immediately afterwards.
 #[test]
 fn a_request_that_was_killed_before_it_was_read_does_not_begin() {
     let executor = Executor::new();
     let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
     let mut client = logged_in_client(&dispatcher);
-    // More connections than are accepted in one turn wait before the one that kills.
+    // More connections than one batch accepts are queued before the one that sends KILL.
     let mut waits = Vec::new();
     let id = client.id;
     let mut killer = None;
@@ -83,8 +85,9 @@
     drop((waits, killer));
 }
 
-// An executor's connection was closed while the program looked away, and a load was written to it all the same: it
-// failed, as it might have run. The end is heeded first, and the load goes out on a connection that is open.
+// An executor closed its connection while the process was suspended. A load used to be written to it anyway
+// and failed, as it might have run. The close must be processed first, and the load sent on an open
+// connection.
 #[test]
 fn nothing_is_written_to_a_connection_whose_end_is_here_already() {
     let executor = Executor::new();
@@ -101,8 +104,9 @@
     assert_eq!(client.got(), row());
 }
 
-// News that an executor drains lies in the feed's socket while requests are read: none of them goes there. It held before
-// the order in a turn was settled too, as what was not written was taken back.
+// An event that an executor drains is pending while requests are read: none of them may go to that executor.
+// This also held before the order of processing within a turn was fixed, because unwritten requests were
+// taken back.
 #[test]
 fn who_drains_is_known_before_anything_begins() {
     let (executor, other, old) = (Executor::new(), Executor::new(), Executor::new());
@@ -140,8 +144,8 @@
     assert!(clients.iter_mut().all(|c| c.got() == row()), "none went to the one that drains");
 }
 
-// A client that made mistakes is not read for a while: what it asks then and its end behind it lie in the socket, and
-// the request was read alone once the pause was over, long after its client had gone.
+// A client is not read for a while after errors. Its next request and its end of stream were both pending in
+// the socket, and only the request used to be read after the pause, long after the client had left.
 #[test]
 fn a_request_whose_client_closed_during_its_pause_does_not_begin() {
     let executor = Executor::new();
@@ -153,14 +157,14 @@
     }
     client.ask(&request("load", "a1"));
     drop(client);
-    // Longer than the pause after the sixth mistake.
+    // Longer than the pause after the sixth error.
     std::thread::sleep(3 * STILL);
     next_is_first(&dispatcher, &mut peer);
 }
 
-// Found by the soak (seed 39): a load on a resting connection and, a moment later, one of its key on a new connection, while
-// the process stood still and another client's connection waited to be accepted. Accepting took in all that waited, and read
-// the later load before the earlier one.
+// Found by the soak (seed 39): a load on an idle connection is followed by one with the same key on a new
+// connection, while the process is suspended and another connection waits to be accepted. Accepting used to
+// read all pending connections, and with them the later load before the earlier one.
 #[test]
 fn the_order_of_a_key_holds_across_resting_and_new_connections() {
     let executor = Executor::new();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,10 +1,11 @@
-//! The program under a lowered descriptor limit: a crowd of idle clients must not keep a new one out.
+//! The program under a low descriptor limit: many idle clients must not keep a new one out.
 
 use standins::scripted::*;
 use std::net::TcpStream;
 
-// Out of descriptors, accepting only paused: a crowd of idle connections kept every new client waiting for as
-// long as it stayed. Now the newest idle one is closed, with a log line, and the new client is served.
+// When descriptors ran out, accepting used to be paused only, so idle connections kept every new client
+// waiting for as long as they stayed. The newest idle client must be closed, with a log line, and the new
+// client served.
 #[test]
 fn out_of_descriptors_the_newest_idle_client_makes_room() {
     let program = env!("CARGO_BIN_EXE_ottercroft");
--- a/tests/endings/answers.rs
+++ b/tests/endings/answers.rs
@@ -1,15 +1,16 @@
-//! Answers that are spoilt, stop, or come too late.
+//! Answers that are malformed, incomplete or late.
 
 use super::*;
 use std::time::Duration;
 
-// A hang in the middle of an answer takes its connection along under a long deadline: what is out there ends
-// once each, what may run twice is served elsewhere, and all other connections go on.
+// An answer that hangs halfway closes its connection if the deadline is long. Every request on that
+// connection must end exactly once, idempotent ones are served elsewhere, and other connections are
+// unaffected.
 #[test]
 fn a_hang_in_an_answer_ends_what_shares_its_connection_once_each() {
     let executor = Executor::new();
     let mut launch = launch(&Quiet::default());
-    // So few descriptors that eight connections go to executors, and two requests share each.
+    // Few enough descriptors that only eight executor connections are opened and two requests share each.
     launch.sockets = 64;
     let (d, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
     let mut reads: Vec<_> = (1..=8).map(|n| Client::asks(d.address, &long("read", n))).collect();
@@ -35,7 +36,8 @@
     assert!(executor.came().is_empty());
 }
 
-/// Answers that can't be used, after the id; with `.` the executor closes right after it.
+/// Malformed answers, without the leading id. A trailing `.` means that the executor closes the connection
+/// right after it.
 const SPOILT: [&str; 9] = [
     "OK pages=1 6\r\n1\t.",
     "OK pages=1 6\r\n1\tx\ty\nZZ",
@@ -48,7 +50,8 @@
     "OK pages=1 0",
 ];
 
-// A spoilt answer ran: it is passed on to nobody, what may run twice is sent again, and a load fails, once.
+// A request with a malformed answer may have run: the answer is not forwarded, idempotent requests are sent
+// again, and a load fails, once.
 #[test]
 fn a_spoilt_answer_is_no_answer_for_any_effect() {
     let stories: Vec<_> =
@@ -65,7 +68,7 @@
         client.ask(&long(class, n));
         let mut peer = executor.accept();
         let pull = pulled(&mut peer, n);
-        // What has no line end could be a line yet: it is known to be none once it is too long.
+        // An unterminated line is only rejected once it is too long.
         let tail = if spoilt.contains('\r') { "" } else { &"9".repeat(1100) };
         peer.say(&format!("{pull} {}{tail}", spoilt.trim_end_matches('.')));
         if !spoilt.ends_with('.') {
@@ -85,7 +88,7 @@
     }
 }
 
-// An answer that keeps coming without an end is not waited for: nothing is kept of it, and whoever waits is told.
+// An endless answer must not be buffered or waited for, and the client must get an error.
 #[test]
 fn an_answer_of_three_gigabytes_that_keeps_coming_is_cut_off() {
     let executor = Executor::new();
@@ -94,7 +97,7 @@
     let mut peer = executor.accept();
     let pull = pulled(&mut peer, 1);
     peer.say(&format!("{pull} OK pages=1 3000000000\r\n"));
-    // Whoever sends on writes into a connection that is over, sooner than 3 GB.
+    // Sending fails because the dispatcher closes the connection, long before 3 GB are sent.
     let piece = "1\tx\ty\n".repeat(10_000);
     awaited("the end of its connection", || {
         use std::io::Write;
@@ -103,8 +106,8 @@
     ended(&mut client, 1105);
 }
 
-// A second copy comes some milliseconds later, while the next request is out on the same connection, or none
-// is: it belongs to nobody, whatever rows it brings.
+// A duplicate answer arrives a few milliseconds later, while another request or none is outstanding on the
+// connection. It must be ignored, whatever rows it contains.
 #[test]
 fn a_second_copy_is_nobodys_answer() {
     let executor = Executor::new();
@@ -117,7 +120,7 @@
             let old = format!("{:016x}", n - 1);
             peer.page(&old, "OK pages=1", "old\tx\ty\n");
             peer.page(&old, "ERR -", "");
-            // Nor is an answer ahead, to a request that comes later.
+            // An answer to a request that has not been sent yet must be ignored too.
             peer.page(&format!("{:016x}", n + 1), "OK pages=1", "ahead\tx\ty\n");
         }
         peer.page(&pull, "OK pages=1", ROW);
@@ -130,8 +133,8 @@
     served(&mut client, ROW);
 }
 
-// An attempt that was silent is killed and its request sent again: the answer to the first, which comes after
-// KILL, is dropped, and the second is passed on.
+// A silent attempt is killed and its request sent again. The first attempt's answer, which arrives after
+// KILL, is dropped, and the second one's is forwarded.
 #[test]
 fn an_answer_after_kill_is_dropped() {
     let executor = Executor::new();
@@ -143,7 +146,7 @@
     let mut second = executor.accept();
     pulled(&mut second, 1);
     first.page(&pull, "OK pages=1", "late\tx\ty\n");
-    // Once a later request is answered there, that answer was read.
+    // Once a later request is answered on this connection, the late answer has been read.
     let mut other = Client::asks(d.address, &long("load", 2));
     let next = pulled(&mut first, 2);
     first.page(&next, "OK pages=1", ROW);
@@ -152,8 +155,8 @@
     served(&mut client, ROW);
 }
 
-// Pages that stop while their connection stays open end by the dispatcher's own clock, before the client's:
-// what may have run twice is refused, a load has failed.
+// If pages stop arriving while the connection stays open, the request must end by the dispatcher's own
+// deadline, before the client's: an idempotent request is rejected, a load fails.
 #[test]
 fn pages_that_stop_end_by_our_own_clock() {
     let executor = Executor::new();
@@ -173,13 +176,13 @@
     }
 }
 
-// A whole answer came, its connection was reset behind it, and a further request is written there in the same
-// moment, as descriptors are scarce: the write fails, but the answer that is here is still owed.
+// A complete answer arrives, followed by a reset, while another request is written to the same connection
+// because descriptors are scarce. The write fails, but the answer must still be delivered.
 #[test]
 fn a_whole_answer_counts_though_a_write_meets_the_reset() {
     let executor = Executor::new();
     let mut launch = launch(&Quiet::default());
-    // Eight connections go to executors, so that a ninth request shares the one heard last.
+    // Only eight executor connections are opened, so a ninth request shares the most recently active one.
     launch.sockets = 64;
     let (d, _coordinator) = launch.dispatcher(&[("e1", executor.address)]);
     let mut loads: Vec<_> = (1..=8).map(|n| Client::asks(d.address, &long("load", n))).collect();
--- a/tests/endings/backlog.rs
+++ b/tests/endings/backlog.rs
@@ -1,12 +1,13 @@
-//! The backlog as accepting ends.
+//! The accept backlog at shutdown.
 
 use super::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-// More connections wait than one turn accepts as accepting ends, each with its request written in time, while
-// the process stands still: each is answered or closed in order, none is reset with its request unread.
+// When accepting ends, more connections are pending than one turn accepts, each with its request written in
+// time while the process was suspended. Each must be answered or closed in order, and none reset with its
+// request unread.
 #[test]
 fn a_backlog_larger_than_a_turn_is_answered_as_accepting_ends() {
     let mut launch = launch(&Quiet::default());
@@ -34,7 +35,7 @@
     dispatcher.goes_on();
     let answered = clients.iter_mut().filter_map(|client| {
         let mut all = Vec::new();
-        // Greeting, OK to the login, the refusal, and an orderly end.
+        // Greeting, OK to the login, rejection, and an orderly close.
         client.stream.read_to_end(&mut all).ok().filter(|_| all.windows(7).any(|w| w == b"refused"))
     });
     assert_eq!(answered.count(), 300, "all of them have an answer");
--- a/tests/endings/executors.rs
+++ b/tests/endings/executors.rs
@@ -1,9 +1,10 @@
-//! Connections that come up late or never, close while they rest, and processes that are replaced.
+//! Executor connections that are established late or never, close while idle, or lead to a replaced process.
 
 use super::*;
 use std::io::Write;
 
-// A connection that came up late was a dial given up or a request sent twice: it carries its request once.
+// A connection that is established late must carry its request exactly once; it used to lead to an abandoned
+// dial or a request sent twice.
 #[test]
 fn a_connection_that_comes_up_late_carries_its_request_once() {
     let executor = Executor::new();
@@ -17,8 +18,8 @@
     assert!(peers.iter_mut().all(|peer| peer.came().is_empty()) && executor.came().is_empty());
 }
 
-// What waits for a connection that never comes up never ran, whatever its effect: it is moved to another
-// executor, and where there is none it is refused, not failed.
+// A request whose connection is never established has not run, whatever its effect: it is moved to another
+// executor, or rejected (not failed) if there is none.
 #[test]
 fn what_waits_for_a_connection_that_never_comes_up_is_moved_or_refused() {
     let [dead, other] = [0; 2].map(|_| Executor::new());
@@ -42,8 +43,8 @@
     assert!(other.came().is_empty());
 }
 
-// A resting connection that its executor closed before a request came in is not used for it, whatever its
-// effect: the close and the request are read in one turn.
+// An idle connection that the executor closed before a request arrives must not be used for it, whatever its
+// effect. Both events are read in the same turn.
 #[test]
 fn a_connection_closed_before_the_request_came_is_not_used() {
     let executor = Executor::new();
@@ -67,8 +68,8 @@
     }
 }
 
-// A resting connection was closed before a request is written there: nothing ran, and the request goes out on another
-// one, whatever may not run twice.
+// An idle connection is closed before a request is written to it: the request has not run and is sent on
+// another connection, also if it must not run twice.
 #[test]
 fn a_connection_closed_under_a_request_costs_no_second_run() {
     for (n, class) in (1..).zip(CLASSES) {
@@ -91,8 +92,8 @@
     }
 }
 
-// An address goes to a new process while answers of the old one are out: they are good, and end what they
-// answer. What is new goes to the new process on a connection of its own.
+// An address is reassigned to a new process while answers of the old one are outstanding. Those answers are
+// still valid; new requests go to the new process on separate connections.
 #[test]
 fn answers_of_the_old_process_still_count_under_a_new_uid() {
     let executor = Executor::new();
@@ -115,8 +116,8 @@
     assert!(executor.came().is_empty());
 }
 
-// A process crashes and the list tells of its successor at the same address in the same moment: what may run
-// twice goes to the successor, a load that was out does not.
+// A process crashes while the list names its successor at the same address: idempotent requests go to the
+// successor, an outstanding load does not.
 #[test]
 fn a_crash_and_its_successor_in_one_moment() {
     for crash_first in [true, false] {
@@ -147,15 +148,15 @@
     }
 }
 
-// The time of a request is over, its client says KILL, or leaves, while its connection has not come up: once it
-// does, nothing of the request is written there, and the connection serves what comes next.
+// A request expires, is killed, or its client leaves while its connection is being established. The request
+// must not be written once the connection is up, and the connection serves the next one.
 #[test]
 fn what_was_given_up_is_not_sent_once_its_connection_is_up() {
     given_up(["read", "read", "keyed"]);
     given_up(["load", "keyed", "read"]);
 }
 
-/// The class of the request whose time is over, of the one that is killed, and of the one whose client leaves.
+/// Classes of the request that expires, of the one that is killed, and of the one whose client leaves.
 fn given_up(classes: [&str; 3]) {
     let executor = Executor::new();
     let filler = executor.narrows();
@@ -172,7 +173,8 @@
     d.logs("client left request=0000000000000003");
     executor.widens(filler);
     let mut peers = [0; 3].map(|_| executor.accept());
-    // What waits is written as a connection comes up: all that is to come is here as a later request is answered.
+    // Waiting requests are written when a connection is established, so all of them have arrived once a later
+    // request is answered.
     let mut next = Client::asks(d.address, &long("load", 4));
     let mut came = Vec::new();
     awaited("the last pull", || {
@@ -189,8 +191,8 @@
     assert!(peers.iter_mut().all(|peer| peer.came().is_empty()) && executor.came().is_empty());
 }
 
-// The same for a load: its client has left or has killed it, so that no answer is owed and nothing has run. It is
-// not run now.
+// The same for a load whose client has left or killed it: no answer is pending and nothing has run, so it
+// must not be sent.
 #[test]
 fn a_load_whose_client_has_left_is_not_sent_once_its_connection_is_up() {
     given_up(["read", "load", "load"]);
--- a/tests/endings/late.rs
+++ b/tests/endings/late.rs
@@ -1,9 +1,9 @@
-//! What a connection that comes up late brings too late.
+//! Attempts that are no longer allowed once their connection is established.
 
 use super::*;
 use std::time::Instant;
 
-/// Whether a pull comes there before the client has its answer.
+/// Whether the executor receives a PULL before the client has its answer.
 fn comes(executor: &Executor, client: &Client) -> bool {
     let (mut peers, mut came) = (Vec::new(), false);
     awaited("an answer or a pull", || {
@@ -17,8 +17,8 @@
     came
 }
 
-// A keyed request is repeated within its window, on a connection that comes up only after it: by then its
-// repeats are dropped no more, and it would run twice.
+// A keyed request is repeated within its deduplication window, but its connection is established only
+// afterwards. By then executors no longer drop repeats, so sending it would run it twice.
 #[test]
 fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
     let executor = Executor::new();
@@ -32,14 +32,14 @@
     peer.resets();
     dialed(executor.address, 1);
     executor.widens(filler);
-    // Their machine asks again after a second at the earliest.
+    // The kernel retransmits SYN after one second at the earliest.
     let came = comes(&executor, &client);
     assert!(!came, "sent again {:?} after it was read, in a window of 0.9 s", read.elapsed());
     assert!(matches!(client.got(), Got::Error(..)));
 }
 
-// A further attempt was within the ration as it was decided, by a request that has left the span once its
-// connection is up: sent then, it is beyond what the requests of that span allow.
+// A further attempt was within the retry budget when it was decided, because of a request that has left the
+// budget's time span by the time the connection is established. Sending it then would exceed the budget.
 #[test]
 fn a_repeat_whose_connection_comes_up_after_the_span_is_not_sent() {
     let executor = Executor::new();
@@ -58,8 +58,8 @@
     assert!(matches!(client.got(), Got::Error(..)));
 }
 
-// A load whose connection does not come up before its time is over was never written: its client is told that
-// trying again is harmless, not that it may have run. The same at the end of the program.
+// A load whose connection is not established before its deadline was never written: the client must be told
+// that a retry is safe, not that the load may have run. The same applies at shutdown.
 #[test]
 fn a_load_that_was_never_written_is_refused_not_failed() {
     for sigterm in [false, true] {
--- a/tests/endings/lists.rs
+++ b/tests/endings/lists.rs
@@ -1,22 +1,22 @@
-//! Watches that fall silent, break or move, while executors begin to drain or change places.
+//! Coordinator watches that go silent, break or move while executors drain or change addresses.
 
 use super::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Two executors, one of them up, and one that is up too once an event says so.
+/// A dispatcher with two executors: e1 is up, and e2 is draining until an event changes that.
 fn two(launch: &Launch, coordinator: &Coordinator, at: &[Executor; 2]) -> Dispatcher {
     let targets = [target("e1", at[0].address, "up"), target("e2", at[1].address, "draining")];
     launch.serving(&launch.config_of(coordinator.address, &targets))
 }
 
-/// The event by which they change: what was up drains.
+/// The event that swaps their states: e2 is up, e1 draining.
 fn swapped(index: u64, at: &[Executor; 2]) -> String {
     event(index, false, &[target("e2", at[1].address, "up"), target("e1", at[0].address, "draining")])
 }
 
-/// Requests of each effect go to one executor alone.
+/// Asserts that requests of each effect go only to executor `to`.
 fn goes_only_to(d: &Dispatcher, to: &Executor, other: &Executor, from: u64) {
     for (rid, class) in (from..).zip(CLASSES) {
         let mut client = Client::asks(d.address, &long(class, rid));
@@ -24,14 +24,14 @@
         let pull = pulled(&mut peer, rid);
         peer.page(&pull, "OK pages=1", ROW);
         served(&mut client, ROW);
-        // The next one needs a connection of its own.
+        // Forces a new connection for the next request.
         peer.resets();
     }
     assert!(other.came().is_empty(), "nothing goes where the list forbids it");
 }
 
-// The watch falls silent without a close, and an executor begins to drain right after: the watch is opened anew
-// from the last event held, and nothing new goes to that executor.
+// The watch goes silent without closing, and an executor starts to drain right after. The watch must be
+// reopened from the last event, and no new request may go to that executor.
 #[test]
 fn a_silent_watch_is_opened_anew_and_the_drain_heeded() {
     for heard in [true, false] {
@@ -53,7 +53,8 @@
     }
 }
 
-// What waits for a connection to an executor that begins to drain is moved, not sent there once it is up.
+// A request waiting for a connection to an executor that starts to drain must be moved, not sent once the
+// connection is up.
 #[test]
 fn what_waits_for_a_draining_executor_is_moved_not_sent() {
     let at = [0; 2].map(|_| Executor::new());
@@ -65,7 +66,7 @@
     dialed(at[0].address, 3);
     writeln!(feed, "{}", swapped(2, &at)).unwrap();
     d.logs("executor listed anew executor=\"e1\" state=Draining");
-    // Whatever comes up there from now on brings nothing, also a second and more later.
+    // Connections established from now on must carry nothing, even more than a second later.
     at[0].widens(filler);
     let _peers = answered(&at[1], 3);
     clients.iter_mut().for_each(|client| served(client, ROW));
@@ -73,8 +74,8 @@
     assert!(at[0].came().is_empty());
 }
 
-// The connection comes up and the drain is told in one moment, in either order: the request is taken back as
-// long as nothing of it was written, and goes to one executor only.
+// A connection is established and the drain announced at the same time. While nothing of the request has been
+// written, it is taken back, and goes to one executor only.
 #[test]
 fn a_connection_that_comes_up_as_its_executor_drains() {
     let at = [0; 2].map(|_| Executor::new());
@@ -88,7 +89,7 @@
     feed.write_all(format!("{}\n", swapped(2, &at)).as_bytes()).unwrap();
     arrived(&feed);
     at[0].widens(filler);
-    // The machine, not the process, brings the connection up.
+    // The kernel, not the process, completes the connection.
     let mut late = at[0].accept();
     d.goes_on();
     let (mut peer, pull) = next_pull(&at[1]);
@@ -98,7 +99,7 @@
     assert!(late.came().is_empty());
 }
 
-// Discovery refuses connections for seconds, and a drain is told in the first line after its return.
+// Discovery refuses connections for seconds, and announces a drain in its first line after returning.
 #[test]
 fn a_drain_at_once_with_the_return_of_discovery() {
     let at = [0; 2].map(|_| Executor::new());
@@ -117,8 +118,9 @@
     goes_only_to(&d, &at[1], &at[0], 11);
 }
 
-// A break in the middle of an event leaves half a line, also by a reset: it is no event, and the whole one is
-// taken once from the next watch, though it and the one before come twice.
+// A connection that breaks in the middle of an event, also by a reset, leaves a partial line. It must be
+// ignored, and the complete event applied once from the next watch, although it and its predecessor arrive
+// twice.
 #[test]
 fn half_an_event_is_none_and_a_second_copy_changes_nothing() {
     for reset in [false, true] {
@@ -137,7 +139,7 @@
         }
         let (mut feed, line) = coordinator.accept();
         assert_eq!(line, "follow 2\n");
-        // Event 2 again would have e1 as it was, were it taken after 3.
+        // Applying event 2 after event 3 would restore e1.
         feed.write_all(format!("{second}\n{second}\n{first}\n3\n").as_bytes()).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Removed");
         goes_only_to(&d, &at[1], &at[0], 1);
@@ -155,8 +157,9 @@
     d.signal("HUP");
 }
 
-// SIGHUP moves discovery while the old watch has brought half a line, and its other half comes in the same
-// moment as the signal: the new watch goes on from the last whole event, and the halves are not put together.
+// SIGHUP changes the coordinator while the old watch has delivered half a line, and the other half arrives
+// together with the signal. The new watch must continue from the last complete event, without joining the
+// halves.
 #[test]
 fn sighup_moves_a_watch_that_holds_half_a_line() {
     for (whole, held) in [(false, 1), (true, 2)] {
@@ -176,7 +179,7 @@
         moved(&d, &old, &new);
         d.goes_on();
         let (mut feed, asked): (TcpStream, String) = new.accept();
-        // In one moment the signal may be read before the other half: then the event is asked for again.
+        // The signal may be read before the other half: then the event is requested again.
         assert!(asked == format!("follow {held}\n") || asked == "follow 1\n", "{asked}");
         feed.write_all(line.as_bytes()).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Draining");
@@ -184,8 +187,8 @@
     }
 }
 
-// An address goes to a new executor in the very moment in which an answer of the old one comes there, and what
-// still waited for a connection to the old one is moved to the new, not lost.
+// An address is reassigned to a new executor while an answer of the old one arrives. A request still waiting
+// for a connection to the old one must be moved to the new one, not lost.
 #[test]
 fn an_address_goes_on_while_an_answer_comes() {
     let executor = Executor::new();
@@ -213,8 +216,8 @@
     assert!(executor.came().is_empty());
 }
 
-// A whole list leaves an executor out as a request comes in, in one moment: what waited for it is moved, the new
-// request goes elsewhere, and what it has out is still answered.
+// A full list omits an executor while a request arrives: requests waiting for that executor are moved, the
+// new request goes elsewhere, and outstanding requests are still answered.
 #[test]
 fn a_whole_list_that_leaves_an_executor_out() {
     let at = [0; 2].map(|_| Executor::new());
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -1,5 +1,6 @@
-//! What ends something, and what may arrive in that very moment: the program on loopback sockets against peers
-//! that bring the bad order about every time. Each story asks what is still owed, and to whom.
+//! Events that end a request, an attempt or a connection, and other events arriving at the same time. The
+//! program runs on loopback sockets against peers that force the critical order; each test checks which
+//! answers are still due, and to whom.
 
 mod answers;
 mod backlog;
@@ -17,7 +18,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A class of each effect.
+/// One class per effect.
 const CLASSES: [&str; 3] = ["read", "load", "keyed"];
 /// One page with one row.
 const ROW: &str = "1\tx\ty\n";
@@ -28,7 +29,7 @@
     launch
 }
 
-/// A request of some seconds' work, so that nothing of it is sent again only because it is slow.
+/// A request with an estimate of several seconds, so that it is not retried merely because it is slow.
 fn long(class: &str, rid: u64) -> String {
     request(class, rid, 15_000, 4_000)
 }
@@ -37,40 +38,40 @@
     format!("/* method={class},rid={rid:016x},budget={budget},est={est}.0 */ SELECT a FROM sales_7.t")
 }
 
-/// Asks, and waits until that has arrived.
+/// Sends a statement and waits until it has arrived.
 fn asks(client: &mut Client, sql: &str) {
     client.ask(sql);
     arrived(&client.stream);
 }
 
-/// What the client gets is the rows, and it is its one answer.
+/// Asserts that the client gets these rows as its only answer.
 fn served(client: &mut Client, rows: &str) {
     let rows = rows.lines().map(|r| r.split('\t').map(String::from).collect()).collect();
     assert_eq!(client.got(), Got::Rows(rows));
     alone(client);
 }
 
-/// What the client gets is an error with this number, and it is its one answer.
+/// Asserts that the client gets an error with this number as its only answer.
 fn ended(client: &mut Client, number: u16) {
     let got = client.got();
     assert!(matches!(got, Got::Error(n, _) if n == number), "{got:?} instead of {number}");
     alone(client);
 }
 
-/// Nothing comes after the answer but the next one.
+/// Asserts that no second answer arrives: the next packet answers the next statement.
 fn alone(client: &mut Client) {
     client.ask("SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
 }
 
-/// The next command is a pull of this request.
+/// Asserts that the next command is a PULL of this request, and returns its id.
 fn pulled(peer: &mut Peer, rid: u64) -> String {
     let pull = peer.command().expect("a pull");
     assert_eq!((pull[0].as_str(), &pull[1]), ("PULL", &format!("{rid:016x}")));
     pull[1].clone()
 }
 
-/// The watch of a dispatcher that holds event 1, kept alive by the number that is told every so often.
+/// Accepts the watch of a dispatcher that has event 1, and keeps it alive by repeating that number.
 fn watch(coordinator: &Coordinator) -> TcpStream {
     let (stream, line) = coordinator.accept();
     assert_eq!(line, "follow 1\n");
@@ -83,7 +84,7 @@
     stream
 }
 
-/// The next connection that brings anything, and what it brings first.
+/// The next connection that sends a command, and that command.
 fn next_pull(executor: &Executor) -> (Peer, Vec<String>) {
     loop {
         let mut peer = executor.accept();
@@ -93,7 +94,7 @@
     }
 }
 
-/// Answers so many requests, each on a connection of its own, once all of them are out.
+/// Waits for this many requests, each on its own connection, and then answers all of them.
 fn answered(executor: &Executor, requests: usize) -> Vec<Peer> {
     let mut out: Vec<_> = (0..requests).map(|_| next_pull(executor)).collect();
     for (peer, pull) in &mut out {
--- a/tests/endings/moves.rs
+++ b/tests/endings/moves.rs
@@ -1,10 +1,11 @@
-//! Discovery that moves while something is still told at the old place.
+//! A change of the coordinator while the old one still sends events.
 
 use super::*;
 use std::io::Read;
 
-// SIGHUP names a coordinator that is not there yet, and the old one tells of a drain after it: its connection was
-// dropped with the signal, so that nothing was known until the new one was there. It is followed until then.
+// SIGHUP names a coordinator that is not reachable yet, and the old one announces a drain afterwards. The old
+// connection used to be dropped on the signal, leaving the dispatcher without updates until the new one was
+// up. It must be followed until then.
 #[test]
 fn the_old_coordinator_is_followed_until_the_new_one_has_told_anything() {
     let executors = [0; 2].map(|_| Executor::new());
--- a/tests/endings/ration.rs
+++ b/tests/endings/ration.rs
@@ -1,9 +1,10 @@
-//! The ration of further attempts, small and over a short span.
+//! The retry budget, with a small ratio and a short time span.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-/// Asks so many requests one after the other at an executor that fails each, and tells how often each came.
+/// Sends requests one after another to an executor that fails each attempt, and returns the number of
+/// attempts of each.
 fn failed(d: &Dispatcher, executor: &Executor, class: &str, rids: std::ops::Range<u64>) -> Vec<usize> {
     let (mut each, mut peers) = (Vec::new(), Vec::new());
     for rid in rids {
@@ -27,13 +28,13 @@
         alone(&mut client);
         each.push(came);
     }
-    // What rests here is used no more.
+    // Idle connections are not reused.
     peers.into_iter().for_each(Peer::resets);
     each
 }
 
-// Over a long span: of all attempts so far, those beyond each request's first stay within what the ration allows
-// for the requests so far. A load that failed is never sent again.
+// Over a long span, attempts beyond each request's first must stay within the budget earned by the requests
+// so far. A failed load is never sent again.
 #[test]
 fn further_attempts_stay_within_a_small_ration() {
     let executor = Executor::new();
@@ -49,8 +50,8 @@
     assert_eq!(failed(&d, &executor, "load", 13..17), [1; 4]);
 }
 
-// Over a short span the ration comes back, and no more of it than once. Each attempt is counted at the latest
-// when it is read here, so that a span that the dispatcher counts is never longer than the one seen.
+// Over a short span the budget is replenished, but no more than once per span. Each attempt is counted no
+// later than it is read here, so the dispatcher's span is never longer than the one measured here.
 #[test]
 fn the_ration_of_a_short_span_comes_back_once() {
     let executor = Executor::new();
@@ -67,8 +68,8 @@
     }
 }
 
-// What was never sent, as its connection did not come up or was refused, is no run, but its repeats are rationed
-// too: a refused request ends, it is not tried for ever.
+// An attempt that was never sent, because its connection failed or was refused, is not a run, but retries of
+// it count against the budget too: the request must end instead of being retried forever.
 #[test]
 fn refused_connections_are_tried_no_more_often_than_allowed() {
     let refusing = Refusing::new();
--- a/tests/endings/resets.rs
+++ b/tests/endings/resets.rs
@@ -1,15 +1,16 @@
-//! Resets before, while and after a request is read, for each effect; groups and windows of repeats.
+//! Connection resets before, while and after a request is read, for each effect; deduplication groups and
+//! windows.
 
 use super::*;
 use std::time::Duration;
 
-/// When a connection is reset under a request.
+/// When the connection of a request is reset.
 #[derive(Debug, Clone, Copy)]
 enum At {
     Unread,
     HalfRead,
     Read,
-    /// After a first word on it, and a second and more.
+    /// After an intermediate NOTE and more than a second.
     LongAfter,
 }
 
@@ -30,7 +31,7 @@
     peer.resets();
 }
 
-// Once a request was written it may have run, whenever its connection is reset: what may run twice is sent
+// A request that was written may have run, whenever its connection is reset: idempotent requests are sent
 // again, a load never is, and each client gets one answer.
 #[test]
 fn a_reset_at_any_point_costs_no_second_run() {
@@ -49,7 +50,7 @@
         if class == "load" {
             ended(&mut client, 1105);
         } else {
-            // Two in a row, as far as attempts go.
+            // Two resets in a row, which the attempt limit allows.
             reset(executor.accept(), at, n);
             let mut peer = executor.accept();
             let pull = pulled(&mut peer, n);
@@ -60,8 +61,8 @@
     }
 }
 
-// A resting connection is reset, not closed, before the request that was read just before is written: not a
-// byte of it went out, so that a load too is sent anew.
+// An idle connection is reset, not closed, before a request that was just read is written: no byte was sent,
+// so even a load is sent again.
 #[test]
 fn a_request_that_could_not_be_written_never_ran() {
     for (n, class) in (1..).zip(CLASSES) {
@@ -84,7 +85,8 @@
     }
 }
 
-// Executors of another cell don't drop repeats of a keyed request: once it may have run it stays in its cell.
+// Executors of another cell do not drop repeats of a keyed request: once it may have run, it must stay in its
+// cell.
 #[test]
 fn a_keyed_request_stays_in_its_group() {
     let executors = [0; 2].map(|_| Executor::new());
@@ -105,12 +107,13 @@
         let pull = pulled(&mut peer, rid);
         peer.page(&pull, "OK pages=1", ROW);
         served(&mut client, ROW);
-        // This connection may rest where the next request goes.
+        // The next request must not reuse this idle connection.
         peer.resets();
     }
 }
 
-// Repeats are dropped for a while only: once that is over, a keyed request that may have run is not sent again.
+// Repeats are dropped only within the deduplication window: after it, a keyed request that may have run must
+// not be sent again.
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window() {
     let executor = Executor::new();
@@ -126,8 +129,8 @@
     assert!(executor.came().is_empty());
 }
 
-// A connection is reset or closed in the very moment in which it comes up, before a byte was written on it:
-// nothing ran, whatever the effect, and the request goes out on another one.
+// A connection is reset or closed as soon as it is established, before a byte is written: nothing has run,
+// whatever the effect, and the request is sent on another connection.
 #[test]
 fn a_connection_that_ends_as_it_comes_up() {
     for reset in [true, false] {
@@ -147,7 +150,7 @@
     }
 }
 
-// An answer that is whole counts, though its connection is reset right behind it.
+// A complete answer counts even if its connection is reset right after it.
 #[test]
 fn a_whole_answer_before_a_reset_counts() {
     let executor = Executor::new();
@@ -166,8 +169,9 @@
     }
 }
 
-// Whoever drops repeats in a part of the fleet only can't be asked again just anywhere: a keyed request of such
-// a class that may have run has failed, it is not refused, whether attempts are lost, hang, or SIGTERM comes.
+// A class whose repeats are dropped only within a cell cannot be safely retried by the client. A keyed
+// request of such a class that may have run must be failed, not rejected, whether its attempts are lost,
+// hang, or SIGTERM arrives.
 #[test]
 fn a_keyed_request_of_a_group_that_may_have_run_is_failed() {
     for ends_by in ["resets", "its deadline", "SIGTERM"] {
@@ -197,8 +201,8 @@
     }
 }
 
-// The entry of an executor that is gone may name no more than that: the group in which its requests may have
-// run is the one that it was listed in, and their repeats stay there.
+// The entry of a removed executor may contain nothing but its uid and state. The cell in which its requests
+// may have run is the one it was last listed in, and repeats must stay there.
 #[test]
 fn the_group_of_an_executor_that_is_gone_is_the_one_it_was_in() {
     let executors = [0; 2].map(|_| Executor::new());
--- a/tests/endings/shutdown.rs
+++ b/tests/endings/shutdown.rs
@@ -1,17 +1,18 @@
-//! SIGTERM at each point of a request's life: what was taken gets one whole answer, and the program ends by itself.
+//! SIGTERM at each stage of a request: every accepted request gets one complete answer, and the program exits
+//! by itself.
 
 use super::*;
 use std::io::{Read, Write};
 use std::time::Duration;
 
-/// When accepting has ended, as of a moment after SIGTERM.
+/// Time after SIGTERM by which accepting has ended.
 pub(super) const TAKEN_ON: Duration = Duration::from_millis(900);
 
 fn short(class: &str, rid: u64) -> String {
     request(class, rid, 15_000, 10)
 }
 
-/// A request as it stands on the wire.
+/// A request as a packet on the wire.
 pub(super) fn packet(sql: &str) -> Vec<u8> {
     let length = (sql.len() as u32 + 1).to_le_bytes();
     [&length[..3], &[0, 3], sql.as_bytes()].concat()
@@ -27,7 +28,7 @@
     (executor, dispatcher, coordinator)
 }
 
-/// The one answer of a client whose dispatcher ends; its connection is closed after it.
+/// The only answer of a client whose dispatcher shuts down; its connection must be closed after it.
 fn last(client: &mut Client) -> Got {
     let got = client.got();
     assert_ne!(got, Got::Closed, "no answer");
@@ -45,8 +46,8 @@
     assert!(matches!(got, Got::Error(n, _) if n == number), "{got:?} instead of {number}");
 }
 
-// The request's last half comes in one moment with SIGTERM, or after it and before accepting ends, while the
-// process stands still beyond that: it was taken in time either way.
+// The second half of a request arrives together with SIGTERM, or after it but before accepting ends, while
+// the process is suspended beyond that time: the request arrived in time in both cases.
 #[test]
 fn a_request_whose_end_comes_with_sigterm_or_after_it() {
     for after in [false, true] {
@@ -78,7 +79,8 @@
     }
 }
 
-// A request that stays half read was not taken: its connection ends, and the program does not wait for it.
+// A partially received request is not accepted: its connection is closed, and the shutdown does not wait for
+// it.
 #[test]
 fn half_a_request_holds_nothing_up() {
     let (_executor, mut dispatcher, _coordinator) = one();
@@ -89,7 +91,8 @@
     assert!(dispatcher.ends());
 }
 
-// What waits for a connection as SIGTERM comes is sent once it is up, and refused if it never is.
+// A request waiting for a connection at SIGTERM is sent once the connection is up, and rejected if it never
+// is.
 #[test]
 fn sigterm_while_requests_wait_for_a_connection() {
     for comes_up in [true, false] {
@@ -115,8 +118,8 @@
     }
 }
 
-// What was sent, or answered in part, as SIGTERM comes is answered whole; what its executor hangs on is told as
-// it is: refused where it may run twice, failed where it must not.
+// A request that was sent or partially answered at SIGTERM is answered in full. If its executor hangs, an
+// idempotent request is rejected and others fail.
 #[test]
 fn sigterm_while_requests_are_out() {
     for hangs in [false, true] {
@@ -125,7 +128,7 @@
             [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long(CLASSES[n - 1], n as u64)));
         let mut peers: Vec<_> = (0..3).map(|_| executor.accept()).collect();
         let ids: Vec<_> = peers.iter_mut().map(|peer| peer.command().unwrap()[1].clone()).collect();
-        // The first has its first page, the second half a page, the third nothing.
+        // The first has one page, the second half a page, the third nothing.
         peers[0].page(&ids[0], "OK pages=2", ROW);
         assert_eq!(peers[0].command().unwrap()[0], "SCROLL");
         if !hangs {
@@ -154,7 +157,7 @@
     }
 }
 
-// The first attempt is lost in one moment with SIGTERM: what may run twice is repeated on the way out and
+// The first attempt is lost together with SIGTERM: idempotent requests are retried during the shutdown and
 // served, a load fails.
 #[test]
 fn sigterm_while_requests_are_repeated() {
@@ -174,7 +177,8 @@
     assert!(executor.came().is_empty());
 }
 
-// A second SIGTERM, SIGHUP with a good file and one with a bad file, all during the shutdown, change nothing of it.
+// During the shutdown, a second SIGTERM and SIGHUP with a valid and with an invalid file have no effect on
+// it.
 #[test]
 fn more_signals_during_the_shutdown() {
     let (executor, mut dispatcher, _coordinator) = one();
@@ -197,8 +201,8 @@
     assert!(dispatcher.ends());
 }
 
-// SIGTERM as soon as the address takes connections, and both signals at once: an orderly end, with an answer to
-// who came in time.
+// SIGTERM as soon as the address accepts connections, and both signals at once: an orderly exit, and an
+// answer to every request that arrived in time.
 #[test]
 fn sigterm_right_after_the_start() {
     for both in [false, true] {
--- a/tests/endings/start.rs
+++ b/tests/endings/start.rs
@@ -1,9 +1,9 @@
-//! Ready at once after a restart, whatever is away.
+//! Readiness after a restart, whichever component is unavailable.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-/// Connects, logs in and has a COM_PING answered, with the patience of a front.
+/// Connects, logs in and sends COM_PING, within the timeout of a front end.
 fn ready(dispatcher: &Dispatcher) -> Client {
     use std::io::Write;
     let from = Instant::now();
@@ -20,8 +20,8 @@
     format!("{}\"known\":{{\"index\":0}},{}", &config[..from], &config[to..])
 }
 
-// A restart while discovery refuses, or takes connections and says nothing, and nothing is known: the front is
-// answered, and whoever asks is refused, not kept waiting.
+// A restart while discovery refuses connections, or accepts them but sends nothing, and no executors are
+// known: logins are answered, and requests are rejected instead of kept waiting.
 #[test]
 fn ready_with_discovery_away_and_nothing_known() {
     let launch = launch(&Quiet::default());
@@ -33,14 +33,14 @@
             client.ask(&long(class, n));
             ended(&mut client, 1203);
         }
-        // And it ends, too.
+        // It also shuts down.
         let mut dispatcher = dispatcher;
         dispatcher.signal("TERM");
         assert!(dispatcher.ends());
     }
 }
 
-// A dispatcher that knew nothing gets the whole list once discovery returns, by its first event.
+// A dispatcher without known executors gets the full list by the first event once discovery returns.
 #[test]
 fn the_first_event_after_nothing_was_known() {
     let (launch, away, executor) = (launch(&Quiet::default()), Refusing::new(), Executor::new());
@@ -53,7 +53,7 @@
     use std::io::Write;
     writeln!(feed, "{}", event(1, true, &[target("e1", executor.address, "up")])).unwrap();
     writeln!(feed, "{}", event(2, false, &[target("e9", executor.address, "removed")])).unwrap();
-    // No line tells of a first listing: it is asked until it is there, each time under a new id.
+    // The first listing is not logged, so requests with new ids are sent until the executor is used.
     let (mut rid, mut found) = (1, None);
     awaited("an executor", || {
         client.ask(&long("load", rid));
@@ -76,8 +76,8 @@
     served(&mut client, ROW);
 }
 
-// All executors hang as it starts: connections don't come up, or come up and bring nothing. The front is
-// answered at once, and the requests by the dispatcher's own clock.
+// All executors hang at startup: connections are not established, or carry nothing. Logins are answered at
+// once, and requests by the dispatcher's own deadline.
 #[test]
 fn ready_while_all_executors_hang() {
     let [narrow, mute] = [0; 2].map(|_| Executor::new());
--- a/tests/held_back/main.rs
+++ b/tests/held_back/main.rs
@@ -1,17 +1,18 @@
-//! Requests that their client held back before it wrote them, as the protocol has it space those of one key: its time has run
-//! meanwhile. Real processes on loopback sockets.
+//! Requests that their client delayed before sending, because the protocol requires it to space requests for
+//! the same key: their time budgets have been running. Real processes on loopback sockets.
 
 use standins::executor::Executor;
 use standins::scripted::*;
 use std::time::Duration;
 
-/// How long an executor takes for a load, and how often its client wants one: far more than can be run.
+/// Run time of a load, and the interval at which its client issues them: far more than can be run.
 const WORK: Duration = Duration::from_millis(400);
 const PACE: Duration = Duration::from_millis(100);
 const REQUESTS: u64 = 30;
-/// How long the client waits.
+/// Time budget of each request.
 const BUDGET: Duration = Duration::from_secs(4);
-/// Loads that can be run within the budget, one after the other, less the first that fills a line and the last that is cut.
+/// Loads that can be run in sequence within the budget, except the first, which fills the queue, and the
+/// last, which is cut off.
 const SERVED_AT_LEAST: usize = 6;
 
 fn load(rid: u64) -> String {
@@ -21,7 +22,7 @@
     )
 }
 
-/// A hot key's requests, at a dispatcher with one executor.
+/// Sends a hot key's requests to a dispatcher with one executor.
 fn hot_key(spaces: bool) -> Vec<SpacedRequest> {
     let executor = Executor::new(|_| WORK).expect("an executor");
     let mut launch = Launch::new(env!("CARGO_BIN_EXE_ottercroft"), env!("CARGO_TARGET_TMPDIR"));
@@ -42,14 +43,15 @@
     assert!(served >= SERVED_AT_LEAST, "{served} served: {requests:#?}");
 }
 
-// The operators' incident of 2026-12-02: the line of a hot key is full, and what is in it was wanted seconds before it was
-// written. The whole budget was counted from the read, so that answers came when the clients had gone.
+// Reproduces the operators' incident of 2026-12-02: the queue of a hot key is full, and its requests were
+// issued seconds before they were written. The full budget used to be counted from the read, so that answers
+// came after the clients had left.
 #[test]
 fn have_their_answer_before_their_client_goes() {
     none_is_lost(&hot_key(true));
 }
 
-// The same traffic, written when it is wanted: what it tells from the one above is the spacing alone.
+// The same traffic, sent as soon as it is issued; the spacing is the only difference from the test above.
 #[test]
 fn are_answered_in_time_where_nothing_is_held_back() {
     none_is_lost(&hot_key(false));
--- a/tests/slow_turns/deadlines.rs
+++ b/tests/slow_turns/deadlines.rs
@@ -1,13 +1,13 @@
-//! The time that is passed on to an executor: no more than the client still waits, with 0.15 s of slack.
+//! The time limit sent to an executor: at most the time the client still waits, plus 0.15 s of slack.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-/// What the client waits in all, and by how much more may be passed on than it has left.
+/// Total time the client waits, and by how much the forwarded time limit may exceed what is left of it.
 const BUDGET_MS: u128 = 15_000;
 const SLACK_MS: u128 = 150;
 
-/// The time passed on with a pull is no more than is left of a request that was asked then.
+/// Asserts that the time limit in a PULL is at most what is left of a request sent at `asked`.
 fn within_what_is_left(pull: &[String], asked: Instant) {
     let passed_on = pull[2].split(',').find_map(|f| f.strip_prefix("ms=")).expect("a time");
     let passed_on: u128 = passed_on.parse().expect("milliseconds");
@@ -15,8 +15,8 @@
     assert!(passed_on <= left + SLACK_MS, "{passed_on} ms passed on, {left} ms left");
 }
 
-// A request was read at the beginning of a turn that took long, and goes out at its end: the budget that is passed on was
-// too long by that turn.
+// A request is read at the beginning of a long turn and sent at its end. The forwarded time limit used to be
+// too long by the duration of that turn.
 #[test]
 fn counts_the_turn_that_it_was_read_in() {
     let executor = Executor::new();
@@ -36,8 +36,8 @@
     assert_eq!(client.got(), row());
 }
 
-// A client is not read for a while after mistakes of its own. What it asked meanwhile has waited for that pause, and its
-// budget has run.
+// A client is not read for a while after errors. A request that it sends during the pause must have the pause
+// deducted from its budget.
 #[test]
 fn counts_the_pause_after_a_mistake() {
     let executor = Executor::new();
@@ -56,8 +56,8 @@
     assert_eq!(client.got(), row());
 }
 
-// A request came during one turn. The next turn did something else that took long before it read the request: that time
-// counts as well.
+// A request arrives during one turn, and the next turn spends a long time on other work before reading it:
+// that time must be deducted too.
 #[test]
 fn counts_what_the_turn_did_before_it_was_read() {
     let executor = Executor::new();
@@ -77,7 +77,7 @@
     assert_eq!(client.got(), row());
 }
 
-// The same on a connection that nobody has accepted yet, with its login ahead of it.
+// The same on a connection that is not accepted yet, with its login ahead of the request.
 #[test]
 fn counts_what_the_turn_did_before_it_was_accepted() {
     let executor = Executor::new();
--- a/tests/slow_turns/departed.rs
+++ b/tests/slow_turns/departed.rs
@@ -1,12 +1,12 @@
-//! Clients that leave in the middle of a long turn: no attempt may begin for them more than 0.1 s later.
+//! Clients that leave during a long turn: no attempt may start for them more than 0.1 s later.
 
 use super::*;
 use std::time::Duration;
 
-/// Longer than an attempt may begin after its client has left.
+/// Longer than an attempt may start after its client has left.
 const OVERDUE: Duration = Duration::from_millis(250);
 
-/// The next request to reach the executor has to be another client's.
+/// Asserts that the next request to reach the executor is another client's.
 fn nothing_began(dispatcher: &Dispatcher, peer: &mut Peer) {
     let mut next = Client::asks(dispatcher.address, &request("read", 0xaf, ""));
     let pull = peer.command().expect("a pull");
@@ -15,8 +15,8 @@
     assert_eq!(next.got(), row());
 }
 
-// A turn reads two requests and then takes long. One client closes meanwhile, the other is killed: neither request may
-// begin once the turn goes on.
+// A turn reads two requests and then takes long. Meanwhile one client disconnects and the other is killed:
+// neither request may start when the turn continues.
 #[test]
 fn as_it_arrived() {
     let executor = Executor::new();
@@ -38,8 +38,8 @@
     assert_eq!(killer.got(), Got::Ok);
 }
 
-// A request is read in a long turn. Its KILL comes meanwhile on a connection that waits in the backlog, behind a hundred
-// others: it has to be accepted and read before the request may begin.
+// A request is read in a long turn. Its KILL arrives on a connection in the backlog, behind a hundred others:
+// that connection must be accepted and read before the request may start.
 #[test]
 fn killed_from_the_backlog() {
     let executor = Executor::new();
@@ -59,8 +59,8 @@
     drop(crowd);
 }
 
-// A load may have run, so that the next one of its key waits for a quiet time. That time ends in a long turn, in which the
-// client of the next one leaves: the timer must not begin it.
+// A load may have run, so the next one for its key waits for a quiet period. The period ends in a long turn
+// in which the next load's client leaves: the timer must not start it.
 #[test]
 fn due_by_a_timer() {
     let executor = Executor::new();
@@ -80,8 +80,8 @@
     nothing_began(&dispatcher, &mut peer);
 }
 
-// Two loads of a key: the second waits for the first. The first has its answer in a long turn, in which the second's
-// client leaves: the second must not begin.
+// Two loads for a key: the second waits for the first. The first is answered in a long turn in which the
+// second's client leaves: the second must not start.
 #[test]
 fn next_of_its_key() {
     let executor = Executor::new();
@@ -102,7 +102,8 @@
     nothing_began(&dispatcher, &mut spare);
 }
 
-// A request waits for its connection, which comes up in a long turn. Its client leaves in that turn: nothing is written.
+// A request waits for its connection, which is established in a long turn. Its client leaves in that turn:
+// nothing may be written.
 #[test]
 fn waits_for_its_connection() {
     let executor = Executor::new();
@@ -120,8 +121,8 @@
     nothing_began(&dispatcher, &mut peer.expect("its connection"));
 }
 
-// A request's first attempt is lost in a long turn, and another executor could take a second one. Its client leaves in
-// that turn: there is no second attempt.
+// A request's first attempt is lost in a long turn, and another executor could take a second one. Its client
+// leaves in that turn: there must be no second attempt.
 #[test]
 fn sent_again_elsewhere() {
     let executors = [Executor::new(), Executor::new()];
@@ -142,7 +143,7 @@
     assert_eq!(next.got(), row());
 }
 
-/// Idle connections to all of these executors.
+/// Establishes idle connections to all of these executors.
 fn with_idle_connections(dispatcher: &Dispatcher, executors: &[&Executor]) -> Vec<Peer> {
     let (mut clients, mut peers) = (Vec::new(), Vec::new());
     let mut met = vec![false; executors.len()];
@@ -150,7 +151,7 @@
         if met.iter().all(|m| *m) {
             break;
         }
-        // All stay open for now, so that each has a connection of its own.
+        // All requests stay open for now, so that each has its own connection.
         clients.push(Client::asks(dispatcher.address, &request("read", rid, "")));
         let (at, mut peer) = Executor::any(executors);
         met[at] = true;
@@ -162,7 +163,7 @@
     peers.into_iter().map(|(peer, _)| peer).collect()
 }
 
-/// The next pull on any of some connections, and on which.
+/// Waits for the next PULL on any of these connections; returns the connection's index and the PULL.
 fn next_pull(peers: &mut [Peer]) -> (usize, Vec<String>) {
     let mut found = None;
     awaited("a pull", || {
@@ -173,7 +174,7 @@
     (at, peers[at].command().expect("a pull"))
 }
 
-/// Whether something is here to be read.
+/// Whether unread data is available.
 fn has_something(peer: &Peer) -> bool {
     let stream = peer.stream();
     stream.set_nonblocking(true).expect("a socket");
--- a/tests/slow_turns/main.rs
+++ b/tests/slow_turns/main.rs
@@ -1,6 +1,6 @@
-//! A turn of the loop that takes long: what the program knew at its beginning is stale by its end. Real processes on
-//! loopback sockets; the turn is held up by SIGHUP with a configuration that comes through a pipe, so that what happens
-//! in its middle happens there every time.
+//! Long event loop turns: what the program knew at the beginning of the turn is outdated at its end. Real
+//! processes on loopback sockets. SIGHUP with a configuration that is read from a pipe blocks the turn, so
+//! that events reliably happen in its middle.
 
 mod deadlines;
 mod departed;
@@ -10,7 +10,7 @@
 use long_turn::LongTurn;
 use standins::scripted::*;
 
-/// A dispatcher with settings that send nothing but what a test asks for; loads keep the order of their key.
+/// A dispatcher that sends nothing that a test does not request; loads keep the order of their key.
 fn dispatcher(key_quiet_s: f64, executors: &[&Executor]) -> (Dispatcher, Coordinator) {
     let mut launch = Launch::new(env!("CARGO_BIN_EXE_ottercroft"), env!("CARGO_TARGET_TMPDIR"));
     let load = r#""effect":"non_idempotent""#;
@@ -25,7 +25,7 @@
     launch.dispatcher(&listed)
 }
 
-/// A request of a class that its client waits 15 s for.
+/// A request of a class with a time budget of 15 s.
 fn request(class: &str, rid: u64, more: &str) -> String {
     format!("/* method={class},rid={rid:016x},budget=15000,est=10.0{more} */ SELECT a FROM sales_7.t")
 }
@@ -34,19 +34,19 @@
     Got::Rows(vec![["1", "x", "y"].map(String::from).to_vec()])
 }
 
-/// A client that is logged in and asks nothing.
+/// A logged-in client without an open request.
 fn logged_in_client(dispatcher: &Dispatcher) -> Client {
     let mut client = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
     client
 }
 
-/// Answers what was pulled.
+/// Answers a PULL.
 fn answer(peer: &mut Peer, pull: &[String]) {
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
 }
 
-/// Has a request served, so that a connection to the executor is up and idle.
+/// Serves a request, so that an idle connection to the executor exists.
 fn with_idle_connection(dispatcher: &Dispatcher, executor: &Executor) -> Peer {
     let mut client = Client::asks(dispatcher.address, &request("read", 0xa0, ""));
     let mut peer = executor.accept();
--- a/tests/slow_turns/shutdown.rs
+++ b/tests/slow_turns/shutdown.rs
@@ -1,10 +1,10 @@
-//! SIGTERM while turns take long: what was read has its answer before the end.
+//! SIGTERM during long turns: every request that was read is answered before the exit.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-// Requests that were read in a turn that lasts past the dispatcher's own time: they never began, and nothing but their
-// clients' sessions knew of them.
+// Requests are read in a turn that lasts past the dispatcher's own time limit. They never started, and only
+// their clients' sessions knew of them.
 #[test]
 fn what_was_read_and_never_began_is_refused_at_the_end() {
     let executor = Executor::new();
@@ -17,7 +17,7 @@
             arrived(&client.stream);
         }
     });
-    // The longest deadline is taken as 3 s: with 0.4 s more the dispatcher's time is over.
+    // The longest deadline counts as 3 s: 0.4 s after it the dispatcher's time limit has passed.
     turn.end_after(Duration::from_millis(3_500));
     for client in &mut clients {
         match client.got() {
@@ -28,10 +28,11 @@
     assert!(dispatcher.ends());
 }
 
-/// The platform kills no sooner than this after SIGTERM: the longest deadline counts as 3 s, and 0.7 s more.
+/// The platform kills the process no sooner than this after SIGTERM: the longest deadline counts as 3 s, plus
+/// 0.7 s.
 const KILLED_AFTER: Duration = Duration::from_millis(3_700);
 
-// The platform counts from the signal, whenever it is heeded.
+// The platform counts from the arrival of the signal, however late it is processed.
 #[test]
 fn a_signal_in_a_long_turn_counts_from_when_it_came() {
     let executor = Executor::new();
@@ -49,7 +50,7 @@
     assert!(dispatcher.ends());
 }
 
-// As long as new requests may come, each is answered, however late the signal was heeded.
+// While new requests are accepted, each is answered, however late the signal is processed.
 #[test]
 fn a_signal_in_a_long_turn_leaves_the_time_for_what_still_comes() {
     let executor = Executor::new();
@@ -57,7 +58,7 @@
     let mut early = logged_in_client(&dispatcher);
     let turn = LongTurn::begin(&dispatcher, || ());
     dispatcher.signal("TERM");
-    // Longer than what is begun could still be seen to its end.
+    // Longer than a started request would be given to complete.
     turn.end_after(Duration::from_millis(3_300));
     early.ask(&request("load", 0xa1, ""));
     let mut late = Client::asks(dispatcher.address, &request("load", 0xa2, ""));
