--- a/src/arrivals/key_spacing.rs
+++ b/src/arrivals/key_spacing.rs
@@ -13,16 +13,16 @@
 
 /// Minimum time between the writes of two requests for the same key, in microseconds (protocol, "Clients to
 /// dispatchers").
-const SPACING: Micros = 60_000;
+const MIN_SPACING: Micros = 60_000;
 /// Minimum time if the earlier request opened a new connection, in microseconds.
-const SPACING_AFTER_NEW_CONNECTION: Micros = 250_000;
+const MIN_SPACING_AFTER_NEW_CONNECTION: Micros = 250_000;
 /// Tolerance that the protocol allows on any of its intervals, in microseconds.
-const SLACK: Micros = 50_000;
+const SPACING_TOLERANCE: Micros = 50_000;
 /// At least a quarter of the time budget is always kept, however long the run: a client that naturally sends
 /// at the minimum interval and delays nothing must still be served.
-const LEAST_BUDGET_DIVISOR: Micros = 4;
+const MIN_BUDGET_DIVISOR: Micros = 4;
 /// Capacity of the key cache; larger than the number of keys that arrive within any spacing interval.
-const REMEMBERED_KEYS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
+const MAX_TRACKED_KEYS: NonZeroUsize = NonZeroUsize::new(8192).unwrap();
 
 /// The most recent request for a key.
 #[derive(Debug, Clone, Copy)]
@@ -47,7 +47,7 @@
 impl RequestSpacing {
     /// Upper bound of the client-side delay, in microseconds.
     pub fn held_back(&self, arrived: Occurrence, budget: Micros) -> Micros {
-        let most = budget - budget / LEAST_BUDGET_DIVISOR;
+        let most = budget - budget / MIN_BUDGET_DIVISOR;
         arrived.earliest.saturating_sub(self.wanted_at).min(most)
     }
 }
@@ -57,7 +57,7 @@
 
 impl Default for KeySpacing {
     fn default() -> KeySpacing {
-        KeySpacing(LruCache::new(REMEMBERED_KEYS))
+        KeySpacing(LruCache::new(MAX_TRACKED_KEYS))
     }
 }
 
@@ -80,9 +80,9 @@
     /// spacing. A request that certainly arrived sooner comes from clients that do not space their requests
     /// and so delay nothing.
     fn may_hold_back(&self, next: Occurrence) -> bool {
-        let spacing = if self.on_new_connection { SPACING_AFTER_NEW_CONNECTION } else { SPACING };
-        let is_spaced = next.longest_since(self.arrived) >= SPACING - SLACK;
-        is_spaced && next.shortest_since(self.arrived) <= spacing + SLACK
+        let spacing = if self.on_new_connection { MIN_SPACING_AFTER_NEW_CONNECTION } else { MIN_SPACING };
+        let is_spaced = next.longest_since(self.arrived) >= MIN_SPACING - SPACING_TOLERANCE;
+        is_spaced && next.shortest_since(self.arrived) <= spacing + SPACING_TOLERANCE
     }
 }
 
--- a/src/clock/wall.rs
+++ b/src/clock/wall.rs
@@ -5,11 +5,11 @@
 
 /// Smallest change of the offset that counts as a step, in microseconds; smaller changes are gradual
 /// corrections.
-const LEAST_STEP: Micros = 500_000;
+const MIN_STEP: Micros = 500_000;
 /// Maximum time that another machine's wall clock may be ahead of ours, in microseconds.
-const MOST_AHEAD: Micros = 1_000_000;
+const MAX_CLOCK_SKEW: Micros = 1_000_000;
 /// Number of offsets kept from before the most recent steps.
-const REMEMBERED_OFFSETS: usize = 8;
+const MAX_OFFSETS: usize = 8;
 
 /// History of the offset between the wall clock and the monotonic clock.
 #[derive(Debug, Clone, Default)]
@@ -24,13 +24,13 @@
     pub fn observe(&mut self, now: Micros, unix: Micros) {
         let offset = i128::from(unix) - i128::from(now);
         match self.offsets.front_mut() {
-            Some(last) if last.abs_diff(offset) < u128::from(LEAST_STEP) => *last = offset,
+            Some(last) if last.abs_diff(offset) < u128::from(MIN_STEP) => *last = offset,
             _ => {
                 if !self.offsets.is_empty() {
                     tracing::warn!(by_s = (offset - self.offsets[0]) / 1_000_000, "wall clock stepped");
                 }
                 self.offsets.push_front(offset);
-                self.offsets.truncate(REMEMBERED_OFFSETS);
+                self.offsets.truncate(MAX_OFFSETS);
             }
         }
     }
@@ -39,7 +39,7 @@
     /// before or after a step, so every remembered offset is tried and the latest result that is not in the
     /// future is used.
     pub fn to_monotonic(&self, now: Micros, unix: Micros) -> Micros {
-        let latest = i128::from(now) + i128::from(MOST_AHEAD);
+        let latest = i128::from(now) + i128::from(MAX_CLOCK_SKEW);
         let moments = self.offsets.iter().map(|offset| i128::from(unix) - offset);
         let past = moments.filter(|moment| *moment <= latest).max();
         past.map_or(now, |moment| Micros::try_from(moment).unwrap_or(0).min(now))
--- a/src/net/admin/calls.rs
+++ b/src/net/admin/calls.rs
@@ -5,7 +5,7 @@
 use crate::dispatch::WatchEvent;
 use crate::net::DispatcherServer;
 use crate::net::event_loop::poll::Key;
-use crate::net::limits::LEAVE_PATIENCE;
+use crate::net::limits::LEAVE_GRACE;
 use std::io;
 
 impl DispatcherServer {
@@ -149,7 +149,7 @@
             return;
         }
         let Some(s) = self.sessions.by_key.get_mut(&key) else { return };
-        if s.may_close(now, LEAVE_PATIENCE) && !s.has_unread() {
+        if s.may_close(now, LEAVE_GRACE) && !s.has_unread() {
             self.finish_client(key, now);
         }
     }
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -12,12 +12,12 @@
 use std::net::TcpStream;
 
 /// Maximum connections accepted in one batch.
-const BATCH: usize = 64;
+const BATCH_SIZE: usize = 64;
 /// Number of batches that empty a full backlog. The loop is bounded because a connection flood refills the
 /// backlog as fast as it is emptied.
-const MOST_BATCHES: usize = BACKLOG.div_ceil(BATCH);
+const MAX_BATCHES: usize = BACKLOG.div_ceil(BATCH_SIZE);
 /// Time a newly connected client has to send something before it may be closed to make room.
-const CONNECT_PATIENCE: Micros = 100_000;
+const CONNECT_GRACE: Micros = 100_000;
 
 /// Whether the backlog may contain more connections after a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     }
 
     fn accept_batches(&mut self, now: Micros) -> Backlog {
-        for _ in 0..MOST_BATCHES {
+        for _ in 0..MAX_BATCHES {
             if self.accept_batch(now) == Backlog::Done {
                 return Backlog::Done;
             }
@@ -46,7 +46,7 @@
     }
 
     fn accept_batch(&mut self, now: Micros) -> Backlog {
-        for _ in 0..BATCH {
+        for _ in 0..BATCH_SIZE {
             let Some(socket) = self.listener.socket() else { return Backlog::Done };
             match system_calls::accept(socket) {
                 Ok(stream) => self.admit_client(stream, now),
@@ -116,7 +116,7 @@
     /// Closes the newest idle client to free a descriptor. Only a client without an open request and without
     /// unwritten or unread data qualifies; returns false if there is none.
     pub(in crate::net) fn shed_idle_client(&mut self, now: Micros) -> bool {
-        let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_PATIENCE).map(|_| *k);
+        let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_GRACE).map(|_| *k);
         let all = self.sessions.by_key.iter().rev();
         let Some(key) = all.filter_map(spare).find(|k| self.sessions.has_nothing_unread(*k)) else {
             return false;
@@ -149,7 +149,7 @@
     /// there is none.
     pub(in crate::net) fn evict_idle_client(&mut self, now: Micros) -> bool {
         let rank = |(k, s): (&Key, &Session)| {
-            s.eviction_rank(now, CONNECT_PATIENCE).filter(|(r, _)| *r > 0).map(|r| (r, *k))
+            s.eviction_rank(now, CONNECT_GRACE).filter(|(r, _)| *r > 0).map(|r| (r, *k))
         };
         let mut idle: Vec<_> = self.sessions.by_key.iter().filter_map(rank).collect();
         idle.sort_unstable();
--- a/src/net/clients/session/lifecycle.rs
+++ b/src/net/clients/session/lifecycle.rs
@@ -14,7 +14,7 @@
 const LINGER_TIMEOUT: Micros = 1_000_000;
 /// The protocol's upper bound on how long after our shutdown of the connection a request may still arrive
 /// that the client sent before it, in microseconds.
-const CROSSING_TIME: Micros = 50_000;
+const MAX_TRANSIT_TIME: Micros = 50_000;
 /// A client that reads nothing of its answer for this long is disconnected, in microseconds.
 const WRITE_TIMEOUT: Micros = 30_000_000;
 
@@ -45,10 +45,10 @@
     }
 
     /// Whether the connection may be closed after `LEAVE`: no request is open or partially received, and the
-    /// client has sent a command or had `patience` to send one.
-    pub fn may_close(&self, now: Micros, patience: Micros) -> bool {
+    /// client has sent a command or had `grace` to send one.
+    pub fn may_close(&self, now: Micros, grace: Micros) -> bool {
         let rests = self.open.is_none() && self.closing_since.is_none() && self.inbox.bytes().is_empty();
-        rests && (self.sent_command || now > self.connected_at + patience)
+        rests && (self.sent_command || now > self.connected_at + grace)
     }
 
     /// Stops accepting input; the connection closes once all queued output is written.
@@ -59,7 +59,7 @@
     /// Whether the write side was closed long enough ago that anything the client sent before it saw the
     /// close has arrived.
     pub fn end_has_settled(&self, now: Micros) -> bool {
-        self.write_side_closed && self.closing_since.is_some_and(|t| now > t + 2 * CROSSING_TIME)
+        self.write_side_closed && self.closing_since.is_some_and(|t| now > t + 2 * MAX_TRANSIT_TIME)
     }
 
     /// Whether the connection is closing and accepts no input.
@@ -83,16 +83,16 @@
     }
 
     /// Rank for eviction, lowest first; `None` if the connection must not be evicted. Closing connections
-    /// come first, then those that sent no command within `patience`, then all others; within each group the
+    /// come first, then those that sent no command within `grace`, then all others; within each group the
     /// longest idle comes first. A connection with an open request, unwritten output or a partial packet is
     /// never evicted; the caller must also check for [unread data](Session::has_unread).
-    pub fn eviction_rank(&self, now: Micros, patience: Micros) -> Option<(u8, Micros)> {
+    pub fn eviction_rank(&self, now: Micros, grace: Micros) -> Option<(u8, Micros)> {
         let rests = self.open.is_none() && self.is_flushed();
-        if let Some(since) = self.closing_since.filter(|t| rests && now > *t + patience) {
+        if let Some(since) = self.closing_since.filter(|t| rests && now > *t + grace) {
             return Some((0, since));
         }
         let quiet = rests && self.inbox.bytes().is_empty() && self.paused_until.is_none();
-        let silent = !self.sent_command && now > self.connected_at + patience;
+        let silent = !self.sent_command && now > self.connected_at + grace;
         let spare = quiet && self.closing_since.is_none() && (self.sent_command || silent);
         spare.then_some((1 + u8::from(self.sent_command), self.active_at))
     }
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -29,9 +29,9 @@
 
 /// Base duration of the read pause after a client error, in microseconds; it doubles with each consecutive
 /// error.
-const MISTAKE_PAUSE: Micros = 10_000;
+const ERROR_PAUSE: Micros = 10_000;
 /// The connection closes after this many consecutive client errors.
-const MOST_MISTAKES: u32 = 8;
+const MAX_CONSECUTIVE_ERRORS: u32 = 8;
 /// Length of a quit command: the packet header and the command byte.
 const QUIT_LENGTH: usize = 5;
 
@@ -185,11 +185,11 @@
     /// forever.
     pub fn reject_mistake(&mut self, error: impl Into<Error>, now: Micros) {
         self.mistakes_in_a_row += 1;
-        if self.mistakes_in_a_row >= MOST_MISTAKES {
+        if self.mistakes_in_a_row >= MAX_CONSECUTIVE_ERRORS {
             return self.close_with_error(error, now);
         }
         self.answer_error(error);
-        self.paused_until = Some(now + (MISTAKE_PAUSE << self.mistakes_in_a_row));
+        self.paused_until = Some(now + (ERROR_PAUSE << self.mistakes_in_a_row));
         self.unread_since = Some(self.received.earliest);
     }
 
--- a/src/net/clients/session/reading.rs
+++ b/src/net/clients/session/reading.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 /// Maximum number of bytes discarded from a closing connection while the client reads its last answer.
-const MOST_DISCARDED: usize = 256 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 impl Session {
     /// Reads once; `noticed` bounds the arrival time of the bytes in a watched socket. Returns false if the
@@ -30,13 +30,13 @@
     }
 
     /// Reads once from a closing connection and discards the bytes. Returns false if the client has
-    /// disconnected or has sent more than [`MOST_DISCARDED`].
+    /// disconnected or has sent more than [`MAX_DISCARDED_BYTES`].
     fn discard(&mut self) -> bool {
         let mut bytes = [0; 4096];
         match system_calls::read(&mut self.stream, &mut bytes) {
             Ok(n) => {
                 self.discarded_bytes += n;
-                n > 0 && self.discarded_bytes < MOST_DISCARDED
+                n > 0 && self.discarded_bytes < MAX_DISCARDED_BYTES
             }
             Err(e) => may_read_later(&e),
         }
--- a/src/net/clients/session/request.rs
+++ b/src/net/clients/session/request.rs
@@ -8,9 +8,9 @@
 use crate::settings::Names;
 
 /// Largest value of a numeric field: a budget of eleven days in milliseconds, or a petabyte in megabytes.
-const LARGEST_NUMBER: f64 = 1e9;
+const MAX_NUMBER: f64 = 1e9;
 /// Maximum length of an idempotency token, in bytes: twice the length of a UUID in text form.
-const LONGEST_TOKEN: usize = 72;
+const MAX_TOKEN_LENGTH: usize = 72;
 /// Number of hex digits of an id.
 const ID_DIGITS: usize = 16;
 
@@ -65,7 +65,7 @@
 }
 
 fn parse_number(field: &'static str, text: &str) -> Result<f64, ClientError> {
-    let number = text.parse::<f64>().ok().filter(|number| (0.0..=LARGEST_NUMBER).contains(number));
+    let number = text.parse::<f64>().ok().filter(|number| (0.0..=MAX_NUMBER).contains(number));
     number.ok_or(fault(field, "not a number"))
 }
 
@@ -81,6 +81,6 @@
 /// for another part of the line.
 fn parse_token(text: &str) -> Result<&str, ClientError> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    let is_token = !text.is_empty() && text.len() <= LONGEST_TOKEN && text.bytes().all(is_plain);
+    let is_token = !text.is_empty() && text.len() <= MAX_TOKEN_LENGTH && text.bytes().all(is_plain);
     if is_token { Ok(text) } else { Err(fault("token", "not a short word")) }
 }
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -36,7 +36,7 @@
     /// Serves until SIGTERM, and then until every accepted request has its answer.
     pub fn run(&mut self) -> io::Result<()> {
         // Sized so that one poll returns all ready sockets.
-        let mut events = polling::Events::with_capacity(self.descriptors.most_open());
+        let mut events = polling::Events::with_capacity(self.descriptors.max_open());
         loop {
             let now = self.clock.now();
             if self.advance_shutdown(now) {
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -12,7 +12,7 @@
 pub type Key = usize;
 
 /// Maximum delay before a registration change is retried that failed for lack of kernel memory.
-const RETRY_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A registration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     pub fn wait(&self, events: &mut Events, most: Duration) -> io::Result<()> {
         events.clear();
         self.retry_pending();
-        let most = if self.pending.borrow().is_empty() { most } else { most.min(RETRY_INTERVAL) };
+        let most = if self.pending.borrow().is_empty() { most } else { most.min(MAX_RETRY_DELAY) };
         match self.poller.wait(events, Some(most)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
             _ => Ok(()),
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -10,7 +10,7 @@
 use fleet::ledger::Record;
 
 /// Placeholder key of a request without a client; poller keys count from 1.
-const NOBODY: Key = 0;
+const NO_CLIENT: Key = 0;
 
 impl DispatcherServer {
     /// Processes the record's timers, both at the beginning and at the end of a turn: a lease that expired
@@ -74,7 +74,7 @@
             held_back: false,
         };
         let job = Job { kind, statement: statement.into(), token: None };
-        self.requests.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
+        self.requests.open.insert(record.rid, OpenRequest { client: NO_CLIENT, job, arrival: None });
         let under = self.rules.as_ref().filter(|r| r.part.number() != record.policy);
         let under = under.and_then(|r| r.under(record.policy));
         match self.dispatch.adopt(now, &request, record.tried.len(), under) {
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -8,4 +8,4 @@
 pub(super) const CLIENT_POLL_VALID: Micros = 50_000;
 /// After `LEAVE`, a client that has not sent a command yet is kept this long before it may be closed, in
 /// microseconds.
-pub(super) const LEAVE_PATIENCE: Micros = 1_000_000;
+pub(super) const LEAVE_GRACE: Micros = 1_000_000;
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -14,7 +14,7 @@
 use std::io::Read as _;
 
 /// Time limit for agreement, in microseconds; a call must be answered within a second in any case.
-const AGREED: Micros = 800_000;
+const AGREEMENT_TIMEOUT: Micros = 800_000;
 /// Condition that an operator's call waits for.
 pub(super) enum For {
     /// The change proposed here at this time is under way; a different change under way excludes it.
@@ -127,7 +127,7 @@
 
     /// Queues a call until its condition holds.
     pub(super) fn wait(&mut self, caller: Key, what: For, now: Micros) {
-        self.waiting.push(WaitingCall { caller, what, until: now + AGREED });
+        self.waiting.push(WaitingCall { caller, what, until: now + AGREEMENT_TIMEOUT });
     }
 
     /// Removes the calls whose condition holds or whose time limit has passed, and returns their answers.
--- a/src/net/policy_status.rs
+++ b/src/net/policy_status.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 
 /// Maximum number of faults shown per vote.
-const SHOWN: usize = 4;
+const MAX_FAULTS_SHOWN: usize = 4;
 
 /// The answer to `POLICY STATUS`.
 pub(super) fn status(p: &Policies, here: u64, now: Micros) -> String {
@@ -43,10 +43,10 @@
 }
 
 fn faults_of(text: &mut String, number: u64, peer: fleet::Peer, faults: &[String]) {
-    for fault in faults.iter().take(SHOWN) {
+    for fault in faults.iter().take(MAX_FAULTS_SHOWN) {
         let _ = writeln!(text, "{number} peer {peer}: {}", shown(fault));
     }
-    if faults.len() > SHOWN {
-        let _ = writeln!(text, "{number} peer {peer}: {} more", faults.len() - SHOWN);
+    if faults.len() > MAX_FAULTS_SHOWN {
+        let _ = writeln!(text, "{number} peer {peer}: {} more", faults.len() - MAX_FAULTS_SHOWN);
     }
 }
--- a/src/net/rules.rs
+++ b/src/net/rules.rs
@@ -13,7 +13,7 @@
 
 /// Number of prepared settings to keep: those of the policy in force, of earlier policies that in-flight
 /// requests may be under, and of the pending policy.
-const READY: usize = machine::PAST + 2;
+const MAX_PREPARED: usize = machine::PAST + 2;
 
 /// A request held until a policy change takes effect or is given up.
 pub(super) struct Held {
@@ -104,7 +104,7 @@
             }
         }
         let current = part.number();
-        while all.len() > READY {
+        while all.len() > MAX_PREPARED {
             let Some(old) = all.keys().copied().find(|n| *n != current) else { break };
             all.remove(&old);
         }
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -18,7 +18,7 @@
 /// in microseconds.
 const KILL_MARGIN: Micros = 700_000;
 /// Longer class deadlines count as this value for the platform, in microseconds.
-const LONGEST_DEADLINE: Micros = 3_000_000;
+const MAX_DEADLINE: Micros = 3_000_000;
 /// Open requests are given up this long before the kill, so that their answers can be written in time; in
 /// microseconds.
 const GIVE_UP_BEFORE_KILL: Micros = 600_000;
@@ -44,7 +44,7 @@
 impl ShutdownDeadlines {
     /// Computes the time limits from the longest class deadline.
     pub(in crate::net) fn new(longest_deadline: Micros) -> ShutdownDeadlines {
-        let kill_after = longest_deadline.min(LONGEST_DEADLINE) + KILL_MARGIN;
+        let kill_after = longest_deadline.min(MAX_DEADLINE) + KILL_MARGIN;
         // Requests are not given up while new ones are still accepted.
         let give_up_after = (kill_after - GIVE_UP_BEFORE_KILL).max(ACCEPT_REQUESTS_FOR);
         ShutdownDeadlines { give_up_after, end_after: (kill_after - END_BEFORE_KILL).max(give_up_after) }
--- a/src/net/sockets/buffers.rs
+++ b/src/net/sockets/buffers.rs
@@ -8,25 +8,25 @@
 use std::rc::Rc;
 
 /// Size of a buffer, in bytes; fits the largest packet, line or page.
-pub const BLOCK: usize = 16 * 1024;
+pub const BLOCK_SIZE: usize = 16 * 1024;
 
 /// Pool of free buffers, shared by all connections.
 #[derive(Clone)]
 pub struct Pool {
     free: Rc<RefCell<Vec<Box<[u8]>>>>,
     /// Maximum number of free buffers to keep; further ones are deallocated.
-    most_free: usize,
+    max_free: usize,
 }
 
 impl Pool {
     /// Creates an empty pool that keeps up to this many bytes of free buffers.
     pub fn new(bytes: usize) -> Pool {
-        Pool { free: Rc::default(), most_free: bytes / BLOCK }
+        Pool { free: Rc::default(), max_free: bytes / BLOCK_SIZE }
     }
 
     /// Takes an empty buffer from the pool, or allocates one.
     pub fn block(&self) -> Block {
-        let bytes = self.free.borrow_mut().pop().unwrap_or_else(|| vec![0; BLOCK].into_boxed_slice());
+        let bytes = self.free.borrow_mut().pop().unwrap_or_else(|| vec![0; BLOCK_SIZE].into_boxed_slice());
         Block { bytes, start: 0, end: 0, pool: self.clone() }
     }
 
@@ -48,7 +48,7 @@
 impl Drop for Block {
     fn drop(&mut self) {
         let mut free = self.pool.free.borrow_mut();
-        if free.len() < self.pool.most_free {
+        if free.len() < self.pool.max_free {
             free.push(std::mem::take(&mut self.bytes));
         }
     }
@@ -62,7 +62,7 @@
 
     /// Appends as many bytes as fit and returns their number.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
-        let n = bytes.len().min(BLOCK - self.end);
+        let n = bytes.len().min(BLOCK_SIZE - self.end);
         self.bytes[self.end..self.end + n].copy_from_slice(&bytes[..n]);
         self.end += n;
         n
@@ -88,7 +88,7 @@
 
     /// Whether the buffer is full.
     pub fn full(&self) -> bool {
-        self.bytes().len() == BLOCK
+        self.bytes().len() == BLOCK_SIZE
     }
 
     /// Removes bytes from the front; an empty buffer returns to the pool.
--- a/src/net/sockets/descriptors.rs
+++ b/src/net/sockets/descriptors.rs
@@ -8,7 +8,7 @@
 /// Descriptors that every dispatcher needs in addition: standard streams (3), the poller (3), the signal
 /// stream with its write ends (4), the listener, the coordinator watch and its predecessor (2), a file being
 /// read, and one newly accepted connection.
-const OWN_DESCRIPTORS: usize = 15;
+const RESERVED_DESCRIPTORS: usize = 15;
 /// Descriptors that are left free beyond the share of executor connections.
 const EXECUTOR_MARGIN: usize = 24;
 
@@ -38,17 +38,17 @@
     }
 
     /// Maximum number of descriptors open at the same time.
-    pub(in crate::net) fn most_open(&self) -> NonZeroUsize {
-        let own = NonZeroUsize::MIN.saturating_add(OWN_DESCRIPTORS - 1);
+    pub(in crate::net) fn max_open(&self) -> NonZeroUsize {
+        let own = NonZeroUsize::MIN.saturating_add(RESERVED_DESCRIPTORS - 1);
         own.saturating_add(self.clients + self.lingering + self.executors + self.callers)
     }
 }
 
 /// Minimum total for which the shares fit. With fewer descriptors, the newest idle client is closed when a
 /// descriptor is needed.
-pub(in crate::net) const LEAST_TOTAL: usize = 64;
+pub(in crate::net) const MIN_TOTAL: usize = 64;
 
-const _: () = assert!(OWN_DESCRIPTORS < LEAST_TOTAL);
+const _: () = assert!(RESERVED_DESCRIPTORS < MIN_TOTAL);
 
 #[cfg(test)]
 mod tests;
