--- a/src/net/admin/calls.rs
+++ b/src/net/admin/calls.rs
@@ -48,7 +48,7 @@
         if is_plan_call && self.in_flight.is_none() {
             return Err(Fault::Unknown("DRAIN".into()));
         }
-        if is_policy_call && self.rules.is_none() {
+        if is_policy_call && self.fleet_policy.is_none() {
             return Err(Fault::Unknown("POLICY".into()));
         }
         line
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -62,7 +62,7 @@
                     session.open = Some(id);
                     let arrived = session.received();
                     let on_new_connection = session.take_first_request();
-                    self.cap(&mut request);
+                    self.limit_budget(&mut request);
                     self.enqueue_arrived(key, request, job, arrived, on_new_connection);
                 }
             }
--- a/src/net/rules.rs
+++ b/src/net/fleet_policy.rs
@@ -7,7 +7,7 @@
 use crate::policies::{ready, stricter};
 use crate::settings::Names;
 use crate::settings::options::{PolicyTerms, WithoutLease};
-use fleet::policy::{self as machine, Act, Gate as Door, Part, Policies, Policy};
+use fleet::policy::{self as machine, Act, Gate as PolicyGate, Part, Policies, Policy};
 use fleet::{Holder, Peer};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,7 +23,7 @@
 }
 
 /// A dispatcher's view of the fleet-wide policy.
-pub struct Rules {
+pub struct FleetPolicy {
     pub(super) part: Part,
     me: Peer,
     pub(super) terms: PolicyTerms,
@@ -32,38 +32,43 @@
     /// The configured settings, which are policy 0.
     pub(super) base: Settings,
     /// Prepared settings by policy number.
-    ready: BTreeMap<u64, Settings>,
+    prepared: BTreeMap<u64, Settings>,
     pub(super) held: VecDeque<Held>,
     /// Whether the fallback without a lease is in effect: the combination of the last two known policies.
-    pub(super) fallen_back: bool,
+    pub(super) uses_fallback: bool,
     /// Operators' calls that wait for agreement.
     pub(super) calls: PolicyCalls,
-    /// Number of requests held, and of requests rejected for lack of a lease or a policy.
-    pub(super) tally: [u64; 2],
+    /// Number of requests held since the start.
+    pub(super) held_total: u64,
+    /// Number of requests rejected since the start for lack of a lease or a policy.
+    pub(super) rejected_total: u64,
 }
 
-impl Rules {
+impl FleetPolicy {
     /// Starts with the configured settings, until the fleet agrees on a policy.
-    pub fn new(terms: PolicyTerms, me: Peer, backoff_ms: u64, base: Settings) -> Rules {
-        Rules {
+    pub fn new(terms: PolicyTerms, me: Peer, backoff_ms: u64, base: Settings) -> FleetPolicy {
+        FleetPolicy {
             part: Part::default(),
             me,
             terms,
             backoff_ms,
-            ready: BTreeMap::from([(0, base.clone())]),
+            prepared: BTreeMap::from([(0, base.clone())]),
             base,
             held: VecDeque::new(),
-            fallen_back: false,
+            uses_fallback: false,
             calls: PolicyCalls::default(),
-            tally: [0; 2],
+            held_total: 0,
+            rejected_total: 0,
         }
     }
 
     /// The admission decision for a new request, given the lease held now.
-    pub fn door(&self, holder: Option<Holder>) -> Door {
+    pub fn policy_gate(&self, holder: Option<Holder>) -> PolicyGate {
         match (self.part.gate(holder), self.terms.without_lease) {
-            (Door::Refuse, WithoutLease::Stricter) if holder.is_none() => Door::Admit(self.part.number()),
-            (door, _) => door,
+            (PolicyGate::Refuse, WithoutLease::Stricter) if holder.is_none() => {
+                PolicyGate::Admit(self.part.number())
+            }
+            (policy_gate, _) => policy_gate,
         }
     }
 
@@ -73,40 +78,41 @@
     }
 
     /// The settings under the policy with this number, if they are still kept.
-    pub fn under(&self, number: u64) -> Option<&Settings> {
-        self.ready.get(&number)
+    pub fn settings_under(&self, number: u64) -> Option<&Settings> {
+        self.prepared.get(&number)
     }
 
     /// Compares the local state with the fleet's policy state and returns the actions to take.
-    pub(super) fn look(
+    pub(super) fn reconcile(
         &mut self,
         now: Micros,
         holder: Option<Holder>,
         agreed: Option<&Policies>,
         names: &Names,
     ) -> Vec<Act> {
-        let Rules { part, ready: all, base, .. } = self;
-        let acts = part.look(now, self.me, holder, agreed, &mut |p| make_ready(p, base, names, all));
+        let FleetPolicy { part, prepared, base, .. } = self;
+        let acts =
+            part.look(now, self.me, holder, agreed, &mut |p| prepare_settings(p, base, names, prepared));
         // A dispatcher that missed the vote prepares the settings now. Faults are not expected: every
         // dispatcher that had a lease at the time, running the same build, has checked the policy.
         for act in &acts {
             if let Act::InForce(p) = act
-                && !all.contains_key(&p.number)
+                && !prepared.contains_key(&p.number)
             {
-                let faults = make_ready(p, base, names, all);
+                let faults = prepare_settings(p, base, names, prepared);
                 if !faults.is_empty() {
                     tracing::error!(
                         number = p.number,
                         faults = faults.join("; "),
-                        "policy: can't be done here"
+                        "policy: can't be applied here"
                     );
                 }
             }
         }
         let current = part.number();
-        while all.len() > MAX_PREPARED {
-            let Some(old) = all.keys().copied().find(|n| *n != current) else { break };
-            all.remove(&old);
+        while prepared.len() > MAX_PREPARED {
+            let Some(old) = prepared.keys().copied().find(|n| *n != current) else { break };
+            prepared.remove(&old);
         }
         acts
     }
@@ -114,17 +120,22 @@
     /// The settings to use without a lease: what the policy in force and the pending one, if known, both
     /// allow.
     pub(super) fn fallback(&self) -> Option<Settings> {
-        let current = self.under(self.part.number())?;
-        let next = self.ready.range(self.part.number() + 1..).next_back();
+        let current = self.settings_under(self.part.number())?;
+        let next = self.prepared.range(self.part.number() + 1..).next_back();
         Some(next.map_or_else(|| current.clone(), |(_, next)| stricter(current, next)))
     }
 }
 
 /// Prepares the settings under a policy; returns the faults found.
-fn make_ready(p: &Policy, base: &Settings, names: &Names, all: &mut BTreeMap<u64, Settings>) -> Vec<String> {
+fn prepare_settings(
+    p: &Policy,
+    base: &Settings,
+    names: &Names,
+    prepared: &mut BTreeMap<u64, Settings>,
+) -> Vec<String> {
     match ready(p, base, names) {
         Ok(settings) => {
-            all.insert(p.number, settings);
+            prepared.insert(p.number, settings);
             Vec::new()
         }
         Err(faults) => faults,
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -75,8 +75,8 @@
         };
         let job = Job { kind, statement: statement.into(), token: None };
         self.requests.open.insert(record.rid, OpenRequest { client: NO_CLIENT, job, arrival: None });
-        let under = self.rules.as_ref().filter(|r| r.part.number() != record.policy);
-        let under = under.and_then(|r| r.under(record.policy));
+        let under = self.fleet_policy.as_ref().filter(|r| r.part.number() != record.policy);
+        let under = under.and_then(|r| r.settings_under(record.policy));
         match self.dispatch.adopt(now, &request, record.tried.len(), under) {
             Ok(commands) => commands,
             Err(e) => {
@@ -127,8 +127,8 @@
             let_go = t.let_go,
             overlaps = t.overlaps,
             policy = self.policy_number(),
-            held_for_policy = self.rules.as_ref().map_or(0, |r| r.tally[0]),
-            refused_without = self.rules.as_ref().map_or(0, |r| r.tally[1]),
+            held_for_policy = self.fleet_policy.as_ref().map_or(0, |r| r.held_total),
+            refused_without = self.fleet_policy.as_ref().map_or(0, |r| r.rejected_total),
             dials = w.dials,
             bad_frames = w.bad_frames,
             dropped = w.dropped,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,7 +9,7 @@
 //! - `commands`: execution of the dispatch logic's commands.
 //! - `endpoint_updates`: applying the endpoint list to the dispatch logic.
 //! - `admin`, `maintenance`: operators' calls and maintenance.
-//! - `in_flight`, `peers`, `policy`, `rules`, `control_plane`: other dispatchers, and the control group.
+//! - `in_flight`, `peers`, `policy`, `fleet_policy`, `control_plane`: other dispatchers, and the control group.
 //! - `signals`, `reload`, `shutdown`: SIGHUP and SIGTERM.
 //! - `counters`: counters logged every 10 s.
 //! - `sockets`: shared socket infrastructure.
@@ -24,6 +24,7 @@
 mod endpoint_updates;
 pub mod event_loop;
 mod executors;
+mod fleet_policy;
 mod in_flight;
 mod limits;
 mod maintenance;
@@ -32,7 +33,6 @@
 mod policy_calls;
 mod policy_status;
 mod reload;
-mod rules;
 mod setup;
 mod shutdown;
 pub mod signals;
@@ -63,8 +63,8 @@
 use event_loop::poll_times::PollTimes;
 use event_loop::schedule::Schedule;
 use executors::{Executors, Rows};
+use fleet_policy::FleetPolicy;
 use in_flight::InFlight;
-use rules::Rules;
 use shutdown::Shutdown;
 use signals::Signals;
 use sockets::buffers::Pool;
@@ -103,7 +103,7 @@
     /// The connection to a member of the control group, if the settings name one.
     control: Option<ControlLink>,
     /// The fleet-wide admission policy, if the settings enable it.
-    rules: Option<Rules>,
+    fleet_policy: Option<FleetPolicy>,
     signals: (Key, Signals),
     load_config: LoadConfig,
     shutdown: Shutdown,
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -4,17 +4,17 @@
 
 use super::DispatcherServer;
 use super::executors::{Job, Rows};
-use super::rules::Held;
+use super::fleet_policy::Held;
 use crate::api::Micros;
 use crate::dispatch::{Command, Request};
 use crate::settings::options::WithoutLease;
 use crate::takeover::{Gate, Reply};
-use fleet::policy::{Act, Gate as Door, Policies, PolicyRecord};
+use fleet::policy::{Act, Gate as PolicyGate, Policies, PolicyRecord};
 
 impl DispatcherServer {
     /// Limits a request's budget to the client timeout of its class under the policy.
-    pub(super) fn cap(&self, request: &mut Request) {
-        let settings = self.rules.as_ref().and_then(|r| r.under(r.part.number()));
+    pub(super) fn limit_budget(&self, request: &mut Request) {
+        let settings = self.fleet_policy.as_ref().and_then(|r| r.settings_under(r.part.number()));
         if let Some(class) = settings.and_then(|s| s.classes.get(request.class)) {
             request.budget = request.budget.min(class.client_timeout);
         }
@@ -33,71 +33,71 @@
 
     /// Number of the policy applied here; 0 if none is agreed on.
     pub(super) fn policy_number(&self) -> u64 {
-        self.rules.as_ref().map_or(0, |r| r.part.number())
+        self.fleet_policy.as_ref().map_or(0, |r| r.part.number())
     }
 
     /// The admission decision for a new request, based on the current time; `None` if no policy is
     /// configured.
-    pub(super) fn door(&mut self) -> Option<Door> {
-        self.rules.as_ref()?;
+    pub(super) fn policy_gate(&mut self) -> Option<PolicyGate> {
+        self.fleet_policy.as_ref()?;
         let now = self.clock.now();
         let holder = self.policy_record()?.holds(now);
-        Some(self.rules.as_ref()?.door(holder))
+        Some(self.fleet_policy.as_ref()?.policy_gate(holder))
     }
 
     /// Applies the admission decision to a new request. Returns whether the request may be submitted now.
     pub(super) fn gate(&mut self, now: Micros, request: &Request, job: &Job) -> Gate {
-        match self.door() {
+        match self.policy_gate() {
             None => self.begin_in_flight(now, request, job),
-            Some(Door::Admit(number)) => {
+            Some(PolicyGate::Admit(number)) => {
                 let gate = self.begin_in_flight(now, request, job);
                 if gate == Gate::Go {
-                    told(request.id, number);
+                    log_admission(request.id, number);
                 }
                 gate
             }
-            Some(Door::Hold) => {
+            Some(PolicyGate::Hold) => {
                 self.hold_for_policy(request.id, Some(request.clone()));
                 Gate::Hold
             }
-            Some(Door::Refuse) => Gate::Answer(self.no_policy()),
+            Some(PolicyGate::Refuse) => Gate::Answer(self.reject_without_policy()),
         }
     }
 
-    fn no_policy(&mut self) -> Reply {
-        let rules = self.rules.as_mut();
-        Reply::Refused(rules.map_or(0, |r| {
-            r.tally[1] += 1;
+    fn reject_without_policy(&mut self) -> Reply {
+        let fleet_policy = self.fleet_policy.as_mut();
+        Reply::Refused(fleet_policy.map_or(0, |r| {
+            r.rejected_total += 1;
             r.backoff_ms
         }))
     }
 
     fn hold_for_policy(&mut self, rid: u64, request: Option<Request>) {
-        let Some(rules) = &mut self.rules else { return };
+        let Some(fleet_policy) = &mut self.fleet_policy else { return };
         // Requests whose clients have disconnected are dropped, so that the queue stays proportional to the
         // number of open requests.
-        if rules.held.len() > self.requests.open.len() + 1_024 {
-            rules.held.retain(|h| self.requests.open.contains_key(&h.rid));
+        if fleet_policy.held.len() > self.requests.open.len() + 1_024 {
+            fleet_policy.held.retain(|h| self.requests.open.contains_key(&h.rid));
         }
-        rules.tally[0] += 1;
-        rules.held.push_back(Held { rid, request });
+        fleet_policy.held_total += 1;
+        fleet_policy.held.push_back(Held { rid, request });
     }
 
     /// Submits a recorded request to the dispatch logic, unless a policy change is taking effect.
     pub(super) fn admit_recorded(&mut self, now: Micros, rid: u64) -> Vec<Command<Rows>> {
-        match self.door() {
-            Some(Door::Hold) => {
+        match self.policy_gate() {
+            Some(PolicyGate::Hold) => {
                 self.hold_for_policy(rid, None);
                 Vec::new()
             }
-            Some(Door::Refuse) => {
-                let answer = self.no_policy();
+            Some(PolicyGate::Refuse) => {
+                let answer = self.reject_without_policy();
                 let answer = self.answer_of(answer);
                 self.dispatch.answer_held(now, rid, answer)
             }
-            door => {
-                if let Some(Door::Admit(number)) = door {
-                    told(rid, number);
+            policy_gate => {
+                if let Some(PolicyGate::Admit(number)) = policy_gate {
+                    log_admission(rid, number);
                 }
                 self.dispatch.admit(now, rid)
             }
@@ -106,28 +106,28 @@
 
     /// Applies the fleet's policy state, sends votes and other commands, and releases held requests.
     pub(super) fn tick_policy(&mut self, now: Micros) {
-        let Some(rules) = &mut self.rules else { return };
+        let Some(fleet_policy) = &mut self.fleet_policy else { return };
         let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
         {
             (Some(control), _) => (control.follower.take_changed(), &mut control.follower),
             (None, Some(h)) => (std::mem::take(&mut h.takeover.ruled), &mut h.takeover.fleet),
             (None, None) => return,
         };
-        let restless = !rules.calls.is_empty() || !rules.part.abreast();
-        if !changed && !restless {
+        let has_pending_work = !fleet_policy.calls.is_empty() || !fleet_policy.part.abreast();
+        if !changed && !has_pending_work {
             return;
         }
         let holder = record.holds(now);
-        let acts = rules.look(now, holder, record.policies(), &self.names);
-        record.heeded(rules.part.number());
+        let acts = fleet_policy.reconcile(now, holder, record.policies(), &self.names);
+        record.heeded(fleet_policy.part.number());
         let mut change = None;
-        let mut unsaid = false;
+        let mut send_failed = false;
         for act in acts {
             match act {
                 Act::Say(command) => {
                     if !record.say(now, command) {
-                        rules.part.unsaid();
-                        unsaid = true;
+                        fleet_policy.part.unsaid();
+                        send_failed = true;
                     }
                 }
                 Act::Voted(number, faults) => {
@@ -144,46 +144,46 @@
                 }
                 Act::InForce(policy) => {
                     tracing::info!(number = policy.number, "policy: in force");
-                    change = rules.under(policy.number).cloned();
+                    change = fleet_policy.settings_under(policy.number).cloned();
                 }
             }
         }
-        if holder.is_some() == rules.fallen_back {
+        if holder.is_some() == fleet_policy.uses_fallback {
             // A lease was acquired or lost, and with it the right to act under the agreed policy.
-            let stricter = rules.terms.without_lease == WithoutLease::Stricter;
-            rules.fallen_back = holder.is_none();
+            let stricter = fleet_policy.terms.without_lease == WithoutLease::Stricter;
+            fleet_policy.uses_fallback = holder.is_none();
             if stricter {
                 change = if holder.is_some() {
-                    rules.under(rules.part.number()).cloned()
+                    fleet_policy.settings_under(fleet_policy.part.number()).cloned()
                 } else {
-                    rules.fallback()
+                    fleet_policy.fallback()
                 };
             }
         }
-        if let Some(in_flight) = self.in_flight.as_mut().filter(|_| unsaid) {
+        if let Some(in_flight) = self.in_flight.as_mut().filter(|_| send_failed) {
             in_flight.takeover.ruled = true;
         }
         if let Some(settings) = change
             && let Err(e) = self.dispatch.update_settings(settings)
         {
-            tracing::error!(error = %e, "policy: can't be done here");
+            tracing::error!(error = %e, "policy: can't be applied here");
         }
-        self.release(now);
+        self.release_held_requests(now);
         self.answer_policy_calls(now);
     }
 
     /// Releases held requests in order, once it is known which policy admits them.
-    fn release(&mut self, now: Micros) {
-        let door = self.door();
-        if door == Some(Door::Hold) {
+    fn release_held_requests(&mut self, now: Micros) {
+        let policy_gate = self.policy_gate();
+        if policy_gate == Some(PolicyGate::Hold) {
             return;
         }
-        let held = self.rules.as_mut().map(|r| std::mem::take(&mut r.held));
+        let held = self.fleet_policy.as_mut().map(|r| std::mem::take(&mut r.held));
         for Held { rid, request } in held.unwrap_or_default() {
             let Some(job) = self.requests.open.get(&rid).map(|o| o.job.clone()) else { continue };
-            let orders = match (door, request) {
-                (Some(Door::Refuse), _) => {
-                    let answer = self.no_policy();
+            let commands = match (policy_gate, request) {
+                (Some(PolicyGate::Refuse), _) => {
+                    let answer = self.reject_without_policy();
                     let answer = self.answer_of(answer);
                     self.dispatch.answer_held(now, rid, answer)
                 }
@@ -197,12 +197,12 @@
                     }
                 },
             };
-            self.execute(orders);
+            self.execute(commands);
         }
     }
 }
 
 /// Logs an admission, so that tests can verify that no two policies are in force at the same time.
-fn told(rid: u64, number: u64) {
+fn log_admission(rid: u64, number: u64) {
     tracing::debug!(target: "ottercroft::policies", request = format_args!("{rid:016x}"), policy = number, "admitted");
 }
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -16,7 +16,7 @@
 /// Time limit for agreement, in microseconds; a call must be answered within a second in any case.
 const AGREEMENT_TIMEOUT: Micros = 800_000;
 /// Condition that an operator's call waits for.
-pub(super) enum For {
+pub(super) enum WaitCondition {
     /// The change proposed here at this time is under way; a different change under way excludes it.
     Proposed(Micros),
     /// The change proposed here at this time is under way or queued.
@@ -28,8 +28,8 @@
 /// An operator's call that waits for agreement.
 struct WaitingCall {
     caller: Key,
-    what: For,
-    until: Micros,
+    condition: WaitCondition,
+    expires_at: Micros,
 }
 
 /// State that a call is validated against.
@@ -53,14 +53,14 @@
 }
 
 /// Reads a policy from a regular file.
-fn read(path: &str) -> Result<String, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", shown(path));
-    let file = std::fs::File::open(path).map_err(told)?;
-    if !file.metadata().map_err(told)?.is_file() {
+fn read_policy_file(path: &str) -> Result<String, String> {
+    let with_path = |e: std::io::Error| format!("{}: {e}", shown(path));
+    let file = std::fs::File::open(path).map_err(with_path)?;
+    if !file.metadata().map_err(with_path)?.is_file() {
         return Err(format!("{}: no file", shown(path)));
     }
     let mut text = String::new();
-    file.take(MOST_TEXT as u64 + 1).read_to_string(&mut text).map_err(told)?;
+    file.take(MOST_TEXT as u64 + 1).read_to_string(&mut text).map_err(with_path)?;
     if text.len() > MOST_TEXT {
         return Err(format!("{}: longer than {MOST_TEXT} bytes", shown(path)));
     }
@@ -73,7 +73,7 @@
 impl CallContext<'_> {
     /// Converts a call to the command to agree on and the condition to wait for; an `Err` is the immediate
     /// answer.
-    pub(super) fn command(&self, now: Micros, ask: &Ask) -> Result<(Command, For), String> {
+    pub(super) fn command(&self, now: Micros, ask: &Ask) -> Result<(Command, WaitCondition), String> {
         let policies = self.policies;
         let limits = [self.terms.vote_limit, self.terms.close_limit].map(|d| d.as_micros() as Micros);
         match ask {
@@ -81,24 +81,24 @@
             Ask::Propose(path) => {
                 let command = self.proposal(now, path, limits)?;
                 let queued = self.queue_from.is_some();
-                Ok((command, if queued { For::Queued(now) } else { For::Proposed(now) }))
+                Ok((command, if queued { WaitCondition::Queued(now) } else { WaitCondition::Proposed(now) }))
             }
             Ask::Back => {
                 policies.accepts("").map_err(|e| format!("-ERR {e}"))?;
                 policies.before().ok_or("-ERR no policy was in force before this one")?;
-                Ok((Command::Back(self.me, now, limits), For::Proposed(now)))
+                Ok((Command::Back(self.me, now, limits), WaitCondition::Proposed(now)))
             }
             Ask::Abort => {
                 let number =
                     policies.pending().map(|p| p.policy.number).ok_or("-ERR nothing is under way")?;
-                Ok((Command::Abort(number), For::Over(number)))
+                Ok((Command::Abort(number), WaitCondition::Over(number)))
             }
         }
     }
 
     /// Builds a proposal from a file. Errors found here are reported at once, without asking the fleet.
     fn proposal(&self, at: Micros, path: &str, limits: [Micros; 2]) -> Result<Command, String> {
-        let text = read(path).map_err(|e| format!("-ERR {e}"))?;
+        let text = read_policy_file(path).map_err(|e| format!("-ERR {e}"))?;
         let faults = |all: Vec<Fault>| all.iter().map(Fault::to_string).collect::<Vec<_>>();
         let checked = Policy::parse(&shown(path), &text).map_err(faults);
         checked
@@ -126,8 +126,8 @@
     }
 
     /// Queues a call until its condition holds.
-    pub(super) fn wait(&mut self, caller: Key, what: For, now: Micros) {
-        self.waiting.push(WaitingCall { caller, what, until: now + AGREEMENT_TIMEOUT });
+    pub(super) fn wait(&mut self, caller: Key, condition: WaitCondition, now: Micros) {
+        self.waiting.push(WaitingCall { caller, condition, expires_at: now + AGREEMENT_TIMEOUT });
     }
 
     /// Removes the calls whose condition holds or whose time limit has passed, and returns their answers.
@@ -135,27 +135,27 @@
         let mut answers = Vec::new();
         self.waiting.retain(|w| {
             let late = || "-ERR not agreed in time; POLICY STATUS tells what came of it".to_string();
-            let said = outcome(&w.what, policies, me).or_else(|| (w.until <= now).then(late));
-            answers.extend(said.clone().map(|s| (w.caller, s)));
-            said.is_none()
+            let answer = answer_for(&w.condition, policies, me).or_else(|| (w.expires_at <= now).then(late));
+            answers.extend(answer.clone().map(|text| (w.caller, text)));
+            answer.is_none()
         });
         answers
     }
 }
 
 /// The answer to a call, once its condition is decided.
-fn outcome(what: &For, policies: &Policies, me: Peer) -> Option<String> {
-    match *what {
-        For::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
+fn answer_for(condition: &WaitCondition, policies: &Policies, me: Peer) -> Option<String> {
+    match *condition {
+        WaitCondition::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
             (Some(number), _) => Some(format!("+OK proposed {number}")),
             (None, Some(p)) => Some(format!("-ERR policy {} is under way already", p.policy.number)),
             (None, None) => None,
         },
-        For::Queued(at) => policies.taken(me, at).map(|number| queued(number, policies)),
-        For::Over(number) if policies.current().number == number => {
+        WaitCondition::Queued(at) => policies.taken(me, at).map(|number| queued_answer(number, policies)),
+        WaitCondition::Over(number) if policies.current().number == number => {
             Some(format!("-ERR policy {number} is in force already"))
         }
-        For::Over(number) => policies
+        WaitCondition::Over(number) => policies
             .ended()
             .find(|e| e.number == number)
             .map(|e| format!("+OK given up: {}", e.why.as_deref().unwrap_or(""))),
@@ -163,7 +163,7 @@
 }
 
 /// The answer for an accepted change, which is either voted on or queued.
-fn queued(number: u64, policies: &Policies) -> String {
+fn queued_answer(number: u64, policies: &Policies) -> String {
     let waits = policies.waiting().any(|w| w.policy.number == number);
     if waits { format!("+OK proposed {number}, waiting") } else { format!("+OK proposed {number}") }
 }
@@ -177,27 +177,27 @@
         }
         match self.policy_command(now, ask) {
             Err(answer) => Some(answer),
-            Ok((command, what)) => {
+            Ok((command, condition)) => {
                 let Some(in_flight) = &mut self.in_flight else { return Some("-ERR no fleet".into()) };
                 if !in_flight.takeover.fleet.say(now, command) {
                     return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
                 }
-                self.rules.as_mut()?.calls.wait(caller, what, now);
+                self.fleet_policy.as_mut()?.calls.wait(caller, condition, now);
                 None
             }
         }
     }
 
-    fn policy_command(&self, now: Micros, ask: &Ask) -> Result<(Command, For), String> {
-        let rules = self.rules.as_ref().ok_or("-ERR no fleet")?;
+    fn policy_command(&self, now: Micros, ask: &Ask) -> Result<(Command, WaitCondition), String> {
+        let fleet_policy = self.fleet_policy.as_ref().ok_or("-ERR no fleet")?;
         let policies = self.policies().ok_or("-ERR this dispatcher takes no part in a fleet now")?;
         let context = CallContext {
             policies,
-            terms: &rules.terms,
-            base: &rules.base,
+            terms: &fleet_policy.terms,
+            base: &fleet_policy.base,
             names: &self.names,
-            me: rules.me(),
-            number: rules.part.number(),
+            me: fleet_policy.me(),
+            number: fleet_policy.part.number(),
             queue_from: None,
         };
         context.command(now, ask)
@@ -206,9 +206,9 @@
     /// Answers the calls whose condition holds or whose time limit has passed.
     pub(super) fn answer_policy_calls(&mut self, now: Micros) {
         let Some(policies) = self.policies().filter(|_| self.has_policy_calls()).cloned() else { return };
-        let Some(rules) = &mut self.rules else { return };
-        let me = rules.me();
-        for (caller, text) in rules.calls.answers(now, &policies, me) {
+        let Some(fleet_policy) = &mut self.fleet_policy else { return };
+        let me = fleet_policy.me();
+        for (caller, text) in fleet_policy.calls.answers(now, &policies, me) {
             if let Some(o) = &mut self.admin_listener {
                 o.answer(caller, &text, &self.poll);
             }
@@ -216,6 +216,6 @@
     }
 
     fn has_policy_calls(&self) -> bool {
-        self.rules.as_ref().is_some_and(|r| !r.calls.is_empty())
+        self.fleet_policy.as_ref().is_some_and(|r| !r.calls.is_empty())
     }
 }
--- a/src/net/policy_status.rs
+++ b/src/net/policy_status.rs
@@ -9,40 +9,43 @@
 const MAX_FAULTS_SHOWN: usize = 4;
 
 /// The answer to `POLICY STATUS`.
-pub(super) fn status(p: &Policies, here: u64, now: Micros) -> String {
-    let mut text = format!("+OK policy {} in force", p.current().number);
-    if here != p.current().number {
-        let _ = write!(text, ", {here} here");
+pub(super) fn status(policies: &Policies, applied: u64, now: Micros) -> String {
+    let mut text = format!("+OK policy {} in force", policies.current().number);
+    if applied != policies.current().number {
+        let _ = write!(text, ", {applied} here");
     }
     text.push('\n');
-    if !p.abreast() {
+    if !policies.abreast() {
         text.push_str(
             "the fleet has lost its record: nothing is admitted until a policy is in force again\n",
         );
     }
-    if let Some(q) = p.pending() {
-        let (stage, who, done) = match q.stage {
-            Stage::Voting => ("voting", "voted", q.votes.len()),
-            Stage::Closing => ("closing", "stopped", q.stopped.len()),
+    if let Some(pending) = policies.pending() {
+        let (stage, who, done) = match pending.stage {
+            Stage::Voting => ("voting", "voted", pending.votes.len()),
+            Stage::Closing => ("closing", "stopped", pending.stopped.len()),
         };
-        let since = now.saturating_sub(q.at) / 1_000;
-        let _ =
-            writeln!(text, "proposed {} {stage} by peer {} {since}ms, {done} {who}", q.policy.number, q.by);
-        for (h, faults) in q.votes.iter().filter(|(_, f)| !f.is_empty()) {
-            faults_of(&mut text, q.policy.number, fleet::peer_of(h.incarnation), faults);
+        let since = now.saturating_sub(pending.at) / 1_000;
+        let _ = writeln!(
+            text,
+            "proposed {} {stage} by peer {} {since}ms, {done} {who}",
+            pending.policy.number, pending.by
+        );
+        for (holder, faults) in pending.votes.iter().filter(|(_, f)| !f.is_empty()) {
+            write_faults(&mut text, pending.policy.number, fleet::peer_of(holder.incarnation), faults);
         }
     }
-    for e in p.ended() {
-        match &e.why {
-            None => drop(writeln!(text, "{} in force", e.number)),
-            Some(why) => drop(writeln!(text, "{} given up: {}", e.number, shown(why))),
+    for ended in policies.ended() {
+        match &ended.why {
+            None => drop(writeln!(text, "{} in force", ended.number)),
+            Some(why) => drop(writeln!(text, "{} given up: {}", ended.number, shown(why))),
         }
-        e.faults.iter().for_each(|(peer, faults)| faults_of(&mut text, e.number, *peer, faults));
+        ended.faults.iter().for_each(|(peer, faults)| write_faults(&mut text, ended.number, *peer, faults));
     }
     text + "."
 }
 
-fn faults_of(text: &mut String, number: u64, peer: fleet::Peer, faults: &[String]) {
+fn write_faults(text: &mut String, number: u64, peer: fleet::Peer, faults: &[String]) {
     for fault in faults.iter().take(MAX_FAULTS_SHOWN) {
         let _ = writeln!(text, "{number} peer {peer}: {}", shown(fault));
     }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -17,8 +17,8 @@
                 self.figures.sighup_applied.inc();
                 tracing::info!(%coordinator, "configuration reloaded");
                 // Under an agreed policy, a changed settings file at a single dispatcher has no effect.
-                if let Some(rules) = self.rules.as_ref().filter(|r| r.base != settings) {
-                    let number = rules.part.number();
+                if let Some(fleet_policy) = self.fleet_policy.as_ref().filter(|r| r.base != settings) {
+                    let number = fleet_policy.part.number();
                     tracing::warn!(
                         number,
                         reason = "an agreed policy is in force",
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -13,8 +13,8 @@
 use super::event_loop::poll_times::PollTimes;
 use super::event_loop::schedule::Schedule;
 use super::executors::Executors;
+use super::fleet_policy::FleetPolicy;
 use super::in_flight::{Classes, InFlight};
-use super::rules::Rules;
 use super::shutdown::{Shutdown, ShutdownDeadlines};
 use super::signals::Signals;
 use super::sockets::buffers::Pool;
@@ -87,7 +87,8 @@
         }
         let control = options.control.as_ref().map(|c| ControlLink::new(c, &config.name, seed ^ now, now));
         let me = in_flight.as_ref().map_or(0, InFlight::me);
-        let rules = agreed.map(|(terms, backoff_ms)| Rules::new(terms, me, backoff_ms, base_settings));
+        let fleet_policy =
+            agreed.map(|(terms, backoff_ms)| FleetPolicy::new(terms, me, backoff_ms, base_settings));
         // Connection ids start at a pseudorandom value, so that a KILL meant for another incarnation or
         // dispatcher does not match a connection here.
         let first_connection_id = (seed ^ (seed >> 32) ^ now) as u32;
@@ -107,7 +108,7 @@
             storm,
             in_flight,
             control,
-            rules,
+            fleet_policy,
             signals: (signal_key, signals),
             load_config,
             descriptors,
