--- a/src/net/admin/listener.rs
+++ b/src/net/admin/listener.rs
@@ -8,7 +8,7 @@
 use crate::codec::operator::{Call, Decoder, Fault};
 use crate::net::event_loop::event_source::EventSource;
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::net::sockets::buffers::{Outbox, Pool};
+use crate::net::sockets::buffers::{Pool, WriteBuffer};
 use crate::net::sockets::system_calls;
 use std::collections::BTreeMap;
 use std::io;
@@ -24,7 +24,7 @@
     stream: TcpStream,
     came: Micros,
     decoder: Decoder,
-    out: Outbox,
+    out: WriteBuffer,
     /// Whether its line was answered: then it only waits to be written.
     answered: bool,
 }
@@ -118,7 +118,7 @@
                     continue;
                 }
             };
-            let out = Outbox::new(&self.pool);
+            let out = WriteBuffer::new(&self.pool);
             let caller = Caller { stream, came: now, decoder: Decoder::default(), out, answered: false };
             self.callers.insert(key, caller);
         }
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -16,7 +16,7 @@
     pub(super) fn write_packets(&mut self, write: impl FnOnce(&mut Server, &mut Vec<u8>)) {
         let mut bytes = Vec::new();
         write(&mut self.server, &mut bytes);
-        self.outbox.append(&bytes);
+        self.write_buffer.append(&bytes);
     }
 
     /// Queues an OK packet.
@@ -66,12 +66,12 @@
 
     /// Whether all queued output has been written.
     pub fn is_flushed(&self) -> bool {
-        self.outbox.is_empty()
+        self.write_buffer.is_empty()
     }
 
     /// Writes as much pending output as the socket accepts. Returns false if the connection is lost.
     pub fn flush(&mut self, poll: &Poll) -> bool {
-        let Ok(done) = self.outbox.flush(&mut self.stream) else { return false };
+        let Ok(done) = self.write_buffer.flush(&mut self.stream) else { return false };
         if done && self.closing_since.is_some() && !std::mem::replace(&mut self.write_side_closed, true) {
             // Shutting down only the write side lets a client that is still sending receive the last bytes;
             // its data is read and discarded.
--- a/src/net/clients/session/lifecycle.rs
+++ b/src/net/clients/session/lifecycle.rs
@@ -47,7 +47,8 @@
     /// Whether the connection may be closed after `LEAVE`: no request is open or partially received, and the
     /// client has sent a command or had `grace` to send one.
     pub fn may_close(&self, now: Micros, grace: Micros) -> bool {
-        let rests = self.open.is_none() && self.closing_since.is_none() && self.inbox.bytes().is_empty();
+        let rests =
+            self.open.is_none() && self.closing_since.is_none() && self.read_buffer.bytes().is_empty();
         rests && (self.sent_command || now > self.connected_at + grace)
     }
 
@@ -91,7 +92,7 @@
         if let Some(since) = self.closing_since.filter(|t| rests && now > *t + grace) {
             return Some((0, since));
         }
-        let quiet = rests && self.inbox.bytes().is_empty() && self.paused_until.is_none();
+        let quiet = rests && self.read_buffer.bytes().is_empty() && self.paused_until.is_none();
         let silent = !self.sent_command && now > self.connected_at + grace;
         let spare = quiet && self.closing_since.is_none() && (self.sent_command || silent);
         spare.then_some((1 + u8::from(self.sent_command), self.active_at))
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -20,7 +20,7 @@
 use crate::dispatch::Request;
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::executors::connection::Job;
-use crate::net::sockets::buffers::{Inbox, Outbox, Pool};
+use crate::net::sockets::buffers::{Pool, ReadBuffer, WriteBuffer};
 use crate::settings::Names;
 pub use sessions::Sessions;
 use statements::{Interpretation, interpret};
@@ -53,8 +53,8 @@
     /// Connection id sent in the greeting; KILL refers to it.
     pub id: u32,
     server: Server,
-    inbox: Inbox,
-    outbox: Outbox,
+    read_buffer: ReadBuffer,
+    write_buffer: WriteBuffer,
     /// Id of the open request.
     pub open: Option<u64>,
     /// Time of the last read or answer.
@@ -65,7 +65,7 @@
     unread_since: Option<Micros>,
     /// When the most recently read bytes arrived.
     received: Occurrence,
-    /// Since when a partial packet has been in the inbox.
+    /// Since when a partial packet has been in the read buffer.
     partial_since: Option<Micros>,
     /// Whether the client has sent a complete command after its login.
     sent_command: bool,
@@ -101,16 +101,16 @@
         let key = poll.add(&stream, false)?;
         let (mut server, mut greeting) = (Server::default(), Vec::new());
         server.greet(id, scramble, &mut greeting);
-        let mut outbox = Outbox::new(pool);
-        outbox.append(&greeting);
-        let inbox = Inbox::new(pool);
+        let mut write_buffer = WriteBuffer::new(pool);
+        write_buffer.append(&greeting);
+        let read_buffer = ReadBuffer::new(pool);
         Ok(Session {
             stream,
             key,
             id,
             server,
-            inbox,
-            outbox,
+            read_buffer,
+            write_buffer,
             open: None,
             active_at: came.latest,
             connected_at: came.latest,
@@ -141,21 +141,21 @@
     /// Whether the client has sent anything other than a quit command, which is not allowed while its request
     /// is open.
     pub fn sends_while_open(&self) -> bool {
-        let bytes = self.inbox.bytes();
+        let bytes = self.read_buffer.bytes();
         bytes.len() >= QUIT_LENGTH && !is_quit(bytes)
     }
 
     /// Whether the client has sent a quit command while its request is open.
     pub fn has_quit(&self) -> bool {
-        self.open.is_some() && is_quit(self.inbox.bytes())
+        self.open.is_some() && is_quit(self.read_buffer.bytes())
     }
 
     /// Answers commands that the session can handle itself, and returns the next one that it cannot.
     pub fn next_command(&mut self, names: &Names, now: Micros) -> Option<ClientCommand> {
         while self.open.is_none() && self.closing_since.is_none() && self.paused_until.is_none() {
-            let (length, is_login, interpretation) = match self.server.next(self.inbox.bytes()) {
+            let (length, is_login, interpretation) = match self.server.next(self.read_buffer.bytes()) {
                 Ok(None) => {
-                    let part = !self.inbox.bytes().is_empty();
+                    let part = !self.read_buffer.bytes().is_empty();
                     self.partial_since = part.then(|| self.partial_since.unwrap_or(now));
                     return None;
                 }
@@ -168,7 +168,7 @@
                     return None;
                 }
             };
-            self.inbox.consume(length);
+            self.read_buffer.consume(length);
             self.partial_since = None;
             self.sent_command |= !is_login;
             match interpretation {
--- a/src/net/clients/session/reading.rs
+++ b/src/net/clients/session/reading.rs
@@ -20,10 +20,10 @@
         }
         self.active_at = noticed.latest;
         self.received = self.unread_since.take().map_or(noticed, |since| noticed.since(since));
-        if self.inbox.full() {
+        if self.read_buffer.is_full() {
             return false;
         }
-        match self.inbox.fill(&mut self.stream) {
+        match self.read_buffer.fill(&mut self.stream) {
             Ok(n) => n > 0,
             Err(e) => may_read_later(&e),
         }
@@ -45,8 +45,8 @@
     /// Reads until the socket is empty. Returns false if the client has closed its connection or its write
     /// side; a request that it sent before doing so is not started.
     pub fn read_to_end(&mut self) -> bool {
-        while self.closing_since.is_none() && self.paused_until.is_none() && !self.inbox.full() {
-            match self.inbox.fill(&mut self.stream) {
+        while self.closing_since.is_none() && self.paused_until.is_none() && !self.read_buffer.is_full() {
+            match self.read_buffer.fill(&mut self.stream) {
                 Ok(0) => return false,
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/src/net/executors/connection.rs
+++ b/src/net/executors/connection.rs
@@ -3,7 +3,7 @@
 use super::answers::Stream;
 use crate::api::Micros;
 use crate::dispatch::{AttemptTerms, ExecutorId};
-use crate::net::sockets::buffers::{Inbox, Outbox, Pool};
+use crate::net::sockets::buffers::{Pool, ReadBuffer, WriteBuffer};
 use crate::net::sockets::system_calls;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpStream;
@@ -50,9 +50,9 @@
     /// Whether it gets no new attempts.
     pub(super) draining: bool,
     /// Bytes received and not yet handled.
-    pub(super) inbox: Inbox,
+    pub(super) inbox: ReadBuffer,
     /// Bytes not yet written.
-    pub(super) outbox: Outbox,
+    pub(super) outbox: WriteBuffer,
     /// The request whose attempt is in the outbox.
     pub(super) writing: Option<u64>,
     /// Messages not yet in the outbox.
@@ -93,8 +93,8 @@
             last_message_at: now,
             last_used_at: now,
             draining: false,
-            inbox: Inbox::new(pool),
-            outbox: Outbox::new(pool),
+            inbox: ReadBuffer::new(pool),
+            outbox: WriteBuffer::new(pool),
             writing: None,
             queue: VecDeque::new(),
             streams: BTreeMap::new(),
@@ -157,7 +157,7 @@
             self.queue.remove(at);
             return true;
         }
-        let whole = self.writing == Some(id) && !self.outbox.begun();
+        let whole = self.writing == Some(id) && !self.outbox.is_partially_written();
         if whole {
             self.writing = None;
             self.outbox.clear();
--- a/src/net/executors/writing.rs
+++ b/src/net/executors/writing.rs
@@ -52,8 +52,8 @@
         let flushed = connection.outbox.flush(&mut connection.stream);
         let all_written = matches!(flushed, Ok(true));
         let writing = connection.writing.and_then(|id| connection.streams.get_mut(&id));
-        if let Some(stream) =
-            writing.filter(|stream| !stream.begun && (connection.outbox.begun() || all_written))
+        if let Some(stream) = writing
+            .filter(|stream| !stream.begun && (connection.outbox.is_partially_written() || all_written))
         {
             stream.begun = true;
             self.events.push_back(NetworkEvent::AttemptBegun(stream.attempt_id));
--- a/src/net/sockets/buffers.rs
+++ b/src/net/sockets/buffers.rs
@@ -70,15 +70,15 @@
 }
 
 /// Received bytes that are not yet parsed; at most one block.
-pub struct Inbox {
+pub struct ReadBuffer {
     pool: Pool,
     block: Option<Block>,
 }
 
-impl Inbox {
+impl ReadBuffer {
     /// An empty one.
-    pub fn new(pool: &Pool) -> Inbox {
-        Inbox { pool: pool.clone(), block: None }
+    pub fn new(pool: &Pool) -> ReadBuffer {
+        ReadBuffer { pool: pool.clone(), block: None }
     }
 
     /// The bytes that it holds.
@@ -87,7 +87,7 @@
     }
 
     /// Whether the buffer is full.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.bytes().len() == BLOCK_SIZE
     }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Reads once and returns the number of bytes; 0 means end of stream. The inbox must not be full.
+    /// Reads once and returns the number of bytes; 0 means end of stream. The buffer must not be full.
     pub fn fill(&mut self, stream: &mut impl Read) -> io::Result<usize> {
         let block = self.block.get_or_insert_with(|| self.pool.block());
         if block.start > 0 {
@@ -118,17 +118,17 @@
 }
 
 /// Bytes to be written.
-pub struct Outbox {
+pub struct WriteBuffer {
     pool: Pool,
     blocks: VecDeque<Block>,
     /// Whether part of the pending bytes has been written.
-    begun: bool,
+    is_partially_written: bool,
 }
 
-impl Outbox {
+impl WriteBuffer {
     /// An empty one.
-    pub fn new(pool: &Pool) -> Outbox {
-        Outbox { pool: pool.clone(), blocks: VecDeque::new(), begun: false }
+    pub fn new(pool: &Pool) -> WriteBuffer {
+        WriteBuffer { pool: pool.clone(), blocks: VecDeque::new(), is_partially_written: false }
     }
 
     /// Whether nothing is pending.
@@ -137,14 +137,14 @@
     }
 
     /// Whether the pending bytes have been written in part.
-    pub fn begun(&self) -> bool {
-        self.begun
+    pub fn is_partially_written(&self) -> bool {
+        self.is_partially_written
     }
 
     /// Discards the pending bytes.
     pub fn clear(&mut self) {
         self.blocks.clear();
-        self.begun = false;
+        self.is_partially_written = false;
     }
 
     /// Queues bytes.
@@ -164,7 +164,7 @@
             match system_calls::write(stream, block.bytes()) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
-                    self.begun = true;
+                    self.is_partially_written = true;
                     block.start += n;
                     if block.start == block.end {
                         self.blocks.pop_front();
@@ -175,7 +175,7 @@
                 Err(e) => return Err(e),
             }
         }
-        self.begun = false;
+        self.is_partially_written = false;
         Ok(true)
     }
 }
--- a/src/net/sockets/buffers/tests.rs
+++ b/src/net/sockets/buffers/tests.rs
@@ -4,16 +4,16 @@
 #[test]
 fn buffers_go_round() {
     let pool = Pool::new(4 * BLOCK_SIZE);
-    let mut out = Outbox::new(&pool);
+    let mut out = WriteBuffer::new(&pool);
     out.append(&vec![7; 3 * BLOCK_SIZE]);
     let mut sink = Vec::new();
     assert!(out.flush(&mut sink).unwrap() && out.is_empty());
     assert_eq!((sink.len(), pool.free()), (3 * BLOCK_SIZE, 3));
-    let mut inbox = Inbox::new(&pool);
-    assert_eq!(inbox.fill(&mut &b"abcdef"[..]).unwrap(), 6);
-    inbox.consume(4);
-    inbox.fill(&mut &b"gh"[..]).unwrap();
-    assert_eq!((inbox.bytes(), pool.free()), (&b"efgh"[..], 2));
-    inbox.consume(4);
+    let mut read_buffer = ReadBuffer::new(&pool);
+    assert_eq!(read_buffer.fill(&mut &b"abcdef"[..]).unwrap(), 6);
+    read_buffer.consume(4);
+    read_buffer.fill(&mut &b"gh"[..]).unwrap();
+    assert_eq!((read_buffer.bytes(), pool.free()), (&b"efgh"[..], 2));
+    read_buffer.consume(4);
     assert_eq!(pool.free(), 3);
 }
