--- a/src/net/admin/listener.rs
+++ b/src/net/admin/listener.rs
@@ -130,12 +130,12 @@
             Ok(true) => {
                 // The caller reads the end of the answer; it closes, or is closed when its time is up.
                 let gone = c.stream.shutdown(Shutdown::Write).is_err();
-                if gone || poll.interest(key, &c.stream, true, false).is_err() {
+                if gone || poll.set_interest(key, &c.stream, true, false).is_err() {
                     self.close(key, poll);
                 }
             }
             Ok(false) => {
-                if poll.interest(key, &c.stream, true, true).is_err() {
+                if poll.set_interest(key, &c.stream, true, true).is_err() {
                     self.close(key, poll);
                 }
             }
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -79,6 +79,6 @@
         }
         let watched = (self.paused_until.is_none(), !done);
         let same = std::mem::replace(&mut self.watched, watched) == watched;
-        same || poll.interest(self.key, &self.stream, watched.0, watched.1).is_ok()
+        same || poll.set_interest(self.key, &self.stream, watched.0, watched.1).is_ok()
     }
 }
--- a/src/net/control_plane/link.rs
+++ b/src/net/control_plane/link.rs
@@ -66,7 +66,7 @@
     pub fn ready(&mut self, now: Micros, poll: &Poll) {
         let Some(connection) = &mut self.connection else { return };
         if !self.up {
-            match dial::up(&connection.stream) {
+            match dial::check_connected(&connection.stream) {
                 Ok(()) => {
                     self.up = true;
                     self.follower.connected(now);
@@ -113,7 +113,7 @@
 
     fn dial(&mut self, member: usize, poll: &Poll) -> io::Result<()> {
         let Some((_, address)) = self.members.get(member) else { return Err(io::ErrorKind::NotFound.into()) };
-        let stream = dial::dial(*address)?;
+        let stream = dial::connect(*address)?;
         let key = poll.add(&stream, true)?;
         self.connection = Some(FrameStream::new(stream, key, MOST_MEMBER_FRAME, true));
         self.up = false;
--- a/src/net/control_plane/stream.rs
+++ b/src/net/control_plane/stream.rs
@@ -124,7 +124,7 @@
         let waits = self.waiting() > 0;
         if waits != self.watched {
             self.watched = waits;
-            poll.writable(self.key, &self.stream, waits)?;
+            poll.watch_writable(self.key, &self.stream, waits)?;
         }
         Ok(())
     }
--- a/src/net/coordinator_watch.rs
+++ b/src/net/coordinator_watch.rs
@@ -152,14 +152,14 @@
 
     /// Asks for the events after the last one applied, once the connection is up; false if it is not yet.
     fn connect(&self, watch: &mut Watch, now: Micros, poll: &Poll) -> Result<bool, WatchError> {
-        match dial::up(&watch.stream) {
+        match dial::check_connected(&watch.stream) {
             Ok(()) => {}
             Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(false),
             Err(e) => return Err(e.into()),
         }
         // The line is far shorter than any socket's buffer.
         watch.stream.write_all(coordinator::follow(self.applied).as_bytes())?;
-        poll.writable(watch.key, &watch.stream, false)?;
+        poll.watch_writable(watch.key, &watch.stream, false)?;
         watch.connected = true;
         watch.last_line_at = now;
         tracing::info!(coordinator = %self.address, held = self.applied, "feed: following");
@@ -232,7 +232,8 @@
             }
         }
         self.dials += 1;
-        match dial::dial(self.address).and_then(|stream| poll.add(&stream, true).map(|key| (key, stream))) {
+        match dial::connect(self.address).and_then(|stream| poll.add(&stream, true).map(|key| (key, stream)))
+        {
             Ok((key, stream)) => self.watch = Some(Watch::new(key, stream, now)),
             Err(error) => {
                 self.out_of_descriptors = dial::out_of_descriptors(&error);
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -24,7 +24,7 @@
 /// The registered sockets.
 pub struct Poll {
     poller: Poller,
-    next: Cell<Key>,
+    next_key: Cell<Key>,
     /// Changes to retry, for which the kernel lacked memory.
     pending: RefCell<BTreeMap<RawFd, (Change, Event)>>,
 }
@@ -32,27 +32,33 @@
 impl Poll {
     /// Creates a poller without sockets.
     pub fn new() -> io::Result<Poll> {
-        Ok(Poll { poller: Poller::new()?, next: Cell::new(1), pending: RefCell::default() })
+        Ok(Poll { poller: Poller::new()?, next_key: Cell::new(1), pending: RefCell::default() })
     }
 
     /// Registers a socket for reading, and optionally for writing. It must be passed to [`Poll::remove`]
     /// before it is closed.
     pub fn add(&self, socket: &(impl AsRawFd + AsFd), writable: bool) -> io::Result<Key> {
-        let key = self.next.replace(self.next.get() + 1);
+        let key = self.next_key.replace(self.next_key.get() + 1);
         self.change(socket.as_raw_fd(), Change::Add, Event::new(key, true, writable))?;
         Ok(key)
     }
 
     /// Enables or disables watching a socket for writing.
-    pub fn writable(&self, key: Key, socket: &impl AsFd, writable: bool) -> io::Result<()> {
-        self.interest(key, socket, true, writable)
+    pub fn watch_writable(&self, key: Key, socket: &impl AsFd, writable: bool) -> io::Result<()> {
+        self.set_interest(key, socket, true, writable)
     }
 
     /// Changes the readiness that a socket is watched for.
-    pub fn interest(&self, key: Key, socket: &impl AsFd, readable: bool, writable: bool) -> io::Result<()> {
+    pub fn set_interest(
+        &self,
+        key: Key,
+        socket: &impl AsFd,
+        readable: bool,
+        writable: bool,
+    ) -> io::Result<()> {
         let fd = socket.as_fd().as_raw_fd();
-        let waits_to_be_added = matches!(self.pending.borrow().get(&fd), Some((Change::Add, _)));
-        let change = if waits_to_be_added { Change::Add } else { Change::Modify };
+        let is_add_pending = matches!(self.pending.borrow().get(&fd), Some((Change::Add, _)));
+        let change = if is_add_pending { Change::Add } else { Change::Modify };
         self.change(fd, change, Event::new(key, readable, writable))
     }
 
@@ -67,12 +73,12 @@
         }
     }
 
-    /// Waits for events, at most for `most`. An interrupted call returns without events.
-    pub fn wait(&self, events: &mut Events, most: Duration) -> io::Result<()> {
+    /// Waits for events, for at most `timeout`. An interrupted call returns without events.
+    pub fn wait(&self, events: &mut Events, timeout: Duration) -> io::Result<()> {
         events.clear();
         self.retry_pending();
-        let most = if self.pending.borrow().is_empty() { most } else { most.min(MAX_RETRY_DELAY) };
-        match self.poller.wait(events, Some(most)) {
+        let timeout = if self.pending.borrow().is_empty() { timeout } else { timeout.min(MAX_RETRY_DELAY) };
+        match self.poller.wait(events, Some(timeout)) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => Err(e),
             _ => Ok(()),
         }
--- a/src/net/executors/connection_pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -113,7 +113,8 @@
         now: Micros,
         poll: &Poll,
     ) -> Result<Key, NoConnection> {
-        let dialed = dial::dial(address).and_then(|stream| poll.add(&stream, true).map(|key| (stream, key)));
+        let dialed =
+            dial::connect(address).and_then(|stream| poll.add(&stream, true).map(|key| (stream, key)));
         let (stream, key) = dialed.map_err(|error| {
             tracing::warn!(%address, %error, "can't dial");
             self.out_of_descriptors |= dial::out_of_descriptors(&error);
--- a/src/net/executors/reading.rs
+++ b/src/net/executors/reading.rs
@@ -15,7 +15,7 @@
     pub fn ready(&mut self, key: Key, readable: bool, writable: bool, now: Micros, poll: &Poll) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         if !connection.connected {
-            match dial::up(&connection.stream) {
+            match dial::check_connected(&connection.stream) {
                 Ok(()) => connection.connection_established(now),
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
                 Err(e) => return self.close(key, poll, &e.to_string()),
--- a/src/net/executors/writing.rs
+++ b/src/net/executors/writing.rs
@@ -136,7 +136,7 @@
             return;
         }
         connection.watches_writable = unwritten;
-        if let Err(e) = poll.writable(key, &connection.stream, unwritten) {
+        if let Err(e) = poll.watch_writable(key, &connection.stream, unwritten) {
             self.close(key, poll, &e.to_string());
         }
     }
--- a/src/net/peers/links.rs
+++ b/src/net/peers/links.rs
@@ -65,7 +65,7 @@
         let Some(link) = self.links.get_mut(&peer) else { return };
         let Some((_, stream)) = &mut link.conn else { return };
         if !link.up {
-            match dial::up(stream) {
+            match dial::check_connected(stream) {
                 Ok(()) => {
                     (link.up, link.since, link.at) = (true, now, 0);
                     link.waiting = self.hello.clone();
@@ -94,7 +94,7 @@
                 self.cut(peer, now, poll);
             } else if link.conn.is_none() && now >= link.since {
                 link.since = now;
-                let dialed = dial::dial(link.address).and_then(|s| poll.add(&s, true).map(|k| (k, s)));
+                let dialed = dial::connect(link.address).and_then(|s| poll.add(&s, true).map(|k| (k, s)));
                 match dialed {
                     Ok(dialed) => {
                         self.tally.dials += 1;
@@ -138,7 +138,7 @@
         let waits = !link.waiting.is_empty();
         if waits != link.watched {
             link.watched = waits;
-            if poll.writable(*key, stream, waits).is_err() {
+            if poll.watch_writable(*key, stream, waits).is_err() {
                 self.cut(peer, now, poll);
             }
         }
--- a/src/net/sockets/dial.rs
+++ b/src/net/sockets/dial.rs
@@ -7,7 +7,7 @@
 
 /// Starts a non-blocking connect; the socket becomes writable once the connection is established or has
 /// failed.
-pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
+pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = system_calls::socket(Domain::for_address(to))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
@@ -16,7 +16,7 @@
 }
 
 /// Checks the result of a connect once the socket is writable.
-pub fn up(stream: &TcpStream) -> io::Result<()> {
+pub fn check_connected(stream: &TcpStream) -> io::Result<()> {
     match stream.take_error()? {
         Some(e) => Err(e),
         None => stream.peer_addr().map(drop),
--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -145,7 +145,7 @@
 fn an_interrupted_connect_goes_on() {
     install(FaultPlan { call: Call::Connect, error: Some(libc::EINTR), one_in: 1 });
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = dial::dial(listener.local_addr().unwrap()).expect("a connection that is coming up");
+    let stream = dial::connect(listener.local_addr().unwrap()).expect("a connection that is coming up");
     let (accepted, _) = listener.accept().unwrap();
     assert_eq!(accepted.peer_addr().unwrap(), stream.local_addr().unwrap());
 }
