--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -105,7 +105,7 @@
         }
         let commands = self.dispatch.handle(now, NetworkEvent::ClientDisconnected(request));
         self.execute(commands);
-        self.client_left(now, request);
+        self.record_client_left(now, request);
     }
 
     /// Closes an idle connection, write side first. Closing it with unread bytes would reset it, and the
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -143,7 +143,7 @@
             Gate::Answer(reply) => {
                 let held = self.dispatch.hold(now, &request);
                 held.map(|mut commands| {
-                    commands.extend(self.dispatch.answer_held(now, id, self.answer_of(reply)));
+                    commands.extend(self.dispatch.answer_held(now, id, self.to_answer(reply)));
                     commands
                 })
             }
@@ -152,7 +152,7 @@
             Ok(commands) => self.execute(commands),
             Err(e) => {
                 self.requests.open.remove(&id);
-                self.end_in_flight_unasked(now, id);
+                self.end_unsubmitted_in_flight(now, id);
                 self.report_client_error(key, e.text(), now);
                 self.process_commands(key, now);
             }
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -36,7 +36,7 @@
                 self.executors.set_priority(attempt_id, priority, now, &self.poll);
             }
             Command::ReportAbandoned { request, result, never_ran } => {
-                self.report_abandoned(now, request, result, never_ran);
+                self.record_abandoned(now, request, result, never_ran);
             }
             Command::Probe(executor) => self.executors.probe(executor, now, &self.poll),
             Command::Answer(request, answer) => self.end_request(now, request, answer),
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -37,7 +37,7 @@
             "counters"
         );
         tracing::info!(reasons = %tally.ends, "request ends");
-        self.count_in_flight();
+        self.log_in_flight_counters();
         self.log_storm_counters();
         self.log_list_counters();
     }
--- a/src/net/endpoint_updates.rs
+++ b/src/net/endpoint_updates.rs
@@ -11,7 +11,7 @@
 
 impl DispatcherServer {
     /// Applies an event from the coordinator.
-    pub(super) fn update(&mut self, now: Micros, update: Update) {
+    pub(super) fn apply_update(&mut self, now: Micros, update: Update) {
         let Some(endpoints) = update.endpoints else { return };
         if self.endpoint_lists.is_some() {
             return self
@@ -21,15 +21,15 @@
         self.apply_endpoint_list(now, event, &endpoints.targets);
     }
 
-    /// Runs `what` on the file-based endpoint lists, then applies a bounded number of pending entries.
+    /// Runs `action` on the file-based endpoint lists, then applies a bounded number of pending entries.
     pub(super) fn with_endpoint_lists(
         &mut self,
         now: Micros,
-        what: impl FnOnce(&mut EndpointLists, &Executors),
+        action: impl FnOnce(&mut EndpointLists, &Executors),
     ) {
         let Some(lists) = &mut self.endpoint_lists else { return };
         let begun = std::time::Instant::now();
-        what(lists, &self.executors);
+        action(lists, &self.executors);
         let next = lists.take(endpoint_lists::SLICE);
         if !next.is_empty() {
             self.apply_endpoint_list(now, WatchEvent::Changed, &next);
@@ -44,12 +44,12 @@
     pub(super) fn apply_endpoint_list(&mut self, now: Micros, event: WatchEvent, targets: &[Target]) {
         self.wall_clock.observe(now, clock::unix());
         let start_times = &mut self.start_times;
-        let by_own_clock = |target: &Target| {
+        let with_monotonic_start = |target: &Target| {
             let started = start_times.started_at(&target.uid, target.boot_ms, now, &self.wall_clock);
             // Rounded to the nearest millisecond, the unit on the wire.
             Target { boot_ms: started.map_or(0, |at| (at + 500) / 1_000), ..target.clone() }
         };
-        let targets: Vec<Target> = targets.iter().map(by_own_clock).collect();
+        let targets: Vec<Target> = targets.iter().map(with_monotonic_start).collect();
         self.update_endpoints(now, event, &targets);
     }
 
@@ -58,7 +58,7 @@
         let applies = |target: &&Target| event != WatchEvent::Restored || target.state != State::Removed;
         let listed: Vec<ListedExecutor> =
             targets.iter().filter(applies).filter_map(|target| self.listed_executor(target)).collect();
-        self.keep_endpoints(event, targets);
+        self.store_endpoints(event, targets);
         self.executors.apply_endpoints(targets, event != WatchEvent::Changed, now, &self.poll);
         let commands = self.dispatch.apply_watch_event(now, event, &listed);
         self.execute(commands);
@@ -93,7 +93,7 @@
     /// the list says.
     fn executor_state(&self, target: &Target) -> ExecutorState {
         match target.state {
-            State::Up if self.bans.banned(&target.uid) || self.held_back(&target.uid) => {
+            State::Up if self.bans.banned(&target.uid) || self.is_withheld_by_maintenance(&target.uid) => {
                 ExecutorState::Draining
             }
             State::Up => ExecutorState::Up,
@@ -107,12 +107,12 @@
     fn started_at(&self, target: &Target) -> Option<Micros> {
         let listed_ms = target.boot_ms;
         let onlined_ms = self.onlined_at_ms.get(&target.uid).copied().unwrap_or(0);
-        let started_ms = listed_ms.max(onlined_ms).max(self.cold_ms(&target.uid));
+        let started_ms = listed_ms.max(onlined_ms).max(self.returned_from_maintenance_ms(&target.uid));
         Some(started_ms).filter(|ms| *ms > 0).map(|ms| ms * 1000)
     }
 
     /// Stores the latest entry of each listed executor, and drops the state of executors that are gone.
-    fn keep_endpoints(&mut self, event: WatchEvent, targets: &[Target]) {
+    fn store_endpoints(&mut self, event: WatchEvent, targets: &[Target]) {
         if event != WatchEvent::Changed {
             self.endpoints.clear();
         }
--- a/src/net/event_loop/events.rs
+++ b/src/net/event_loop/events.rs
@@ -25,14 +25,14 @@
             self.process_operator_calls(key, now);
         } else if self.coordinator_watch.as_ref().is_some_and(|feed| feed.owns(key)) {
             let updates = self.coordinator_watch.as_mut().map(|feed| feed.ready(key, now, &self.poll));
-            updates.into_iter().flatten().for_each(|update| self.update(now, update));
+            updates.into_iter().flatten().for_each(|update| self.apply_update(now, update));
         } else if self.endpoint_lists.as_ref().is_some_and(|lists| lists.owns(key)) {
             self.with_endpoint_lists(now, |lists, _| lists.ready(now));
         } else if self.in_flight.as_ref().is_some_and(|in_flight| in_flight.owns(key)) {
             if let Some(in_flight) = &mut self.in_flight {
                 in_flight.peers.ready(key, now, &self.poll);
             }
-            self.move_in_flight(now);
+            self.process_in_flight(now);
         } else if self.control.as_ref().is_some_and(|control| control.owns(key)) {
             self.control_ready(now);
         } else if self.executors.owns(key) {
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -72,50 +72,55 @@
 
     /// Starts listening for peers.
     pub fn start(
-        o: &options::Peers,
+        settings: &options::Peers,
         classes: Classes,
         seed: u64,
         now: Micros,
         poll: &Poll,
     ) -> io::Result<InFlight> {
         let micros = |d: std::time::Duration| d.as_micros() as Micros;
-        let place = |n: usize| (n + 1) as Peer;
-        let named: Vec<(Peer, &str, SocketAddr)> =
-            o.peers.iter().enumerate().map(|(n, (name, at))| (place(n), name.as_str(), *at)).collect();
-        let me = named.iter().find(|(_, name, _)| *name == o.me).map(|(p, _, _)| *p);
-        let me = me.ok_or_else(|| io::Error::other(format!("peers: no peer block is named {:?}", o.me)))?;
+        let peer_number = |n: usize| (n + 1) as Peer;
+        let named: Vec<(Peer, &str, SocketAddr)> = settings
+            .peers
+            .iter()
+            .enumerate()
+            .map(|(n, (name, at))| (peer_number(n), name.as_str(), *at))
+            .collect();
+        let me = named.iter().find(|(_, name, _)| *name == settings.me).map(|(p, _, _)| *p);
+        let me =
+            me.ok_or_else(|| io::Error::other(format!("peers: no peer block is named {:?}", settings.me)))?;
         let others: Vec<(Peer, SocketAddr)> =
             named.iter().filter(|(p, _, _)| *p != me).map(|(p, _, at)| (*p, *at)).collect();
         let config = FleetConfig {
             me,
             peers: named.iter().map(|(p, _, _)| *p).collect(),
-            lease: micros(o.lease),
-            margin: micros(o.margin),
-            tick: micros(o.tick),
-            batch: micros(o.batch),
-            give_up: micros(o.give_up),
-            limits: Limits { records: o.most_records as u32, remember: micros(o.remember) },
+            lease: micros(settings.lease),
+            margin: micros(settings.margin),
+            tick: micros(settings.tick),
+            batch: micros(settings.batch),
+            give_up: micros(settings.give_up),
+            limits: Limits { records: settings.most_records as u32, remember: micros(settings.remember) },
         };
         let bounds = Bounds {
-            statement: o.most_statement as usize,
-            result: o.most_result as usize,
-            adopted: o.most_taken_over,
+            statement: settings.most_statement as usize,
+            result: settings.most_result as usize,
+            adopted: settings.most_taken_over,
             attempts: classes.attempts,
-            backoff_ms: o.lease.as_millis() as u64,
-            fetch: micros(o.lease) / 5,
+            backoff_ms: settings.lease.as_millis() as u64,
+            fetch: micros(settings.lease) / 5,
         };
-        let peers = Peers::bind(o.listen, &others, o.most_frame as usize, now, poll)?;
+        let peers = Peers::bind(settings.listen, &others, settings.most_frame as usize, now, poll)?;
         let takeover = Takeover::new(Fleet::new(config, seed, now), bounds);
         let budget = Budget {
-            machines: o.min_executors,
-            headroom: o.headroom,
-            at_once: o.at_once,
-            drain_limit: micros(o.drain_limit),
-            out_limit: micros(o.out_limit),
+            machines: settings.min_executors,
+            headroom: settings.headroom,
+            at_once: settings.at_once,
+            drain_limit: micros(settings.drain_limit),
+            out_limit: micros(settings.out_limit),
             ramp: classes.ramp,
         };
         let (maintenance, Classes { names, repeats, cores, .. }) =
-            (Maintenance::new(budget, 2 * micros(o.lease), now), classes);
+            (Maintenance::new(budget, 2 * micros(settings.lease), now), classes);
         Ok(InFlight { takeover, peers, classes: names, repeats, cores, maintenance })
     }
 
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -16,17 +16,19 @@
     /// Processes the record's timers, both at the beginning and at the end of a turn: a lease that expired
     /// while this process was stalled must be noticed before anything is done under it.
     pub(in crate::net) fn tick_in_flight(&mut self, now: Micros) {
-        let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.next_due() <= now) else {
+        let Some(in_flight) =
+            self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.next_due() <= now)
+        else {
             return;
         };
         in_flight.takeover.tick(now);
         // Leases lost in the meantime must be known before anything else is done.
         self.tick_policy(now);
-        self.move_in_flight(now);
+        self.process_in_flight(now);
     }
 
     /// Exchanges messages with peers and carries out the resulting actions, until none is left.
-    pub(in crate::net) fn move_in_flight(&mut self, now: Micros) {
+    pub(in crate::net) fn process_in_flight(&mut self, now: Micros) {
         loop {
             let Some(in_flight) = &mut self.in_flight else { return };
             for (from, message) in std::mem::take(&mut in_flight.peers.heard) {
@@ -43,7 +45,7 @@
             let commands = match next {
                 Move::Admit(rid) => self.admit_recorded(now, rid),
                 Move::Answer(rid, reply) => {
-                    let answer = self.answer_of(reply);
+                    let answer = self.to_answer(reply);
                     self.dispatch.answer_held(now, rid, answer)
                 }
                 Move::Adopt(record) => self.adopt(now, &record),
@@ -75,8 +77,9 @@
         };
         let job = Job { kind, statement: statement.into(), token: None };
         self.requests.open.insert(record.rid, OpenRequest { client: NO_CLIENT, job, arrival: None });
-        let under = self.fleet_policy.as_ref().filter(|r| r.part.number() != record.policy);
-        let under = under.and_then(|r| r.settings_under(record.policy));
+        let under =
+            self.fleet_policy.as_ref().filter(|fleet_policy| fleet_policy.part.number() != record.policy);
+        let under = under.and_then(|fleet_policy| fleet_policy.settings_under(record.policy));
         match self.dispatch.adopt(now, &request, record.tried.len(), under) {
             Ok(commands) => commands,
             Err(e) => {
@@ -86,20 +89,20 @@
                     "fleet: not taken over"
                 );
                 self.requests.open.remove(&record.rid);
-                self.end_in_flight_unasked(now, record.rid);
+                self.end_unsubmitted_in_flight(now, record.rid);
                 Vec::new()
             }
         }
     }
 
     /// Whether the maintenance plan keeps new requests off a machine.
-    pub(in crate::net) fn held_back(&self, uid: &str) -> bool {
-        self.in_flight.as_ref().is_some_and(|h| h.maintenance.holds_back(uid))
+    pub(in crate::net) fn is_withheld_by_maintenance(&self, uid: &str) -> bool {
+        self.in_flight.as_ref().is_some_and(|in_flight| in_flight.maintenance.holds_back(uid))
     }
 
     /// When a machine returned from maintenance, in milliseconds; 0 if it was not out.
-    pub(in crate::net) fn cold_ms(&self, uid: &str) -> u64 {
-        self.in_flight.as_ref().map_or(0, |h| h.maintenance.cold_ms(uid))
+    pub(in crate::net) fn returned_from_maintenance_ms(&self, uid: &str) -> u64 {
+        self.in_flight.as_ref().map_or(0, |in_flight| in_flight.maintenance.cold_ms(uid))
     }
 
     /// Hands leases back to the fleet on shutdown.
@@ -112,7 +115,7 @@
         in_flight.peers.flush(now, &self.poll);
     }
 
-    pub(in crate::net) fn count_in_flight(&self) {
+    pub(in crate::net) fn log_in_flight_counters(&self) {
         let Some(in_flight) = &self.in_flight else { return };
         let (t, w) = (&in_flight.takeover.tally, &in_flight.peers.tally);
         tracing::info!(
@@ -127,8 +130,9 @@
             let_go = t.let_go,
             overlaps = t.overlaps,
             policy = self.policy_number(),
-            held_for_policy = self.fleet_policy.as_ref().map_or(0, |r| r.held_total),
-            refused_without = self.fleet_policy.as_ref().map_or(0, |r| r.rejected_total),
+            held_for_policy = self.fleet_policy.as_ref().map_or(0, |fleet_policy| fleet_policy.held_total),
+            refused_without =
+                self.fleet_policy.as_ref().map_or(0, |fleet_policy| fleet_policy.rejected_total),
             dials = w.dials,
             bad_frames = w.bad_frames,
             dropped = w.dropped,
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -76,7 +76,10 @@
 
     /// Records the final answer of a request.
     pub(in crate::net) fn end_in_flight(&mut self, now: Micros, request: u64, answer: &Answer<Rows>) {
-        let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.follows(request)) else { return };
+        let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.follows(request))
+        else {
+            return;
+        };
         let reply = match answer {
             Answer::Served(rows) if in_flight.takeover.keeps_result(request) => Reply::Served(pages(rows)),
             Answer::Served(_) => Reply::Served(Vec::new()),
@@ -87,7 +90,7 @@
     }
 
     /// Converts a recorded reply to an answer.
-    pub(in crate::net) fn answer_of(&self, reply: Reply) -> Answer<Rows> {
+    pub(in crate::net) fn to_answer(&self, reply: Reply) -> Answer<Rows> {
         match reply {
             Reply::Served(pages) => Answer::Served(rows(&pages, &self.pool)),
             Reply::Refused(ms) => Answer::Refused(ms),
@@ -96,28 +99,31 @@
     }
 
     /// Ends the record of a request that the dispatch logic did not accept.
-    pub(in crate::net) fn end_in_flight_unasked(&mut self, now: Micros, request: u64) {
+    pub(in crate::net) fn end_unsubmitted_in_flight(&mut self, now: Micros, request: u64) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.takeover.answered(now, request, Reply::Refused(0));
         }
     }
 
     /// Records that the client of a request has disconnected.
-    pub(in crate::net) fn client_left(&mut self, now: Micros, request: u64) {
+    pub(in crate::net) fn record_client_left(&mut self, now: Micros, request: u64) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.takeover.left(now, request);
         }
     }
 
     /// Records the outcome of a request whose client had disconnected.
-    pub(in crate::net) fn report_abandoned(
+    pub(in crate::net) fn record_abandoned(
         &mut self,
         now: Micros,
         request: u64,
         served: Option<Rows>,
         never_ran: bool,
     ) {
-        let Some(in_flight) = self.in_flight.as_mut().filter(|h| h.takeover.follows(request)) else { return };
+        let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.follows(request))
+        else {
+            return;
+        };
         let past = match (served, never_ran) {
             (Some(rows), _) => Past::Served(pages(&rows)),
             (None, true) => Past::NeverRan,
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -14,7 +14,10 @@
 impl DispatcherServer {
     /// Limits a request's budget to the client timeout of its class under the policy.
     pub(super) fn limit_budget(&self, request: &mut Request) {
-        let settings = self.fleet_policy.as_ref().and_then(|r| r.settings_under(r.part.number()));
+        let settings = self
+            .fleet_policy
+            .as_ref()
+            .and_then(|fleet_policy| fleet_policy.settings_under(fleet_policy.part.number()));
         if let Some(class) = settings.and_then(|s| s.classes.get(request.class)) {
             request.budget = request.budget.min(class.client_timeout);
         }
@@ -33,7 +36,7 @@
 
     /// Number of the policy applied here; 0 if none is agreed on.
     pub(super) fn policy_number(&self) -> u64 {
-        self.fleet_policy.as_ref().map_or(0, |r| r.part.number())
+        self.fleet_policy.as_ref().map_or(0, |fleet_policy| fleet_policy.part.number())
     }
 
     /// The admission decision for a new request, based on the current time; `None` if no policy is
@@ -92,7 +95,7 @@
             }
             Some(PolicyGate::Refuse) => {
                 let answer = self.reject_without_policy();
-                let answer = self.answer_of(answer);
+                let answer = self.to_answer(answer);
                 self.dispatch.answer_held(now, rid, answer)
             }
             policy_gate => {
@@ -184,7 +187,7 @@
             let commands = match (policy_gate, request) {
                 (Some(PolicyGate::Refuse), _) => {
                     let answer = self.reject_without_policy();
-                    let answer = self.answer_of(answer);
+                    let answer = self.to_answer(answer);
                     self.dispatch.answer_held(now, rid, answer)
                 }
                 (_, None) => self.admit_recorded(now, rid),
@@ -192,7 +195,7 @@
                     Gate::Go => self.dispatch.admit(now, rid),
                     Gate::Hold => Vec::new(),
                     Gate::Answer(reply) => {
-                        let answer = self.answer_of(reply);
+                        let answer = self.to_answer(reply);
                         self.dispatch.answer_held(now, rid, answer)
                     }
                 },
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -17,7 +17,9 @@
                 self.figures.sighup_applied.inc();
                 tracing::info!(%coordinator, "configuration reloaded");
                 // Under an agreed policy, a changed settings file at a single dispatcher has no effect.
-                if let Some(fleet_policy) = self.fleet_policy.as_ref().filter(|r| r.base != settings) {
+                if let Some(fleet_policy) =
+                    self.fleet_policy.as_ref().filter(|fleet_policy| fleet_policy.base != settings)
+                {
                     let number = fleet_policy.part.number();
                     tracing::warn!(
                         number,
