--- a/src/net/executors/writing.rs
+++ b/src/net/executors/writing.rs
@@ -52,8 +52,8 @@
         let flushed = connection.outbox.flush(&mut connection.stream);
         let all_written = matches!(flushed, Ok(true));
         let writing = connection.writing.and_then(|id| connection.streams.get_mut(&id));
-        if let Some(stream) =
-            writing.filter(|stream| !stream.begun && (connection.outbox.begun() || all_written))
+        if let Some(stream) = writing
+            .filter(|stream| !stream.begun && (connection.outbox.is_partially_written() || all_written))
         {
             stream.begun = true;
             self.events.push_back(NetworkEvent::AttemptBegun(stream.attempt_id));
@@ -136,7 +136,7 @@
             return;
         }
         connection.watches_writable = unwritten;
-        if let Err(e) = poll.writable(key, &connection.stream, unwritten) {
+        if let Err(e) = poll.watch_writable(key, &connection.stream, unwritten) {
             self.close(key, poll, &e.to_string());
         }
     }
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -1,7 +1,8 @@
-//! Work in hand and the fleet's record of it, where our settings name peers: requests pass by here on their way
-//! to the decisions and back.
+//! In-flight requests and the fleet's replicated record of them, if the settings name peers. Requests are
+//! recorded here on their way to the dispatch logic, and their results on the way back.
 //!
-//! `requests` is their way past the record, `moves` what the record has done of itself.
+//! - `requests`: recording of requests, attempts and results.
+//! - `moves`: actions that the record itself initiates.
 
 mod moves;
 mod requests;
@@ -20,36 +21,36 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The record of work in hand, and the links that it is agreed on.
+/// The replicated record of in-flight requests, and the connections to the peers that agree on it.
 pub struct InFlight {
     pub(super) takeover: Takeover,
     pub(super) peers: Peers,
-    /// The names of the classes, by index.
+    /// Class names, by index.
     classes: Vec<Rc<str>>,
-    /// Which classes may repeat, by index.
+    /// Whether a class may run more than once, by index.
     repeats: Vec<bool>,
-    /// Cores of each kind, by index.
+    /// Cores of each kind of machine, by index.
     cores: Vec<f64>,
-    /// Machines that are taken out for work.
+    /// Machines taken out for maintenance.
     pub(super) maintenance: Maintenance,
 }
 
-/// What the settings know of the classes: names and whether they may repeat, by index.
+/// Request classes and machine kinds, as the settings define them.
 pub struct Classes {
-    /// Names.
+    /// Class names, by index.
     pub names: Vec<Rc<str>>,
-    /// Whether a class may run more than once.
+    /// Whether a class may run more than once, by index.
     pub repeats: Vec<bool>,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per request.
     pub attempts: usize,
     /// Cores of each kind of machine, by index.
     pub cores: Vec<f64>,
-    /// How long a machine warms up.
+    /// Duration of slow start.
     pub ramp: Micros,
 }
 
 impl Classes {
-    /// Of the platform's settings.
+    /// Extracts them from the platform's settings.
     pub fn of(settings: &Settings, names: &Names) -> Classes {
         let name =
             |i: usize| names.classes.iter().find(|(_, n)| **n == i).map_or("", |(name, _)| name.as_str());
@@ -64,61 +65,66 @@
 }
 
 impl InFlight {
-    /// Which of the peers this is.
+    /// This dispatcher's peer number.
     pub(super) fn me(&self) -> Peer {
         self.takeover.fleet.me()
     }
 
-    /// Listens for peers.
+    /// Starts listening for peers.
     pub fn start(
-        o: &options::Peers,
+        settings: &options::Peers,
         classes: Classes,
         seed: u64,
         now: Micros,
         poll: &Poll,
     ) -> io::Result<InFlight> {
         let micros = |d: std::time::Duration| d.as_micros() as Micros;
-        let place = |n: usize| (n + 1) as Peer;
-        let named: Vec<(Peer, &str, SocketAddr)> =
-            o.peers.iter().enumerate().map(|(n, (name, at))| (place(n), name.as_str(), *at)).collect();
-        let me = named.iter().find(|(_, name, _)| *name == o.me).map(|(p, _, _)| *p);
-        let me = me.ok_or_else(|| io::Error::other(format!("peers: no peer block is named {:?}", o.me)))?;
+        let peer_number = |n: usize| (n + 1) as Peer;
+        let named: Vec<(Peer, &str, SocketAddr)> = settings
+            .peers
+            .iter()
+            .enumerate()
+            .map(|(n, (name, at))| (peer_number(n), name.as_str(), *at))
+            .collect();
+        let me = named.iter().find(|(_, name, _)| *name == settings.me).map(|(p, _, _)| *p);
+        let me =
+            me.ok_or_else(|| io::Error::other(format!("peers: no peer block is named {:?}", settings.me)))?;
         let others: Vec<(Peer, SocketAddr)> =
             named.iter().filter(|(p, _, _)| *p != me).map(|(p, _, at)| (*p, *at)).collect();
         let config = FleetConfig {
             me,
             peers: named.iter().map(|(p, _, _)| *p).collect(),
-            lease: micros(o.lease),
-            margin: micros(o.margin),
-            tick: micros(o.tick),
-            batch: micros(o.batch),
-            give_up: micros(o.give_up),
-            limits: Limits { records: o.most_records as u32, remember: micros(o.remember) },
+            lease: micros(settings.lease),
+            margin: micros(settings.margin),
+            tick: micros(settings.tick),
+            batch: micros(settings.batch),
+            give_up: micros(settings.give_up),
+            limits: Limits { records: settings.most_records as u32, remember: micros(settings.remember) },
         };
         let bounds = Bounds {
-            statement: o.most_statement as usize,
-            result: o.most_result as usize,
-            adopted: o.most_taken_over,
+            statement: settings.most_statement as usize,
+            result: settings.most_result as usize,
+            adopted: settings.most_taken_over,
             attempts: classes.attempts,
-            backoff_ms: o.lease.as_millis() as u64,
-            fetch: micros(o.lease) / 5,
+            backoff_ms: settings.lease.as_millis() as u64,
+            fetch: micros(settings.lease) / 5,
         };
-        let peers = Peers::bind(o.listen, &others, o.most_frame as usize, now, poll)?;
+        let peers = Peers::bind(settings.listen, &others, settings.most_frame as usize, now, poll)?;
         let takeover = Takeover::new(Fleet::new(config, seed, now), bounds);
         let budget = Budget {
-            machines: o.min_executors,
-            headroom: o.headroom,
-            at_once: o.at_once,
-            drain_limit: micros(o.drain_limit),
-            out_limit: micros(o.out_limit),
+            machines: settings.min_executors,
+            headroom: settings.headroom,
+            at_once: settings.at_once,
+            drain_limit: micros(settings.drain_limit),
+            out_limit: micros(settings.out_limit),
             ramp: classes.ramp,
         };
         let (maintenance, Classes { names, repeats, cores, .. }) =
-            (Maintenance::new(budget, 2 * micros(o.lease), now), classes);
+            (Maintenance::new(budget, 2 * micros(settings.lease), now), classes);
         Ok(InFlight { takeover, peers, classes: names, repeats, cores, maintenance })
     }
 
-    /// Cores of a machine of a kind; those of the smallest where its kind is not known.
+    /// Cores of a machine of this kind; if the kind is unknown, those of the smallest kind.
     pub(super) fn cores_of(&self, kind: Option<usize>) -> f64 {
         let known = kind.and_then(|k| self.cores.get(k)).copied();
         known.unwrap_or_else(|| self.cores.iter().copied().fold(f64::MAX, f64::min).min(1e6))
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the policy that the fleet holds alike.
+//! Operators' calls concerning the fleet-wide policy.
 
 use super::DispatcherServer;
 use super::policy_status::status;
@@ -13,54 +13,54 @@
 use fleet::policy::{Command, MOST_TEXT, Policies, Policy as Agreed, PolicyRecord, Waiting};
 use std::io::Read as _;
 
-/// A call is answered within a second, agreed or not.
-const AGREED: Micros = 800_000;
-/// What an operator's call waits for.
-pub(super) enum For {
-    /// The change proposed here at this time is under way; another one excludes it.
+/// Time limit for agreement, in microseconds; a call must be answered within a second in any case.
+const AGREEMENT_TIMEOUT: Micros = 800_000;
+/// Condition that an operator's call waits for.
+pub(super) enum WaitCondition {
+    /// The change proposed here at this time is under way; a different change under way excludes it.
     Proposed(Micros),
-    /// The change proposed here at this time is under way or waits for its turn.
+    /// The change proposed here at this time is under way or queued.
     Queued(Micros),
-    /// The change of this number is over.
+    /// The change with this number has ended.
     Over(u64),
 }
 
-/// An operator's call that waits to be agreed.
+/// An operator's call that waits for agreement.
 struct WaitingCall {
     caller: Key,
-    what: For,
-    until: Micros,
+    condition: WaitCondition,
+    expires_at: Micros,
 }
 
-/// What a call is judged by.
+/// State that a call is validated against.
 pub(super) struct CallContext<'a> {
     pub(super) policies: &'a Policies,
     pub(super) terms: &'a PolicyTerms,
-    /// What a policy is applied to, and the names in it.
+    /// The base settings that a policy is applied to, and the names defined in them.
     pub(super) base: &'a Settings,
     pub(super) names: &'a Names,
     pub(super) me: Peer,
-    /// The number of the policy that is acted by here.
+    /// Number of the policy applied here.
     pub(super) number: u64,
-    /// A change that comes while another is under way waits, with at least this number.
+    /// If set, a change proposed while another is under way is queued, with at least this number.
     pub(super) queue_from: Option<u64>,
 }
 
-/// The calls that wait to be agreed.
+/// Calls that wait for agreement.
 #[derive(Default)]
 pub(super) struct PolicyCalls {
     waiting: Vec<WaitingCall>,
 }
 
-/// A policy's text from its file, if it is one.
-fn read(path: &str) -> Result<String, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", shown(path));
-    let file = std::fs::File::open(path).map_err(told)?;
-    if !file.metadata().map_err(told)?.is_file() {
+/// Reads a policy from a regular file.
+fn read_policy_file(path: &str) -> Result<String, String> {
+    let with_path = |e: std::io::Error| format!("{}: {e}", shown(path));
+    let file = std::fs::File::open(path).map_err(with_path)?;
+    if !file.metadata().map_err(with_path)?.is_file() {
         return Err(format!("{}: no file", shown(path)));
     }
     let mut text = String::new();
-    file.take(MOST_TEXT as u64 + 1).read_to_string(&mut text).map_err(told)?;
+    file.take(MOST_TEXT as u64 + 1).read_to_string(&mut text).map_err(with_path)?;
     if text.len() > MOST_TEXT {
         return Err(format!("{}: longer than {MOST_TEXT} bytes", shown(path)));
     }
@@ -71,8 +71,9 @@
 }
 
 impl CallContext<'_> {
-    /// What is to be agreed for a call and what it waits for; else its answer.
-    pub(super) fn command(&self, now: Micros, ask: &Ask) -> Result<(Command, For), String> {
+    /// Converts a call to the command to agree on and the condition to wait for; an `Err` is the immediate
+    /// answer.
+    pub(super) fn command(&self, now: Micros, ask: &Ask) -> Result<(Command, WaitCondition), String> {
         let policies = self.policies;
         let limits = [self.terms.vote_limit, self.terms.close_limit].map(|d| d.as_micros() as Micros);
         match ask {
@@ -80,24 +81,24 @@
             Ask::Propose(path) => {
                 let command = self.proposal(now, path, limits)?;
                 let queued = self.queue_from.is_some();
-                Ok((command, if queued { For::Queued(now) } else { For::Proposed(now) }))
+                Ok((command, if queued { WaitCondition::Queued(now) } else { WaitCondition::Proposed(now) }))
             }
             Ask::Back => {
                 policies.accepts("").map_err(|e| format!("-ERR {e}"))?;
                 policies.before().ok_or("-ERR no policy was in force before this one")?;
-                Ok((Command::Back(self.me, now, limits), For::Proposed(now)))
+                Ok((Command::Back(self.me, now, limits), WaitCondition::Proposed(now)))
             }
             Ask::Abort => {
                 let number =
                     policies.pending().map(|p| p.policy.number).ok_or("-ERR nothing is under way")?;
-                Ok((Command::Abort(number), For::Over(number)))
+                Ok((Command::Abort(number), WaitCondition::Over(number)))
             }
         }
     }
 
-    /// The proposal of a file. What is wrong with it here is told at once, and the fleet is not asked.
+    /// Builds a proposal from a file. Errors found here are reported at once, without asking the fleet.
     fn proposal(&self, at: Micros, path: &str, limits: [Micros; 2]) -> Result<Command, String> {
-        let text = read(path).map_err(|e| format!("-ERR {e}"))?;
+        let text = read_policy_file(path).map_err(|e| format!("-ERR {e}"))?;
         let faults = |all: Vec<Fault>| all.iter().map(Fault::to_string).collect::<Vec<_>>();
         let checked = Policy::parse(&shown(path), &text).map_err(faults);
         checked
@@ -119,94 +120,95 @@
 }
 
 impl PolicyCalls {
-    /// Whether none waits.
+    /// Whether no call is waiting.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Keeps a call until it is agreed.
-    pub(super) fn wait(&mut self, caller: Key, what: For, now: Micros) {
-        self.waiting.push(WaitingCall { caller, what, until: now + AGREED });
+    /// Queues a call until its condition holds.
+    pub(super) fn wait(&mut self, caller: Key, condition: WaitCondition, now: Micros) {
+        self.waiting.push(WaitingCall { caller, condition, expires_at: now + AGREEMENT_TIMEOUT });
     }
 
-    /// The answers of the calls that have come to be agreed, and of those whose time is up.
+    /// Removes the calls whose condition holds or whose time limit has passed, and returns their answers.
     pub(super) fn answers(&mut self, now: Micros, policies: &Policies, me: Peer) -> Vec<(Key, String)> {
         let mut answers = Vec::new();
         self.waiting.retain(|w| {
             let late = || "-ERR not agreed in time; POLICY STATUS tells what came of it".to_string();
-            let said = outcome(&w.what, policies, me).or_else(|| (w.until <= now).then(late));
-            answers.extend(said.clone().map(|s| (w.caller, s)));
-            said.is_none()
+            let answer = answer_for(&w.condition, policies, me).or_else(|| (w.expires_at <= now).then(late));
+            answers.extend(answer.clone().map(|text| (w.caller, text)));
+            answer.is_none()
         });
         answers
     }
 }
 
-/// What came of what a call waits for, if anything did.
-fn outcome(what: &For, policies: &Policies, me: Peer) -> Option<String> {
-    match *what {
-        For::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
+/// The answer to a call, once its condition is decided.
+fn answer_for(condition: &WaitCondition, policies: &Policies, me: Peer) -> Option<String> {
+    match *condition {
+        WaitCondition::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
             (Some(number), _) => Some(format!("+OK proposed {number}")),
             (None, Some(p)) => Some(format!("-ERR policy {} is under way already", p.policy.number)),
             (None, None) => None,
         },
-        For::Queued(at) => policies.taken(me, at).map(|number| queued(number, policies)),
-        For::Over(number) if policies.current().number == number => {
+        WaitCondition::Queued(at) => policies.taken(me, at).map(|number| queued_answer(number, policies)),
+        WaitCondition::Over(number) if policies.current().number == number => {
             Some(format!("-ERR policy {number} is in force already"))
         }
-        For::Over(number) => policies
+        WaitCondition::Over(number) => policies
             .ended()
             .find(|e| e.number == number)
             .map(|e| format!("+OK given up: {}", e.why.as_deref().unwrap_or(""))),
     }
 }
 
-/// A change that was taken: whether it is put to the vote or waits.
-fn queued(number: u64, policies: &Policies) -> String {
+/// The answer for an accepted change, which is either voted on or queued.
+fn queued_answer(number: u64, policies: &Policies) -> String {
     let waits = policies.waiting().any(|w| w.policy.number == number);
     if waits { format!("+OK proposed {number}, waiting") } else { format!("+OK proposed {number}") }
 }
 
 impl DispatcherServer {
-    /// Carries out a call on the policy: its answer, or none as long as it waits to be agreed.
+    /// Handles an operator's call concerning the policy. Returns the answer, or `None` while the call waits
+    /// for agreement.
     pub(super) fn policy_call(&mut self, caller: Key, now: Micros, ask: &Ask) -> Option<String> {
         if self.control.is_some() && *ask != Ask::Status {
             return Some("-ERR this dispatcher follows a control group: ask one of its members".into());
         }
         match self.policy_command(now, ask) {
             Err(answer) => Some(answer),
-            Ok((command, what)) => {
+            Ok((command, condition)) => {
                 let Some(in_flight) = &mut self.in_flight else { return Some("-ERR no fleet".into()) };
                 if !in_flight.takeover.fleet.say(now, command) {
                     return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
                 }
-                self.rules.as_mut()?.calls.wait(caller, what, now);
+                self.fleet_policy.as_mut()?.calls.wait(caller, condition, now);
                 None
             }
         }
     }
 
-    fn policy_command(&self, now: Micros, ask: &Ask) -> Result<(Command, For), String> {
-        let rules = self.rules.as_ref().ok_or("-ERR no fleet")?;
+    fn policy_command(&self, now: Micros, ask: &Ask) -> Result<(Command, WaitCondition), String> {
+        let fleet_policy = self.fleet_policy.as_ref().ok_or("-ERR no fleet")?;
         let policies = self.policies().ok_or("-ERR this dispatcher takes no part in a fleet now")?;
         let context = CallContext {
             policies,
-            terms: &rules.terms,
-            base: &rules.base,
+            terms: &fleet_policy.terms,
+            base: &fleet_policy.base,
             names: &self.names,
-            me: rules.me(),
-            number: rules.part.number(),
+            me: fleet_policy.me(),
+            number: fleet_policy.part.number(),
             queue_from: None,
         };
         context.command(now, ask)
     }
 
-    /// Answers the calls that have come to be agreed, and those whose time is up.
+    /// Answers the calls whose condition holds or whose time limit has passed.
     pub(super) fn answer_policy_calls(&mut self, now: Micros) {
         let Some(policies) = self.policies().filter(|_| self.has_policy_calls()).cloned() else { return };
-        let Some(rules) = &mut self.rules else { return };
-        let me = rules.me();
-        for (caller, text) in rules.calls.answers(now, &policies, me) {
+        let Some(fleet_policy) = &mut self.fleet_policy else { return };
+        let me = fleet_policy.me();
+        for (caller, text) in fleet_policy.calls.answers(now, &policies, me) {
             if let Some(o) = &mut self.admin_listener {
                 o.answer(caller, &text, &self.poll);
             }
@@ -214,6 +216,6 @@
     }
 
     fn has_policy_calls(&self) -> bool {
-        self.rules.as_ref().is_some_and(|r| !r.calls.is_empty())
+        self.fleet_policy.as_ref().is_some_and(|r| !r.calls.is_empty())
     }
 }
--- a/src/net/sockets/dial.rs
+++ b/src/net/sockets/dial.rs
@@ -5,8 +5,9 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Begins to connect; the socket is writable once it is up or has failed.
-pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
+/// Starts a non-blocking connect; the socket becomes writable once the connection is established or has
+/// failed.
+pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = system_calls::socket(Domain::for_address(to))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
@@ -14,15 +15,15 @@
     Ok(socket.into())
 }
 
-/// Whether a connection was established, once its socket is writable.
-pub fn up(stream: &TcpStream) -> io::Result<()> {
+/// Checks the result of a connect once the socket is writable.
+pub fn check_connected(stream: &TcpStream) -> io::Result<()> {
     match stream.take_error()? {
         Some(e) => Err(e),
         None => stream.peer_addr().map(drop),
     }
 }
 
-/// Whether an error means that this process or the system has no descriptor left.
+/// Whether an error means that the process or the system is out of file descriptors.
 pub fn out_of_descriptors(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
