--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -129,7 +129,7 @@
         Some(l) => Rules::new(l, catalog),
         None => Rules { catalog, ..plain_rules() },
     };
-    let (told, faults) = match watcher::judge(&named.path, &rules) {
+    let (told, faults) = match watcher::validate(&named.path, &rules) {
         Ok((list, faults)) => (format!("in order: {} motores, {}", list.len(), list.digest), faults),
         Err(faults) => (String::new(), faults),
     };
@@ -145,7 +145,7 @@
     if path.extension().is_some_and(|e| e == "last-good") {
         return keep::load(path, MOST_BYTES).map_err(named);
     }
-    let (list, _) = watcher::judge(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
+    let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
     Ok(list)
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -202,7 +202,7 @@
             }
             let rules = crate::membership::watcher::Rules::new(&l, catalog);
             for source in &l.sources {
-                let judged = crate::membership::watcher::judge(&source.path, &rules);
+                let judged = crate::membership::watcher::validate(&source.path, &rules);
                 faults.extend(judged.map_or_else(|all| all, |(_, all)| all));
             }
         }
--- a/src/membership/watcher/mod.rs
+++ b/src/membership/watcher/mod.rs
@@ -1,18 +1,18 @@
-//! The thread that watches, reads and checks executor lists, and hands finished ones over.
+//! The thread that watches, reads and validates executor lists, and reports the results to the event loop.
 //!
-//! Notifications of the file system make it look at once; polling makes up for those that are lost, that
-//! overflow or that the file system does not give. Neither is believed: each only causes a look at the stamps.
+//! File system notifications trigger an immediate check. Polling covers notifications that are lost, overflow their
+//! queue or are not supported by the file system. Neither is trusted: each only triggers a comparison of file stamps.
 //!
-//! - `reading`: a list read once, and what all lists are read by.
-//! - `followed`: one list that is followed, look by look.
+//! - `reading`: reads a list once; the rules that apply to all lists.
+//! - `watched_list`: the state of one watched list.
 //! - `worker`: the thread itself.
 
-mod followed;
 mod reading;
+mod watched_list;
 mod worker;
 
-pub use followed::Followed;
-pub use reading::{Rules, judge};
+pub use reading::{Rules, validate};
+pub use watched_list::WatchedList;
 
 use super::keep::Acceptance;
 use super::list::{Digest, List};
@@ -28,103 +28,103 @@
 use std::time::Duration;
 use worker::{Task, Worker};
 
-/// Looks are no nearer to each other than this, however many notifications come.
-const GAP: Duration = Duration::from_millis(5);
-/// Words that wait for the loop at most; the thread waits beyond.
-const WORDS: usize = 4;
+/// Minimum time between two checks, however many notifications arrive.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of reports queued for the event loop; the thread blocks when the queue is full.
+const MAX_QUEUED_REPORTS: usize = 4;
 
-/// What the thread has to say of a list.
+/// What the thread reports about a list.
 #[derive(Debug)]
-pub enum Word {
-    /// A list that was read as one version and found usable.
+pub enum ListReport {
+    /// A list that was read as one consistent version and is valid.
     List(List),
-    /// One version, with faults.
-    Faulty {
-        /// Of its bytes.
+    /// A list that was read as one consistent version and has faults.
+    Invalid {
+        /// Digest of the bytes that were read.
         bytes: Digest,
-        /// What is wrong, the first ones.
+        /// The first faults.
         faults: Vec<Fault>,
-        /// How many there are in all.
+        /// Total number of faults.
         all: usize,
     },
-    /// Nothing that could be read, for as long as the settling time.
-    Unusable(String),
-    /// What a person accepted, newest first.
+    /// The list has been unreadable for the settling time; the reason.
+    Unreadable(String),
+    /// The acceptances that operators recorded, newest first.
     Accepted(Vec<Acceptance>),
-    /// The last good list could not be kept.
-    NotKept(String),
-    /// There are no notifications; polling goes on.
-    Unwatched(String),
+    /// The last good list could not be saved.
+    LastGoodNotSaved(String),
+    /// File system notifications are not available; polling continues.
+    NotifyUnavailable(String),
 }
 
-/// A word, and of which source.
+/// A report and the source that it is about.
 #[derive(Debug)]
-pub struct Handed {
+pub struct SourceReport {
     /// The source.
     pub source: Arc<str>,
-    /// The word.
-    pub word: Word,
-    /// When the look began that it comes of, by this process's clock.
-    pub looked: Micros,
+    /// The report.
+    pub report: ListReport,
+    /// When the check that led to the report started, by this process's clock.
+    pub checked_at: Micros,
 }
 
-/// The thread, seen from the loop.
+/// The event loop's handle to the thread.
 pub struct Watcher {
-    /// Readable when there are words.
+    /// Readable when reports are queued.
     pub wake: UnixStream,
-    words: Receiver<Handed>,
+    reports: Receiver<SourceReport>,
     tasks: Sender<Task>,
 }
 
 impl Watcher {
     /// Starts the thread.
-    pub fn start(followed: Vec<Followed>, rules: Rules) -> io::Result<Watcher> {
-        let (wake, bell) = UnixStream::pair()?;
+    pub fn start(lists: Vec<WatchedList>, rules: Rules) -> io::Result<Watcher> {
+        let (wake, wake_sender) = UnixStream::pair()?;
         wake.set_nonblocking(true)?;
-        bell.set_nonblocking(true)?;
-        let (tell, words) = sync_channel(WORDS);
-        let (tasks, asked) = channel();
+        wake_sender.set_nonblocking(true)?;
+        let (report_sender, reports) = sync_channel(MAX_QUEUED_REPORTS);
+        let (tasks, task_receiver) = channel();
         let worker = Worker {
-            followed,
+            lists,
             rules,
-            tell,
-            bell,
-            folders: BTreeSet::new(),
+            reports: report_sender,
+            wake_sender,
+            directories: BTreeSet::new(),
             notify: None,
-            unkept: BTreeMap::new(),
+            unsaved: BTreeMap::new(),
         };
         let own = tasks.clone();
-        thread::Builder::new().name("motor-lists".into()).spawn(move || worker.run(&own, &asked))?;
-        Ok(Watcher { wake, words, tasks })
+        thread::Builder::new().name("motor-lists".into()).spawn(move || worker.run(&own, &task_receiver))?;
+        Ok(Watcher { wake, reports, tasks })
     }
 
-    /// The next word, if there is one; called when [`Watcher::wake`] is readable, until there is none.
-    pub fn word(&mut self) -> Option<Handed> {
+    /// Returns the next report, if any. Call it when [`Watcher::wake`] is readable, until it returns `None`.
+    pub fn next_report(&mut self) -> Option<SourceReport> {
         let mut bytes = [0; 64];
         while matches!(self.wake.read(&mut bytes), Ok(n) if n == bytes.len()) {}
-        self.words.try_recv().ok()
+        self.reports.try_recv().ok()
     }
 
-    /// Has it look at all lists now.
-    pub fn look(&self) {
-        self.ask(Task::Look);
+    /// Requests an immediate check of all lists.
+    pub fn check_now(&self) {
+        self.send(Task::CheckAll);
     }
 
-    /// Has it keep a list as the last good one.
-    pub fn keep(&self, source: Arc<str>, list: Arc<List>) {
-        self.ask(Task::Keep(source, list));
+    /// Requests that a list be saved as the last good one.
+    pub fn save_last_good(&self, source: Arc<str>, list: Arc<List>) {
+        self.send(Task::SaveLastGood(source, list));
     }
 
-    fn ask(&self, task: Task) {
+    fn send(&self, task: Task) {
         if self.tasks.send(task).is_err() {
-            tracing::error!("motor lists: their thread has ended; the lists in force stay");
+            tracing::error!("motor lists: the watcher thread has ended; the lists in force stay");
         }
     }
 }
 
 impl Drop for Watcher {
     fn drop(&mut self) {
-        // It may have ended by itself, which is what is wanted.
+        // The send fails only if the thread has already ended.
         let _ = self.tasks.send(Task::Stop);
     }
 }
--- a/src/membership/watcher/reading.rs
+++ b/src/membership/watcher/reading.rs
@@ -1,4 +1,4 @@
-//! A list read once, and what all lists are read by.
+//! Reads a list once; the rules that apply to all lists.
 
 use crate::membership::check::{self, Catalog, Terms};
 use crate::membership::files::{self, Bounds};
@@ -9,27 +9,27 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What all sources are read by.
+/// Rules for reading and validating all sources.
 #[derive(Debug, Clone)]
 pub struct Rules {
-    /// What a list may hold.
+    /// Limits on the content of a list.
     pub terms: Terms,
-    /// Rooms and kinds that are known; none if that is not to be checked.
+    /// Known rooms and kinds; `None` to skip these checks.
     pub catalog: Option<Catalog>,
-    /// How much may be read.
+    /// Limits on the size and number of files.
     pub bounds: Bounds,
-    /// How long what is not sealed has to stay the same.
+    /// How long a list without a seal has to stay unchanged before it is used.
     pub settle: Duration,
-    /// How often to look without any notification.
+    /// How often to check without a notification.
     pub poll: Duration,
-    /// Where the last good lists are kept.
+    /// Directory in which the last good lists are saved.
     pub last_good: Option<PathBuf>,
-    /// For tests alone: safeguards left out.
+    /// Disabled safeguards; for tests only.
     pub without: BTreeSet<Safeguard>,
 }
 
 impl Rules {
-    /// By our settings and by what the platform's settings know.
+    /// Rules from the dispatcher's settings and the platform's catalog.
     pub fn new(lists: &options::Lists, catalog: Option<Catalog>) -> Rules {
         Rules {
             terms: lists.terms.clone(),
@@ -42,13 +42,13 @@
         }
     }
 
-    pub(super) fn left_out(&self, s: Safeguard) -> bool {
+    pub(super) fn disabled(&self, s: Safeguard) -> bool {
         self.without.contains(&s)
     }
 }
 
-/// Reads a list once and judges it as it stands.
-pub fn judge(path: &Path, rules: &Rules) -> Result<(List, Vec<Fault>), Vec<Fault>> {
+/// Reads a list once and validates it.
+pub fn validate(path: &Path, rules: &Rules) -> Result<(List, Vec<Fault>), Vec<Fault>> {
     let shown = path.display().to_string();
     let version = files::read(path, rules.bounds, true).map_err(|t| vec![Fault::of_file(&shown, t)])?;
     let (list, mut faults) = parse(path, &version.files, rules);
@@ -63,7 +63,7 @@
     }
 }
 
-/// The path of a file of a list; of the list itself for no name.
+/// The path of a file of the list, or of the list itself if `name` is empty.
 pub(super) fn full(path: &Path, name: &str) -> String {
     let whole =
         name.is_empty() || path.file_name().is_some_and(|n| n.to_string_lossy() == name) && !path.is_dir();
@@ -76,7 +76,7 @@
         let (file, mut wrong) = ListFile::parse(&full(path, name), name, text);
         faults.append(&mut wrong);
         files.extend(file.map(|f| {
-            let seal = f.seal.clone().filter(|_| !rules.left_out(Safeguard::Seal));
+            let seal = f.seal.clone().filter(|_| !rules.disabled(Safeguard::Seal));
             ListFile { seal, ..f }
         }));
     }
--- a/src/membership/watcher/tests.rs
+++ b/src/membership/watcher/tests.rs
@@ -23,52 +23,53 @@
     Source { name: name.into(), accept: options::accept_path(&path), path }
 }
 
-// A file that is torn while it is written is waited for; only one that stays so is told of, once.
+// A partially written file is reported only if it stays that way for the settling time, and only once.
 #[test]
-fn a_torn_file_is_told_once_it_stays_torn() {
-    let (rules, at) = (rules(), source("torn"));
+fn a_partially_written_file_is_reported_once_after_settling() {
+    let (rules, at) = (rules(), source("partial"));
     let whole = sealed("f", TWO, false, false).unwrap();
     std::fs::write(&at.path, &whole[..whole.len() / 2]).unwrap();
-    let mut f = Followed::new(&at, &rules);
+    let mut f = WatchedList::new(&at, &rules);
     let begun = now();
-    assert!(f.look(begun, &rules).is_none());
-    assert!(f.look(begun + 29_000, &rules).is_none());
-    assert!(matches!(f.look(begun + 31_000, &rules), Some(Word::Faulty { .. })));
-    assert!(f.look(begun + 32_000, &rules).is_none());
+    assert!(f.check(begun, &rules).is_none());
+    assert!(f.check(begun + 29_000, &rules).is_none());
+    assert!(matches!(f.check(begun + 31_000, &rules), Some(ListReport::Invalid { .. })));
+    assert!(f.check(begun + 32_000, &rules).is_none());
     std::fs::write(&at.path, &whole).unwrap();
-    assert!(matches!(f.look(now(), &rules), Some(Word::List(l)) if l.len() == 2));
+    assert!(matches!(f.check(now(), &rules), Some(ListReport::List(l)) if l.len() == 2));
     std::fs::remove_file(&at.path).unwrap();
 }
 
-// The thread sees what comes by rename, and a missing file is one word.
+// The thread detects a file that is renamed into place; a missing file is reported once.
 #[test]
-fn the_thread_hands_over_what_comes_and_what_is_missing() {
-    follows(rules(), &source("thread"));
+fn the_thread_reports_new_and_missing_files() {
+    reports_changes(rules(), &source("thread"));
 }
 
-// Notifications are lost when their queue overflows, and some file systems have none: polling is enough.
+// Notifications are lost when their queue overflows, and some file systems have none: polling alone detects the same
+// changes.
 #[test]
-fn without_notifications_polling_sees_the_same() {
-    follows(Rules { without: [Safeguard::Notify].into(), ..rules() }, &source("polled"));
+fn polling_detects_the_same_changes_without_notifications() {
+    reports_changes(Rules { without: [Safeguard::Notify].into(), ..rules() }, &source("polled"));
 }
 
-fn follows(rules: Rules, at: &Source) {
-    let mut w = Watcher::start(vec![Followed::new(at, &rules)], rules).unwrap();
-    let mut word = || {
+fn reports_changes(rules: Rules, at: &Source) {
+    let mut w = Watcher::start(vec![WatchedList::new(at, &rules)], rules).unwrap();
+    let mut report = || {
         for _ in 0..500 {
-            if let Some(h) = w.word() {
-                return h.word;
+            if let Some(h) = w.next_report() {
+                return h.report;
             }
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("no word");
+        panic!("no report");
     };
-    assert!(matches!(word(), Word::Unusable(why) if why.contains("No such file")));
+    assert!(matches!(report(), ListReport::Unreadable(why) if why.contains("No such file")));
     keep::replace(&at.path, sealed("f", TWO, false, false).unwrap().as_bytes()).unwrap();
-    assert!(matches!(word(), Word::List(_)));
+    assert!(matches!(report(), ListReport::List(_)));
     keep::accept(&at.accept, &"0".repeat(16), 1).unwrap();
-    assert!(matches!(word(), Word::Accepted(all) if all.len() == 1));
+    assert!(matches!(report(), ListReport::Accepted(all) if all.len() == 1));
     std::fs::remove_file(&at.path).unwrap();
-    assert!(matches!(word(), Word::Unusable(_)));
+    assert!(matches!(report(), ListReport::Unreadable(_)));
     std::fs::remove_file(&at.accept).unwrap();
 }
--- a/src/membership/watcher/worker.rs
+++ b/src/membership/watcher/worker.rs
@@ -1,6 +1,6 @@
-//! The thread itself: it waits for notifications and for the clock, looks, and hands words over.
+//! The watcher thread: waits for notifications and timers, checks the lists and sends reports.
 
-use super::{Followed, GAP, Handed, Rules, Word, now};
+use super::{ListReport, MIN_CHECK_INTERVAL, Rules, SourceReport, WatchedList, now};
 use crate::api::Micros;
 use crate::membership::keep;
 use crate::membership::list::List;
@@ -16,57 +16,57 @@
 use std::thread;
 use std::time::Duration;
 
-/// The thread looks at the clock this often at least.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// The thread wakes up at least this often.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A list that could not be kept is tried again this often: what is kept is owed to the next start.
-const KEEP_AGAIN: Duration = Duration::from_millis(500);
+/// Retry interval for saving a last good list: the next start of the process depends on it.
+const SAVE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the thread is asked to do.
+/// What the thread is task_receiver to do.
 pub(super) enum Task {
-    Look,
-    Keep(Arc<str>, Arc<List>),
+    CheckAll,
+    SaveLastGood(Arc<str>, Arc<List>),
     Stop,
 }
 
 pub(super) struct Worker {
-    pub(super) followed: Vec<Followed>,
+    pub(super) lists: Vec<WatchedList>,
     pub(super) rules: Rules,
-    pub(super) tell: SyncSender<Handed>,
-    pub(super) bell: UnixStream,
-    /// The folders under watch.
-    pub(super) folders: BTreeSet<PathBuf>,
+    pub(super) reports: SyncSender<SourceReport>,
+    pub(super) wake_sender: UnixStream,
+    /// The directories that are watched for notifications.
+    pub(super) directories: BTreeSet<PathBuf>,
     pub(super) notify: Option<notify::RecommendedWatcher>,
     /// Last good lists that could not be written yet.
-    pub(super) unkept: BTreeMap<Arc<str>, Arc<List>>,
+    pub(super) unsaved: BTreeMap<Arc<str>, Arc<List>>,
 }
 
 impl Worker {
-    pub(super) fn run(mut self, tasks: &Sender<Task>, asked: &Receiver<Task>) {
+    pub(super) fn run(mut self, tasks: &Sender<Task>, task_receiver: &Receiver<Task>) {
         let pending = Arc::new(AtomicBool::new(false));
         self.watch(tasks, &pending);
         let mut last = Micros::MIN;
         loop {
-            let due = self.followed.iter().map(|f| f.due).min().unwrap_or(Micros::MAX);
-            let longest = if self.unkept.is_empty() { LONGEST_WAIT } else { KEEP_AGAIN };
-            let wait = Duration::from_micros(due.saturating_sub(now())).min(longest);
-            match asked.recv_timeout(wait) {
+            let next_check_at = self.lists.iter().map(|f| f.next_check_at).min().unwrap_or(Micros::MAX);
+            let max_wait = if self.unsaved.is_empty() { MAX_WAIT } else { SAVE_RETRY_INTERVAL };
+            let wait = Duration::from_micros(next_check_at.saturating_sub(now())).min(max_wait);
+            match task_receiver.recv_timeout(wait) {
                 Ok(Task::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(Task::Keep(source, list)) => self.keep(source, list),
-                Ok(Task::Look) => {
+                Ok(Task::SaveLastGood(source, list)) => self.save_last_good(source, list),
+                Ok(Task::CheckAll) => {
                     let since = Duration::from_micros(now().saturating_sub(last));
-                    thread::sleep(GAP.saturating_sub(since));
+                    thread::sleep(MIN_CHECK_INTERVAL.saturating_sub(since));
                     pending.store(false, Ordering::SeqCst);
-                    self.followed.iter_mut().for_each(|f| f.due = 0);
+                    self.lists.iter_mut().for_each(|f| f.next_check_at = 0);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
             }
             last = now();
-            for (source, list) in std::mem::take(&mut self.unkept) {
-                self.keep_again(source, list);
+            for (source, list) in std::mem::take(&mut self.unsaved) {
+                self.try_save(source, list);
             }
-            for i in 0..self.followed.len() {
-                if !self.look(i, last) {
+            for i in 0..self.lists.len() {
+                if !self.check(i, last) {
                     return;
                 }
             }
@@ -74,73 +74,74 @@
         }
     }
 
-    /// Looks at one list if it is time; false once nobody listens any more.
-    fn look(&mut self, i: usize, now: Micros) -> bool {
-        let f = &mut self.followed[i];
-        if f.due > now {
+    /// Checks one list if it is due; false once the event loop has dropped its end.
+    fn check(&mut self, i: usize, now: Micros) -> bool {
+        let f = &mut self.lists[i];
+        if f.next_check_at > now {
             return true;
         }
-        let word = f.look(now, &self.rules);
-        let words = [f.acceptances(), word];
+        let report = f.check(now, &self.rules);
+        let reports = [f.acceptances(), report];
         let source = f.name.clone();
-        words.into_iter().flatten().all(|word| self.hand(source.clone(), word, now))
+        reports.into_iter().flatten().all(|report| self.report(source.clone(), report, now))
     }
 
-    fn hand(&mut self, source: Arc<str>, word: Word, looked: Micros) -> bool {
-        if self.tell.send(Handed { source, word, looked }).is_err() {
+    fn report(&mut self, source: Arc<str>, report: ListReport, checked_at: Micros) -> bool {
+        if self.reports.send(SourceReport { source, report, checked_at }).is_err() {
             return false;
         }
-        // A full pipe is full of bells.
-        let _ = self.bell.write(&[1]);
+        // If the socket buffer is full, a wake-up is already pending.
+        let _ = self.wake_sender.write(&[1]);
         true
     }
 
-    /// Keeps a list as the last good one; what can't be written now is tried again, and told once.
-    fn keep(&mut self, source: Arc<str>, list: Arc<List>) {
-        if let Some(error) = self.keep_again(source.clone(), list) {
-            self.hand(source, Word::NotKept(error), now());
+    /// Saves a list as the last good one. A failure is reported once and the write is retried.
+    fn save_last_good(&mut self, source: Arc<str>, list: Arc<List>) {
+        if let Some(error) = self.try_save(source.clone(), list) {
+            self.report(source, ListReport::LastGoodNotSaved(error), now());
         }
     }
 
-    /// Tries to keep a list, and remembers it if that fails; the error then.
-    fn keep_again(&mut self, source: Arc<str>, list: Arc<List>) -> Option<String> {
-        let folder = self.rules.last_good.as_ref()?;
-        let error = keep::save(&keep::path(folder, &source), &list).err()?;
-        self.unkept.insert(source, list);
+    /// Tries to save a list. On failure, queues it for a retry and returns the error.
+    fn try_save(&mut self, source: Arc<str>, list: Arc<List>) -> Option<String> {
+        let directory = self.rules.last_good.as_ref()?;
+        let error = keep::save(&keep::path(directory, &source), &list).err()?;
+        self.unsaved.insert(source, list);
         Some(error.to_string())
     }
 
     fn watch(&mut self, tasks: &Sender<Task>, pending: &Arc<AtomicBool>) {
-        if self.rules.left_out(Safeguard::Notify) {
+        if self.rules.disabled(Safeguard::Notify) {
             return;
         }
         let (tasks, pending) = (tasks.clone(), pending.clone());
-        let heard = move |_: notify::Result<notify::Event>| {
-            // Errors and overflows are heard of here too: whatever it is, a look tells what is there.
+        let on_event = move |_: notify::Result<notify::Event>| {
+            // Errors and queue overflows arrive here too; each of them triggers a check.
             if !pending.swap(true, Ordering::SeqCst) {
-                let _ = tasks.send(Task::Look);
+                let _ = tasks.send(Task::CheckAll);
             }
         };
-        match notify::recommended_watcher(heard) {
+        match notify::recommended_watcher(on_event) {
             Ok(watcher) => self.notify = Some(watcher),
             Err(e) => {
-                let source = self.followed.first().map_or_else(|| "".into(), |f| f.name.clone());
-                self.hand(source, Word::Unwatched(e.to_string()), now());
+                let source = self.lists.first().map_or_else(|| "".into(), |f| f.name.clone());
+                self.report(source, ListReport::NotifyUnavailable(e.to_string()), now());
             }
         }
         self.refresh();
     }
 
-    /// Watches the folders in which changes show now: links move, folders are made anew.
+    /// Updates the set of watched directories: links may point elsewhere now, and directories may have been recreated.
     fn refresh(&mut self) {
         let Some(notify) = &mut self.notify else { return };
-        let wanted: BTreeSet<PathBuf> = self.followed.iter().flat_map(Followed::folders).collect();
-        for gone in self.folders.difference(&wanted) {
+        let wanted: BTreeSet<PathBuf> = self.lists.iter().flat_map(WatchedList::directories).collect();
+        for gone in self.directories.difference(&wanted) {
             let _ = notify.unwatch(gone);
         }
-        // One that can't be watched is tried again at the next look, and polled meanwhile.
-        let watched =
-            |p: &PathBuf| self.folders.contains(p) || notify.watch(p, RecursiveMode::NonRecursive).is_ok();
-        self.folders = wanted.into_iter().filter(watched).collect();
+        // A directory that can't be watched is retried at the next check, and polled meanwhile.
+        let watched = |p: &PathBuf| {
+            self.directories.contains(p) || notify.watch(p, RecursiveMode::NonRecursive).is_ok()
+        };
+        self.directories = wanted.into_iter().filter(watched).collect();
     }
 }
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -6,7 +6,7 @@
 use crate::api::Micros;
 use crate::codec::coordinator::Target;
 use crate::membership::check::Catalog;
-use crate::membership::watcher::{Followed, Handed, Rules, Watcher, Word};
+use crate::membership::watcher::{ListReport, Rules, SourceReport, WatchedList, Watcher};
 use crate::membership::{Act, Members, Sources, keep};
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::options::{self, Empty, Source, accept_path};
@@ -63,7 +63,7 @@
         }
         let mut members = Members::new(Sources { precedence, guard, drain_limit, cores, without: o.without });
         let mut acts = members.feed(now, true, known);
-        let (mut followed, mut words, mut empty) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut watched, mut reports, mut empty) = (Vec::new(), Vec::new(), Vec::new());
         for source in &o.sources {
             let name: Arc<str> = source.name.as_str().into();
             let kept = o.last_good.as_ref().map(|folder| keep::path(folder, &source.name));
@@ -79,9 +79,9 @@
                 }
                 None => {}
             }
-            let mut one = Followed::new(source, &rules);
-            let word = one.first(&rules);
-            let usable = matches!(word, Word::List(_));
+            let mut one = WatchedList::new(source, &rules);
+            let report = one.first_report(&rules);
+            let usable = matches!(report, ListReport::List(_));
             match (usable, members.digest(&name)) {
                 (true, _) => {}
                 (false, Some(digest)) => {
@@ -89,16 +89,16 @@
                 }
                 (false, None) => empty.push(name.clone()),
             }
-            words.push(Handed { source: name, word, looked: now });
-            followed.push(one);
+            reports.push(SourceReport { source: name, report, checked_at: now });
+            watched.push(one);
         }
-        let watcher = Watcher::start(followed, rules)?;
+        let watcher = Watcher::start(watched, rules)?;
         let key = poll.add(&watcher.wake, false)?;
         let accepts = o.sources.iter().map(|s| (s.name.as_str().into(), accepts(s))).collect();
         let (pending, tally) = (VecDeque::new(), Tally::default());
         let mut lists = EndpointLists { members, watcher, key, accepts, pending, tally };
         lists.enact(now, acts);
-        words.into_iter().for_each(|w| lists.process(now, w));
+        reports.into_iter().for_each(|report| lists.process(now, report));
         if let (Some(name), Empty::Exit) = (empty.first(), o.empty) {
             return Err(io::Error::other(format!(
                 "motor list {name}: none can be used, and no last good copy"
@@ -125,13 +125,13 @@
 
     /// Has the files looked at now.
     pub fn poll_files(&self) {
-        self.watcher.look();
+        self.watcher.check_now();
     }
 
     /// The thread has sent messages.
     pub fn ready(&mut self, now: Micros) {
-        while let Some(handed) = self.watcher.word() {
-            self.process(now, handed);
+        while let Some(report) = self.watcher.next_report() {
+            self.process(now, report);
         }
     }
 
--- a/src/net/endpoint_lists/outcomes.rs
+++ b/src/net/endpoint_lists/outcomes.rs
@@ -4,25 +4,25 @@
 use crate::api::Micros;
 use crate::membership::Act;
 use crate::membership::members::Change;
-use crate::membership::watcher::{Handed, Word};
+use crate::membership::watcher::{ListReport, SourceReport};
 use crate::settings::hcl::Fault;
 
 /// Faults of one list that are logged; `ottercroft lists check` shows them all.
 const LOGGED_FAULTS: usize = 20;
 
 impl EndpointLists {
-    pub(super) fn process(&mut self, now: Micros, Handed { source, word, looked }: Handed) {
+    pub(super) fn process(&mut self, now: Micros, SourceReport { source, report, checked_at }: SourceReport) {
         let name = &*source;
-        match word {
-            Word::List(list) => {
+        match report {
+            ListReport::List(list) => {
                 let acts = self.members.list(now, name, list);
                 if acts.iter().any(|a| matches!(a, Act::Taken { .. })) {
-                    let waited_us = now.saturating_sub(looked);
+                    let waited_us = now.saturating_sub(checked_at);
                     tracing::debug!(source = name, waited_us, "motor list came from its thread");
                 }
                 self.enact(now, acts);
             }
-            Word::Faulty { bytes, faults, all } => {
+            ListReport::Invalid { bytes, faults, all } => {
                 self.tally.refused += 1;
                 let in_force = self.members.digest(name).map(|d| d.short());
                 tracing::error!(
@@ -34,18 +34,20 @@
                 );
                 faults.iter().take(LOGGED_FAULTS).for_each(|f| self.fault(name, f));
             }
-            Word::Unusable(reason) => {
+            ListReport::Unreadable(reason) => {
                 self.tally.unreadable += 1;
                 tracing::error!(source = name, reason, "motor list can't be read; what was in force stays");
             }
-            Word::Accepted(accepted) => {
+            ListReport::Accepted(accepted) => {
                 let acts = self.members.accept(now, name, accepted);
                 self.enact(now, acts);
             }
-            Word::NotKept(error) => {
+            ListReport::LastGoodNotSaved(error) => {
                 tracing::error!(source = name, error, "motor list: no last good copy kept")
             }
-            Word::Unwatched(error) => tracing::warn!(error, "motor lists: no notifications; polling goes on"),
+            ListReport::NotifyUnavailable(error) => {
+                tracing::warn!(error, "motor lists: no notifications; polling goes on")
+            }
         }
     }
 
@@ -58,7 +60,7 @@
         for act in acts {
             match act {
                 Act::Change(targets) => self.pending.extend(targets),
-                Act::Keep(source, list) => self.watcher.keep(source, list),
+                Act::Keep(source, list) => self.watcher.save_last_good(source, list),
                 Act::Taken {
                     source,
                     digest,
