--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -3,7 +3,7 @@
 use super::{read, state};
 use crate::cli::{Verdict, catalog};
 use crate::membership::list::{Executor, List};
-use crate::membership::{Act, Guard, Members, Sources};
+use crate::membership::{Effect, Guard, Members, Sources};
 use crate::settings::hcl::shown;
 use crate::settings::options::Lists;
 use serde_json::json;
@@ -60,10 +60,10 @@
     let mut members = Members::new(terms);
     members.restore(0, "list", old);
     let (mut held, mut refused) = (Vec::new(), None);
-    for act in members.list(1, "list", new) {
-        match act {
-            Act::Held { losses, .. } => held = losses,
-            Act::Refused(_, _, why) => refused = Some(why),
+    for effect in members.list(1, "list", new) {
+        match effect {
+            Effect::HeldBack { losses, .. } => held = losses,
+            Effect::Rejected(_, _, why) => refused = Some(why),
             _ => {}
         }
     }
--- a/src/membership/members/entry.rs
+++ b/src/membership/members/entry.rs
@@ -1,4 +1,4 @@
-//! An executor, as its owner has it and as it is in force.
+//! An executor's entry in its source, and in the list in force.
 
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
@@ -6,61 +6,61 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An executor, as its owner has it.
+/// An executor's entry in its source.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Entry {
-    Listed(Arc<Executor>),
-    Fed(Arc<Target>),
+    FromList(Arc<Executor>),
+    FromFeed(Arc<Target>),
 }
 
 impl Entry {
     pub(super) fn address(&self) -> Option<SocketAddr> {
         match self {
-            Entry::Listed(m) => Some(m.address),
-            Entry::Fed(t) => t.endpoint,
+            Entry::FromList(m) => Some(m.address),
+            Entry::FromFeed(t) => t.endpoint,
         }
     }
 
     pub(super) fn takes(&self) -> bool {
         match self {
-            Entry::Listed(m) => m.takes(),
-            Entry::Fed(t) => t.state == State::Up,
+            Entry::FromList(m) => m.takes(),
+            Entry::FromFeed(t) => t.state == State::Up,
         }
     }
 
     pub(super) fn room(&self) -> &str {
         match self {
-            Entry::Listed(m) => &m.room,
-            Entry::Fed(t) => &t.az,
+            Entry::FromList(m) => &m.room,
+            Entry::FromFeed(t) => &t.az,
         }
     }
 
-    /// The room's name, shared where that can be.
+    /// The room's name, without a copy where the entry shares it.
     pub(super) fn room_name(&self) -> Arc<str> {
         match self {
-            Entry::Listed(m) => m.room.clone(),
-            Entry::Fed(t) => t.az.as_str().into(),
+            Entry::FromList(m) => m.room.clone(),
+            Entry::FromFeed(t) => t.az.as_str().into(),
         }
     }
 
     pub(super) fn kind(&self) -> &str {
         match self {
-            Entry::Listed(m) => &m.kind,
-            Entry::Fed(t) => &t.model,
+            Entry::FromList(m) => &m.kind,
+            Entry::FromFeed(t) => &t.model,
         }
     }
 
     pub(super) fn weight(&self) -> f64 {
         match self {
-            Entry::Listed(m) => m.weight,
-            Entry::Fed(_) => 1.0,
+            Entry::FromList(m) => m.weight,
+            Entry::FromFeed(_) => 1.0,
         }
     }
 
     pub(super) fn target(&self) -> Target {
         match self {
-            Entry::Fed(t) => Target::clone(t),
-            Entry::Listed(m) => Target {
+            Entry::FromFeed(t) => Target::clone(t),
+            Entry::FromList(m) => Target {
                 uid: m.uid.to_string(),
                 endpoint: Some(m.address),
                 az: m.room.to_string(),
@@ -74,17 +74,17 @@
         }
     }
 
-    pub(super) fn told(&self, state: State) -> Target {
+    pub(super) fn with_state(&self, state: State) -> Target {
         Target { state, ..self.target() }
     }
 }
 
-/// An executor in force.
+/// An executor of the list in force.
 #[derive(Debug, Clone)]
-pub(super) struct Placed {
-    /// Its owner, by rank; the lowest goes first.
+pub(super) struct ActiveEntry {
+    /// The rank of the source that owns it; the lowest rank has precedence.
     pub(super) owner: usize,
     pub(super) entry: Entry,
-    /// Since when it drains because no source names it any more.
-    pub(super) leaving: Option<Micros>,
+    /// Since when it drains because no source lists it any more.
+    pub(super) draining_since: Option<Micros>,
 }
--- a/src/membership/members/guard.rs
+++ b/src/membership/members/guard.rs
@@ -1,6 +1,6 @@
-//! What holds a list back until it is confirmed.
+//! The guard: holds a list back if it removes too much capacity, until it is accepted.
 
-use super::{Act, Entry, Held, Loss, Lost, Members, Merged, micros};
+use super::{Effect, Entry, HeldList, Loss, Members, Merged, RoomLosses, micros};
 use crate::api::Micros;
 use crate::membership::keep::Acceptance;
 use crate::membership::list::{Digest, List};
@@ -9,28 +9,40 @@
 use std::sync::Arc;
 
 impl Members {
-    /// Puts a list in force, or holds it back if it takes too much away and nobody has accepted that.
-    pub(super) fn try_list(&mut self, now: Micros, rank: usize, list: Arc<List>, acts: &mut Vec<Act>) {
+    /// Puts a list in force, or holds it back if it removes too much capacity and was not accepted.
+    pub(super) fn apply_guarded(
+        &mut self,
+        now: Micros,
+        rank: usize,
+        list: Arc<List>,
+        effects: &mut Vec<Effect>,
+    ) {
         let first = self.files.get(&rank).is_none_or(|f| f.list.is_none());
         let guarded = !self.terms.without.contains(&Safeguard::Guard);
         let next = self.merged(Some((rank, &list)));
-        let lost = self.lost_by(&next.0);
+        let lost = self.losses_by_room(&next.0);
         if guarded && !first && !self.accepted(now, rank, &list) {
-            let losses = self.losses(now, &lost);
+            let losses = self.excessive_losses(now, &lost);
             if !losses.is_empty() {
                 let (source, digest) = (self.names[rank].clone(), list.digest);
-                acts.push(Act::Held { source, digest, losses: losses.clone(), since: now, again: false });
+                effects.push(Effect::HeldBack {
+                    source,
+                    digest,
+                    losses: losses.clone(),
+                    since: now,
+                    again: false,
+                });
                 let remind_at = now + micros(self.terms.guard.remind);
                 if let Some(file) = self.files.get_mut(&rank) {
-                    file.held = Some(Held { list, losses, since: now, remind_at });
+                    file.held = Some(HeldList { list, losses, since: now, remind_at });
                 }
                 return;
             }
         }
-        self.take(now, rank, list, next, lost, acts);
+        self.apply(now, rank, list, next, lost, effects);
     }
 
-    /// Accepted by its digest lately, or confirmed by the second seal of every file that is new in it.
+    /// Whether the list was accepted by its digest recently, or every new file in it is confirmed by its second seal.
     pub(super) fn accepted(&self, now: Micros, rank: usize, list: &List) -> bool {
         let Some(file) = self.files.get(&rank) else { return false };
         let fresh = |a: &Acceptance| {
@@ -43,8 +55,8 @@
         confirmed || file.accepted.iter().any(|a| a.names(&list.digest) && fresh(a))
     }
 
-    /// Rooms that would lose too much, with what lists took away lately.
-    fn losses(&mut self, now: Micros, lost: &Lost) -> Vec<Loss> {
+    /// Rooms that would lose too much capacity, counting what lists removed within the window.
+    fn excessive_losses(&mut self, now: Micros, lost: &RoomLosses) -> Vec<Loss> {
         let window = micros(self.terms.guard.window);
         self.lost.retain(|(at, ..)| now < at + window);
         let mut rooms = lost.clone();
@@ -60,22 +72,23 @@
         rooms.into_iter().filter_map(over).collect()
     }
 
-    /// For each room in force: its capacity, and what of it another list takes away. Weights count against the
-    /// largest of their time, as only their ratio matters.
-    fn lost_by(&self, next: &Merged) -> Lost {
-        let most = |all: &mut dyn Iterator<Item = &Entry>| {
+    /// For each room in force: its capacity, and how much of it the next list removes. Weights are relative to the largest
+    /// weight of the same list, as only their ratio matters.
+    fn losses_by_room(&self, next: &Merged) -> RoomLosses {
+        let max_weight = |all: &mut dyn Iterator<Item = &Entry>| {
             all.filter(|e| e.takes()).map(Entry::weight).fold(f64::MIN_POSITIVE, f64::max)
         };
-        let was_most = most(&mut self.force.values().filter(|p| p.leaving.is_none()).map(|p| &p.entry));
-        let is_most = most(&mut next.values().map(|(_, e)| e));
+        let old_max_weight =
+            max_weight(&mut self.active.values().filter(|p| p.draining_since.is_none()).map(|p| &p.entry));
+        let new_max_weight = max_weight(&mut next.values().map(|(_, e)| e));
         let cores = |e: &Entry| self.terms.cores.get(e.kind()).copied().unwrap_or(1.0);
         let part = |e: &Entry, most: f64| if e.takes() { cores(e) * e.weight() / most } else { 0.0 };
-        let mut rooms = Lost::new();
-        for (uid, p) in self.force.iter().filter(|(_, p)| p.leaving.is_none()) {
-            let was = part(&p.entry, was_most);
-            // The same executor under another address is another process.
+        let mut rooms = RoomLosses::new();
+        for (uid, p) in self.active.iter().filter(|(_, p)| p.draining_since.is_none()) {
+            let was = part(&p.entry, old_max_weight);
+            // The same uid at another address is another process.
             let stays = next.get(uid).filter(|(_, e)| e.address() == p.entry.address());
-            let lost = (was - stays.map_or(0.0, |(_, e)| part(e, is_most))).max(0.0);
+            let lost = (was - stays.map_or(0.0, |(_, e)| part(e, new_max_weight))).max(0.0);
             match rooms.get_mut(p.entry.room()) {
                 Some(sum) => *sum = (sum.0 + was, sum.1 + lost),
                 None => drop(rooms.insert(p.entry.room_name(), (was, lost))),
--- a/src/membership/members/mod.rs
+++ b/src/membership/members/mod.rs
@@ -1,31 +1,31 @@
-//! The list in force. Sans-I/O: versions of the sources go in with their time, what to do comes out.
+//! The list in force. Sans-I/O: takes versions of the sources with their time, and returns effects.
 //!
-//! The list in force follows from the latest taken version of each source alone, whatever came in between:
-//! an executor belongs to the first source in the order of precedence that names its uid, and an address to the
-//! first executor in that order that has it. What a list no longer names drains: it gets nothing new, completes
-//! what it has, and is gone once nothing is out on it.
+//! The list in force depends only on the latest accepted version of each source, whatever came in between: an executor
+//! belongs to the first source in order of precedence that lists its uid, and an address to the first executor in that
+//! order that has it. An executor that is no longer listed drains: it gets no new work, completes what it has, and is
+//! removed once it has no work left.
 //!
-//! - `act`: what comes of a version.
-//! - `entry`: an executor, as its owner has it and as it is in force.
-//! - `versions`: what the sources say, and time that passes.
-//! - `guard`: what holds a list back.
-//! - `force`: the list in force.
+//! - `effect`: the effects of a new version.
+//! - `entry`: an executor's entry in its source, and in the list in force.
+//! - `versions`: new versions of the sources, and timers.
+//! - `guard`: holds a list back if it removes too much capacity.
+//! - `active`: the list in force.
 
-mod act;
+mod active;
+mod effect;
 mod entry;
-mod force;
 mod guard;
 mod versions;
 
 pub use crate::settings::options::Guard;
-pub use act::{Act, Change, Loss};
+pub use effect::{Change, Effect, Loss};
 
 use super::keep::Acceptance;
 use super::list::{Digest, List};
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
 use crate::settings::options::{FEED, Safeguard};
-use entry::{Entry, Placed};
+use entry::{ActiveEntry, Entry};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,24 +34,24 @@
     d.as_micros() as Micros
 }
 
-/// What the list in force is made of.
+/// Settings of the list in force.
 #[derive(Debug, Clone)]
 pub struct Sources {
-    /// Names of sources, the one that goes first ahead; `feed` is the coordinator's.
+    /// Names of the sources, highest precedence first; `feed` is the coordinator's.
     pub precedence: Vec<String>,
-    /// What holds a list back.
+    /// Limits beyond which a list is held back.
     pub guard: Guard,
-    /// How long what was taken out of a list may go on with what it has.
+    /// How long an executor that is no longer listed may continue its work.
     pub drain_limit: Duration,
     /// Cores of each kind of machine.
     pub cores: BTreeMap<String, f64>,
-    /// For tests alone: safeguards that are left out.
+    /// Disabled safeguards; for tests only.
     pub without: BTreeSet<Safeguard>,
 }
 
-/// A list that waits for its confirmation.
+/// A list that is held back until it is accepted.
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldList {
     list: Arc<List>,
     losses: Vec<Loss>,
     since: Micros,
@@ -61,35 +61,35 @@
 #[derive(Debug, Clone, Default)]
 struct FileSource {
     list: Option<Arc<List>>,
-    held: Option<Held>,
+    held: Option<HeldList>,
     accepted: Vec<Acceptance>,
 }
 
-/// Executors by uid, each with the rank of its owner.
+/// Executors by uid, each with the rank of the source that owns it.
 type Merged = BTreeMap<Arc<str>, (usize, Entry)>;
-/// By room: its capacity, and what of it is taken away.
-type Lost = BTreeMap<Arc<str>, (f64, f64)>;
-/// Left out for its address: the executor, the rank of its source, and whose the address is.
+/// By room: its capacity, and how much of it is removed.
+type RoomLosses = BTreeMap<Arc<str>, (f64, f64)>;
+/// An entry left out for its address: the executor, the rank of its source, and the executor that has the address.
 type Shadow = (Arc<str>, usize, Arc<str>);
-/// The feed's rank and what it tells.
-type Fed = (usize, BTreeMap<Arc<str>, Arc<Target>>);
+/// The feed's rank and its targets.
+type FeedTargets = (usize, BTreeMap<Arc<str>, Arc<Target>>);
 
-/// The list in force and the sources that it comes from.
+/// The list in force and its sources.
 #[derive(Debug, Clone)]
 pub struct Members {
     terms: Sources,
     names: Vec<Arc<str>>,
     files: BTreeMap<usize, FileSource>,
-    feed: Option<Fed>,
-    force: BTreeMap<Arc<str>, Placed>,
-    /// Entries left out for another's address, so that each is told once.
+    feed: Option<FeedTargets>,
+    active: BTreeMap<Arc<str>, ActiveEntry>,
+    /// Entries left out because another has their address, so that each is reported once.
     shadowed: BTreeSet<Arc<str>>,
-    /// Capacity that lists took away lately: when, of which room, how much.
+    /// Capacity that lists removed recently: when, from which room, how much.
     lost: VecDeque<(Micros, Arc<str>, f64)>,
 }
 
 impl Members {
-    /// None yet.
+    /// Creates an empty list.
     pub fn new(terms: Sources) -> Members {
         let names: Vec<Arc<str>> = terms.precedence.iter().map(|n| n.as_str().into()).collect();
         let files = (0..names.len()).filter(|i| &*names[*i] != FEED).map(|i| (i, FileSource::default()));
@@ -98,7 +98,7 @@
             feed: names.iter().position(|n| &**n == FEED).map(|rank| (rank, BTreeMap::new())),
             names,
             terms,
-            force: BTreeMap::new(),
+            active: BTreeMap::new(),
             shadowed: BTreeSet::new(),
             lost: VecDeque::new(),
         }
@@ -109,13 +109,13 @@
         self.feed.is_some()
     }
 
-    /// All that is in force now, drains included.
+    /// All executors in force, including those that drain.
     pub fn in_force(&self) -> Vec<Target> {
-        let told = |p: &Placed| match p.leaving {
-            Some(_) => p.entry.told(State::Draining),
+        let target = |p: &ActiveEntry| match p.draining_since {
+            Some(_) => p.entry.with_state(State::Draining),
             None => p.entry.target(),
         };
-        self.force.values().map(told).collect()
+        self.active.values().map(target).collect()
     }
 
     /// The digest of a source's list in force.
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// An executor as tests word it: uid, port, weight, whether it is up.
+/// An executor in short form: uid, port, weight, whether it is up.
 type Line = (u8, u16, f64, bool);
 
 fn file(name: &str, generation: Option<u64>, room: &str, lines: &[Line]) -> ListFile {
@@ -57,7 +57,7 @@
     uids.iter().map(|u| ((*u).to_string(), State::Up)).collect()
 }
 
-fn changes(acts: &[Act]) -> Vec<(&str, State)> {
-    let targets = acts.iter().filter_map(|a| if let Act::Change(t) = a { Some(t) } else { None });
+fn changes(effects: &[Effect]) -> Vec<(&str, State)> {
+    let targets = effects.iter().filter_map(|a| if let Effect::Update(t) = a { Some(t) } else { None });
     targets.flatten().map(|t| (t.uid.as_str(), t.state)).collect()
 }
--- a/src/membership/members/tests/precedence.rs
+++ b/src/membership/members/tests/precedence.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-// The feed and a file never fight over an executor: the first source in order owns it, whatever the other says,
-// and when it lets go the other has it.
+// An executor in both the feed and a file belongs to the source of higher precedence, whatever the other one lists.
+// When that source removes it, the other one owns it.
 #[test]
-fn a_executor_has_one_owner() {
+fn an_executor_has_one_owner() {
     let mut m = Members::new(sources(&["f", "feed"]));
     m.feed(S, true, &[fed(1, 1, State::Up), fed(2, 2, State::Up)]);
     m.list(2 * S, "f", list(None, &[(1, 1, 1.0, false), (3, 3, 1.0, true)]));
@@ -17,19 +17,23 @@
     assert_eq!(changes(&m.list(5 * S, "f", list(None, &[(3, 3, 1.0, true)]))), [("e1", State::Up)]);
 }
 
-// One machine under two names would get twice its share: the address goes to the first source, told once.
+// One machine under two uids would get twice its share: the address belongs to the first source, and the ignored entry
+// is reported once.
 #[test]
 fn an_address_has_one_executor_across_sources() {
     let mut m = Members::new(sources(&["f", "feed"]));
     m.list(S, "f", list(None, &[(1, 1, 1.0, true)]));
-    let acts = m.feed(2 * S, true, &[fed(7, 1, State::Up), fed(8, 8, State::Up)]);
-    assert!(matches!(&acts[0], Act::Shadowed { uid, by, .. } if &**uid == "e7" && &**by == "e1"), "{acts:?}");
+    let effects = m.feed(2 * S, true, &[fed(7, 1, State::Up), fed(8, 8, State::Up)]);
+    assert!(
+        matches!(&effects[0], Effect::Shadowed { uid, by, .. } if &**uid == "e7" && &**by == "e1"),
+        "{effects:?}"
+    );
     assert_eq!(states(&m), up(&["e1", "e8"]));
-    let acts = m.feed(3 * S, false, &[fed(8, 8, State::Up)]);
-    assert!(!acts.iter().any(|a| matches!(a, Act::Shadowed { .. })));
+    let effects = m.feed(3 * S, false, &[fed(8, 8, State::Up)]);
+    assert!(!effects.iter().any(|a| matches!(a, Effect::Shadowed { .. })));
 }
 
-// An old version that comes back by a late copy or a wrong button must not undo a newer one.
+// An old version that returns through a late copy or an operator's mistake must not replace a newer one.
 #[test]
 fn a_generation_does_not_go_back() {
     let mut m = Members::new(sources(&["f"]));
@@ -38,19 +42,19 @@
     for (generation, why) in
         [(Some(4), "older than 5"), (Some(5), "with another content"), (None, "no generation")]
     {
-        let acts = m.list(2 * S, "f", list(generation, &two));
-        assert!(matches!(&acts[..], [Act::Refused(_, _, w)] if w.contains(why)), "{acts:?}");
+        let effects = m.list(2 * S, "f", list(generation, &two));
+        assert!(matches!(&effects[..], [Effect::Rejected(_, _, w)] if w.contains(why)), "{effects:?}");
         assert_eq!(states(&m), up(&["e1"]));
     }
     m.list(3 * S, "f", list(Some(6), &two));
     assert_eq!(states(&m), up(&["e1", "e2"]));
 }
 
-// The same address under a new uid is another process: the old one drains, the new one is there at once.
+// The same address under a new uid is another process: the old executor drains, the new one is up at once.
 #[test]
 fn an_address_under_a_new_uid_is_another_executor() {
     let mut m = Members::new(sources(&["f"]));
     m.list(S, "f", list(None, &[(1, 1, 1.0, true), (2, 2, 1.0, true)]));
-    let acts = m.list(2 * S, "f", list(None, &[(9, 1, 1.0, true), (2, 2, 1.0, true)]));
-    assert_eq!(changes(&acts), [("e1", State::Draining), ("e9", State::Up)]);
+    let effects = m.list(2 * S, "f", list(None, &[(9, 1, 1.0, true), (2, 2, 1.0, true)]));
+    assert_eq!(changes(&effects), [("e1", State::Draining), ("e9", State::Up)]);
 }
--- a/src/membership/members/tests/sequences.rs
+++ b/src/membership/members/tests/sequences.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// What happens to the sources.
+/// A change to the sources, or elapsed time.
 #[derive(Debug, Clone)]
 enum Step {
     List(usize, Vec<Line>),
@@ -12,7 +12,7 @@
 fn lines() -> impl Strategy<Value = Vec<Line>> {
     let line = (0u8..12, 0u16..14, prop::sample::select(vec![0.0, 0.5, 1.0, 2.0]), any::<bool>());
     prop::collection::vec(line, 0..8).prop_map(|mut all| {
-        // As the check leaves them: one executor a uid, one an address.
+        // Only valid lists: uids and addresses are unique.
         let (mut uids, mut ports) = (BTreeSet::new(), BTreeSet::new());
         all.retain(|l| uids.insert(l.0) && ports.insert(l.1));
         all
@@ -31,7 +31,7 @@
 
 const NAMES: [&str; 3] = ["one", "two", "feed"];
 
-fn play(m: &mut Members, now: Micros, step: &Step, busy: &dyn Fn(&str) -> bool) -> Vec<Act> {
+fn play(m: &mut Members, now: Micros, step: &Step, busy: &dyn Fn(&str) -> bool) -> Vec<Effect> {
     match step {
         Step::List(s, lines) => m.list(now, NAMES[*s], list(None, lines)),
         Step::Feed(whole, t) => {
@@ -43,15 +43,15 @@
 }
 
 proptest! {
-    // Any order and interleaving of versions ends in the list that the last version of each source alone makes,
-    // and whoever follows the changes alone has that list.
+    // After any sequence of versions the list in force depends only on the last version of each source, and the
+    // reported changes add up to that list.
     #[test]
     fn the_list_in_force_follows_from_the_latest_versions(steps in prop::collection::vec(step(), 1..60)) {
         let mut m = Members::new(sources(&NAMES));
         let (mut now, mut followed) = (S, BTreeMap::new());
         let (mut last, mut feed) = ([None, None], BTreeMap::new());
-        let follow = |followed: &mut BTreeMap<String, Target>, acts: &[Act]| {
-            for t in acts.iter().filter_map(|a| if let Act::Change(t) = a { Some(t) } else { None }).flatten() {
+        let follow = |followed: &mut BTreeMap<String, Target>, effects: &[Effect]| {
+            for t in effects.iter().filter_map(|a| if let Effect::Update(t) = a { Some(t) } else { None }).flatten() {
                 match t.state {
                     State::Removed => drop(followed.remove(&t.uid)),
                     _ => drop(followed.insert(t.uid.clone(), t.clone())),
@@ -60,8 +60,8 @@
         };
         for s in &steps {
             now += if let Step::Tick(t) = s { *t } else { 1 };
-            let acts = play(&mut m, now, s, &|_| true);
-            follow(&mut followed, &acts);
+            let effects = play(&mut m, now, s, &|_| true);
+            follow(&mut followed, &effects);
             match s {
                 Step::List(i, l) => last[*i] = Some(l.clone()),
                 Step::Feed(whole, t) => {
@@ -73,11 +73,11 @@
                 Step::Tick(_) => {}
             }
         }
-        // All that drains is done; then only the latest versions count.
+        // All drains end; after that only the latest versions count.
         follow(&mut followed, &m.tick(now, &|_| false));
         let mut alone = Members::new(sources(&NAMES));
-        let told: Vec<Target> = feed.iter().map(|(u, (p, s))| fed(*u, *p, *s)).collect();
-        alone.feed(now, true, &told);
+        let reported: Vec<Target> = feed.iter().map(|(u, (p, s))| fed(*u, *p, *s)).collect();
+        alone.feed(now, true, &reported);
         for (i, l) in last.iter().enumerate() {
             if let Some(l) = l { alone.list(now, NAMES[i], list(None, l)); }
         }
@@ -86,46 +86,46 @@
         prop_assert_eq!(m.in_force(), followed.into_values().collect::<Vec<_>>());
     }
 
-    // Two executors never share an address across sources, and an executor that drains, is left out or is gone is told
-    // in the very turn: none can get new work two seconds later.
+    // Two executors never share an address across sources. An executor that drains, is left out or is removed is
+    // reported in the same call, so that none gets new work two seconds later.
     #[test]
-    fn drains_are_told_at_once_and_addresses_are_nobody_elses(steps in prop::collection::vec(step(), 1..60)) {
+    fn drains_are_reported_at_once_and_addresses_are_unique(steps in prop::collection::vec(step(), 1..60)) {
         let mut m = Members::new(sources(&NAMES));
-        let (mut now, mut told) = (S, BTreeMap::new());
+        let (mut now, mut reported) = (S, BTreeMap::new());
         for s in &steps {
             now += if let Step::Tick(t) = s { *t } else { 1 };
             for t in play(&mut m, now, s, &|uid| uid.len() % 2 == 0).iter()
-                .filter_map(|a| if let Act::Change(t) = a { Some(t) } else { None }).flatten() {
-                told.insert(t.uid.clone(), t.state);
+                .filter_map(|a| if let Effect::Update(t) = a { Some(t) } else { None }).flatten() {
+                reported.insert(t.uid.clone(), t.state);
             }
-            let force = m.in_force();
-            for (uid, state) in &told {
-                let is = force.iter().find(|t| t.uid == *uid).map_or(State::Removed, |t| t.state);
+            let active = m.in_force();
+            for (uid, state) in &reported {
+                let is = active.iter().find(|t| t.uid == *uid).map_or(State::Removed, |t| t.state);
                 prop_assert_eq!(is, *state, "{} after {:?}", uid, s);
             }
             let mut ports = BTreeSet::new();
-            for t in force.iter().filter(|t| t.state == State::Up) {
-                prop_assert!(ports.insert(t.endpoint), "{:?}", force);
+            for t in active.iter().filter(|t| t.state == State::Up) {
+                prop_assert!(ports.insert(t.endpoint), "{:?}", active);
             }
         }
     }
 
-    // A version that is refused or held back changes nothing at all.
+    // A version that is rejected or held back changes nothing.
     #[test]
-    fn a_version_that_is_not_taken_changes_nothing(
+    fn a_version_that_is_not_activated_changes_nothing(
         first in lines(), second in lines(), generations in (2u64..5, 0u64..3), most in 0.0f64..0.9,
     ) {
-        let mut terms = sources(&["f", "feed"]);
-        terms.guard.most_loss = most;
-        let mut m = Members::new(terms);
+        let mut settings = sources(&["f", "feed"]);
+        settings.guard.most_loss = most;
+        let mut m = Members::new(settings);
         m.feed(S, true, &[fed(11, 30, State::Up)]);
         m.list(S, "f", list(Some(generations.0), &first));
         let (before, digest) = (m.in_force(), m.digest("f"));
-        let acts = m.list(2 * S, "f", list(Some(generations.0 + generations.1), &second));
-        if !acts.iter().any(|a| matches!(a, Act::Taken { .. })) {
+        let effects = m.list(2 * S, "f", list(Some(generations.0 + generations.1), &second));
+        if !effects.iter().any(|a| matches!(a, Effect::Activated { .. })) {
             prop_assert_eq!(m.in_force(), before);
             prop_assert_eq!(m.digest("f"), digest);
-            prop_assert!(changes(&acts).is_empty());
+            prop_assert!(changes(&effects).is_empty());
         }
     }
 }
--- a/src/membership/members/versions.rs
+++ b/src/membership/members/versions.rs
@@ -1,6 +1,6 @@
-//! What the sources say, and time that passes.
+//! New versions of the sources, and timers.
 
-use super::{Act, Lost, Members, micros};
+use super::{Effect, Members, RoomLosses, micros};
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
 use crate::membership::keep::Acceptance;
@@ -9,8 +9,9 @@
 use std::sync::Arc;
 
 impl Members {
-    /// Word of the coordinator: what it says is gone is gone at once, as its process is.
-    pub fn feed(&mut self, now: Micros, whole: bool, targets: &[Target]) -> Vec<Act> {
+    /// Applies an update of the coordinator's feed. An executor that it removes is removed at once, as its process has
+    /// ended.
+    pub fn feed(&mut self, now: Micros, whole: bool, targets: &[Target]) -> Vec<Effect> {
         let Some((_, fed)) = &mut self.feed else { return Vec::new() };
         if whole {
             fed.clear();
@@ -22,75 +23,80 @@
                 State::Up | State::Draining => fed.insert(uid, Arc::new(t.clone())),
             };
         }
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         let next = self.merged(None);
-        self.enforce(now, next, &mut acts);
-        acts
+        self.activate(now, next, &mut effects);
+        effects
     }
 
-    /// A list of files that was read whole and checked.
-    pub fn list(&mut self, now: Micros, source: &str, list: List) -> Vec<Act> {
+    /// Applies a list from files that was read completely and validated.
+    pub fn list(&mut self, now: Micros, source: &str, list: List) -> Vec<Effect> {
         let Some(rank) = self.rank(source) else { return Vec::new() };
         let Some(file) = self.files.get_mut(&rank) else { return Vec::new() };
-        let (mut acts, name, list) = (Vec::new(), self.names[rank].clone(), Arc::new(list));
-        // Whatever was held back is not what the files say any more.
+        let (mut effects, name, list) = (Vec::new(), self.names[rank].clone(), Arc::new(list));
+        // The files no longer contain the list that was held back.
         if let Some(held) = file.held.take_if(|h| h.list.digest != list.digest) {
-            acts.push(Act::Withdrawn(name.clone(), held.list.digest));
+            effects.push(Effect::Withdrawn(name.clone(), held.list.digest));
         }
         if file.held.is_some() || file.list.as_ref().is_some_and(|l| l.digest == list.digest) {
-            return acts;
+            return effects;
         }
-        if let Some(why) = file.list.as_ref().and_then(|old| goes_back(old, &list)) {
-            acts.push(Act::Refused(name, list.digest, why));
-            return acts;
+        if let Some(why) = file.list.as_ref().and_then(|old| generation_conflict(old, &list)) {
+            effects.push(Effect::Rejected(name, list.digest, why));
+            return effects;
         }
-        self.try_list(now, rank, list, &mut acts);
-        acts
+        self.apply_guarded(now, rank, list, &mut effects);
+        effects
     }
 
-    /// What a person accepted; a list that waits for it is taken now.
-    pub fn accept(&mut self, now: Micros, source: &str, accepted: Vec<Acceptance>) -> Vec<Act> {
+    /// Applies acceptances; a list that was held back and is accepted now comes into force.
+    pub fn accept(&mut self, now: Micros, source: &str, accepted: Vec<Acceptance>) -> Vec<Effect> {
         let Some(rank) = self.rank(source) else { return Vec::new() };
         let Some(file) = self.files.get_mut(&rank) else { return Vec::new() };
         file.accepted = accepted;
-        let (mut acts, held) = (Vec::new(), file.held.take());
+        let (mut effects, held) = (Vec::new(), file.held.take());
         if let Some(held) = held {
             if self.accepted(now, rank, &held.list) {
-                self.try_list(now, rank, held.list, &mut acts);
+                self.apply_guarded(now, rank, held.list, &mut effects);
             } else if let Some(file) = self.files.get_mut(&rank) {
                 file.held = Some(held);
             }
         }
-        acts
+        effects
     }
 
-    /// The list that was kept, at a start: in force without further questions.
-    pub fn restore(&mut self, now: Micros, source: &str, list: List) -> Vec<Act> {
-        let mut acts = Vec::new();
+    /// Puts the saved last good list in force at a start, without checking it against the guard.
+    pub fn restore(&mut self, now: Micros, source: &str, list: List) -> Vec<Effect> {
+        let mut effects = Vec::new();
         if let Some(rank) = self.rank(source).filter(|r| self.files.contains_key(r)) {
             let list = Arc::new(list);
             let next = self.merged(Some((rank, &list)));
-            self.take(now, rank, list, next, Lost::new(), &mut acts);
+            self.apply(now, rank, list, next, RoomLosses::new(), &mut effects);
         }
-        acts
+        effects
     }
 
-    /// Lets time pass, ten times a second or so: what has drained goes, what is held back is told again. `busy`
-    /// tells whether work is out on an executor.
-    pub fn tick(&mut self, now: Micros, busy: &dyn Fn(&str) -> bool) -> Vec<Act> {
-        let (mut acts, mut gone) = (Vec::new(), Vec::new());
+    /// Runs the timers, about ten times a second: removes drained executors and repeats reports of lists held back.
+    /// `busy` returns whether an executor has outstanding work.
+    pub fn tick(&mut self, now: Micros, busy: &dyn Fn(&str) -> bool) -> Vec<Effect> {
+        let (mut effects, mut removed) = (Vec::new(), Vec::new());
         let limit = micros(self.terms.drain_limit);
-        for (uid, p) in &self.force {
-            let Some(since) = p.leaving else { continue };
-            let (works, over) = (busy(uid), now >= since + limit);
-            if !works || over {
-                gone.push((p.entry.told(State::Removed), uid.clone(), now.saturating_sub(since), works));
+        for (uid, p) in &self.active {
+            let Some(since) = p.draining_since else { continue };
+            let (is_busy, limit_reached) = (busy(uid), now >= since + limit);
+            if !is_busy || limit_reached {
+                removed.push((
+                    p.entry.with_state(State::Removed),
+                    uid.clone(),
+                    now.saturating_sub(since),
+                    is_busy,
+                ));
             }
         }
-        for (target, uid, after, cut) in gone {
-            self.force.remove(&uid);
-            acts.push(Act::Change(vec![target]));
-            acts.push(Act::Gone { uid, after, cut });
+        for (target, uid, after, timed_out) in removed {
+            self.active.remove(&uid);
+            effects.push(Effect::Update(vec![target]));
+            effects.push(Effect::Drained { uid, after, timed_out });
         }
         let remind = micros(self.terms.guard.remind);
         for (rank, file) in &mut self.files {
@@ -98,13 +104,13 @@
             held.remind_at = now + remind;
             let (source, digest) = (self.names[*rank].clone(), held.list.digest);
             let (losses, since) = (held.losses.clone(), held.since);
-            acts.push(Act::Held { source, digest, losses, since, again: true });
+            effects.push(Effect::HeldBack { source, digest, losses, since, again: true });
         }
-        acts
+        effects
     }
 }
-/// Why a list can't follow another: a file's generation that goes back, is gone or was used for something else.
-fn goes_back(old: &List, new: &List) -> Option<String> {
+/// Why a list can't replace another: the generation of a file is lower, missing, or the same with another content.
+fn generation_conflict(old: &List, new: &List) -> Option<String> {
     let known: BTreeMap<&str, (u64, Digest)> =
         old.files.iter().filter_map(|f| Some((&*f.name, (f.generation?, f.digest)))).collect();
     new.files.iter().find_map(|f| {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -20,4 +20,4 @@
 pub mod watcher;
 
 pub use crate::settings::options::FEED;
-pub use members::{Act, Guard, Members, Sources};
+pub use members::{Effect, Guard, Members, Sources};
--- a/src/membership/watcher/worker.rs
+++ b/src/membership/watcher/worker.rs
@@ -22,7 +22,7 @@
 /// Retry interval for saving a last good list: the next start of the process depends on it.
 const SAVE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the thread is task_receiver to do.
+/// A task for the thread.
 pub(super) enum Task {
     CheckAll,
     SaveLastGood(Arc<str>, Arc<List>),
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -59,13 +59,13 @@
     }
 
     fn log_list_counters(&self) {
-        if let Some(tally) = self.endpoint_lists.as_ref().map(|lists| &lists.tally) {
+        if let Some(counters) = self.endpoint_lists.as_ref().map(|lists| &lists.counters) {
             tracing::info!(
-                taken = tally.taken,
-                refused = tally.refused,
-                held = tally.held,
-                unreadable = tally.unreadable,
-                slowest_us = tally.slowest,
+                taken = counters.taken,
+                refused = counters.refused,
+                held = counters.held,
+                unreadable = counters.unreadable,
+                slowest_us = counters.longest_turn,
                 "list counters"
             );
         }
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -1,5 +1,5 @@
-//! Executor lists beside the loop: messages of their thread and of the coordinator go to [`Members`], what comes of them is
-//! logged and handed on as entries, a bounded number a turn. `outcomes` has what each message does.
+//! Executor lists in the event loop: reports of the watcher thread and updates of the coordinator go to [`Members`]; their
+//! effects are logged and passed on as targets, a bounded number per turn. `outcomes` applies reports and effects.
 
 mod outcomes;
 
@@ -7,47 +7,47 @@
 use crate::codec::coordinator::Target;
 use crate::membership::check::Catalog;
 use crate::membership::watcher::{ListReport, Rules, SourceReport, WatchedList, Watcher};
-use crate::membership::{Act, Members, Sources, keep};
+use crate::membership::{Effect, Members, Sources, keep};
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::options::{self, Empty, Source, accept_path};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::sync::Arc;
 
-/// Entries handed on in one turn.
-pub const SLICE: usize = 256;
+/// Maximum number of targets passed on in one turn of the event loop.
+pub const MAX_TARGETS_PER_TURN: usize = 256;
 
 /// Counters of the lists.
 #[derive(Debug, Default)]
-pub struct Tally {
-    /// Endpoint lists that came into force.
+pub struct ListCounters {
+    /// Lists that came into force.
     pub taken: u64,
-    /// EndpointLists with faults, and those that went back.
+    /// Lists that were rejected for faults or for their generation.
     pub refused: u64,
-    /// EndpointLists held back.
+    /// Lists held back.
     pub held: u64,
-    /// Reports that a list can't be read.
+    /// Reports of an unreadable list.
     pub unreadable: u64,
-    /// The longest that a turn was busy with lists, in microseconds.
-    pub slowest: Micros,
+    /// Longest time spent on lists in one turn, in microseconds.
+    pub longest_turn: Micros,
 }
 
-/// The lists that are followed.
+/// The watched lists.
 pub struct EndpointLists {
     members: Members,
     watcher: Watcher,
     key: Key,
-    /// What the command that accepts a list needs beside its digest.
-    accepts: BTreeMap<Arc<str>, String>,
-    /// Entries not yet handed on, in order.
+    /// By source: the arguments that `lists accept` needs beside the digest.
+    accept_arguments: BTreeMap<Arc<str>, String>,
+    /// Targets not yet passed on, in order.
     pending: VecDeque<Target>,
     /// Counters.
-    pub tally: Tally,
+    pub counters: ListCounters,
 }
 
 impl EndpointLists {
-    /// Reads all lists once, falls back to the last good ones, and follows them from here on. `known` is the
-    /// coordinator's list. An error if there is no list and the settings say to end then.
+    /// Reads all lists once, falls back to the last good ones, and starts to watch them. `known` is the coordinator's
+    /// list. Returns an error if a source has no usable list and the settings say to exit in that case.
     pub fn start(
         o: options::Lists,
         catalog: Catalog,
@@ -59,10 +59,10 @@
         let cores = rules.catalog.iter().flat_map(|c| c.kinds.clone()).collect();
         let (precedence, guard, drain_limit) = (o.precedence.clone(), o.guard.clone(), o.drain_limit);
         if !o.without.is_empty() {
-            tracing::error!(without = ?o.without, "motor lists: safeguards are left out; this is for tests alone");
+            tracing::error!(without = ?o.without, "motor lists: safeguards are disabled; use this in tests only");
         }
         let mut members = Members::new(Sources { precedence, guard, drain_limit, cores, without: o.without });
-        let mut acts = members.feed(now, true, known);
+        let mut effects = members.feed(now, true, known);
         let (mut watched, mut reports, mut empty) = (Vec::new(), Vec::new(), Vec::new());
         for source in &o.sources {
             let name: Arc<str> = source.name.as_str().into();
@@ -70,8 +70,8 @@
             match kept.map(|at| keep::load(&at, o.most_bytes).map_err(|e| (at, e))) {
                 Some(Ok(list)) => {
                     let back = members.restore(now, &source.name, list);
-                    // It is what is kept already.
-                    acts.extend(back.into_iter().filter(|a| matches!(a, Act::Change(_))));
+                    // The list is already saved: only the updates are of use.
+                    effects.extend(back.into_iter().filter(|a| matches!(a, Effect::Update(_))));
                 }
                 Some(Err((at, error))) => {
                     let (source, file) = (&*name, at.display());
@@ -94,10 +94,11 @@
         }
         let watcher = Watcher::start(watched, rules)?;
         let key = poll.add(&watcher.wake, false)?;
-        let accepts = o.sources.iter().map(|s| (s.name.as_str().into(), accepts(s))).collect();
-        let (pending, tally) = (VecDeque::new(), Tally::default());
-        let mut lists = EndpointLists { members, watcher, key, accepts, pending, tally };
-        lists.enact(now, acts);
+        let accept_arguments =
+            o.sources.iter().map(|s| (s.name.as_str().into(), accept_arguments(s))).collect();
+        let (pending, counters) = (VecDeque::new(), ListCounters::default());
+        let mut lists = EndpointLists { members, watcher, key, accept_arguments, pending, counters };
+        lists.apply_effects(now, effects);
         reports.into_iter().for_each(|report| lists.process(now, report));
         if let (Some(name), Empty::Exit) = (empty.first(), o.empty) {
             return Err(io::Error::other(format!(
@@ -113,7 +114,7 @@
         Ok(lists)
     }
 
-    /// Whether its thread's socket has this key.
+    /// Whether this is the key of the watcher thread's socket.
     pub fn owns(&self, key: Key) -> bool {
         self.key == key
     }
@@ -123,44 +124,44 @@
         self.members.follows_feed()
     }
 
-    /// Has the files looked at now.
+    /// Requests an immediate check of the files.
     pub fn poll_files(&self) {
         self.watcher.check_now();
     }
 
-    /// The thread has sent messages.
+    /// Processes the reports that the watcher thread has queued.
     pub fn ready(&mut self, now: Micros) {
         while let Some(report) = self.watcher.next_report() {
             self.process(now, report);
         }
     }
 
-    /// Word of the coordinator.
+    /// Applies an update of the coordinator's feed.
     pub fn feed(&mut self, now: Micros, whole: bool, targets: &[Target]) {
-        let acts = self.members.feed(now, whole, targets);
-        self.enact(now, acts);
+        let effects = self.members.feed(now, whole, targets);
+        self.apply_effects(now, effects);
     }
 
-    /// Lets time pass; `busy` tells whether work is out on an executor.
+    /// Runs the timers; `busy` returns whether an executor has outstanding work.
     pub fn tick(&mut self, now: Micros, busy: &dyn Fn(&str) -> bool) {
-        let acts = self.members.tick(now, busy);
-        self.enact(now, acts);
+        let effects = self.members.tick(now, busy);
+        self.apply_effects(now, effects);
     }
 
-    /// Whether entries wait to be handed on.
+    /// Whether targets wait to be passed on.
     pub fn pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// The next entries to hand on, so many at most.
+    /// Takes the next targets to pass on, at most `most`.
     pub fn take(&mut self, most: usize) -> Vec<Target> {
         let n = most.min(self.pending.len());
         self.pending.drain(..n).collect()
     }
 }
 
-/// Names a list to the command that accepts it.
-fn accepts(s: &Source) -> String {
+/// The arguments that name the list to `lists accept`.
+fn accept_arguments(s: &Source) -> String {
     let list = format!("--list {}", s.path.display());
     if s.accept == accept_path(&s.path) { list } else { format!("{list} --to {}", s.accept.display()) }
 }
--- a/src/net/endpoint_lists/outcomes.rs
+++ b/src/net/endpoint_lists/outcomes.rs
@@ -1,13 +1,13 @@
-//! What the lists' thread reports, and what it leads to.
+//! Applies the watcher thread's reports and their effects.
 
 use super::EndpointLists;
 use crate::api::Micros;
-use crate::membership::Act;
+use crate::membership::Effect;
 use crate::membership::members::Change;
 use crate::membership::watcher::{ListReport, SourceReport};
 use crate::settings::hcl::Fault;
 
-/// Faults of one list that are logged; `ottercroft lists check` shows them all.
+/// Maximum number of faults logged per list; `ottercroft lists check` shows them all.
 const LOGGED_FAULTS: usize = 20;
 
 impl EndpointLists {
@@ -15,15 +15,15 @@
         let name = &*source;
         match report {
             ListReport::List(list) => {
-                let acts = self.members.list(now, name, list);
-                if acts.iter().any(|a| matches!(a, Act::Taken { .. })) {
+                let effects = self.members.list(now, name, list);
+                if effects.iter().any(|a| matches!(a, Effect::Activated { .. })) {
                     let waited_us = now.saturating_sub(checked_at);
-                    tracing::debug!(source = name, waited_us, "motor list came from its thread");
+                    tracing::debug!(source = name, waited_us, "motor list received from the watcher thread");
                 }
-                self.enact(now, acts);
+                self.apply_effects(now, effects);
             }
             ListReport::Invalid { bytes, faults, all } => {
-                self.tally.refused += 1;
+                self.counters.refused += 1;
                 let in_force = self.members.digest(name).map(|d| d.short());
                 tracing::error!(
                     source = name,
@@ -35,18 +35,18 @@
                 faults.iter().take(LOGGED_FAULTS).for_each(|f| self.fault(name, f));
             }
             ListReport::Unreadable(reason) => {
-                self.tally.unreadable += 1;
+                self.counters.unreadable += 1;
                 tracing::error!(source = name, reason, "motor list can't be read; what was in force stays");
             }
             ListReport::Accepted(accepted) => {
-                let acts = self.members.accept(now, name, accepted);
-                self.enact(now, acts);
+                let effects = self.members.accept(now, name, accepted);
+                self.apply_effects(now, effects);
             }
             ListReport::LastGoodNotSaved(error) => {
                 tracing::error!(source = name, error, "motor list: no last good copy kept")
             }
             ListReport::NotifyUnavailable(error) => {
-                tracing::warn!(error, "motor lists: no notifications; polling goes on")
+                tracing::warn!(error, "motor lists: no file system notifications; polling continues")
             }
         }
     }
@@ -56,27 +56,27 @@
         tracing::error!(source, %file, field = crate::settings::hcl::shown(&f.field), what = f.what, "motor list fault");
     }
 
-    pub(super) fn enact(&mut self, now: Micros, acts: Vec<Act>) {
-        for act in acts {
-            match act {
-                Act::Change(targets) => self.pending.extend(targets),
-                Act::Keep(source, list) => self.watcher.save_last_good(source, list),
-                Act::Taken {
+    pub(super) fn apply_effects(&mut self, now: Micros, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Update(targets) => self.pending.extend(targets),
+                Effect::SaveLastGood(source, list) => self.watcher.save_last_good(source, list),
+                Effect::Activated {
                     source,
                     digest,
                     generation,
                     executors,
                     change: Change { added, left, changed },
                 } => {
-                    self.tally.taken += 1;
+                    self.counters.taken += 1;
                     let source = &*source;
                     tracing::info!(
                         source, %digest, generation, executors, added, left, changed, "motor list in force"
                     );
                 }
-                Act::Held { source, digest, losses, since, again } => {
-                    self.tally.held += u64::from(!again);
-                    let list = self.accepts.get(&source).map_or("", String::as_str);
+                Effect::HeldBack { source, digest, losses, since, again } => {
+                    self.counters.held += u64::from(!again);
+                    let list = self.accept_arguments.get(&source).map_or("", String::as_str);
                     let loss =
                         |l: &crate::membership::members::Loss| format!("{} {:.0}%", l.room, l.share * 100.0);
                     let takes: Vec<String> = losses.iter().map(loss).collect();
@@ -89,26 +89,26 @@
                         digest.short()
                     );
                 }
-                Act::Withdrawn(source, digest) => {
+                Effect::Withdrawn(source, digest) => {
                     tracing::info!(source = &*source, %digest, "motor list no longer held back: the files changed");
                 }
-                Act::Refused(source, digest, why) => {
-                    self.tally.refused += 1;
+                Effect::Rejected(source, digest, why) => {
+                    self.counters.refused += 1;
                     tracing::error!(source = &*source, %digest, why, "motor list refused; what was in force stays");
                 }
-                Act::Shadowed { uid, source, by } => {
+                Effect::Shadowed { uid, source, by } => {
                     tracing::warn!(
                         executor = &*uid,
                         source = &*source,
                         by = &*by,
-                        "executor ignored: its address is another's"
+                        "executor ignored: another executor has its address"
                     );
                 }
-                Act::Gone { uid, after, cut } => {
+                Effect::Drained { uid, after, timed_out } => {
                     tracing::info!(
                         executor = &*uid,
                         after_ms = after / 1_000,
-                        cut,
+                        timed_out,
                         "executor drained and gone"
                     );
                 }
--- a/src/net/endpoint_updates.rs
+++ b/src/net/endpoint_updates.rs
@@ -30,13 +30,13 @@
         let Some(lists) = &mut self.endpoint_lists else { return };
         let begun = std::time::Instant::now();
         what(lists, &self.executors);
-        let next = lists.take(endpoint_lists::SLICE);
+        let next = lists.take(endpoint_lists::MAX_TARGETS_PER_TURN);
         if !next.is_empty() {
             self.apply_endpoint_list(now, WatchEvent::Changed, &next);
         }
         let took = begun.elapsed().as_micros() as Micros;
         if let Some(lists) = &mut self.endpoint_lists {
-            lists.tally.slowest = lists.tally.slowest.max(took);
+            lists.counters.longest_turn = lists.counters.longest_turn.max(took);
         }
     }
 
