--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -5,9 +5,9 @@
 
 use super::{Common, Verdict, catalog, options, tell};
 use crate::membership::check::Terms;
-use crate::membership::files::Bounds;
-use crate::membership::keep;
+use crate::membership::files::ReadLimits;
 use crate::membership::list::{self, Digest, Executor, List, ListFile};
+use crate::membership::storage;
 use crate::membership::watcher::{self, Rules};
 use crate::settings::hcl::Fault;
 use crate::settings::options::{Lists, accept_path};
@@ -110,7 +110,7 @@
     Rules {
         terms: Terms { loopback: true, ..Terms::default() },
         catalog: None,
-        bounds: Bounds { most_bytes: MOST_BYTES, most_files: 4_096 },
+        limits: ReadLimits { max_bytes: MOST_BYTES, max_files: 4_096 },
         settle: Duration::ZERO,
         poll: Duration::ZERO,
         last_good: None,
@@ -143,26 +143,26 @@
 fn read(path: &Path) -> io::Result<List> {
     let named = |e: String| io::Error::other(format!("{}: {e}", path.display()));
     if path.extension().is_some_and(|e| e == "last-good") {
-        return keep::load(path, MOST_BYTES).map_err(named);
+        return storage::load(path, MOST_BYTES).map_err(named);
     }
     let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
     Ok(list)
 }
 
 fn state(m: &Executor) -> &'static str {
-    if m.takes() { "up" } else { "draining" }
+    if m.accepts_requests() { "up" } else { "draining" }
 }
 
 fn seal(out: &mut dyn Write, file: &Path, confirm: bool, next: bool) -> io::Result<Verdict> {
     let name = file.display().to_string();
     let named = |e: io::Error| io::Error::other(format!("{name}: {e}"));
     let text = std::fs::read_to_string(file).map_err(named)?;
-    match list::sealed(&name, &text, confirm, next) {
+    match list::renew_seal(&name, &text, confirm, next) {
         Err(faults) => tell(out, &faults, false, ""),
         Ok(text) => {
             // The file behind a link is replaced, not the link.
             let real = std::fs::canonicalize(file).map_err(named)?;
-            keep::replace(&real, text.as_bytes()).map_err(named)?;
+            storage::write_atomically(&real, text.as_bytes()).map_err(named)?;
             let (list, _) = ListFile::parse(&name, &name, &text);
             let digest = list.map(|l| l.digest.to_string()).unwrap_or_default();
             writeln!(out, "{name}: sealed, {digest}")?;
@@ -179,8 +179,9 @@
     lists: Option<&Lists>,
 ) -> io::Result<Verdict> {
     let hex = digest.strip_prefix("sha256:").unwrap_or(digest).to_ascii_lowercase();
-    if hex.len() < keep::FEWEST_DIGITS || hex.len() > 64 || !hex.bytes().all(|b| b.is_ascii_hexdigit()) {
-        let (least, shown) = (keep::FEWEST_DIGITS, Digest::SHORT);
+    if hex.len() < storage::MIN_DIGEST_DIGITS || hex.len() > 64 || !hex.bytes().all(|b| b.is_ascii_hexdigit())
+    {
+        let (least, shown) = (storage::MIN_DIGEST_DIGITS, Digest::SHORT);
         return Err(io::Error::other(format!(
             "{digest:?} is no digest: {least} to 64 hex digits, {shown} stand in the log line"
         )));
@@ -188,7 +189,8 @@
     let set = lists.and_then(|l| l.sources.iter().find(|s| s.path == path)).map(|s| s.accept.clone());
     let at = to.or(set).unwrap_or_else(|| accept_path(path));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs());
-    keep::accept(&at, &hex, now).map_err(|e| io::Error::other(format!("{}: {e}", at.display())))?;
+    storage::add_acceptance(&at, &hex, now)
+        .map_err(|e| io::Error::other(format!("{}: {e}", at.display())))?;
     writeln!(out, "accepted {hex} in {}", at.display())?;
     Ok(Verdict::Fine)
 }
--- a/src/cli/lists/show.rs
+++ b/src/cli/lists/show.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 
 fn seal_state(f: &ListFile) -> &'static str {
-    match (&f.seal, f.seal_holds()) {
+    match (&f.seal, f.seal_matches()) {
         (None, _) => "none",
         (_, true) => "holds",
         (_, false) => "does not match",
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -156,7 +156,7 @@
 
 /// What a configuration knows of rooms and kinds.
 fn catalog(config: &Path) -> Result<Catalog, Fault> {
-    platform(config).map(|(settings, names)| Catalog::of(&settings, &names))
+    platform(config).map(|(settings, names)| Catalog::from_settings(&settings, &names))
 }
 
 /// The settings of a configuration, with the names in them.
--- a/src/membership/check.rs
+++ b/src/membership/check.rs
@@ -1,4 +1,4 @@
-//! What a list has to be before it is used. All faults are told at once.
+//! Validates a list before it is used. All faults are reported at once.
 
 use super::list::{Executor, List};
 use crate::api::Settings;
@@ -10,23 +10,23 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
 
-/// Names are no longer than this, in bytes.
-const LONGEST_NAME: usize = 128;
-/// Faults told of one list; the rest is counted.
-pub const MOST_FAULTS: usize = 100;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum number of faults reported per list; the others are only counted.
+pub const MAX_FAULTS: usize = 100;
 
-/// The rooms and kinds that the platform's settings know.
+/// The rooms and kinds that the platform's settings define.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Catalog {
-    /// Rooms.
+    /// Names of the rooms.
     pub rooms: BTreeSet<String>,
-    /// Kinds of machine, with their cores.
+    /// Kinds of machine, with their number of cores.
     pub kinds: BTreeMap<String, f64>,
 }
 
 impl Catalog {
-    /// What the platform's settings know.
-    pub fn of(settings: &Settings, names: &Names) -> Catalog {
+    /// The catalog of the platform's settings.
+    pub fn from_settings(settings: &Settings, names: &Names) -> Catalog {
         let cores = |i: &usize| settings.kinds.get(*i).map_or(1.0, |k| k.cores);
         Catalog {
             rooms: names.zones.keys().cloned().collect(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// All that is wrong with a list; nothing if it may be used. Without a catalog, rooms and kinds are not checked.
+/// Returns all faults of a list; none if it may be used. Without a catalog, rooms and kinds are not checked.
 pub fn check(
     list: &List,
     terms: &Terms,
@@ -50,7 +50,7 @@
                 &file,
                 format_args!("no seal; write one with: ottercroft lists seal {file}"),
             )),
-            Some(s) if !f.seal_holds() => {
+            Some(s) if !f.seal_matches() => {
                 let what = format!(
                     "does not match: it tells of {} motores and {}, the file holds {} and {}; was the file written \
                      whole? If it was edited, seal it again with: ottercroft lists seal {file}",
@@ -59,7 +59,7 @@
                     f.executors.len(),
                     f.digest.short(),
                 );
-                c.told(&file, s.place, "seal", what);
+                c.report(&file, s.place, "seal", what);
             }
             _ => {}
         }
@@ -68,9 +68,9 @@
         let what = format!("{} motores; {} are allowed (max_motores)", list.len(), terms.most_executors);
         c.faults.push(Fault::of_file(&path(""), what));
     }
-    c.each(list, path);
-    c.doubles(list, path);
-    c.totals(list, path);
+    c.check_executors(list, path);
+    c.check_duplicates(list, path);
+    c.check_total_weights(list, path);
     c.faults.sort();
     c.faults
 }
@@ -86,52 +86,55 @@
     format!("room.{}.motor.{}{key}", m.room, m.uid)
 }
 
-fn some<'a>(names: impl Iterator<Item = &'a String>) -> String {
+fn joined<'a>(names: impl Iterator<Item = &'a String>) -> String {
     let all: Vec<&str> = names.map(String::as_str).collect();
     if all.is_empty() { "none".into() } else { all.join(", ") }
 }
 
 impl Checker<'_> {
-    fn told(&mut self, file: &str, at: Place, field: &str, what: impl Into<String>) {
+    fn report(&mut self, file: &str, at: Place, field: &str, what: impl Into<String>) {
         let Place { line, column } = at;
         self.faults.push(Fault { file: file.into(), line, column, field: field.into(), what: what.into() });
     }
 
-    /// What each executor has to be by itself.
-    fn each(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
+    /// Checks each executor by itself.
+    fn check_executors(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
         for (f, m, at) in list.executors() {
             let (terms, catalog) = (self.terms, self.catalog);
-            let mut told = |key: &str, what: String| self.told(&path(&f.name), at, &field(m, key), what);
+            let mut report = |key: &str, what: String| self.report(&path(&f.name), at, &field(m, key), what);
             for (key, name) in [("", &m.uid), ("room", &m.room), ("kind", &m.kind)] {
-                if name.is_empty() || name.len() > LONGEST_NAME {
-                    told(key, format!("a name of {} bytes; 1 to {LONGEST_NAME} are allowed", name.len()));
+                if name.is_empty() || name.len() > MAX_NAME_BYTES {
+                    report(key, format!("a name of {} bytes; 1 to {MAX_NAME_BYTES} are allowed", name.len()));
                 }
                 if name.chars().any(char::is_control) {
-                    told(key, "a name with control characters".into());
+                    report(key, "a name with control characters".into());
                 }
             }
             if let Some(c) = catalog.filter(|c| !c.rooms.contains(&*m.room)) {
-                told("", format!("unknown room {:?}; known: {}", m.room, some(c.rooms.iter())));
+                report("", format!("unknown room {:?}; known: {}", m.room, joined(c.rooms.iter())));
             }
             if let Some(c) = catalog.filter(|c| !c.kinds.contains_key(&*m.kind)) {
-                told("kind", format!("unknown kind {:?}; known: {}", m.kind, some(c.kinds.keys())));
+                report("kind", format!("unknown kind {:?}; known: {}", m.kind, joined(c.kinds.keys())));
             }
             if !m.weight.is_finite() || !(0.0..=terms.most_weight).contains(&m.weight) {
-                told("weight", format!("{}; 0 to {} are allowed (max_weight)", m.weight, terms.most_weight));
+                report(
+                    "weight",
+                    format!("{}; 0 to {} are allowed (max_weight)", m.weight, terms.most_weight),
+                );
             }
-            if let Err(what) = self.address(m.address) {
-                self.told(&path(&f.name), at, &field(m, "address"), format!("{}: {what}", m.address));
+            if let Err(what) = self.check_address(m.address) {
+                self.report(&path(&f.name), at, &field(m, "address"), format!("{}: {what}", m.address));
             }
         }
     }
 
-    fn address(&self, a: SocketAddr) -> Result<(), String> {
+    fn check_address(&self, a: SocketAddr) -> Result<(), String> {
         let ip = a.ip();
-        let all_ones = matches!(ip, IpAddr::V4(v4) if v4.is_broadcast());
+        let broadcast = matches!(ip, IpAddr::V4(v4) if v4.is_broadcast());
         if a.port() == 0 {
             return Err("port 0 is no port".into());
         }
-        if ip.is_unspecified() || ip.is_multicast() || all_ones {
+        if ip.is_unspecified() || ip.is_multicast() || broadcast {
             return Err("an unspecified, multicast or broadcast address is no motor's".into());
         }
         if ip.is_loopback() && !self.terms.loopback {
@@ -146,33 +149,33 @@
         }
     }
 
-    /// What no two executors may share.
-    fn doubles(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
-        let (mut uids, mut addresses, mut numbers) = (HashMap::new(), HashMap::new(), HashMap::new());
+    /// Checks that uids, executor ids and addresses are unique.
+    fn check_duplicates(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
+        let (mut uids, mut addresses, mut ids) = (HashMap::new(), HashMap::new(), HashMap::new());
         for (f, m, at) in list.executors() {
             let here = (&f.name, at);
             let first = |(name, at): (&std::sync::Arc<str>, Place)| format!("{}:{}", path(name), at.line);
             if let Some(other) = uids.insert(&m.uid, here) {
                 let what = format!("a second motor of this uid, the first is at {}", first(other));
-                self.told(&path(&f.name), at, &field(m, ""), what);
-            } else if let Some((other, uid)) = numbers.insert(executor_id(&m.uid), (here, &m.uid)) {
+                self.report(&path(&f.name), at, &field(m, ""), what);
+            } else if let Some((other, uid)) = ids.insert(executor_id(&m.uid), (here, &m.uid)) {
                 let what = format!("its uid has the number of {uid:?} at {}; rename one", first(other));
-                self.told(&path(&f.name), at, &field(m, ""), what);
+                self.report(&path(&f.name), at, &field(m, ""), what);
             }
             if let Some((other, uid)) = addresses.insert(m.address, (here, &m.uid)) {
                 let what = format!("{} is also the address of {uid:?} at {}", m.address, first(other));
-                self.told(&path(&f.name), at, &field(m, "address"), what);
+                self.report(&path(&f.name), at, &field(m, "address"), what);
             }
         }
     }
 
-    /// Weights that come to nothing.
-    fn totals(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
+    /// Checks that each room has weight, and that some executor accepts requests.
+    fn check_total_weights(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
         let mut rooms: BTreeMap<&str, (f64, bool, String, Place)> = BTreeMap::new();
         for (f, m, at) in list.executors() {
             let room = rooms.entry(&m.room).or_insert_with(|| (0.0, false, path(&f.name), at));
             room.0 += m.weight;
-            room.1 |= m.takes();
+            room.1 |= m.accepts_requests();
         }
         if !rooms.values().any(|(_, takes, ..)| *takes) {
             let what = format!("no motor of {} takes queries: total weight 0, or all drain", list.len());
@@ -182,7 +185,7 @@
         for (room, (total, _, file, at)) in rooms {
             if total <= 0.0 {
                 let what = "total weight 0; to empty a room, set its motores to state = \"draining\"";
-                self.told(&file, at, &format!("room.{room}"), what);
+                self.report(&file, at, &format!("room.{room}"), what);
             }
         }
     }
--- a/src/membership/check/tests.rs
+++ b/src/membership/check/tests.rs
@@ -6,7 +6,7 @@
     Catalog { rooms, kinds: [("k".to_string(), 8.0)].into() }
 }
 
-fn told(text: &str) -> Vec<String> {
+fn faults_of(text: &str) -> Vec<String> {
     let (file, faults) = ListFile::parse("f", "f", text);
     assert_eq!(faults, []);
     let list = List::new(vec![file.unwrap()]);
@@ -20,9 +20,9 @@
     format!("room \"{room}\" {{\n motor \"{uid}\" {{\n address = \"{address}\"\n{rest}\n}}\n}}\n")
 }
 
-// Whoever edits a list should see all that is wrong with it in one go, each at its place.
+// Whoever edits a list should see all of its faults at once, each with its position.
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let k = "kind = \"k\"";
     let text = [
         executor("a", "e1", "10.0.0.1:1", k),
@@ -37,7 +37,7 @@
         executor("a", "e\\n10", "10.0.0.10:1", k),
     ]
     .concat();
-    let all = told(&text);
+    let all = faults_of(&text);
     for t in [
         "f:8:2: room.a.motor.e1: a second motor of this uid, the first is at f:2",
         "f:14:2: room.a.motor.e3.address: 10.0.0.1:1 is also the address of \"e1\" at f:2",
@@ -56,11 +56,11 @@
     assert_eq!(all.len(), 11, "{all:#?}");
 }
 
-// An empty list, or one in which all drain, would empty the dispatcher.
+// An empty list, or one in which all executors drain, would leave the dispatcher without executors.
 #[test]
-fn a_list_in_which_nobody_takes_requests_is_refused() {
-    assert!(told("")[0].contains("no motor of 0 takes queries"));
+fn a_list_without_an_executor_that_accepts_requests_is_rejected() {
+    assert!(faults_of("")[0].contains("no motor of 0 takes queries"));
     let drains = executor("a", "e1", "10.0.0.1:1", "kind = \"k\"\nstate = \"draining\"");
-    assert!(told(&drains)[0].contains("no motor of 1 takes queries"));
-    assert_eq!(told(&format!("{drains}{}", executor("b", "e2", "10.0.0.2:1", "kind = \"k\""))), [""; 0]);
+    assert!(faults_of(&drains)[0].contains("no motor of 1 takes queries"));
+    assert_eq!(faults_of(&format!("{drains}{}", executor("b", "e2", "10.0.0.2:1", "kind = \"k\""))), [""; 0]);
 }
--- a/src/membership/list.rs
+++ b/src/membership/list.rs
@@ -1,4 +1,4 @@
-//! The list file: rooms with executors, an optional generation, a seal.
+//! The list file: rooms with executors, an optional generation and a seal.
 //!
 //! ```hcl
 //! generation = 12
@@ -16,87 +16,87 @@
 //! }
 //! ```
 //!
-//! A file has a digest of what it says, whatever its spacing, order and comments. The seal repeats it together
-//! with the number of executors: what was torn, cut short or mixed does not match its seal.
+//! The digest of a file covers its content, regardless of spacing, order and comments. The seal states the digest and
+//! the number of executors: a partially written, truncated or mixed file does not match its seal.
 
 mod digest;
 mod sealing;
 
 use crate::settings::hcl::{self, Fault, Place, Table, Text};
-pub use digest::{Digest, NoDigest, digest};
-pub use sealing::sealed;
+pub use digest::{Digest, InvalidDigest, digest};
+pub use sealing::renew_seal;
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::sync::Arc;
 
-/// What a list wants of an executor.
+/// The state that a list wants an executor to be in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Wanted {
-    /// It takes requests.
+pub enum DesiredState {
+    /// It accepts requests.
     Up,
-    /// It completes what it has.
+    /// It completes its outstanding work.
     Draining,
 }
 
-/// An executor as its file has it.
+/// An executor as listed in its file.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Executor {
-    /// Which executor; a machine that replaces it has another.
+    /// Unique id; a machine that replaces the executor has another.
     pub uid: Arc<str>,
-    /// Its room.
+    /// The room that it stands in, which is its zone.
     pub room: Arc<str>,
-    /// Where it listens, in its one spelling.
+    /// The address that it listens on, in canonical form.
     pub address: SocketAddr,
     /// Its kind of machine.
     pub kind: Arc<str>,
-    /// Its share of the work beside others of its kind; 0 drains it.
+    /// Its share of the work relative to others of its kind; 0 drains it.
     pub weight: f64,
-    /// What it is to do.
-    pub state: Wanted,
+    /// The state that it is to be in.
+    pub state: DesiredState,
 }
 
 impl Executor {
-    /// Whether it is to take requests.
-    pub fn takes(&self) -> bool {
-        self.state == Wanted::Up && self.weight > 0.0
+    /// Whether it is to accept requests.
+    pub fn accepts_requests(&self) -> bool {
+        self.state == DesiredState::Up && self.weight > 0.0
     }
 }
 
-/// A seal: what its writer says the file holds.
+/// A seal: what the author of the file states that it contains.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seal {
     /// The number of executors.
     pub count: u64,
-    /// The digest of what the file says.
+    /// The digest of the file's content.
     pub digest: Digest,
-    /// Where it stands in the text.
+    /// Its byte range in the text.
     pub span: Range<usize>,
     /// Its line and column.
     pub place: Place,
 }
 
-/// One file of a list, as far as it could be read.
+/// One file of a list, as far as it could be parsed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListFile {
-    /// Its name: the file's own, without its folder.
+    /// Its file name, without the directory.
     pub name: Arc<str>,
     /// The generation that it states.
     pub generation: Option<u64>,
     /// Its executors, in the order of the file.
     pub executors: Vec<Arc<Executor>>,
-    /// Where each stands.
+    /// The position of each executor in the file.
     pub places: Vec<Place>,
     /// Its seal.
     pub seal: Option<Seal>,
-    /// A second seal: confirms that what the list takes away is meant.
+    /// A second seal: confirms that the list removes capacity on purpose.
     pub confirm: Option<Digest>,
-    /// The digest of what it says.
+    /// The digest of its content.
     pub digest: Digest,
 }
 
 impl ListFile {
-    /// Reads a file's text. `path` is what faults name.
+    /// Parses a file. `path` appears in the faults.
     pub fn parse(path: &str, name: &str, text: &str) -> (Option<ListFile>, Vec<Fault>) {
         let text = Text::new(path, text);
         let body = match text.parse() {
@@ -124,10 +124,10 @@
         (Some(file), faults)
     }
 
-    /// Whether the seal is there and tells what was read.
-    pub fn seal_holds(&self) -> bool {
-        let told = |s: &Seal| s.digest == self.digest && s.count == self.executors.len() as u64;
-        self.seal.as_ref().is_some_and(told)
+    /// Whether there is a seal that matches the content.
+    pub fn seal_matches(&self) -> bool {
+        let matches = |s: &Seal| s.digest == self.digest && s.count == self.executors.len() as u64;
+        self.seal.as_ref().is_some_and(matches)
     }
 }
 
@@ -144,24 +144,24 @@
     let kind = t.need("kind", faults, hcl::string);
     let any = hcl::number(0.0..=f64::MAX);
     let weight = if t.has("weight") { t.get("weight", faults, any) } else { Some(1.0) };
-    let states = hcl::one_of(&[("up", Wanted::Up), ("draining", Wanted::Draining)]);
-    let state = if t.has("state") { t.get("state", faults, states) } else { Some(Wanted::Up) };
+    let states = hcl::one_of(&[("up", DesiredState::Up), ("draining", DesiredState::Draining)]);
+    let state = if t.has("state") { t.get("state", faults, states) } else { Some(DesiredState::Up) };
     let address = address.map(|a| SocketAddr::new(a.ip().to_canonical(), a.port()));
     let (uid, room, kind) = (uid.into(), room.clone(), kind?.into());
     Some(Executor { uid, room, address: address?, kind, weight: weight?, state: state? })
 }
 
-/// A whole list: all its files, as one version.
+/// A list: all its files, as one version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct List {
     /// The files, by name.
     pub files: Vec<ListFile>,
-    /// The digest of all of them; of a single file it is that file's.
+    /// The digest of all files; that of the file if there is only one.
     pub digest: Digest,
 }
 
 impl List {
-    /// Of these files.
+    /// Creates a list from its files.
     pub fn new(mut files: Vec<ListFile>) -> List {
         files.sort_by(|a, b| a.name.cmp(&b.name));
         let digest = match &files[..] {
@@ -174,7 +174,7 @@
         List { files, digest }
     }
 
-    /// All executors, with the file and place of each.
+    /// All executors, with the file and position of each.
     pub fn executors(&self) -> impl Iterator<Item = (&ListFile, &Arc<Executor>, Place)> {
         self.files.iter().flat_map(|f| f.executors.iter().zip(&f.places).map(move |(m, p)| (f, m, *p)))
     }
--- a/src/membership/list/tests.rs
+++ b/src/membership/list/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-pub(crate) const TWO: &str = "generation = 4\nroom \"a\" {\n  motor \"e1\" {\n    address = \"127.0.0.1:1\"\n    \
+pub(crate) const TWO_EXECUTORS: &str = "generation = 4\nroom \"a\" {\n  motor \"e1\" {\n    address = \"127.0.0.1:1\"\n    \
     kind = \"k\"\n  }\n  motor \"e2\" {\n    address = \"127.0.0.1:2\"\n    kind = \"k\"\n    weight = 0.5\n    \
     state = \"draining\"\n  }\n}\n";
 
@@ -10,42 +10,42 @@
     file.unwrap()
 }
 
-// A seal tells what was meant whatever comments, spacing and order it is written in, and no cut of a sealed
-// text may pass for one.
+// A seal covers the content regardless of comments, spacing and order, and no truncated sealed text may match its
+// seal.
 #[test]
-fn a_seal_holds_for_the_whole_and_for_no_part_of_it() {
-    let text = sealed("f", TWO, false, false).unwrap();
-    assert!(parse(&text).seal_holds());
-    assert!(parse(&format!("# note\n{}", text.replace("  ", "\t"))).seal_holds());
-    assert!(!parse(&text.replace("0.5", "0.6")).seal_holds());
+fn a_seal_matches_only_the_complete_text() {
+    let text = renew_seal("f", TWO_EXECUTORS, false, false).unwrap();
+    assert!(parse(&text).seal_matches());
+    assert!(parse(&format!("# note\n{}", text.replace("  ", "\t"))).seal_matches());
+    assert!(!parse(&text.replace("0.5", "0.6")).seal_matches());
     for cut in 0..text.trim_end().len() {
         let (file, faults) = ListFile::parse("f", "f", &text[..cut]);
-        let passes = faults.is_empty() && file.is_some_and(|f| f.seal_holds());
+        let passes = faults.is_empty() && file.is_some_and(|f| f.seal_matches());
         assert!(!passes, "cut at {cut}");
     }
 }
 
 #[test]
-fn sealing_again_changes_nothing_and_a_generation_goes_on() {
-    let once = sealed("f", TWO, false, false).unwrap();
-    assert_eq!(sealed("f", &once, false, false).unwrap(), once);
-    let next = sealed("f", &once, true, true).unwrap();
+fn sealing_is_idempotent_and_a_generation_increases() {
+    let once = renew_seal("f", TWO_EXECUTORS, false, false).unwrap();
+    assert_eq!(renew_seal("f", &once, false, false).unwrap(), once);
+    let next = renew_seal("f", &once, true, true).unwrap();
     let file = parse(&next);
-    assert!(file.seal_holds() && file.generation == Some(5) && file.confirm == Some(file.digest), "{next}");
-    assert_eq!(parse(&sealed("f", &next, false, false).unwrap()).confirm, None);
-    assert!(sealed("f", "room \"a\" {", false, false).is_err());
+    assert!(file.seal_matches() && file.generation == Some(5) && file.confirm == Some(file.digest), "{next}");
+    assert_eq!(parse(&renew_seal("f", &next, false, false).unwrap()).confirm, None);
+    assert!(renew_seal("f", "room \"a\" {", false, false).is_err());
 }
 
-// One address has many spellings; two executors at one address would be one machine under two names.
+// An address can be written in several forms; two executors at one address would be one machine under two uids.
 #[test]
-fn an_address_has_one_spelling() {
-    let mapped = TWO.replace("127.0.0.1:1", "[::ffff:127.0.0.1]:1");
-    assert_eq!(parse(&mapped).digest, parse(TWO).digest);
+fn addresses_are_normalized() {
+    let mapped = TWO_EXECUTORS.replace("127.0.0.1:1", "[::ffff:127.0.0.1]:1");
+    assert_eq!(parse(&mapped).digest, parse(TWO_EXECUTORS).digest);
 }
 
 #[test]
-fn a_digest_is_read_as_it_is_written() {
+fn a_digest_is_parsed_from_its_text_form() {
     let d = Digest::of(b"x");
     assert_eq!(d.to_string().parse(), Ok(d));
-    assert_eq!("sha256:1g".parse::<Digest>(), Err(NoDigest));
+    assert_eq!("sha256:1g".parse::<Digest>(), Err(InvalidDigest));
 }
--- a/src/membership/members/active.rs
+++ b/src/membership/members/active.rs
@@ -118,7 +118,7 @@
                 Some(p) if p.draining_since.is_none() && p.entry == entry => p.owner = owner,
                 Some(p) => {
                     change.changed += 1;
-                    let to = if entry.takes() { &mut more } else { &mut less };
+                    let to = if entry.accepts_requests() { &mut more } else { &mut less };
                     to.push(entry.target());
                     *p = ActiveEntry { owner, entry, draining_since: None };
                 }
--- a/src/membership/members/entry.rs
+++ b/src/membership/members/entry.rs
@@ -21,9 +21,9 @@
         }
     }
 
-    pub(super) fn takes(&self) -> bool {
+    pub(super) fn accepts_requests(&self) -> bool {
         match self {
-            Entry::FromList(m) => m.takes(),
+            Entry::FromList(m) => m.accepts_requests(),
             Entry::FromFeed(t) => t.state == State::Up,
         }
     }
@@ -66,7 +66,7 @@
                 az: m.room.to_string(),
                 model: m.kind.to_string(),
                 pod_group: 0,
-                state: if m.takes() { State::Up } else { State::Draining },
+                state: if m.accepts_requests() { State::Up } else { State::Draining },
                 capacity_hint: None,
                 boot_ms: 0,
                 weight: Some(m.weight).filter(|w| *w > 0.0),
--- a/src/membership/members/guard.rs
+++ b/src/membership/members/guard.rs
@@ -2,8 +2,8 @@
 
 use super::{Effect, Entry, HeldList, Loss, Members, Merged, RoomLosses, micros};
 use crate::api::Micros;
-use crate::membership::keep::Acceptance;
 use crate::membership::list::{Digest, List};
+use crate::membership::storage::Acceptance;
 use crate::settings::options::Safeguard;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
         let known: BTreeSet<(&str, Digest)> = old.map(|f| (&*f.name, f.digest)).collect();
         let mut new = list.files.iter().filter(|f| !known.contains(&(&*f.name, f.digest))).peekable();
         let confirmed = new.peek().is_some() && new.all(|f| f.confirm == Some(f.digest));
-        confirmed || file.accepted.iter().any(|a| a.names(&list.digest) && fresh(a))
+        confirmed || file.accepted.iter().any(|a| a.matches(&list.digest) && fresh(a))
     }
 
     /// Rooms that would lose too much capacity, counting what lists removed within the window.
@@ -76,13 +76,14 @@
     /// weight of the same list, as only their ratio matters.
     fn losses_by_room(&self, next: &Merged) -> RoomLosses {
         let max_weight = |all: &mut dyn Iterator<Item = &Entry>| {
-            all.filter(|e| e.takes()).map(Entry::weight).fold(f64::MIN_POSITIVE, f64::max)
+            all.filter(|e| e.accepts_requests()).map(Entry::weight).fold(f64::MIN_POSITIVE, f64::max)
         };
         let old_max_weight =
             max_weight(&mut self.active.values().filter(|p| p.draining_since.is_none()).map(|p| &p.entry));
         let new_max_weight = max_weight(&mut next.values().map(|(_, e)| e));
         let cores = |e: &Entry| self.terms.cores.get(e.kind()).copied().unwrap_or(1.0);
-        let part = |e: &Entry, most: f64| if e.takes() { cores(e) * e.weight() / most } else { 0.0 };
+        let part =
+            |e: &Entry, most: f64| if e.accepts_requests() { cores(e) * e.weight() / most } else { 0.0 };
         let mut rooms = RoomLosses::new();
         for (uid, p) in self.active.iter().filter(|(_, p)| p.draining_since.is_none()) {
             let was = part(&p.entry, old_max_weight);
--- a/src/membership/members/mod.rs
+++ b/src/membership/members/mod.rs
@@ -20,8 +20,8 @@
 pub use crate::settings::options::Guard;
 pub use effect::{Change, Effect, Loss};
 
-use super::keep::Acceptance;
 use super::list::{Digest, List};
+use super::storage::Acceptance;
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
 use crate::settings::options::{FEED, Safeguard};
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::membership::list::{Executor, ListFile, Wanted};
+use crate::membership::list::{DesiredState, Executor, ListFile};
 use std::net::SocketAddr;
 
 mod drains;
@@ -30,7 +30,7 @@
             address: SocketAddr::from(([10, 0, 0, 1], *port)),
             kind: "k".into(),
             weight: *weight,
-            state: if *up { Wanted::Up } else { Wanted::Draining },
+            state: if *up { DesiredState::Up } else { DesiredState::Draining },
         })
     };
     let executors: Vec<_> = lines.iter().map(executor).collect();
--- a/src/membership/members/versions.rs
+++ b/src/membership/members/versions.rs
@@ -3,8 +3,8 @@
 use super::{Effect, Members, RoomLosses, micros};
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
-use crate::membership::keep::Acceptance;
 use crate::membership::list::{Digest, List};
+use crate::membership::storage::Acceptance;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,22 +1,22 @@
-//! Which executors there are: lists from files beside or instead of the coordinator's feed.
+//! The set of executors: lists from files, in addition to the coordinator's feed or instead of it.
 //!
 //! - [`list`]: the list file, its digest and its seal.
-//! - [`check`]: what a list has to be before it is used; all faults at once.
-//! - [`settling`]: when what was read of files counts as one version. Sans-I/O.
+//! - [`check`]: validates a list before it is used; reports all faults at once.
+//! - [`settling`]: decides when the content read from files counts as one version. Sans-I/O.
 //! - [`members`]: the list in force: precedence, ownership, generations, the guard, drains. Sans-I/O.
-//! - [`files`]: looks at and reads files, never more than is allowed and never waiting for one.
-//! - [`keep`]: the last good list on disk, and what a person accepted.
-//! - [`watcher`]: the thread that watches, reads and checks, and hands finished lists over.
+//! - [`files`]: reads files, within limits and without blocking.
+//! - [`storage`]: the last good list on disk, and recorded acceptances.
+//! - [`watcher`]: the thread that watches, reads and validates lists and reports the results.
 //!
-//! Nothing here knows the event loop or the decision module: what comes out are entries of the same form as
-//! the coordinator's, which go the same way.
+//! Nothing here depends on the event loop or the decision module: the output are targets of the same form as the
+//! coordinator's, and they take the same path.
 
 pub mod check;
 pub mod files;
-pub mod keep;
 pub mod list;
 pub mod members;
 pub mod settling;
+pub mod storage;
 pub mod watcher;
 
 pub use crate::settings::options::FEED;
--- a/src/membership/settling.rs
+++ b/src/membership/settling.rs
@@ -1,33 +1,33 @@
-//! When what was read of files counts as one version. Sans-I/O: looks and readings go in with their time, what
-//! to do next comes out.
+//! Decides when the content read from files counts as one version. Sans-I/O: takes stamps and results of reads with
+//! their time, and returns the next step.
 //!
-//! Nothing tells a reader that a writer is done. Three things stand in for it. A *seal* inside the text proves
-//! that it is whole, and needs no waiting. *Stamps* (device, inode, size, times) before and after the reading
-//! prove that nothing changed meanwhile, as far as the clock of the file system can tell; a file that is younger
-//! than that clock's grain is read once more later. Without a seal, the same bytes have to stay for the
-//! *settling time*.
+//! A reader is not notified when a writer is done. Three things replace that. A *seal* in the text proves that it is
+//! complete, without a wait. *Stamps* (device, inode, size, times) before and after the read prove that nothing changed
+//! meanwhile, within the granularity of the file system's clock; a file that changed more recently than that is read
+//! again later. Without a seal, the same bytes have to be present for the *settling time*.
 
 use super::list::Digest;
 use crate::api::Micros;
 
-/// A change may hide behind equal stamps while the file is younger than this, in nanoseconds and microseconds.
-const GRAIN_NS: i128 = 100_000_000;
-const GRAIN: Micros = 100_000;
-/// After a reading in which something changed, the next try waits this long, doubling up to the most.
-const RETRY: Micros = 5_000;
-const RETRY_MOST: Micros = 160_000;
+/// Granularity of the file system's clock, in nanoseconds and microseconds: two changes within it may leave the same
+/// stamp.
+const CLOCK_GRANULARITY_NS: i128 = 100_000_000;
+const CLOCK_GRANULARITY: Micros = 100_000;
+/// Delay before the next read after one during which something changed; doubles up to the maximum.
+const MIN_RETRY_INTERVAL: Micros = 5_000;
+const MAX_RETRY_INTERVAL: Micros = 160_000;
 
-/// What tells a version of a file from another without reading it.
+/// Metadata that distinguishes versions of a file without reading it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FileStamp {
     /// Its name in the list.
     pub name: String,
     /// Device and inode.
-    pub place: (u64, u64),
-    /// Bytes.
+    pub device_and_inode: (u64, u64),
+    /// Size in bytes.
     pub size: u64,
-    /// Changed last, its content and its inode, in nanoseconds since 1970.
-    pub changed: (i128, i128),
+    /// Time of the last change of its content and of its inode, in nanoseconds since 1970.
+    pub changed_at: (i128, i128),
 }
 
 /// The stamps of all files of a list, by name.
@@ -35,99 +35,111 @@
 pub struct Stamp(pub Vec<FileStamp>);
 
 impl Stamp {
-    /// Whether it changed within the grain of the file system's clock, which is the wall clock.
-    fn young(&self, unix: Micros) -> bool {
-        let newest = self.0.iter().map(|f| f.changed.0.max(f.changed.1)).max();
-        newest.is_some_and(|t| t + GRAIN_NS > i128::from(unix) * 1_000)
+    /// Whether a file changed within the granularity of the file system's clock, which is the wall clock.
+    fn recently_changed(&self, wall_clock: Micros) -> bool {
+        let newest = self.0.iter().map(|f| f.changed_at.0.max(f.changed_at.1)).max();
+        newest.is_some_and(|t| t + CLOCK_GRANULARITY_NS > i128::from(wall_clock) * 1_000)
     }
 }
 
-/// What a reading brought.
+/// The result of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Read {
-    /// Something changed while it went on.
-    Changing,
-    /// All files, each in one piece.
-    Whole {
+pub enum ReadResult {
+    /// Something changed during the read.
+    ConcurrentChange,
+    /// All files were read, without a change meanwhile.
+    Complete {
         /// The digest of their bytes and names.
         bytes: Digest,
-        /// One file, whose seal holds.
+        /// Whether it is a single file whose seal matches.
         sealed: bool,
     },
 }
 
-/// What to do next.
+/// The next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
-    /// It is one version: judge it.
-    Judge,
+pub enum NextStep {
+    /// The content is one version: validate it.
+    Validate,
     /// Read again at this time.
     ReadAt(Micros),
-    /// Nothing new: wait for a change.
-    Rest,
+    /// Nothing is new: wait for a change.
+    Wait,
 }
 
-/// Follows one list.
+/// Tracks the versions of one list.
 #[derive(Debug, Clone)]
-pub struct Settling {
+pub struct SettleTracker {
     settle: Micros,
-    /// The bytes that were judged last, and the stamp that they had when they were last read.
-    judged: Option<(Digest, Stamp)>,
-    /// Other bytes, and since when they are there.
+    /// Digest of the bytes that were validated last, and the stamp that they had when they were last read.
+    validated: Option<(Digest, Stamp)>,
+    /// Digest of bytes that are not settled yet, and since when they are present.
     candidate: Option<(Digest, Micros)>,
-    /// Read once more then: the file was young.
-    again: Option<Micros>,
-    retry: Micros,
+    /// When to read again because the file had changed recently.
+    reread_at: Option<Micros>,
+    retry_interval: Micros,
 }
 
-impl Settling {
-    /// Knows nothing yet; bytes without seal have to stay for `settle`.
-    pub fn new(settle: Micros) -> Settling {
-        Settling { settle, judged: None, candidate: None, again: None, retry: RETRY }
+impl SettleTracker {
+    /// Creates a tracker without a version; bytes without a seal have to stay unchanged for `settle`.
+    pub fn new(settle: Micros) -> SettleTracker {
+        SettleTracker {
+            settle,
+            validated: None,
+            candidate: None,
+            reread_at: None,
+            retry_interval: MIN_RETRY_INTERVAL,
+        }
     }
 
-    /// Whether files that have this stamp now have to be read.
-    pub fn wants(&self, now: Micros, stamp: &Stamp) -> bool {
-        let known = self.judged.as_ref().is_some_and(|(_, s)| s == stamp);
-        !known || self.candidate.is_some() || self.again.is_some_and(|t| t <= now)
+    /// Whether files with this stamp have to be read now.
+    pub fn needs_read(&self, now: Micros, stamp: &Stamp) -> bool {
+        let known = self.validated.as_ref().is_some_and(|(_, s)| s == stamp);
+        !known || self.candidate.is_some() || self.reread_at.is_some_and(|t| t <= now)
     }
 
-    /// When to look next though nothing is heard of.
+    /// When to check next without a notification.
     pub fn next_due(&self) -> Option<Micros> {
         let settled = self.candidate.map(|(_, since)| since + self.settle);
-        settled.into_iter().chain(self.again).min()
+        settled.into_iter().chain(self.reread_at).min()
     }
 
-    /// There is nothing that could be read: whatever settled before has to settle anew.
-    pub fn absent(&mut self) {
-        (self.judged, self.candidate, self.again) = (None, None, None);
+    /// The list is unreadable: any content has to settle again.
+    pub fn reset(&mut self) {
+        (self.validated, self.candidate, self.reread_at) = (None, None, None);
     }
 
-    /// A reading, and the stamp that held before and after it; the wall clock's time is what stamps are made of.
-    pub fn read(&mut self, now: Micros, unix: Micros, stamp: &Stamp, read: Read) -> Next {
-        let Read::Whole { bytes, sealed } = read else {
+    /// Records the result of a read, with the stamp before and after it. Stamps are times of the wall clock.
+    pub fn read_finished(
+        &mut self,
+        now: Micros,
+        wall_clock: Micros,
+        stamp: &Stamp,
+        read: ReadResult,
+    ) -> NextStep {
+        let ReadResult::Complete { bytes, sealed } = read else {
             self.candidate = None;
-            let at = now + self.retry;
-            self.retry = (self.retry * 2).min(RETRY_MOST);
-            return Next::ReadAt(at);
+            let at = now + self.retry_interval;
+            self.retry_interval = (self.retry_interval * 2).min(MAX_RETRY_INTERVAL);
+            return NextStep::ReadAt(at);
         };
-        self.retry = RETRY;
-        let fresh = self.judged.as_ref().is_none_or(|(_, s)| s != stamp);
-        // Once for each stamp: a file whose time lies ahead of ours would be read for ever.
-        self.again = (fresh && stamp.young(unix)).then_some(now + GRAIN);
-        if let Some((judged, at)) = &mut self.judged
-            && *judged == bytes
+        self.retry_interval = MIN_RETRY_INTERVAL;
+        let fresh = self.validated.as_ref().is_none_or(|(_, s)| s != stamp);
+        // Only once per stamp: a file with a time in the future would otherwise be read again and again.
+        self.reread_at = (fresh && stamp.recently_changed(wall_clock)).then_some(now + CLOCK_GRANULARITY);
+        if let Some((validated, at)) = &mut self.validated
+            && *validated == bytes
         {
             (*at, self.candidate) = (stamp.clone(), None);
-            return Next::Rest;
+            return NextStep::Wait;
         }
         let since = self.candidate.filter(|(c, _)| *c == bytes).map_or(now, |(_, t)| t);
         if sealed || now >= since + self.settle {
-            (self.judged, self.candidate) = (Some((bytes, stamp.clone())), None);
-            return Next::Judge;
+            (self.validated, self.candidate) = (Some((bytes, stamp.clone())), None);
+            return NextStep::Validate;
         }
         self.candidate = Some((bytes, since));
-        Next::ReadAt(since + self.settle)
+        NextStep::ReadAt(since + self.settle)
     }
 }
 
--- a/src/membership/keep/tests.rs
+++ b/src/membership/storage/tests.rs
@@ -1,10 +1,10 @@
-use super::super::list::tests::TWO;
+use super::super::list::tests::TWO_EXECUTORS;
 use super::*;
 
-// A copy that lost a byte must not become the list of the next start.
+// A copy with a changed or missing byte must not be used at the next start.
 #[test]
-fn a_damaged_copy_is_recognised() {
-    let file = ListFile::parse("f", "f", TWO).0.unwrap();
+fn a_damaged_copy_is_rejected() {
+    let file = ListFile::parse("f", "f", TWO_EXECUTORS).0.unwrap();
     let list = List::new(vec![file]);
     let at = std::env::temp_dir().join(format!("ottercroft-keep-{}.last-good", std::process::id()));
     save(&at, &list).unwrap();
@@ -25,15 +25,15 @@
 }
 
 #[test]
-fn an_acceptance_names_one_list_and_the_newest_stay() {
+fn an_acceptance_matches_one_list_and_the_newest_are_kept() {
     let at = std::env::temp_dir().join(format!("ottercroft-accept-{}", std::process::id()));
     let digest = Digest::of(b"x");
     for n in 0..40 {
-        accept(&at, &digest.short(), n).unwrap();
+        add_acceptance(&at, &digest.short(), n).unwrap();
     }
-    let all = accepted(&at);
-    assert!(all.len() == MOST_ACCEPTED && all[0].at == 39 && all[0].names(&digest));
-    assert!(!all[0].names(&Digest::of(b"y")));
-    assert!(!Acceptance { digest: digest.short()[..8].into(), at: 0 }.names(&digest));
+    let all = read_acceptances(&at);
+    assert!(all.len() == MAX_ACCEPTANCES && all[0].at == 39 && all[0].matches(&digest));
+    assert!(!all[0].matches(&Digest::of(b"y")));
+    assert!(!Acceptance { digest: digest.short()[..8].into(), at: 0 }.matches(&digest));
     fs::remove_file(&at).unwrap();
 }
--- a/src/membership/watcher/mod.rs
+++ b/src/membership/watcher/mod.rs
@@ -14,8 +14,8 @@
 pub use reading::{Rules, validate};
 pub use watched_list::WatchedList;
 
-use super::keep::Acceptance;
 use super::list::{Digest, List};
+use super::storage::Acceptance;
 use crate::api::Micros;
 use crate::clock::now;
 use crate::settings::hcl::Fault;
--- a/src/membership/watcher/reading.rs
+++ b/src/membership/watcher/reading.rs
@@ -1,7 +1,7 @@
 //! Reads a list once; the rules that apply to all lists.
 
 use crate::membership::check::{self, Catalog, Terms};
-use crate::membership::files::{self, Bounds};
+use crate::membership::files::{self, ReadLimits};
 use crate::membership::list::{List, ListFile};
 use crate::settings::hcl::Fault;
 use crate::settings::options::{self, Safeguard};
@@ -17,7 +17,7 @@
     /// Known rooms and kinds; `None` to skip these checks.
     pub catalog: Option<Catalog>,
     /// Limits on the size and number of files.
-    pub bounds: Bounds,
+    pub limits: ReadLimits,
     /// How long a list without a seal has to stay unchanged before it is used.
     pub settle: Duration,
     /// How often to check without a notification.
@@ -34,7 +34,7 @@
         Rules {
             terms: lists.terms.clone(),
             catalog,
-            bounds: Bounds { most_bytes: lists.most_bytes, most_files: lists.most_files },
+            limits: ReadLimits { max_bytes: lists.most_bytes, max_files: lists.most_files },
             settle: lists.settle,
             poll: lists.poll,
             last_good: lists.last_good.clone(),
@@ -50,7 +50,7 @@
 /// Reads a list once and validates it.
 pub fn validate(path: &Path, rules: &Rules) -> Result<(List, Vec<Fault>), Vec<Fault>> {
     let shown = path.display().to_string();
-    let version = files::read(path, rules.bounds, true).map_err(|t| vec![Fault::of_file(&shown, t)])?;
+    let version = files::read(path, rules.limits, true).map_err(|t| vec![Fault::of_file(&shown, t)])?;
     let (list, mut faults) = parse(path, &version.files, rules);
     match list {
         Some(list) => {
--- a/src/membership/watcher/tests.rs
+++ b/src/membership/watcher/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use crate::membership::check::Terms;
 use crate::membership::check::tests::catalog;
-use crate::membership::files::Bounds;
-use crate::membership::keep;
-use crate::membership::list::{sealed, tests::TWO};
+use crate::membership::files::ReadLimits;
+use crate::membership::list::{renew_seal, tests::TWO_EXECUTORS};
+use crate::membership::storage;
 use crate::settings::options::{self, Safeguard, Source};
 
 fn rules() -> Rules {
     Rules {
         terms: Terms { loopback: true, ..Terms::default() },
         catalog: Some(catalog()),
-        bounds: Bounds { most_bytes: 1 << 16, most_files: 9 },
+        limits: ReadLimits { max_bytes: 1 << 16, max_files: 9 },
         settle: Duration::from_millis(30),
         poll: Duration::from_millis(20),
         last_good: None,
@@ -27,7 +27,7 @@
 #[test]
 fn a_partially_written_file_is_reported_once_after_settling() {
     let (rules, at) = (rules(), source("partial"));
-    let whole = sealed("f", TWO, false, false).unwrap();
+    let whole = renew_seal("f", TWO_EXECUTORS, false, false).unwrap();
     std::fs::write(&at.path, &whole[..whole.len() / 2]).unwrap();
     let mut f = WatchedList::new(&at, &rules);
     let begun = now();
@@ -65,9 +65,10 @@
         panic!("no report");
     };
     assert!(matches!(report(), ListReport::Unreadable(why) if why.contains("No such file")));
-    keep::replace(&at.path, sealed("f", TWO, false, false).unwrap().as_bytes()).unwrap();
+    storage::write_atomically(&at.path, renew_seal("f", TWO_EXECUTORS, false, false).unwrap().as_bytes())
+        .unwrap();
     assert!(matches!(report(), ListReport::List(_)));
-    keep::accept(&at.accept, &"0".repeat(16), 1).unwrap();
+    storage::add_acceptance(&at.accept, &"0".repeat(16), 1).unwrap();
     assert!(matches!(report(), ListReport::Accepted(all) if all.len() == 1));
     std::fs::remove_file(&at.path).unwrap();
     assert!(matches!(report(), ListReport::Unreadable(_)));
--- a/src/membership/watcher/watched_list.rs
+++ b/src/membership/watcher/watched_list.rs
@@ -5,10 +5,10 @@
 use crate::api::Micros;
 use crate::clock::unix;
 use crate::membership::check::{self, Terms};
-use crate::membership::files::{self, Trouble};
-use crate::membership::keep;
+use crate::membership::files::{self, ReadError};
 use crate::membership::list::{Digest, List};
-use crate::membership::settling::{Next, Read, Settling};
+use crate::membership::settling::{NextStep, ReadResult, SettleTracker};
+use crate::membership::storage;
 use crate::settings::hcl::Fault;
 use crate::settings::options::{Safeguard, Source};
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
     pub(super) name: Arc<str>,
     path: PathBuf,
     accept: PathBuf,
-    settling: Settling,
+    settling: SettleTracker,
     /// The bytes parsed last and the result, until they are validated.
     parsed: Option<(Digest, Option<List>, Vec<Fault>)>,
     /// Why the list can't be read, since when, and whether that was reported.
@@ -39,7 +39,7 @@
             name: source.name.as_str().into(),
             path: source.path.clone(),
             accept: source.accept.clone(),
-            settling: Settling::new(settle.as_micros() as Micros),
+            settling: SettleTracker::new(settle.as_micros() as Micros),
             parsed: None,
             read_error: None,
             accepted: None,
@@ -55,7 +55,7 @@
                 return report;
             }
             if now() > give_up_at {
-                return ListReport::Unreadable("it did not stay the same for the settling time".into());
+                return ListReport::Unreadable("it did not stay unchanged for the settling time".into());
             }
             thread::sleep(MIN_CHECK_INTERVAL);
         }
@@ -64,18 +64,20 @@
     /// Checks the list once and schedules the next check. Returns a report if something changed.
     pub fn check(&mut self, now: Micros, rules: &Rules) -> Option<ListReport> {
         self.next_check_at = now + rules.poll.as_micros() as Micros;
-        let stamp = match files::stamp(&self.path, rules.bounds) {
+        let stamp = match files::stamp(&self.path, rules.limits) {
             Ok(stamp) => stamp,
             Err(read_error) => return self.read_failed(now, read_error.to_string(), rules),
         };
-        if self.read_error.is_none() && !self.settling.wants(now, &stamp) {
+        if self.read_error.is_none() && !self.settling.needs_read(now, &stamp) {
             return None;
         }
-        let version = match files::read(&self.path, rules.bounds, !rules.disabled(Safeguard::Again)) {
+        let version = match files::read(&self.path, rules.limits, !rules.disabled(Safeguard::Again)) {
             Ok(version) => version,
-            Err(Trouble::Unusable(why)) => return self.read_failed(now, why, rules),
-            Err(Trouble::Changing) => {
-                if let Next::ReadAt(at) = self.settling.read(now, unix(), &stamp, Read::Changing) {
+            Err(ReadError::Unusable(why)) => return self.read_failed(now, why, rules),
+            Err(ReadError::ConcurrentChange) => {
+                if let NextStep::ReadAt(at) =
+                    self.settling.read_finished(now, unix(), &stamp, ReadResult::ConcurrentChange)
+                {
                     self.next_check_at = self.next_check_at.min(at);
                 }
                 return None;
@@ -88,20 +90,21 @@
             let (list, faults) = parse(&self.path, &version.files, rules);
             self.parsed = Some((bytes, list, faults));
         }
-        let sealed = |l: &List| matches!(&l.files[..], [one] if one.seal_holds());
+        let sealed = |l: &List| matches!(&l.files[..], [one] if one.seal_matches());
         let sealed = matches!(&self.parsed, Some((_, Some(l), f)) if f.is_empty() && sealed(l));
-        let next = self.settling.read(now, unix(), &version.stamp, Read::Whole { bytes, sealed });
+        let next =
+            self.settling.read_finished(now, unix(), &version.stamp, ReadResult::Complete { bytes, sealed });
         self.next_check_at =
             self.settling.next_due().map_or(self.next_check_at, |t| t.min(self.next_check_at));
         match next {
-            Next::Judge => {
+            NextStep::Validate => {
                 self.parsed.take().map(|(_, list, faults)| self.validate(bytes, list, faults, rules))
             }
-            Next::ReadAt(at) => {
+            NextStep::ReadAt(at) => {
                 self.next_check_at = self.next_check_at.min(at);
                 None
             }
-            Next::Rest => {
+            NextStep::Wait => {
                 self.parsed = None;
                 None
             }
@@ -127,7 +130,7 @@
             _ => {
                 faults.sort();
                 let all = faults.len();
-                faults.truncate(check::MOST_FAULTS);
+                faults.truncate(check::MAX_FAULTS);
                 ListReport::Invalid { bytes, faults, all }
             }
         }
@@ -136,7 +139,7 @@
     /// Records a read error. An error that goes away within the settling time means that the file was being replaced, and
     /// is not reported.
     fn read_failed(&mut self, now: Micros, why: String, rules: &Rules) -> Option<ListReport> {
-        self.settling.absent();
+        self.settling.reset();
         self.parsed = None;
         let (_, since, reported) =
             self.read_error.take().filter(|(w, ..)| *w == why).unwrap_or((String::new(), now, false));
@@ -157,7 +160,7 @@
             return None;
         }
         self.accepted = stamp;
-        Some(ListReport::Accepted(keep::accepted(&self.accept)))
+        Some(ListReport::Accepted(storage::read_acceptances(&self.accept)))
     }
 
     /// Directories in which a change to the list or its acceptances becomes visible.
--- a/src/membership/watcher/worker.rs
+++ b/src/membership/watcher/worker.rs
@@ -2,8 +2,8 @@
 
 use super::{ListReport, MIN_CHECK_INTERVAL, Rules, SourceReport, WatchedList, now};
 use crate::api::Micros;
-use crate::membership::keep;
 use crate::membership::list::List;
+use crate::membership::storage;
 use crate::settings::options::Safeguard;
 use notify::{RecursiveMode, Watcher as _};
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,7 @@
     /// Tries to save a list. On failure, queues it for a retry and returns the error.
     fn try_save(&mut self, source: Arc<str>, list: Arc<List>) -> Option<String> {
         let directory = self.rules.last_good.as_ref()?;
-        let error = keep::save(&keep::path(directory, &source), &list).err()?;
+        let error = storage::save(&storage::path(directory, &source), &list).err()?;
         self.unsaved.insert(source, list);
         Some(error.to_string())
     }
--- a/src/net/admin/bans_file.rs
+++ b/src/net/admin/bans_file.rs
@@ -1,6 +1,6 @@
 //! The file in which bans are handed to the next process.
 
-use crate::membership::keep;
+use crate::membership::storage;
 use crate::operator::bans::Bans;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -48,7 +48,7 @@
 
     /// Writes the bans for the next process: whole or not at all, and to the disk.
     pub(in crate::net) fn save(&mut self, bans: &Bans) {
-        let written = keep::replace(&self.path, bans.encode(&self.name).as_bytes());
+        let written = storage::write_atomically(&self.path, bans.encode(&self.name).as_bytes());
         match &written {
             Err(e) if !self.owed => {
                 let file = self.path.display();
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -7,7 +7,7 @@
 use crate::codec::coordinator::Target;
 use crate::membership::check::Catalog;
 use crate::membership::watcher::{ListReport, Rules, SourceReport, WatchedList, Watcher};
-use crate::membership::{Effect, Members, Sources, keep};
+use crate::membership::{Effect, Members, Sources, storage};
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::options::{self, Empty, Source, accept_path};
 use std::collections::{BTreeMap, VecDeque};
@@ -66,8 +66,8 @@
         let (mut watched, mut reports, mut empty) = (Vec::new(), Vec::new(), Vec::new());
         for source in &o.sources {
             let name: Arc<str> = source.name.as_str().into();
-            let kept = o.last_good.as_ref().map(|folder| keep::path(folder, &source.name));
-            match kept.map(|at| keep::load(&at, o.most_bytes).map_err(|e| (at, e))) {
+            let kept = o.last_good.as_ref().map(|folder| storage::path(folder, &source.name));
+            match kept.map(|at| storage::load(&at, o.most_bytes).map_err(|e| (at, e))) {
                 Some(Ok(list)) => {
                     let back = members.restore(now, &source.name, list);
                     // The list is already saved: only the updates are of use.
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -57,7 +57,7 @@
         let operator_address = config.operator().map_err(context("configuration: operator"))?;
         let transport = config.settings.transport().map_err(context("configuration"))?;
         let (settings, names) = config.settings.settings().map_err(context("configuration"))?;
-        let catalog = Catalog::of(&settings, &names);
+        let catalog = Catalog::from_settings(&settings, &names);
         let storm = options.storms.as_ref().map(|storms| new_storm(storms, &settings, seed));
         let shutdown = Shutdown::new(shutdown_deadlines(&settings));
         let classes = Classes::of(&settings, &names);
--- a/tests/stored_data/main.rs
+++ b/tests/stored_data/main.rs
@@ -4,8 +4,8 @@
 //! stored name, the last good endpoint list would be taken for damaged and bans would be lost, both at the moment
 //! of an upgrade.
 
-use ottercroft::membership::keep;
-use ottercroft::membership::list::{Digest, Wanted};
+use ottercroft::membership::list::{DesiredState, Digest};
+use ottercroft::membership::storage;
 use ottercroft::operator::bans::Bans;
 use std::path::{Path, PathBuf};
 
@@ -30,7 +30,7 @@
 
 #[test]
 fn the_last_good_list_of_an_earlier_release_is_read_and_written_alike() {
-    let list = keep::load(&fixture(LAST_GOOD), 1 << 20).unwrap();
+    let list = storage::load(&fixture(LAST_GOOD), 1 << 20).unwrap();
     assert_eq!(list.digest.to_string(), LIST_DIGEST);
     assert_eq!(list.files[0].generation, Some(4));
     let executors = &list.files[0].executors;
@@ -38,24 +38,24 @@
     assert_eq!(uids, ["e1", "e2"]);
     assert_eq!(executors[0].address, "127.0.0.1:1".parse().unwrap());
     assert_eq!((executors[0].weight, executors[1].weight), (1.0, 0.5));
-    assert_eq!((executors[0].state, executors[1].state), (Wanted::Up, Wanted::Draining));
+    assert_eq!((executors[0].state, executors[1].state), (DesiredState::Up, DesiredState::Draining));
 
     let written = scratch(LAST_GOOD);
-    keep::save(&written, &list).unwrap();
+    storage::save(&written, &list).unwrap();
     assert_eq!(std::fs::read_to_string(&written).unwrap(), text(LAST_GOOD));
     std::fs::remove_file(&written).unwrap();
 }
 
 #[test]
 fn acceptances_of_an_earlier_release_are_read_and_written_alike() {
-    let accepted = keep::accepted(&fixture(ACCEPTED));
+    let accepted = storage::read_acceptances(&fixture(ACCEPTED));
     assert_eq!(accepted.len(), 2);
-    assert!(accepted[0].names(&Digest::of(b"y")) && accepted[0].at == 1_700_000_001);
-    assert!(accepted[1].names(&Digest::of(b"x")) && accepted[1].at == 1_700_000_000);
+    assert!(accepted[0].matches(&Digest::of(b"y")) && accepted[0].at == 1_700_000_001);
+    assert!(accepted[1].matches(&Digest::of(b"x")) && accepted[1].at == 1_700_000_000);
 
     let written = scratch(ACCEPTED);
     for acceptance in accepted.iter().rev() {
-        keep::accept(&written, &acceptance.digest, acceptance.at).unwrap();
+        storage::add_acceptance(&written, &acceptance.digest, acceptance.at).unwrap();
     }
     assert_eq!(std::fs::read_to_string(&written).unwrap(), text(ACCEPTED));
     std::fs::remove_file(&written).unwrap();
