--- a/crates/lab/src/motor_lists/large.rs
+++ b/crates/lab/src/motor_lists/large.rs
@@ -4,7 +4,7 @@
 use super::{Fault, options, settings_json};
 use crate::daemon::Daemon;
 use ottercroft::membership::check::{self, Catalog, Terms};
-use ottercroft::membership::files::{self, Bounds};
+use ottercroft::membership::files::{self, ReadLimits};
 use ottercroft::membership::list::{Digest, List, ListFile};
 use ottercroft::membership::{Guard, Members, Sources};
 use standins::scripted::Launch;
@@ -140,7 +140,7 @@
     let whole: Vec<Digest> = versions.iter().map(|v| Digest::of(v.as_bytes())).collect();
     std::fs::write(&path, &versions[0])?;
     let stop = AtomicBool::new(false);
-    let bounds = Bounds { most_bytes: 64 << 20, most_files: 1 };
+    let bounds = ReadLimits { max_bytes: 64 << 20, max_files: 1 };
     let counts = std::thread::scope(|s| -> Result<(u64, u64), Fault> {
         let writer = s.spawn(|| -> std::io::Result<()> {
             let mut file = std::fs::OpenOptions::new().write(true).open(&path)?;
--- a/crates/lab/src/motor_lists/world.rs
+++ b/crates/lab/src/motor_lists/world.rs
@@ -1,6 +1,6 @@
 //! The fleet, and versions of its lists: good ones, and ones that must not be taken.
 
-use ottercroft::membership::list::{ListFile, sealed};
+use ottercroft::membership::list::{ListFile, renew_seal};
 use rand::Rng;
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -90,7 +90,7 @@
 
 /// The text with its seal, and its digest.
 pub fn seal(text: &str) -> Version {
-    finish(sealed("list", text, false, false).expect("the text of a good version can be read"))
+    finish(renew_seal("list", text, false, false).expect("the text of a good version can be read"))
 }
 
 fn finish(text: String) -> Version {
