--- a/src/net/admin/bans_file.rs
+++ b/src/net/admin/bans_file.rs
@@ -1,27 +1,27 @@
-//! The file in which bans are handed to the next process.
+//! The hand-over file, through which the next process receives the bans.
 
 use crate::membership::storage;
 use crate::operator::bans::Bans;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Where this dispatcher's bans are kept. Writes to the folder may fail for a while: they are owed until they succeed.
+/// The file of this dispatcher's bans. A write that fails is retried until it succeeds.
 pub(in crate::net) struct BansFile {
     path: PathBuf,
     name: String,
-    /// Whether the file is behind the bans in force.
-    owed: bool,
+    /// Whether the last write failed, so that the file lacks changes of the bans.
+    unsaved: bool,
 }
 
 impl BansFile {
-    /// The file of the dispatcher of this name in a folder.
-    pub(in crate::net) fn of(folder: &Path, name: &str) -> BansFile {
-        let path = folder.join(format!("ottercroft-{}.bans", in_file_name(name)));
-        BansFile { path, name: name.to_string(), owed: false }
+    /// The file of the named dispatcher in a directory.
+    pub(in crate::net) fn new(directory: &Path, name: &str) -> BansFile {
+        let path = directory.join(format!("ottercroft-{}.bans", sanitized_file_name(name)));
+        BansFile { path, name: name.to_string(), unsaved: false }
     }
 
-    /// The bans that the process before this one handed over, if its file is there and can be used.
-    pub(in crate::net) fn handed_over(&self) -> Bans {
+    /// Loads the bans of the previous process; none if the file is missing or can't be used.
+    pub(in crate::net) fn load(&self) -> Bans {
         let file = self.path.display();
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
@@ -35,7 +35,7 @@
             Ok(bans) => {
                 if !bans.is_empty() {
                     let ids: Vec<&str> = bans.ids().collect();
-                    tracing::warn!(%file, offline = ?ids, "bans: handed over");
+                    tracing::warn!(%file, offline = ?ids, "bans: loaded from the hand-over file");
                 }
                 bans
             }
@@ -46,30 +46,32 @@
         }
     }
 
-    /// Writes the bans for the next process: whole or not at all, and to the disk.
+    /// Writes the bans for the next process, atomically and synced to disk.
     pub(in crate::net) fn save(&mut self, bans: &Bans) {
         let written = storage::write_atomically(&self.path, bans.encode(&self.name).as_bytes());
         match &written {
-            Err(e) if !self.owed => {
+            Err(e) if !self.unsaved => {
                 let file = self.path.display();
-                tracing::error!(%file, error = %e, "bans: can't hand over; tried again until it can be done");
+                tracing::error!(%file, error = %e, "bans: can't write the hand-over file; retrying");
+            }
+            Ok(()) if self.unsaved => {
+                tracing::warn!(file = %self.path.display(), "bans: hand-over file written after retries")
             }
-            Ok(()) if self.owed => tracing::warn!(file = %self.path.display(), "bans: handed over at last"),
             _ => {}
         }
-        self.owed = written.is_err();
+        self.unsaved = written.is_err();
     }
 
-    /// Writes them again if they could not be written.
+    /// Writes the bans again if the last write failed.
     pub(in crate::net) fn retry_now(&mut self, bans: &Bans) {
-        if self.owed {
+        if self.unsaved {
             self.save(bans);
         }
     }
 }
 
-/// A dispatcher's name as a part of a file name.
-fn in_file_name(name: &str) -> String {
+/// Converts a dispatcher's name to a part of a file name.
+fn sanitized_file_name(name: &str) -> String {
     let safe: String =
         name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect();
     if safe.is_empty() { "dispatcher".into() } else { safe }
--- a/src/net/admin/calls.rs
+++ b/src/net/admin/calls.rs
@@ -1,4 +1,4 @@
-//! What each operator's call does, and its answer.
+//! Carries out each operator's call and formats its answer.
 
 use crate::api::Micros;
 use crate::codec::operator::{self as ops, Call, Fault, Readiness};
@@ -9,8 +9,8 @@
 use std::io;
 
 impl DispatcherServer {
-    /// Carries an operator's call out; the answer to write. `None`: the fleet has to agree first, and the answer comes
-    /// later.
+    /// Carries out an operator's call and returns the answer. `None` means that the fleet has to agree first and the answer
+    /// follows later.
     pub(in crate::net) fn answer_call(
         &mut self,
         caller: Key,
@@ -35,8 +35,7 @@
         })
     }
 
-    /// The call, if this dispatcher has it: without peers there are no plans, and without an agreed policy no calls on
-    /// it.
+    /// Returns the call if this dispatcher supports it: plans need peers, and policy calls an agreed policy.
     fn known_call(&self, line: Result<Call, Fault>) -> Result<Call, Fault> {
         let is_plan_call = matches!(
             line,
@@ -54,12 +53,12 @@
         line
     }
 
-    /// `LEAVE`: accepts no clients, and closes those that are idle.
+    /// `LEAVE`: stops accepting clients and closes idle ones.
     fn leave(&mut self, now: Micros) -> String {
         if self.leaving.is_none() {
             tracing::warn!(clients = self.sessions.by_key.len(), open = self.requests.open.len(), "LEAVE");
             self.leaving = Some(now);
-            // A load balancer that probes the clients' port has to see it closed.
+            // A load balancer that probes the client port has to find it closed.
             self.stop_accepting(now);
         }
         self.close_idle_clients_while_leaving(now);
@@ -77,12 +76,12 @@
         }
     }
 
-    /// `OFFLINE`: bans an executor, so that it gets no new work.
+    /// `OFFLINE`: bans an executor: it gets no new work.
     fn take_offline(&mut self, now: Micros, id: &str) -> String {
         match self.bans.offline(id, self.endpoints.contains_key(id)) {
             Ok(is_new) => {
                 if is_new {
-                    tracing::warn!(executor = id, "OFFLINE: no new work for it until ONLINE");
+                    tracing::warn!(executor = id, "OFFLINE: gets no new work until ONLINE");
                     self.ban_changed(now, id);
                 }
                 format!("+OK offline {id}")
@@ -91,12 +90,12 @@
         }
     }
 
-    /// `ONLINE`: lifts a ban. The executor was restarted meanwhile: it warms up from now on.
+    /// `ONLINE`: lifts a ban. The executor was restarted meanwhile, so its slow start begins now.
     fn bring_online(&mut self, now: Micros, id: &str) -> String {
         match self.bans.online(id, self.endpoints.contains_key(id)) {
             Ok(was_banned) => {
                 if was_banned {
-                    tracing::warn!(executor = id, "ONLINE: it serves again, cold");
+                    tracing::warn!(executor = id, "ONLINE: back in service, in slow start");
                     self.onlined_at_ms.insert(id.to_string(), now / 1000);
                     self.ban_changed(now, id);
                 }
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Listens for clients again, beside any other process on the port.
+    /// Listens for clients again, even if another process listens on the same port.
     pub(in crate::net) fn listen_again(&mut self, now: Micros) -> io::Result<()> {
         if !self.listener.is_closed() || self.shutdown.is_requested() {
             return Ok(());
@@ -124,7 +123,7 @@
         }
     }
 
-    /// A ban was put on or lifted: the module hears of the executor anew, and the next process of it.
+    /// A ban was set or lifted: updates the executor in the dispatch module and saves the bans for the next process.
     pub(in crate::net) fn ban_changed(&mut self, now: Micros, id: &str) {
         if let Some(target) = self.endpoints.get(id).cloned() {
             self.update_endpoints(now, WatchEvent::Changed, &[target]);
@@ -142,8 +141,8 @@
         f.text()
     }
 
-    /// After `LEAVE`: a client that has nothing open and nothing in part is taken nothing more from; it closes
-    /// once its last answer is written, so that it connects again elsewhere.
+    /// After `LEAVE`: nothing more is read from a client without an open request or a partial packet; it is closed once
+    /// its last answer is written, so that it reconnects elsewhere.
     pub(in crate::net) fn close_if_idle_while_leaving(&mut self, key: Key, now: Micros) {
         if self.leaving.is_none() {
             return;
@@ -155,7 +154,7 @@
     }
 
     pub(in crate::net) fn close_idle_clients_while_leaving(&mut self, now: Micros) {
-        // Looked at ten times a second: nothing to collect unless a drain holds.
+        // This runs ten times a second: don't collect the keys unless the dispatcher is leaving.
         if self.leaving.is_none() {
             return;
         }
--- a/src/net/admin/listener.rs
+++ b/src/net/admin/listener.rs
@@ -1,8 +1,8 @@
-//! The operators' address on sockets: a bounded set of connections, one line each, in the one event loop.
+//! The operators' listener: a bounded number of connections, one call each, in the event loop.
 //!
-//! What a call does is not decided here: a whole line is handed to the node as a [`Call`], and the answer
-//! comes back as text to write. A caller that sends nothing or half a line is closed after [`PATIENCE`]; when
-//! as many as may be are open, the oldest makes room. Nothing here waits on a caller.
+//! Calls are not carried out here: a complete line is passed to the server as a [`Call`], and the answer returns as
+//! text. A caller that sends no complete line is closed after [`CALLER_TIMEOUT`]; when the limit of connections is
+//! reached, the oldest one is closed. Nothing here blocks on a caller.
 
 use crate::api::Micros;
 use crate::codec::operator::{Call, Decoder, Fault};
@@ -14,18 +14,18 @@
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// How long a caller has for its line, and then for reading its answer, in microseconds.
-pub const PATIENCE: Micros = 2_000_000;
-/// Connections taken in one turn at the most.
-const ACCEPTS: usize = 16;
+/// Time that a caller has to send its line and read the answer, in microseconds.
+pub const CALLER_TIMEOUT: Micros = 2_000_000;
+/// Maximum number of connections accepted in one turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 16;
 
-/// One caller.
+/// The connection of one caller.
 struct Caller {
     stream: TcpStream,
-    came: Micros,
+    accepted_at: Micros,
     decoder: Decoder,
     out: Outbox,
-    /// Whether its line was answered: then it only waits to be written.
+    /// Whether its call was answered: only the rest of the answer is left to write.
     answered: bool,
 }
 
@@ -35,26 +35,38 @@
     key: Key,
     pool: Pool,
     callers: BTreeMap<Key, Caller>,
-    /// Callers held at once at the most.
-    most: usize,
-    /// Callers closed to make room, or for taking too long.
+    /// Maximum number of open connections.
+    max_callers: usize,
+    /// Number of callers closed to make room or after the timeout.
     pub dropped: u64,
 }
 
 impl AdminListener {
-    /// Listens on `address`, for so many callers at once.
-    pub fn bind(address: SocketAddr, most: usize, poll: &Poll, pool: &Pool) -> io::Result<AdminListener> {
+    /// Listens on `address` for at most `max_callers` connections at once.
+    pub fn bind(
+        address: SocketAddr,
+        max_callers: usize,
+        poll: &Poll,
+        pool: &Pool,
+    ) -> io::Result<AdminListener> {
         let listener = crate::net::sockets::listen::bind(address)?;
         let key = poll.add(&listener, false)?;
-        Ok(AdminListener { listener, key, pool: pool.clone(), callers: BTreeMap::new(), most, dropped: 0 })
+        Ok(AdminListener {
+            listener,
+            key,
+            pool: pool.clone(),
+            callers: BTreeMap::new(),
+            max_callers,
+            dropped: 0,
+        })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Something happened on one of its keys; the lines that became whole, with the key to answer on.
+    /// Handles an event on one of its keys; returns the completed calls, with the key to answer on.
     pub fn ready(&mut self, key: Key, now: Micros, poll: &Poll) -> Vec<(Key, Result<Call, Fault>)> {
         if key == self.key {
             self.accept(now, poll);
@@ -68,7 +80,7 @@
         let mut bytes = [0; 512];
         match system_calls::read(&mut c.stream, &mut bytes) {
             Ok(0) => self.close(key, poll),
-            // After its answer, what else it sends is read and dropped, so that closing resets nothing unread.
+            // Data after the call is read and discarded, as closing a socket with unread data would reset it.
             Ok(_) if c.answered => {}
             Ok(n) => {
                 if let Some(line) = c.decoder.feed(&bytes[..n]) {
@@ -81,7 +93,7 @@
         Vec::new()
     }
 
-    /// Writes an answer, a line or more, and closes once it is written.
+    /// Writes an answer of one or more lines, and closes the connection once it is written.
     pub fn answer(&mut self, key: Key, text: &str, poll: &Poll) {
         let Some(c) = self.callers.get_mut(&key) else { return };
         c.out.append(text.as_bytes());
@@ -93,19 +105,19 @@
     }
 
     fn accept(&mut self, now: Micros, poll: &Poll) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let stream = match system_calls::accept(&self.listener) {
                 Ok(stream) => stream,
                 Err(e) if system_calls::may_accept_again(&e) => continue,
                 Err(e) => {
                     if e.kind() != io::ErrorKind::WouldBlock {
-                        tracing::warn!(error = %e, "operator: can't accept");
+                        tracing::warn!(error = %e, "operator: can't accept a connection");
                     }
                     return;
                 }
             };
-            if self.callers.len() >= self.most {
-                let oldest = self.callers.iter().min_by_key(|(_, c)| c.came).map(|(k, _)| *k);
+            if self.callers.len() >= self.max_callers {
+                let oldest = self.callers.iter().min_by_key(|(_, c)| c.accepted_at).map(|(k, _)| *k);
                 if let Some(key) = oldest {
                     self.dropped += 1;
                     self.close(key, poll);
@@ -114,12 +126,13 @@
             let key = match stream.set_nonblocking(true).and_then(|()| poll.add(&stream, false)) {
                 Ok(key) => key,
                 Err(e) => {
-                    tracing::warn!(error = %e, "operator: caller lost at its start");
+                    tracing::warn!(error = %e, "operator: can't set up the connection");
                     continue;
                 }
             };
             let out = Outbox::new(&self.pool);
-            let caller = Caller { stream, came: now, decoder: Decoder::default(), out, answered: false };
+            let caller =
+                Caller { stream, accepted_at: now, decoder: Decoder::default(), out, answered: false };
             self.callers.insert(key, caller);
         }
     }
@@ -128,9 +141,9 @@
         let Some(c) = self.callers.get_mut(&key) else { return };
         match c.out.flush(&mut c.stream) {
             Ok(true) => {
-                // The caller reads the end of the answer; it closes, or is closed when its time is up.
-                let gone = c.stream.shutdown(Shutdown::Write).is_err();
-                if gone || poll.interest(key, &c.stream, true, false).is_err() {
+                // The caller reads the end of the answer and closes, or is closed after the timeout.
+                let disconnected = c.stream.shutdown(Shutdown::Write).is_err();
+                if disconnected || poll.interest(key, &c.stream, true, false).is_err() {
                     self.close(key, poll);
                 }
             }
@@ -156,13 +169,17 @@
     }
 
     fn next_due(&self) -> Option<Micros> {
-        self.callers.values().map(|c| c.came + PATIENCE).min()
+        self.callers.values().map(|c| c.accepted_at + CALLER_TIMEOUT).min()
     }
 
     fn tick(&mut self, now: Micros, poll: &Poll) {
-        let late: Vec<Key> =
-            self.callers.iter().filter(|(_, c)| now >= c.came + PATIENCE).map(|(k, _)| *k).collect();
-        self.dropped += late.len() as u64;
-        late.into_iter().for_each(|k| self.close(k, poll));
+        let timed_out: Vec<Key> = self
+            .callers
+            .iter()
+            .filter(|(_, c)| now >= c.accepted_at + CALLER_TIMEOUT)
+            .map(|(k, _)| *k)
+            .collect();
+        self.dropped += timed_out.len() as u64;
+        timed_out.into_iter().for_each(|k| self.close(k, poll));
     }
 }
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' address: its listener, the calls that it answers, and the bans that outlive the process.
+//! The operators' address: its listener, its calls, and the bans that are handed to the next process.
 //!
-//! - `listener`: the operators' connections, one line each.
-//! - `calls`: what each call does, and its answer.
-//! - `bans_file`: the file that hands bans to the next process.
+//! - `listener`: the operators' connections, one call each.
+//! - `calls`: carries out each call and formats its answer.
+//! - `bans_file`: the hand-over file of the bans.
 
 pub(super) mod bans_file;
 mod calls;
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -76,8 +76,8 @@
         let admin_listener = bind_operators(operator_address, &descriptors, &poll, &pool)?;
         let figures = Figures::new();
         names.classes.keys().for_each(|class| figures.class(class));
-        let bans_file = BansFile::of(&std::env::temp_dir(), &config.name);
-        let bans = bans_file.handed_over();
+        let bans_file = BansFile::new(&std::env::temp_dir(), &config.name);
+        let bans = bans_file.load();
 
         let now = clock.now();
         let in_flight = start_in_flight(options.peers.as_ref(), classes, seed, now, &poll)?;
