--- a/src/net/coordinator_watch.rs
+++ b/src/net/coordinator_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the coordinator's endpoint list: one connection, which is made anew when it is lost.
+//! Watches the coordinator's endpoint list on one connection, and reconnects when it is lost.
 
 mod connection;
 
@@ -11,50 +11,50 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// The coordinator writes a line in this span at least, in microseconds: the protocol has it so.
+/// The longest interval between two lines of the coordinator, in microseconds; set by the protocol.
 const LINE_INTERVAL: Micros = 1_000_000;
 /// A drain counts as announced this long after the coordinator became unresponsive on an open connection, in
-/// microseconds, or as soon as it is asked again, if that is sooner.
+/// microseconds, or as soon as the dispatcher reconnects, if that is sooner.
 const DRAIN_ANNOUNCED_AFTER: Micros = 4_000_000;
-/// The span without a line after which the coordinator is unresponsive, in microseconds: one line is missing, and the
-/// next is nearly due.
+/// Time without a line after which the coordinator counts as unresponsive, in microseconds: one line is missing, and
+/// the next is nearly due.
 const UNRESPONSIVE_AFTER: Micros = 2 * LINE_INTERVAL - LINE_INTERVAL / 10;
-/// The span in which a connection has to come up, in microseconds.
+/// Connect timeout, in microseconds.
 const CONNECT_TIMEOUT: Micros = LINE_INTERVAL / 2;
-/// The backoff after a connection that brought nothing, in microseconds.
+/// Backoff after a connection on which no line was received, in microseconds.
 const RECONNECT_BACKOFF: Micros = LINE_INTERVAL / 5;
-/// The longest line, in bytes: a whole list of some ten thousand executors.
+/// Maximum length of a line, in bytes: enough for a list of about ten thousand executors.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-// The list is here before a drain counts as announced, also where the first new connection fails: so a drain is known
-// within its grace, however short the settings make that.
+// The list is received before a drain counts as announced, even if the first reconnect fails. So a drain is known within
+// its grace period, however short the settings make that.
 const _: () = assert!(
     UNRESPONSIVE_AFTER + CONNECT_TIMEOUT + RECONNECT_BACKOFF + CONNECT_TIMEOUT < DRAIN_ANNOUNCED_AFTER
 );
 
-/// The watch of the coordinator's endpoint list; it reconnects by itself.
+/// Watches the coordinator's endpoint list; reconnects by itself.
 pub struct CoordinatorWatch {
     address: SocketAddr,
     /// The index of the last event that was applied.
     applied: u64,
-    /// The event applied before one that can't be read. If it can't be read a second time it is skipped, or nothing
-    /// after it would ever come.
+    /// The event applied before one that can't be parsed. An event that can't be parsed a second time is skipped, as no
+    /// later event would ever be received otherwise.
     unreadable_after: Option<u64>,
     watch: Option<Watch>,
-    /// The connection to the coordinator before, read until the new one has brought a line.
+    /// The connection to the previous coordinator, read until the new one has sent a line.
     previous: Option<Watch>,
-    /// The point of the next connection, in microseconds, while there is none.
+    /// When to connect next, in microseconds, while there is no connection.
     retry_at: Micros,
-    /// Whether the last connection found no descriptor.
+    /// Whether the last connect failed for lack of file descriptors.
     pub out_of_descriptors: bool,
-    /// Connections begun.
+    /// Number of connections started.
     pub dials: u64,
-    /// Lines that could not be used.
+    /// Number of lines that could not be parsed.
     pub bad_lines: u64,
 }
 
 impl CoordinatorWatch {
-    /// Not connected yet; `applied` is the last event that is known from the start.
+    /// Creates a watch that is not connected yet; `applied` is the last event known at the start.
     pub fn new(address: SocketAddr, applied: u64) -> CoordinatorWatch {
         CoordinatorWatch {
             address,
@@ -69,9 +69,9 @@
         }
     }
 
-    /// The coordinator is at another address from now on; its event indices go on from the last one applied. Events of
-    /// the one before count until the new one has brought a line: without that, a drain that only the old one announces
-    /// would be missed while the new one is not there yet.
+    /// Moves to a coordinator at another address; its event indices continue after the last one applied. Events of the
+    /// previous one are applied until the new one has sent a line: otherwise a drain that only the old one announces would
+    /// be missed while the new one is not reachable yet.
     pub fn move_to(&mut self, address: SocketAddr, now: Micros, poll: &Poll) {
         if address == self.address {
             return;
@@ -91,14 +91,14 @@
         self.tick(now, poll);
     }
 
-    /// Connects again at once, as there is a descriptor now.
+    /// Reconnects at once, as a file descriptor is available now.
     pub fn retry_now(&mut self, now: Micros, poll: &Poll) {
         self.out_of_descriptors = false;
         self.retry_at = now;
         self.tick(now, poll);
     }
 
-    /// A socket is ready: the events that are new, in order.
+    /// Handles a ready socket; returns the new events, in order.
     pub fn ready(&mut self, key: Key, now: Micros, poll: &Poll) -> Vec<Update> {
         let mut updates = Vec::new();
         if let Some(mut watch) = self.previous.take_if(|watch| watch.key == key) {
@@ -119,7 +119,7 @@
         updates
     }
 
-    /// Connects, receives, and applies every whole line.
+    /// Completes the connect, receives data, and applies every complete line.
     fn advance(
         &mut self,
         watch: &mut Watch,
@@ -150,35 +150,35 @@
         if watch.line.len() > MAX_LINE_BYTES { Err(WatchError::LineTooLong) } else { Ok(()) }
     }
 
-    /// Asks for the events after the last one applied, once the connection is up; false if it is not yet.
+    /// Requests the events after the last one applied once the connection is established; false if it is not yet.
     fn connect(&self, watch: &mut Watch, now: Micros, poll: &Poll) -> Result<bool, WatchError> {
         match dial::up(&watch.stream) {
             Ok(()) => {}
             Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(false),
             Err(e) => return Err(e.into()),
         }
-        // The line is far shorter than any socket's buffer.
+        // The line is far shorter than a socket's buffer, so the write does not block.
         watch.stream.write_all(coordinator::follow(self.applied).as_bytes())?;
         poll.writable(watch.key, &watch.stream, false)?;
         watch.connected = true;
         watch.last_line_at = now;
-        tracing::info!(coordinator = %self.address, held = self.applied, "feed: following");
+        tracing::info!(coordinator = %self.address, applied = self.applied, "feed: following");
         Ok(true)
     }
 
-    /// A line can't be read: it is asked for again, and skipped the second time.
+    /// Handles a line that can't be parsed: it is requested again, and skipped the second time.
     fn unreadable(&mut self, error: String) -> WatchError {
         self.bad_lines += 1;
         if self.unreadable_after.replace(self.applied) == Some(self.applied) {
             let event = self.applied + 1;
-            tracing::error!(event, %error, "feed: an event can't be read and is skipped");
+            tracing::error!(event, %error, "feed: skipping an event that can't be parsed");
             self.applied = event;
             self.unreadable_after = None;
         }
         WatchError::BadLine(error)
     }
 
-    /// Applies a line: an event that is new is an update, one that was applied before is ignored.
+    /// Applies a line: a new event is an update, one that was applied before is ignored.
     fn apply(&mut self, line: Line, updates: &mut Vec<Update>) -> Result<(), WatchError> {
         let applied = self.applied;
         match line {
@@ -197,13 +197,13 @@
         }
     }
 
-    /// Gives the connection up; the next is tried at once if this one worked, else after a backoff.
+    /// Drops the connection. The next attempt follows at once if this one received a line, else after a backoff.
     fn lose(&mut self, now: Micros, poll: &Poll, error: &WatchError) {
         let worked = self.watch.take().is_some_and(|watch| {
             poll.remove(&watch.stream);
             watch.received_line
         });
-        tracing::warn!(coordinator = %self.address, held = self.applied, reason = %error, "feed: lost");
+        tracing::warn!(coordinator = %self.address, applied = self.applied, reason = %error, "feed: lost");
         self.retry_at = now + if worked { 0 } else { RECONNECT_BACKOFF };
     }
 }
--- a/src/net/coordinator_watch/connection.rs
+++ b/src/net/coordinator_watch/connection.rs
@@ -7,25 +7,25 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why a connection to the coordinator was given up.
+/// Why a connection to the coordinator was dropped.
 #[derive(Debug)]
 pub(super) enum WatchError {
     /// The socket failed.
     Socket(io::Error),
     /// The coordinator closed it.
     Closed,
-    /// No line came in time.
+    /// No line was received in time.
     Unresponsive,
-    /// A line can't be read.
+    /// A line can't be parsed.
     BadLine(String),
-    /// A line is longer than any list.
+    /// A line exceeds the maximum length.
     LineTooLong,
-    /// The coordinator has an event that it did not send: the last there, and the last applied.
+    /// The coordinator has an event that it did not send: its last event, and the last one applied.
     Behind { last: u64, applied: u64 },
-    /// An event is missing: the one that came, and the last applied.
+    /// An event is missing: the one received, and the last one applied.
     Gap { index: u64, applied: u64 },
 }
 
@@ -36,9 +36,13 @@
             WatchError::Closed => f.write_str("closed by the coordinator"),
             WatchError::Unresponsive => f.write_str("silent"),
             WatchError::BadLine(error) => write!(f, "bad line: {error}"),
-            WatchError::LineTooLong => f.write_str("line without end"),
-            WatchError::Behind { last, applied } => write!(f, "event {last} is there, {applied} held"),
-            WatchError::Gap { index, applied } => write!(f, "event {index} after {applied}"),
+            WatchError::LineTooLong => f.write_str("line too long"),
+            WatchError::Behind { last, applied } => {
+                write!(f, "the coordinator is at event {last}, the last one applied is {applied}")
+            }
+            WatchError::Gap { index, applied } => {
+                write!(f, "gap: event {index} received after event {applied}")
+            }
         }
     }
 }
@@ -57,20 +61,20 @@
     pub(super) key: Key,
     /// The socket.
     pub(super) stream: TcpStream,
-    /// Whether it came up.
+    /// Whether it is established.
     pub(super) connected: bool,
-    /// Whether it brought a whole line: then a new one is tried without a backoff.
+    /// Whether a complete line was received: if so, a reconnect needs no backoff.
     pub(super) received_line: bool,
-    /// The point of the last whole line, or at which it was begun or came up, in microseconds.
+    /// Time of the last complete line, or of the start or establishment of the connection, in microseconds.
     pub(super) last_line_at: Micros,
-    /// What was received of the next line.
+    /// The received part of the next line.
     pub(super) line: Vec<u8>,
-    /// Up to where it was searched for its end: a whole list comes in many pieces.
+    /// The offset up to which `line` was searched for a line end, as a long list arrives in many reads.
     pub(super) searched: usize,
 }
 
 impl Watch {
-    /// A connection that was begun and is not up yet.
+    /// A connection that was started and is not established yet.
     pub(super) fn new(key: Key, stream: TcpStream, now: Micros) -> Watch {
         Watch {
             key,
@@ -83,13 +87,13 @@
         }
     }
 
-    /// Receives what is there; false if nothing is.
+    /// Receives available data; false if there is none.
     pub(super) fn receive(&mut self) -> Result<bool, WatchError> {
-        let mut piece = [0; READ_BYTES];
-        match system_calls::read(&mut self.stream, &mut piece) {
+        let mut chunk = [0; READ_BYTES];
+        match system_calls::read(&mut self.stream, &mut chunk) {
             Ok(0) => Err(WatchError::Closed),
             Ok(n) => {
-                self.line.extend_from_slice(&piece[..n]);
+                self.line.extend_from_slice(&chunk[..n]);
                 Ok(true)
             }
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => Ok(false),
@@ -97,7 +101,7 @@
         }
     }
 
-    /// The end of the next whole line, if it is here.
+    /// The end of the next line, if it was received completely.
     pub(super) fn next_line_end(&self) -> Option<usize> {
         let length = self.line[self.searched..].iter().position(|byte| *byte == b'\n')?;
         Some(self.searched + length)
