--- a/src/net/maintenance/calls.rs
+++ b/src/net/maintenance/calls.rs
@@ -1,6 +1,6 @@
-//! Operators' calls on the maintenance plan.
+//! The operators' calls on the maintenance plan.
 
-use super::format::{holdup_text, step_text};
+use super::format::{holdup_reason, step_text};
 use crate::api::Micros;
 use crate::codec::operator::Call;
 use crate::net::DispatcherServer;
@@ -8,18 +8,18 @@
 use fleet::plan::{self, Command, Plan, Step};
 use std::fmt::Write as _;
 
-/// A call is answered within a second, agreed or not.
-const AGREED: Micros = 800_000;
+/// How long a call waits for the fleet's agreement; every call is answered within a second.
+const AGREEMENT_TIMEOUT: Micros = 800_000;
 
-/// An operator's call that waits to be agreed.
-pub(super) struct Waiting {
+/// An operator's call that waits for the fleet's agreement.
+pub(super) struct PendingCall {
     caller: Key,
     call: Call,
-    until: Micros,
+    expires_at: Micros,
 }
 
 impl DispatcherServer {
-    /// Carries out a call on the plan: its answer, or none as long as it waits to be agreed.
+    /// Carries out a call on the plan. Returns its answer, or `None` while it waits for the fleet's agreement.
     pub(in crate::net) fn plan_call(&mut self, caller: Key, now: Micros, call: Call) -> Option<String> {
         let command = match &call {
             Call::PlanStatus => return Some(self.plan_status(now)),
@@ -43,7 +43,11 @@
         if !in_flight.takeover.fleet.agree(now, fleet::agreed::Command::Plan(command)) {
             return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
         }
-        in_flight.maintenance.waiting.push(Waiting { caller, call, until: now + AGREED });
+        in_flight.maintenance.pending_calls.push(PendingCall {
+            caller,
+            call,
+            expires_at: now + AGREEMENT_TIMEOUT,
+        });
         in_flight.maintenance.next_poll_at = now;
         None
     }
@@ -61,7 +65,7 @@
         } else if let (Some(next), Some(in_flight)) = (plan.next(), &self.in_flight) {
             let busy = self.dispatch.busy_cores(now);
             if let Err(why) = plan::may_begin(plan, &self.machines(), busy, &in_flight.maintenance.budget) {
-                let _ = writeln!(text, "{next} is held up: {}", holdup_text(&why));
+                let _ = writeln!(text, "{next} is held up: {}", holdup_reason(&why));
             }
         }
         text + "."
@@ -74,10 +78,10 @@
             Call::PlanMend(id) => plan.step(id).is_some_and(|s| !s.banned()),
             _ => plan.next().is_none() && !plan.steps().any(|(_, s)| matches!(s, Step::Drains(..))),
         };
-        let (over, waiting): (Vec<Waiting>, Vec<Waiting>) =
-            in_flight.maintenance.waiting.drain(..).partition(|w| done(&w.call) || w.until <= now);
-        in_flight.maintenance.waiting = waiting;
-        for w in over {
+        let (finished, pending): (Vec<PendingCall>, Vec<PendingCall>) =
+            in_flight.maintenance.pending_calls.drain(..).partition(|w| done(&w.call) || w.expires_at <= now);
+        in_flight.maintenance.pending_calls = pending;
+        for w in finished {
             let answer = match (done(&w.call), &w.call) {
                 (false, _) => "-ERR not agreed in time; DRAIN STATUS tells what came of it".into(),
                 (true, Call::Plan(ids)) => format!("+OK planned {}", ids.join(",")),
--- a/src/net/maintenance/format.rs
+++ b/src/net/maintenance/format.rs
@@ -1,9 +1,9 @@
-//! The plan as text, for the status and the log.
+//! Formats the plan for the status and the log.
 
 use crate::api::Micros;
 use fleet::plan::{Holdup, Step};
 
-/// A step in a word, as the status and the log tell it.
+/// A step as text for the status and the log.
 pub(super) fn step_text(step: &Step, now: Micros) -> String {
     let since = |t: &Micros| now.saturating_sub(*t) / 1_000_000;
     match step {
@@ -17,8 +17,8 @@
     }
 }
 
-/// A step without its times, to see whether it changed.
-pub(super) fn kind(step: &Step) -> String {
+/// A step without its times, to detect changes.
+pub(super) fn step_kind(step: &Step) -> String {
     match step {
         Step::Drains(..) => "drains".into(),
         Step::Out(_) => "out".into(),
@@ -27,8 +27,8 @@
     }
 }
 
-/// What holds a machine up, as the status tells it.
-pub(super) fn holdup_text(why: &Holdup) -> String {
+/// Why the next step can't begin, as text for the status.
+pub(super) fn holdup_reason(why: &Holdup) -> String {
     match why {
         Holdup::Nothing => "nothing waits".into(),
         Holdup::AtOnce(n) => format!("{n} out already"),
--- a/src/net/maintenance/mod.rs
+++ b/src/net/maintenance/mod.rs
@@ -1,68 +1,70 @@
-//! Machines that are taken out for work, in an order that the fleet has agreed on: what operators ask, what this
-//! dispatcher holds back, and, as leader, how the plan goes on.
+//! Planned maintenance: executors are taken out of service in an order that the fleet has agreed on. Handles the
+//! operators' calls, holds back executors of the plan, and advances the plan as leader.
 //!
-//! `calls` are the operators', `plan` its course here, `format` its text for the status and the log.
+//! - `calls`: operators' calls.
+//! - `plan`: applies and advances the plan.
+//! - `format`: the plan as text for the status and the log.
 
 mod calls;
 mod format;
 mod plan;
 
 use crate::api::Micros;
-use calls::Waiting;
+use calls::PendingCall;
 use fleet::plan::Budget;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What this dispatcher makes of the plan.
+/// This dispatcher's state of the plan.
 pub struct Maintenance {
-    /// What must stay in service.
+    /// The capacity that must stay in service.
     budget: Budget,
     next_poll_at: Micros,
-    /// When this dispatcher began, how long it waits for word of the plan, and whether it had any.
-    begun: Micros,
-    untold: Micros,
+    /// When this dispatcher started, how long it waits to learn the plan, and whether it knows it.
+    started_at: Micros,
+    plan_wait: Micros,
     plan_known: bool,
-    /// Machines that get nothing new from here for the plan's sake.
+    /// Executors that get no new work from this dispatcher because of the plan.
     held_back: BTreeSet<String>,
-    /// Since when machines that were out are back, and cold.
-    cold: BTreeMap<String, Micros>,
-    waiting: Vec<Waiting>,
-    /// A machine of the plan has not come to its end.
+    /// When executors that were out of service came back; their slow start begins then.
+    warming_since: BTreeMap<String, Micros>,
+    pending_calls: Vec<PendingCall>,
+    /// Whether a step of the plan is not finished.
     active: bool,
     /// Steps as they were last logged.
     logged: BTreeMap<String, String>,
 }
 
 impl Maintenance {
-    /// No plan yet, and none is known for so long.
-    pub fn new(budget: Budget, untold: Micros, now: Micros) -> Maintenance {
+    /// Creates the state without a plan; `plan_wait` is how long to wait to learn one.
+    pub fn new(budget: Budget, plan_wait: Micros, now: Micros) -> Maintenance {
         Maintenance {
             budget,
             next_poll_at: now,
-            begun: now,
-            untold,
+            started_at: now,
+            plan_wait,
             plan_known: false,
             held_back: BTreeSet::new(),
-            cold: BTreeMap::new(),
-            waiting: Vec::new(),
+            warming_since: BTreeMap::new(),
+            pending_calls: Vec::new(),
             active: false,
             logged: BTreeMap::new(),
         }
     }
 
-    /// Whether a machine gets nothing new for the plan's sake.
+    /// Whether an executor gets no new work because of the plan.
     pub fn holds_back(&self, uid: &str) -> bool {
         self.held_back.contains(uid)
     }
 
-    /// Since when a machine that was out is back, in milliseconds; 0 if it was not.
+    /// When an executor that was out of service came back, in milliseconds; 0 if it was not out.
     pub fn cold_ms(&self, uid: &str) -> u64 {
-        self.cold.get(uid).map_or(0, |t| t / 1_000)
+        self.warming_since.get(uid).map_or(0, |t| t / 1_000)
     }
 
-    /// When the plan is to be looked at next, while there is anything to look at.
+    /// When to check the plan next, while there is anything to do.
     pub fn next_due(&self) -> Option<Micros> {
         let busy = !self.plan_known
-            || !self.waiting.is_empty()
+            || !self.pending_calls.is_empty()
             || !self.held_back.is_empty()
             || !self.logged.is_empty();
         busy.then_some(self.next_poll_at)
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -1,6 +1,6 @@
-//! The plan's course: what it holds back here, what is idle, and, as leader, what comes next.
+//! Applies the plan: holds executors back, reports idle ones, and advances the plan as leader.
 
-use super::format::{kind, step_text};
+use super::format::{step_kind, step_text};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::dispatch::WatchEvent;
@@ -8,7 +8,7 @@
 use fleet::plan::{self, Command, Machine, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the plan is looked at.
+/// Interval between two checks of the plan.
 const POLL_INTERVAL: Micros = 50_000;
 
 impl DispatcherServer {
@@ -27,8 +27,7 @@
         self.endpoints.iter().map(|(uid, t)| (uid.clone(), machine(t))).collect()
     }
 
-    /// Looks at the plan: what it holds back here, what is idle, who waits for an answer, and as leader what comes
-    /// next.
+    /// Checks the plan: holds executors back, reports idle ones, answers pending calls, and advances the plan as leader.
     pub(in crate::net) fn advance_plan(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let changed = std::mem::take(&mut in_flight.takeover.planned);
@@ -37,7 +36,7 @@
         }
         in_flight.maintenance.next_poll_at = now + POLL_INTERVAL;
         let Some(plan) = in_flight.takeover.fleet.agreed().map(fleet::Agreed::plan) else {
-            return self.plan_not_yet_known(now);
+            return self.await_plan(now);
         };
         if plan.steps().next().is_none() && in_flight.maintenance.held_back.is_empty() {
             in_flight.maintenance.plan_known = true;
@@ -46,31 +45,31 @@
         in_flight.maintenance.active = plan.steps().any(|(_, s)| !s.over());
         let plan = plan.clone();
         self.log_plan(&plan, now);
-        self.hold_back(&plan, now);
+        self.apply_plan(&plan, now);
         self.report_idle(&plan, now);
         self.answer_calls(&plan, now);
         self.lead_plan(&plan, now);
     }
 
-    /// One that has just started knows no plan: it leaves all alone until it is told, or until nobody has told it
-    /// anything for two leases.
-    fn plan_not_yet_known(&mut self, now: Micros) {
+    /// A dispatcher that has just started knows no plan: it holds all executors back until it learns the plan, or for two
+    /// leases at most.
+    fn await_plan(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
-        if now >= in_flight.maintenance.begun + in_flight.maintenance.untold {
+        if now >= in_flight.maintenance.started_at + in_flight.maintenance.plan_wait {
             if !in_flight.maintenance.plan_known {
                 in_flight.maintenance.plan_known = true;
-                tracing::warn!("maintenance: no word of the fleet, motores are used as listed");
-                self.hold_back(&Plan::default(), now);
+                tracing::warn!("maintenance: no plan received from the fleet; executors are used as listed");
+                self.apply_plan(&Plan::default(), now);
             }
         } else {
             let all: BTreeSet<String> = self.endpoints.keys().cloned().collect();
-            self.hold(all, BTreeMap::new(), now);
+            self.set_held_back(all, BTreeMap::new(), now);
         }
     }
 
     fn log_plan(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
-        let steps: BTreeMap<String, String> = plan.steps().map(|(id, s)| (id.into(), kind(s))).collect();
+        let steps: BTreeMap<String, String> = plan.steps().map(|(id, s)| (id.into(), step_kind(s))).collect();
         for (id, step) in plan.steps() {
             if in_flight.maintenance.logged.get(id) != steps.get(id) {
                 tracing::info!(executor = id, step = step_text(step, now), "maintenance");
@@ -79,31 +78,36 @@
         in_flight.maintenance.logged = steps;
     }
 
-    /// What the plan holds back and what it has brought back, told to the decisions where it changed.
-    fn hold_back(&mut self, plan: &Plan, now: Micros) {
+    /// Applies which executors the plan holds back and which ones it has brought back into service.
+    fn apply_plan(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         in_flight.maintenance.plan_known = true;
         let without_word = in_flight.takeover.fleet.without_word(now);
         let held = plan.held_back(&in_flight.maintenance.budget, without_word);
         let held: BTreeSet<String> = held.into_iter().map(String::from).collect();
-        let cold: BTreeMap<String, Micros> = plan
+        let warming_since: BTreeMap<String, Micros> = plan
             .steps()
             .filter_map(|(id, s)| if let Step::Warms(t) = s { Some((id.to_string(), *t)) } else { None })
             .collect();
-        self.hold(held, cold, now);
+        self.set_held_back(held, warming_since, now);
     }
 
-    fn hold(&mut self, held: BTreeSet<String>, cold: BTreeMap<String, Micros>, now: Micros) {
+    fn set_held_back(
+        &mut self,
+        held: BTreeSet<String>,
+        warming_since: BTreeMap<String, Micros>,
+        now: Micros,
+    ) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let mut changed: BTreeSet<String> =
             held.symmetric_difference(&in_flight.maintenance.held_back).cloned().collect();
-        for (id, at) in cold {
-            if in_flight.maintenance.cold.insert(id.clone(), at) != Some(at) {
+        for (id, at) in warming_since {
+            if in_flight.maintenance.warming_since.insert(id.clone(), at) != Some(at) {
                 changed.insert(id);
             }
         }
         in_flight.maintenance.held_back = held;
-        in_flight.maintenance.cold.retain(|uid, _| self.endpoints.contains_key(uid));
+        in_flight.maintenance.warming_since.retain(|uid, _| self.endpoints.contains_key(uid));
         let targets: Vec<_> = changed.iter().filter_map(|id| self.endpoints.get(id).cloned()).collect();
         if !targets.is_empty() {
             self.update_endpoints(now, WatchEvent::Changed, &targets);
