--- a/src/net/executors/answers.rs
+++ b/src/net/executors/answers.rs
@@ -1,4 +1,4 @@
-//! An outstanding attempt on a connection, and what its executor's answers do to it.
+//! An outstanding attempt on a connection, and the effects of its executor's answers.
 
 use crate::api::Micros;
 use crate::codec::executor::{self, Note, Word};
@@ -9,39 +9,39 @@
 /// A result: its pages in order.
 pub type Rows = Vec<Block>;
 
-/// The most pages that a result may have, and its most bytes: 48,000 bytes come to 8 pages of the usual size.
+/// Maximum number of pages of a result, and its maximum size in bytes: 48,000 bytes are 8 pages of the usual size.
 const MAX_PAGES: u32 = 256;
 const MAX_BYTES: usize = 48_000;
 
 /// An outstanding attempt on a connection.
 pub(super) struct Stream {
     pub(super) attempt_id: AttemptId,
-    /// Whether a byte of it was written, and that was reported.
+    /// Whether its first byte was written, and that was reported.
     pub(super) begun: bool,
-    /// Whether it was written whole.
+    /// Whether it was written completely.
     pub(super) written: bool,
-    /// All pages; 0 until the executor said OK.
+    /// Number of pages of the result; 0 until the executor answered `OK`.
     pub(super) pages: u32,
     pub(super) rows: Rows,
-    /// Bytes of the rows.
+    /// Size of the rows, in bytes.
     pub(super) bytes: usize,
-    /// When it was begun, and from when it is written whole, when that was.
+    /// When it was started or, once it is written completely, when that was.
     pub(super) written_at: Micros,
 }
 
-/// What an answer does to its attempt.
+/// The effect of an answer on its attempt.
 pub(super) enum AnswerEffect {
-    /// Nothing yet.
+    /// The attempt continues.
     Continues,
-    /// Nothing: it was received before.
+    /// None: the answer was received before.
     Duplicate,
-    /// Its progress.
+    /// The attempt made progress.
     Progressed(AttemptProgress),
-    /// So many pages, of which the first is here.
+    /// The result has this many pages, and the first was received.
     Pages(u32),
-    /// Its end.
+    /// The attempt ended.
     Ended(AttemptEnd<Rows>),
-    /// It can't be used, and neither can its connection any more.
+    /// The answer is malformed, so its connection has to be closed.
     Malformed(&'static str),
 }
 
@@ -60,10 +60,10 @@
                 return AnswerEffect::Duplicate;
             }
             let Some(pages) = pages.filter(|n| *n <= MAX_PAGES) else {
-                return AnswerEffect::Malformed("no number of pages, or too many");
+                return AnswerEffect::Malformed("number of pages missing or too large");
             };
-            if !keep(s, body, pool) {
-                return AnswerEffect::Malformed("rows that can't be read, or too many");
+            if !append_page(s, body, pool) {
+                return AnswerEffect::Malformed("rows malformed or too large");
             }
             s.pages = pages;
             match pages {
@@ -72,16 +72,16 @@
             }
         }
         Word::Rows { page } => {
-            // Pages were asked for in order on one connection.
+            // Pages are requested in order on one connection.
             let due = s.rows.len();
             let Some(page) = page.map(|n| n as usize).filter(|n| s.pages > 0 && *n <= due) else {
-                return AnswerEffect::Malformed("a page out of turn");
+                return AnswerEffect::Malformed("page out of order");
             };
             if page < due {
                 return AnswerEffect::Duplicate;
             }
-            if !keep(s, body, pool) {
-                return AnswerEffect::Malformed("rows that can't be read, or too many");
+            if !append_page(s, body, pool) {
+                return AnswerEffect::Malformed("rows malformed or too large");
             }
             match s.rows.len() == s.pages as usize {
                 true => AnswerEffect::Ended(AttemptEnd::Served(std::mem::take(&mut s.rows))),
@@ -91,8 +91,8 @@
     }
 }
 
-/// Keeps a page; false if it can't be used.
-fn keep(s: &mut Stream, page: &[u8], pool: &Pool) -> bool {
+/// Appends a page to the result; false if it is malformed or the result is too large.
+fn append_page(s: &mut Stream, page: &[u8], pool: &Pool) -> bool {
     s.bytes += page.len();
     if s.bytes > MAX_BYTES || !executor::whole_rows(page) {
         return false;
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -1,7 +1,7 @@
-//! The dispatcher's orders: attempts and probes.
+//! Commands of the dispatch module: attempts and probes.
 
-use super::connection_pool::NoConnection;
-use super::{Due, Executors, Job, PROBE_SLACK};
+use super::connection_pool::ConnectionUnavailable;
+use super::{Executors, Job, PROBE_SLACK, TimerEvent};
 use crate::api::Micros;
 use crate::dispatch::{AttemptEnd, AttemptId, AttemptTerms, ExecutorId, NetworkEvent, ProbeOutcome};
 use crate::must;
@@ -10,7 +10,8 @@
 use crate::net::executors::connection::Outgoing;
 use rand_core::RngCore;
 
-/// From this attempt on a request that lost all before shares no connection: it may be why they were lost.
+/// From this attempt on, a request whose earlier attempts were all lost shares no connection: the request may have
+/// caused the losses.
 const ISOLATED_FROM_ATTEMPT: u32 = 2;
 
 impl Executors {
@@ -25,12 +26,15 @@
         poll: &Poll,
     ) {
         let id = t.request;
-        let most = if t.attempt < ISOLATED_FROM_ATTEMPT { self.transport.streams_per_conn } else { 1 };
-        let key = match self.connection(to, now, poll, |c| c.accepts(id, most, now)) {
+        let max_streams = if t.attempt < ISOLATED_FROM_ATTEMPT { self.transport.streams_per_conn } else { 1 };
+        let key = match self.connection(to, now, poll, |c| c.accepts(id, max_streams, now)) {
             Ok(key) => key,
             Err(reason) => {
-                let end =
-                    if reason == NoConnection::OwnLimit { AttemptEnd::NotRun } else { AttemptEnd::NeverSent };
+                let end = if reason == ConnectionUnavailable::LimitReached {
+                    AttemptEnd::NotRun
+                } else {
+                    AttemptEnd::NeverSent
+                };
                 return self.events.push_back(NetworkEvent::AttemptEnded(t, end, None));
             }
         };
@@ -41,13 +45,13 @@
             .insert(id, Stream { attempt_id: t, begun, written, pages: 0, rows, bytes: 0, written_at: now });
         connection.queue.push_back(Outgoing::Pull { id, job, terms });
         if terms.begin_by < terms.deadline {
-            self.timers.set(terms.begin_by, Due::BeginBy(t));
+            self.timers.set(terms.begin_by, TimerEvent::BeginBy(t));
         }
         must!(self.attempt_connections.insert(t, key).is_none(), "an attempt was started twice");
         self.write(key, now, poll);
     }
 
-    /// Gives an attempt up; nothing more is told of it.
+    /// Cancels an attempt; no further event is reported for it.
     pub fn stop(&mut self, t: AttemptId, now: Micros, poll: &Poll) {
         let Some(key) = self.attempt_connections.remove(&t) else { return };
         let Some(connection) = self.connections.get_mut(&key) else { return };
@@ -61,7 +65,7 @@
         self.write(key, now, poll);
     }
 
-    /// Takes an attempt back if no byte of it was written, and tells that it was never sent; else it goes on.
+    /// Withdraws an attempt if no byte of it was written, and reports that it was never sent; otherwise it continues.
     pub fn withdraw(&mut self, t: AttemptId, now: Micros, poll: &Poll) {
         let Some(key) = self.attempt_connections.get(&t).copied() else { return };
         let Some(connection) = self.connections.get_mut(&key).filter(|c| c.streams.contains_key(&t.request))
@@ -76,7 +80,7 @@
         }
     }
 
-    /// A new priority for an attempt.
+    /// Changes the priority of an attempt.
     pub fn set_priority(&mut self, t: AttemptId, priority: u8, now: Micros, poll: &Poll) {
         let Some(key) = self.attempt_connections.get(&t).copied() else { return };
         let Some(connection) = self.connections.get_mut(&key) else { return };
@@ -99,7 +103,7 @@
         let key = match self.connection(to, now, poll, |c| !c.draining && !c.is_overdue(now)) {
             Ok(key) => key,
             Err(reason) => {
-                let probe_outcome = if reason == NoConnection::OwnLimit {
+                let probe_outcome = if reason == ConnectionUnavailable::LimitReached {
                     ProbeOutcome::Unknown
                 } else {
                     ProbeOutcome::Unreachable
@@ -115,7 +119,7 @@
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.probes.insert(tag, now);
         connection.queue.push_back(Outgoing::Meter(tag));
-        self.timers.set(now + self.transport.dial_timeout + PROBE_SLACK, Due::Probe(key, tag));
+        self.timers.set(now + self.transport.dial_timeout + PROBE_SLACK, TimerEvent::Probe(key, tag));
         self.write(key, now, poll);
     }
 }
--- a/src/net/executors/client_poll.rs
+++ b/src/net/executors/client_poll.rs
@@ -1,8 +1,9 @@
-//! The look at the clients' side that comes before an attempt begins.
+//! The poll of all clients that has to precede the start of an attempt.
 //!
-//! A client that has left starts no attempt, and the rule gives 0.1 s to see that it has. Whatever brings an attempt
-//! about (an arrival, a timer, a repeat, a connection that comes up), its first byte is written in one place, and only
-//! while the last look at all clients is fresh. If it is not, the attempt waits there until the loop has looked again.
+//! No attempt may be started for a client that has disconnected; the rule allows 0.1 s to detect that. Whatever triggers
+//! an attempt (an arrival, a timer, a retry, an established connection), its first byte is written in one place, and
+//! only while the last poll of all clients is fresh. Otherwise the attempt waits there until the event loop has polled
+//! the clients again.
 
 use super::Executors;
 use crate::api::Micros;
@@ -10,54 +11,54 @@
 use crate::net::limits::CLIENT_POLL_VALID;
 use std::collections::BTreeSet;
 
-/// The last look, and what waits for the next one.
+/// The last poll, and the connections that wait for the next one.
 #[derive(Debug, Default)]
 pub(super) struct ClientPoll {
-    /// A moment up to which everything that clients did is known; `None` where nobody looks.
+    /// The time up to which all client events have been processed; `None` if clients are not polled.
     at: Option<Micros>,
-    /// Connections on which an attempt waits for the next look.
+    /// Connections on which an attempt waits for the next poll.
     waiting: BTreeSet<Key>,
-    /// Whether an attempt may begin however old the look is: something waited for it, and it may be that on hardly any
-    /// processor time no look is ever fresh by the time that an attempt could begin.
-    grant: bool,
+    /// Whether one attempt may start however old the poll is. Set after a poll for which an attempt waited: with very
+    /// little processor time no poll might ever be fresh when an attempt could start.
+    allow_stale: bool,
 }
 
 impl ClientPoll {
-    /// Whether what clients did is known well enough for an attempt to begin now.
+    /// Whether the last poll is recent enough for an attempt to start now.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
-        self.at.is_none_or(|at| self.grant || now <= at + CLIENT_POLL_VALID)
+        self.at.is_none_or(|at| self.allow_stale || now <= at + CLIENT_POLL_VALID)
     }
 
-    /// An attempt begins.
-    pub(super) fn begins(&mut self) {
-        self.grant = false;
+    /// Records that an attempt started.
+    pub(super) fn attempt_started(&mut self) {
+        self.allow_stale = false;
     }
 
-    /// An attempt on this connection has to wait for the next look.
+    /// Makes an attempt on this connection wait for the next poll.
     pub(super) fn wait(&mut self, key: Key) {
         self.waiting.insert(key);
     }
 }
 
 impl Executors {
-    /// All that clients did up to this moment has been heeded.
+    /// Records that all client events up to `at` have been processed.
     pub fn clients_polled(&mut self, at: Micros) {
         self.client_poll.at = Some(at);
-        self.client_poll.grant = !self.client_poll.waiting.is_empty();
+        self.client_poll.allow_stale = !self.client_poll.waiting.is_empty();
     }
 
-    /// Whether attempts wait for a look.
+    /// Whether attempts wait for a poll of the clients.
     pub fn awaits_client_poll(&self) -> bool {
         !self.client_poll.waiting.is_empty()
     }
 
-    /// Whether an attempt may begin now.
+    /// Whether an attempt may start now.
     pub fn may_begin(&mut self) -> bool {
         let now = self.clock.now();
         self.client_poll.is_fresh(now)
     }
 
-    /// Begins what waited for the look that has just been taken.
+    /// Starts the attempts that waited for the poll that has just finished.
     pub fn begin_after_poll(&mut self, poll: &Poll) {
         let now = self.clock.now();
         for key in std::mem::take(&mut self.client_poll.waiting) {
--- a/src/net/executors/connection.rs
+++ b/src/net/executors/connection.rs
@@ -9,18 +9,18 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// What an attempt needs to go out.
+/// The content of an attempt.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The name of its class.
     pub kind: Rc<str>,
     /// The statement, without the comment.
     pub statement: Rc<str>,
-    /// The token by which executors know repeats of a keyed request, as its client gave it.
+    /// The idempotency token of a keyed request, by which executors recognize repeated attempts, as its client gave it.
     pub token: Option<Rc<str>>,
 }
 
-/// A message that is queued.
+/// A queued message.
 pub(super) enum Outgoing {
     Pull { id: u64, job: Job, terms: AttemptTerms },
     Kill(u64),
@@ -30,26 +30,26 @@
     Meter(u64),
 }
 
-/// One connection to an executor. Points and spans are in microseconds.
+/// One connection to an executor. Times and durations are in microseconds.
 pub(super) struct Connection {
     /// The executor, by its id: its address may have changed since.
     pub(super) executor: ExecutorId,
     /// The socket.
     pub(super) stream: TcpStream,
-    /// Whether it came up.
+    /// Whether it is established.
     pub(super) connected: bool,
-    /// The point at which it was begun, and from when it is up, the point at which it came up.
+    /// When the connect started or, once it is established, when that was.
     pub(super) connected_at: Micros,
-    /// The span within which a message has to come while something is outstanding; after that it gets no new attempt,
-    /// and is probed.
+    /// Maximum time without a message while something is outstanding; after that the connection gets no new attempts and
+    /// is probed.
     pub(super) message_interval: Micros,
-    /// The point of the last bytes received, or at which it came up.
+    /// When bytes were last received, or when it was established.
     pub(super) last_message_at: Micros,
-    /// The point of the last bytes received or message queued to the socket.
+    /// When bytes were last received or a message was last queued to the socket.
     pub(super) last_used_at: Micros,
     /// Whether it gets no new attempts.
     pub(super) draining: bool,
-    /// Bytes received and not yet handled.
+    /// Bytes received and not yet processed.
     pub(super) inbox: Inbox,
     /// Bytes not yet written.
     pub(super) outbox: Outbox,
@@ -59,24 +59,24 @@
     pub(super) queue: VecDeque<Outgoing>,
     /// Outstanding attempts, by request id.
     pub(super) streams: BTreeMap<u64, Stream>,
-    /// Ids of requests that ended here in any way but served, and when.
+    /// Ids of requests that ended on this connection without being served, and when.
     pub(super) ended_ids: BTreeMap<u64, Micros>,
-    /// Since when a partial message is in the inbox.
+    /// Since when the inbox contains a partial message.
     pub(super) partial_since: Option<Micros>,
-    /// Whether a probe timed out and nothing was received since.
+    /// Whether a probe timed out and nothing has been received since.
     pub(super) unresponsive: bool,
-    /// When it is closed, as it was unresponsive while its executor answered elsewhere.
+    /// When to close it, after it was unresponsive while its executor answered on other connections.
     pub(super) close_at: Option<Micros>,
-    /// When it is checked next for messages that are overdue.
+    /// When to check next for overdue messages.
     pub(super) next_check_at: Option<Micros>,
     /// Outstanding probes by tag, and when they were sent.
     pub(super) probes: BTreeMap<u64, Micros>,
-    /// Whether the poller reports when it can be written to.
+    /// Whether the poller reports when it is writable.
     pub(super) watches_writable: bool,
 }
 
 impl Connection {
-    /// A connection that was begun and is not up yet.
+    /// Creates a connection that is not established yet.
     pub(super) fn new(
         executor: ExecutorId,
         stream: TcpStream,
@@ -108,14 +108,14 @@
         }
     }
 
-    /// The connection came up.
+    /// Records that the connection was established.
     pub(super) fn connection_established(&mut self, now: Micros) {
         self.connected = true;
         self.connected_at = now;
         self.last_message_at = now;
     }
 
-    /// Bytes were received: the executor answers on this connection.
+    /// Records that bytes were received: the executor answers on this connection.
     pub(super) fn message_received(&mut self, now: Micros) {
         self.last_message_at = now;
         self.last_used_at = now;
@@ -123,7 +123,7 @@
         self.close_at = None;
     }
 
-    /// The point at which the oldest of the attempts that were written whole was written.
+    /// When the oldest completely written attempt was written.
     pub(super) fn oldest_written_at(&self) -> Option<Micros> {
         self.streams.values().filter(|stream| stream.written).map(|stream| stream.written_at).min()
     }
@@ -135,13 +135,13 @@
         self.connected && due.is_some_and(|due| now > due)
     }
 
-    /// Whether it can take an attempt of this request, and has fewer than so many.
-    pub(super) fn accepts(&self, id: u64, most: usize, now: Micros) -> bool {
+    /// Whether it can take an attempt of this request and has fewer than `max_streams` attempts.
+    pub(super) fn accepts(&self, id: u64, max_streams: usize, now: Micros) -> bool {
         let fresh = !self.streams.contains_key(&id) && !self.ended_ids.contains_key(&id);
-        !self.draining && self.streams.len() < most && fresh && !self.is_overdue(now)
+        !self.draining && self.streams.len() < max_streams && fresh && !self.is_overdue(now)
     }
 
-    /// Whether its executor has closed it, and nothing is left to be read before that.
+    /// Whether its executor has closed it and no data is left to read.
     pub(super) fn closed_by_executor(&self) -> bool {
         self.connected
             && match system_calls::peek(&self.stream) {
@@ -150,7 +150,7 @@
             }
     }
 
-    /// Removes an attempt of which no byte was written; false if there is none such.
+    /// Removes an attempt of which no byte was written; false if there is none.
     pub(super) fn withdraw_unwritten(&mut self, id: u64) -> bool {
         let waiting = |o: &Outgoing| matches!(o, Outgoing::Pull { id: i, .. } if *i == id);
         if let Some(at) = self.queue.iter().position(waiting) {
--- a/src/net/executors/endpoint_updates.rs
+++ b/src/net/executors/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Watch events of the endpoint list, and the connections and attempts that they end.
+//! Applies watch events of the endpoint list, and ends the affected connections and attempts.
 
 use super::{Executor, Executors};
 use crate::api::Micros;
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 impl Executors {
-    /// Applies a watch event: an address that moved or a process that started anew ends what was open before it,
-    /// and what still waits for an executor that drains or is gone is taken back.
+    /// Applies a watch event. A changed address or a restarted process ends older connections; unwritten attempts to an
+    /// executor that drains or was removed are withdrawn.
     pub fn apply_endpoints(&mut self, targets: &[Target], whole: bool, now: Micros, poll: &Poll) {
         for t in targets {
             self.apply_endpoint(t, now, poll);
@@ -42,7 +42,7 @@
                 executor = t.uid,
                 other = e.uid,
                 number = id,
-                "executor ignored: its number is another's"
+                "executor ignored: another uid has the same id"
             );
             return;
         }
@@ -55,15 +55,15 @@
             self.reassign_address(id, t.endpoint, poll);
         }
         let Some(e) = self.executors.get(&id) else { return };
-        let booted = t.boot_ms.saturating_mul(1000);
+        let boot_time = t.boot_ms.saturating_mul(1000);
         for key in e.connections.clone() {
             if moved {
                 self.withdraw_unwritten(key);
             }
             let Some(connection) = self.connections.get_mut(&key) else { continue };
             connection.draining |= moved;
-            if connection.connected_at < booted && booted <= now {
-                self.close(key, poll, "its executor started anew");
+            if connection.connected_at < boot_time && boot_time <= now {
+                self.close(key, poll, "its executor restarted");
             }
         }
         if t.state != State::Up {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// An address that is this executor's now is no other's any more: what is open there was the other's.
+    /// Assigns an address to an executor and removes it from its previous owner, whose connections to it are drained.
     fn reassign_address(&mut self, id: ExecutorId, address: Option<SocketAddr>, poll: &Poll) {
         let Some(address) = address else { return };
         let other = self.addresses.insert(address, id).filter(|other| *other != id);
@@ -87,7 +87,7 @@
             let Some(connection) = self.connections.get_mut(&key) else { continue };
             connection.draining = true;
             if connection.is_idle() || !connection.connected {
-                self.close(key, poll, "its address is another executor's");
+                self.close(key, poll, "another executor has its address now");
             }
         }
     }
@@ -100,7 +100,7 @@
             let Some(connection) = self.connections.get_mut(&key) else { continue };
             connection.draining |= state == State::Removed;
             if connection.draining && connection.is_idle() {
-                self.close(key, poll, "its executor is gone");
+                self.close(key, poll, "its executor was removed");
             }
         }
     }
@@ -109,10 +109,10 @@
         let Some(e) = self.executors.get_mut(&id) else { return };
         let was = std::mem::replace(&mut e.state, state);
         self.up = self.up + usize::from(state == State::Up) - usize::from(was == State::Up);
-        self.gone |= state == State::Removed;
+        self.removed_pending |= state == State::Removed;
     }
 
-    /// Takes back every pull of which no byte was written.
+    /// Withdraws every attempt of which no byte was written.
     fn withdraw_unwritten(&mut self, key: Key) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         for id in connection.streams.keys().copied().collect::<Vec<u64>>() {
--- a/src/net/executors/mod.rs
+++ b/src/net/executors/mod.rs
@@ -1,18 +1,18 @@
 //! Executors and the connections to them.
 //!
-//! A connection belongs to one executor by its uid, whatever its address becomes. It carries one attempt as long as
-//! descriptors last: a malformed answer ends its connection with all that is outstanding there. A request that ended in
-//! any way but served on a connection never goes out on that one again, so that a late answer or a duplicate can't be
-//! taken for that of a new attempt.
+//! A connection belongs to one executor by its uid, even if the executor's address changes. It carries a single attempt
+//! as long as file descriptors are available, because a malformed answer ends its connection with everything
+//! outstanding on it. A request that ended on a connection without being served is never sent on that connection again,
+//! so that a late or duplicate answer can't be attributed to a new attempt.
 //!
-//! - `endpoint_updates`: changes of the endpoint list, and what they end.
-//! - `attempts`: attempts and probes that the decisions ask for.
-//! - `connection_pool`: which connection is used, opened or closed.
+//! - `endpoint_updates`: applies changes of the endpoint list.
+//! - `attempts`: attempts and probes that the dispatch module requests.
+//! - `connection_pool`: selects, opens and closes connections.
 //! - `connection`: one connection.
-//! - `reading`, `answers`: what is read from executors, and what it does to an attempt.
-//! - `writing`: what is written to them; the one place where an attempt begins.
-//! - `client_poll`: the poll of clients that has to come before an attempt begins.
-//! - `unresponsive`: what falls due when nothing comes.
+//! - `reading`, `answers`: reads from executors, and applies answers to attempts.
+//! - `writing`: writes to executors; the only place where an attempt starts.
+//! - `client_poll`: the poll of clients that has to precede the start of an attempt.
+//! - `unresponsive`: timeouts.
 
 mod answers;
 mod attempts;
@@ -41,9 +41,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// An answer that has begun has to be here whole within this time.
+/// Timeout for the rest of a partially received answer.
 const PARTIAL_ANSWER_TIMEOUT: Micros = 700_000;
-/// A probe may take this much longer than a dial.
+/// How much longer than a connect a probe may take.
 const PROBE_SLACK: Micros = 50_000;
 
 struct Executor {
@@ -51,35 +51,35 @@
     address: Option<SocketAddr>,
     state: State,
     connections: Vec<Key>,
-    /// When anything came from it, on any connection.
+    /// When bytes were last received from it, on any connection.
     last_message_at: Micros,
 }
 
-/// What falls due here.
+/// Timers of the connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerEvent {
     Dial(Key),
     Probe(Key, u64),
-    /// An answer in part.
+    /// Timeout of a partially received answer.
     PartialAnswer(Key),
-    /// Word on what was written.
+    /// Check for an overdue message.
     ResponsivenessCheck(Key),
-    /// An attempt that may not begin later.
+    /// Latest start of an attempt.
     BeginBy(AttemptId),
 }
 
 /// Counters of the connections.
 #[derive(Debug, Default)]
 pub struct ConnectionCounters {
-    /// Dials begun.
+    /// Connects started.
     pub dials: u64,
-    /// Lines that could not be used.
+    /// Lines that could not be parsed.
     pub bad_lines: u64,
-    /// Answers to what is not open, and second copies.
+    /// Answers without an outstanding attempt, and duplicates.
     pub stray: u64,
-    /// Connections that fell silent while their executor did not.
+    /// Connections closed as unresponsive while their executor answered on others.
     pub unresponsive: u64,
-    /// Attempts written whole.
+    /// Attempts written completely.
     pub forwards: u64,
 }
 
@@ -89,29 +89,30 @@
     max_connections: usize,
     pool: Pool,
     executors: BTreeMap<ExecutorId, Executor>,
-    /// How many of the list take work, and whether any has gone since the last sweep.
+    /// Number of listed executors that are up, and whether removed ones are left for the next sweep.
     up: usize,
-    gone: bool,
-    /// Whose each address is; it may have moved on, which its entry in the list tells.
+    removed_pending: bool,
+    /// The executor at each address; it may have moved since, see its entry in `executors`.
     addresses: HashMap<SocketAddr, ExecutorId>,
     connections: BTreeMap<Key, Connection>,
-    /// Where each attempt is.
+    /// The connection of each attempt.
     attempt_connections: BTreeMap<AttemptId, Key>,
-    timers: Timers<Due>,
+    timers: Timers<TimerEvent>,
     clock: Clock,
     client_poll: ClientPoll,
     probe_tags: Pcg64Mcg,
     scratch: Vec<u8>,
-    /// What the dispatcher has to be told, in order.
+    /// Events for the dispatch module, in order.
     pub events: VecDeque<NetworkEvent<Rows>>,
-    /// Whether a dial found no descriptor.
+    /// Whether a connect failed for lack of file descriptors.
     pub out_of_descriptors: bool,
     /// Counters.
     pub counters: ConnectionCounters,
 }
 
 impl Executors {
-    /// None yet; `max_connections` bounds the connections in all, `seed` makes tags that nobody can know ahead.
+    /// Creates the state without executors. `max_connections` limits all connections together; `seed` makes probe tags
+    /// unpredictable.
     pub fn new(
         transport: Transport,
         max_connections: usize,
@@ -125,7 +126,7 @@
             pool: pool.clone(),
             executors: BTreeMap::new(),
             up: 0,
-            gone: false,
+            removed_pending: false,
             addresses: HashMap::new(),
             connections: BTreeMap::new(),
             attempt_connections: BTreeMap::new(),
@@ -140,13 +141,13 @@
         }
     }
 
-    /// Whether work is out on an executor, or waits for a connection to it.
+    /// Whether an executor has outstanding attempts, or attempts that wait for a connection to it.
     pub fn busy(&self, uid: &str) -> bool {
         let connections = self.executors.get(&executor_id(uid)).into_iter().flat_map(|e| &e.connections);
         connections.filter_map(|k| self.connections.get(k)).any(|c| !c.streams.is_empty())
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
--- a/src/net/executors/reading.rs
+++ b/src/net/executors/reading.rs
@@ -1,8 +1,8 @@
-//! What is read from executors.
+//! Reads from executors.
 
 use super::answers::{AnswerEffect, apply_answer};
 use super::connection::Outgoing;
-use super::{Due, Executors, PARTIAL_ANSWER_TIMEOUT};
+use super::{Executors, PARTIAL_ANSWER_TIMEOUT, TimerEvent};
 use crate::api::Micros;
 use crate::codec::executor::{self, Answer, Gauges};
 use crate::dispatch::{AttemptEnd, LoadReport, NetworkEvent, ProbeOutcome};
@@ -11,7 +11,7 @@
 use std::io;
 
 impl Executors {
-    /// A socket is ready.
+    /// Handles a ready socket.
     pub fn ready(&mut self, key: Key, readable: bool, writable: bool, now: Micros, poll: &Poll) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         if !connection.connected {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Receives what is there, and handles it; false if the connection was closed for it before it was handled.
+    /// Receives and processes available data; false if the connection was closed instead.
     fn receive(&mut self, key: Key, now: Micros, poll: &Poll) -> bool {
         let Some(connection) = self.connections.get_mut(&key) else { return false };
         match connection.inbox.fill(&mut connection.stream) {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Reads what a connection that can't be written to any more has still brought. A reset ends both ways, and a whole
-    /// answer may lie unread before it: without this it would be lost, and its request would fail.
+    /// Reads the remaining data of a connection after a write error. A reset ends both directions while a complete answer
+    /// may still be unread: without this it would be lost, and its request would fail.
     pub(super) fn read_rest(&mut self, key: Key, now: Micros, poll: &Poll) {
         while let Some(connection) = self.connections.get_mut(&key) {
             match connection.inbox.fill(&mut connection.stream) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Handles every whole message that was received.
+    /// Processes every complete message that was received.
     fn read(&mut self, key: Key, now: Micros, poll: &Poll) {
         let mut consumed = 0;
         loop {
@@ -91,13 +91,13 @@
         self.consume(key, consumed, now);
     }
 
-    /// Counts a malformed message, and closes its connection.
+    /// Counts a malformed message and closes its connection.
     fn close_malformed(&mut self, key: Key, poll: &Poll, reason: &str) {
         self.counters.bad_lines += 1;
         self.close(key, poll, reason);
     }
 
-    /// An answer to a probe; one that is not outstanding is ignored.
+    /// Processes an answer to a probe; it is ignored if the probe is not outstanding.
     fn probe_answered(&mut self, key: Key, tag: u64, up: bool, gauges: Option<Gauges>, now: Micros) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let Some(sent_at) = connection.probes.remove(&tag) else { return };
@@ -106,7 +106,7 @@
         self.events.push_back(NetworkEvent::ProbeFinished(connection.executor, outcome, latency));
     }
 
-    /// An answer on a request; it has no effect where no attempt of that request is outstanding here.
+    /// Processes an answer to a request; it is only counted if no attempt of the request is outstanding on the connection.
     fn request_answered(
         &mut self,
         key: Key,
@@ -130,7 +130,7 @@
             Some(AnswerEffect::Ended(end)) => {
                 let Some(stream) = connection.streams.remove(&id) else { return };
                 self.attempt_connections.remove(&stream.attempt_id);
-                // A request that was served has no further attempt; any other may have one.
+                // Only a request that was not served may have a further attempt.
                 if !matches!(end, AttemptEnd::Served(_)) {
                     connection.ended_ids.insert(id, now);
                 }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Removes the messages that were handled; what is left is a partial one, which has to be complete in time.
+    /// Removes processed messages from the inbox; the rest is a partial message, which has a timeout.
     fn consume(&mut self, key: Key, consumed: usize, now: Micros) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.inbox.consume(consumed);
@@ -148,12 +148,12 @@
             connection.partial_since = None;
         } else if connection.partial_since.is_none() || consumed > 0 {
             connection.partial_since = Some(now);
-            self.timers.set(now + PARTIAL_ANSWER_TIMEOUT, Due::PartialAnswer(key));
+            self.timers.set(now + PARTIAL_ANSWER_TIMEOUT, TimerEvent::PartialAnswer(key));
         }
     }
 }
 
-/// An executor's gauges by the names that the decisions use.
+/// Converts an executor's gauges to a load report.
 fn load_report(gauges: Gauges) -> LoadReport {
     let Gauges { inflight, util, queue, x0, x1 } = gauges;
     LoadReport { inflight, util, queue, memory: x0, disks: x1 }
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -15,7 +15,14 @@
     progress: Some(1_000_000),
 };
 
-fn listed(e: &mut Executors, at: &TcpListener, state: State, boot_ms: u64, now: Micros, poll: &Poll) {
+fn update_endpoint(
+    e: &mut Executors,
+    at: &TcpListener,
+    state: State,
+    boot_ms: u64,
+    now: Micros,
+    poll: &Poll,
+) {
     let endpoint = at.local_addr().ok();
     let (uid, az, model) = ("e1".to_string(), String::new(), String::new());
     let target =
@@ -32,17 +39,17 @@
     attempt_id
 }
 
-// A pull that waits for its connection must not go out seconds after the executor drains: it is taken back
-// while that proves that it never ran.
+// A pull that waits for its connection must not be sent seconds after the executor started to drain: it is withdrawn
+// while that still proves that it never ran.
 #[test]
-fn a_pull_that_waits_is_taken_back_when_its_executor_drains() {
+fn a_queued_pull_is_withdrawn_when_its_executor_drains() {
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let at = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
-    listed(&mut e, &at, State::Up, 0, 1, &poll);
+    update_endpoint(&mut e, &at, State::Up, 0, 1, &poll);
     let attempt_id = start(&mut e, 7, 2, &poll);
     assert!(e.events.is_empty());
-    listed(&mut e, &at, State::Draining, 0, 3, &poll);
+    update_endpoint(&mut e, &at, State::Draining, 0, 3, &poll);
     assert!(
         matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
     );
@@ -51,28 +58,28 @@
     assert!(e.connections[&key].queue.is_empty() && e.connections[&key].outbox.is_empty());
 }
 
-// The same where it moves to another address: what waits for a connection to the old one would reach whoever is there.
+// The same for a changed address: a pull that waits for a connection to the old address would reach another process.
 #[test]
-fn a_pull_that_waits_is_taken_back_when_its_executor_moves() {
+fn a_queued_pull_is_withdrawn_when_its_executor_moves() {
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let [old, new] = [0; 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
-    listed(&mut e, &old, State::Up, 0, 1, &poll);
+    update_endpoint(&mut e, &old, State::Up, 0, 1, &poll);
     let attempt_id = start(&mut e, 7, 2, &poll);
-    listed(&mut e, &new, State::Up, 0, 3, &poll);
+    update_endpoint(&mut e, &new, State::Up, 0, 3, &poll);
     assert!(
         matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NeverSent, _)) if t == attempt_id)
     );
 }
 
-// A process that started anew knows nothing of what an old connection asked; one opened since does. A
-// full connection takes no more, and a dial that never comes up proves that nothing ran.
+// A restarted process knows nothing of the attempts on connections from before its start, only of those since. A full
+// connection accepts no further attempt, and a connect that never completes proves that nothing ran.
 #[test]
-fn a_new_start_ends_what_is_older_and_nothing_else() {
+fn a_restart_ends_older_connections_only() {
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let at = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut e = Executors::new(TRANSPORT, 2, 7, &pool, Clock::manual(Default::default()));
-    listed(&mut e, &at, State::Up, 0, 1, &poll);
+    update_endpoint(&mut e, &at, State::Up, 0, 1, &poll);
     let old = start(&mut e, 7, 1_000, &poll);
     let old_key = *e.connections.keys().next().unwrap();
     while !e.connections[&old_key].connected {
@@ -80,12 +87,12 @@
     }
     assert!(matches!(e.events.pop_front(), Some(NetworkEvent::AttemptBegun(t)) if t == old));
     let new = start(&mut e, 8, 9_000, &poll);
-    let over = start(&mut e, 9, 9_000, &poll);
-    // All connections are busy: that is no fault of the executor's, which was left out for it.
+    let rejected = start(&mut e, 9, 9_000, &poll);
+    // All connections are in use. That is no fault of the executor, which must not be avoided for it.
     assert!(
-        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NotRun, _)) if t == over)
+        matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::NotRun, _)) if t == rejected)
     );
-    listed(&mut e, &at, State::Up, 5, 10_000, &poll);
+    update_endpoint(&mut e, &at, State::Up, 5, 10_000, &poll);
     assert!(
         matches!(e.events.pop_front(), Some(NetworkEvent::AttemptEnded(t, AttemptEnd::ConnectionLost, _)) if t == old)
     );
@@ -96,15 +103,15 @@
     );
 }
 
-// At a site where executors tell their load in every answer and are never probed, the decisions saw no
-// load at all: the answer's gauges were read for probes only. An answer's report must reach the decisions.
+// Where executors report their load in every answer and are never probed, the dispatch module got no load at all when
+// gauges were read from probes only. The load report of an answer must be passed on.
 #[test]
-fn the_load_an_answer_carries_goes_on_with_its_end() {
+fn the_load_report_of_an_answer_is_passed_on() {
     use std::io::{Read, Write};
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let at = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut e = Executors::new(TRANSPORT, 9, 7, &pool, Clock::manual(Default::default()));
-    listed(&mut e, &at, State::Up, 0, 1, &poll);
+    update_endpoint(&mut e, &at, State::Up, 0, 1, &poll);
     let attempt_id = start(&mut e, 0x2a, 2, &poll);
     let key = *e.connections.keys().next().unwrap();
     let (mut executor, _) = at.accept().unwrap();
--- a/src/net/executors/writing.rs
+++ b/src/net/executors/writing.rs
@@ -1,26 +1,26 @@
-//! What is written to executors.
+//! Writes to executors.
 
 use super::connection::{Job, Outgoing};
-use super::{Due, Executors};
+use super::{Executors, TimerEvent};
 use crate::api::Micros;
 use crate::codec::executor::{self, Terms};
 use crate::dispatch::{AttemptEnd, AttemptTerms, NetworkEvent};
 use crate::net::event_loop::poll::{Key, Poll};
 use std::io;
 
-/// What becomes of a queued message.
+/// The outcome of preparing a queued message.
 enum Prepared {
     /// It is in the outbox.
     Written,
-    /// It is dropped: its attempt may not begin any more.
+    /// It is dropped: its attempt may not start any more.
     Dropped,
-    /// It is queued again, until the clients were polled.
+    /// It is queued again until the clients have been polled.
     AwaitsClientPoll,
 }
 
 impl Executors {
-    /// Writes what is queued on a connection, one message after the other, so that an attempt that was not begun can be
-    /// withdrawn.
+    /// Writes the queued messages of a connection one by one, so that an attempt can be withdrawn until its first byte is
+    /// written.
     pub(super) fn write(&mut self, key: Key, now: Micros, poll: &Poll) {
         if !self.connections.get(&key).is_some_and(|connection| connection.connected) {
             return;
@@ -32,7 +32,7 @@
         self.watch_writable(key, poll);
     }
 
-    /// Writes until the queue is empty, the socket takes no more, or an attempt has to wait.
+    /// Writes until the queue is empty, the socket's buffer is full, or an attempt has to wait.
     fn write_queue(&mut self, key: Key, now: Micros) -> io::Result<()> {
         while self.flush(key, now)? {
             let Some(connection) = self.connections.get_mut(&key) else { break };
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// Writes the outbox; whether all of it was written. Records the first byte and the last of an attempt.
+    /// Writes the outbox and returns whether all of it was written. Records when an attempt is started and completed.
     fn flush(&mut self, key: Key, now: Micros) -> io::Result<bool> {
         let Some(connection) = self.connections.get_mut(&key) else { return Ok(false) };
         let flushed = connection.outbox.flush(&mut connection.stream);
@@ -64,7 +64,7 @@
         flushed
     }
 
-    /// The attempt in the outbox, if there is one, was written whole: from now on its executor has to answer.
+    /// Records that the attempt in the outbox, if any, was written completely: its executor has to answer from now on.
     fn attempt_written(&mut self, key: Key, now: Micros) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let written = connection.writing.take();
@@ -75,7 +75,7 @@
         if connection.next_check_at.is_none() {
             let check_at = now + connection.message_interval + 1;
             connection.next_check_at = Some(check_at);
-            self.timers.set(check_at, Due::ResponsivenessCheck(key));
+            self.timers.set(check_at, TimerEvent::ResponsivenessCheck(key));
         }
     }
 
@@ -97,8 +97,8 @@
         Prepared::Written
     }
 
-    /// The one place where an attempt begins. One that is past its time to begin ends as never sent; one for which what
-    /// the clients did is not known well enough waits for the next poll of them.
+    /// The only place where an attempt starts. An attempt past its latest start ends as never sent; if the last poll of the
+    /// clients is too old, it waits for the next one.
     fn prepare_attempt(&mut self, key: Key, id: u64, job: Job, terms: AttemptTerms, now: Micros) -> Prepared {
         let Some(connection) = self.connections.get_mut(&key) else { return Prepared::Dropped };
         if now > terms.begin_by
@@ -114,7 +114,7 @@
             connection.queue.push_front(Outgoing::Pull { id, job, terms });
             return Prepared::AwaitsClientPoll;
         }
-        self.client_poll.begins();
+        self.client_poll.attempt_started();
         let wire_terms = Terms {
             kind: &job.kind,
             wait_ms: (terms.deadline.saturating_sub(now) / 1000).max(1),
@@ -128,7 +128,7 @@
         Prepared::Written
     }
 
-    /// Watches for room to write only while something is unwritten: a writable socket would wake the loop all the time.
+    /// Watches for writability only while data is unwritten: a writable socket would wake up the event loop all the time.
     fn watch_writable(&mut self, key: Key, poll: &Poll) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let unwritten = !connection.outbox.is_empty();
