--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -119,7 +119,7 @@
         self.requests.open.remove(&request.id);
         match self.dispatch.reject(request, reason) {
             Ok(()) => {
-                self.figures.ended(&job.kind, Disposition::Declined);
+                self.figures.ended(&job.class_name, Disposition::Declined);
                 if let Some(session) = self.sessions.by_key.get_mut(&key) {
                     session.answer(&Answer::Refused(wait.div_ceil(1_000)));
                 }
@@ -180,7 +180,7 @@
         let arrival = Arrival { arrived, on_new_connection, spacing };
         tracing::debug!(
             request = format_args!("{:016x}", request.id),
-            class = &*job.kind,
+            class = &*job.class_name,
             key = request.key.map(|key| tracing::field::display(format!("{key:016x}"))),
             budget_ms = request.budget / 1_000,
             late_ms = arrival.late_ms(),
@@ -200,7 +200,7 @@
         let arrival = open.arrival.as_ref();
         tracing::info!(
             request = format_args!("{id:016x}"),
-            class = &*open.job.kind,
+            class = &*open.job.class_name,
             waited_ms = progress.waited_ms,
             left_ms = progress.left_ms,
             attempts = progress.attempts,
@@ -218,6 +218,6 @@
 pub(in crate::net) fn request_fingerprint(job: &Job) -> storm::Asker {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
-    (&*job.kind, &*job.statement).hash(&mut hasher);
+    (&*job.class_name, &*job.statement).hash(&mut hasher);
     hasher.finish()
 }
--- a/src/net/clients/session/request.rs
+++ b/src/net/clients/session/request.rs
@@ -38,7 +38,8 @@
         held_back: false,
     };
     let token = fields.get("token").map(parse_token).transpose()?;
-    let job = Job { kind: method.into(), statement: statement.text.into(), token: token.map(Into::into) };
+    let job =
+        Job { class_name: method.into(), statement: statement.text.into(), token: token.map(Into::into) };
     Ok((request, job))
 }
 
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -76,7 +76,7 @@
             Answer::Failed => Disposition::Aborted,
             Answer::Refused(_) => Disposition::Declined,
         };
-        self.figures.ended(&job.kind, disposition);
+        self.figures.ended(&job.class_name, disposition);
         if let Some(storm) = &mut self.storm {
             match &mut answer {
                 Answer::Served(_) => storm.served(),
--- a/src/net/executors/answers.rs
+++ b/src/net/executors/answers.rs
@@ -17,7 +17,7 @@
 pub(super) struct Stream {
     pub(super) attempt_id: AttemptId,
     /// Whether its first byte was written, and that was reported.
-    pub(super) begun: bool,
+    pub(super) started: bool,
     /// Whether it was written completely.
     pub(super) written: bool,
     /// Number of pages of the result; 0 until the executor answered `OK`.
--- a/src/net/executors/attempts.rs
+++ b/src/net/executors/attempts.rs
@@ -39,10 +39,11 @@
             }
         };
         let Some(connection) = self.connections.get_mut(&key) else { return };
-        let (rows, begun, written) = (Vec::new(), false, false);
-        connection
-            .streams
-            .insert(id, Stream { attempt_id: t, begun, written, pages: 0, rows, bytes: 0, written_at: now });
+        let (rows, started, written) = (Vec::new(), false, false);
+        connection.streams.insert(
+            id,
+            Stream { attempt_id: t, started, written, pages: 0, rows, bytes: 0, written_at: now },
+        );
         connection.queue.push_back(Outgoing::Pull { id, job, terms });
         if terms.begin_by < terms.deadline {
             self.timers.set(terms.begin_by, TimerEvent::BeginBy(t));
--- a/src/net/executors/connection.rs
+++ b/src/net/executors/connection.rs
@@ -12,8 +12,8 @@
 /// The content of an attempt.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The name of its class.
-    pub kind: Rc<str>,
+    /// The name of the request's class.
+    pub class_name: Rc<str>,
     /// The statement, without the comment.
     pub statement: Rc<str>,
     /// The idempotency token of a keyed request, by which executors recognize repeated attempts, as its client gave it.
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -32,7 +32,7 @@
 
 fn start(e: &mut Executors, request: u64, now: Micros, poll: &Poll) -> AttemptId {
     let attempt_id = AttemptId { request, attempt: 0 };
-    let job = Job { kind: "read".into(), statement: "SELECT 1".into(), token: None };
+    let job = Job { class_name: "read".into(), statement: "SELECT 1".into(), token: None };
     let deadline = now + 9_000_000;
     let terms = AttemptTerms { memory_mb: 0.0, priority: 1, deadline, begin_by: deadline };
     e.start(attempt_id, executor_id("e1"), job, terms, now, poll);
--- a/src/net/executors/writing.rs
+++ b/src/net/executors/writing.rs
@@ -53,9 +53,9 @@
         let all_written = matches!(flushed, Ok(true));
         let writing = connection.writing.and_then(|id| connection.streams.get_mut(&id));
         if let Some(stream) =
-            writing.filter(|stream| !stream.begun && (connection.outbox.begun() || all_written))
+            writing.filter(|stream| !stream.started && (connection.outbox.begun() || all_written))
         {
-            stream.begun = true;
+            stream.started = true;
             self.events.push_back(NetworkEvent::AttemptBegun(stream.attempt_id));
         }
         if all_written {
@@ -116,7 +116,7 @@
         }
         self.client_poll.attempt_started();
         let wire_terms = Terms {
-            kind: &job.kind,
+            kind: &job.class_name,
             wait_ms: (terms.deadline.saturating_sub(now) / 1000).max(1),
             memory_mb: terms.memory_mb,
             priority: terms.priority,
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -73,7 +73,7 @@
             repeated: true,
             held_back: false,
         };
-        let job = Job { kind, statement: statement.into(), token: None };
+        let job = Job { class_name: kind, statement: statement.into(), token: None };
         self.requests.open.insert(record.rid, OpenRequest { client: NOBODY, job, arrival: None });
         let under = self.rules.as_ref().filter(|r| r.part.number() != record.policy);
         let under = under.and_then(|r| r.under(record.policy));
