--- a/tests/large_lists/choice.rs
+++ b/tests/large_lists/choice.rs
@@ -1,15 +1,15 @@
-//! What has to hold of the choice though a decision looks at a part of the list only.
+//! Properties of the selection that have to hold although a decision examines only a part of the list.
 
 use super::*;
 use std::collections::BTreeSet;
 
-/// Where so many requests of different table groups are sent, each served at once.
+/// Sends `requests` requests of different table groups, each served at once; returns their executors.
 fn served_by(rig: &mut Rig, requests: u64, class: ClassId) -> Vec<ExecutorId> {
     let mut all = Vec::new();
     for group in 0..requests {
         let (request, actions) = rig.arrive_as(Arrival { table_group: group, ..arrival(0, class, 0.1) });
         rig.pass(50 * MS);
-        let executor = sent_to(&actions).or_else(|| sent_later(rig, request));
+        let executor = sent_to(&actions).or_else(|| executor_sent_later(rig, request));
         if let Some(executor) = executor {
             rig.finish(request, 0, executor, Outcome::Ok, 0.1);
             all.push(executor);
@@ -18,15 +18,15 @@
     all
 }
 
-/// Where a request went that waited for probes first.
-fn sent_later(rig: &Rig, wanted: RequestId) -> Option<ExecutorId> {
+/// The executor of a request that waited for probes first.
+fn executor_sent_later(rig: &Rig, wanted: RequestId) -> Option<ExecutorId> {
     rig.log.iter().rev().find_map(|(_, a)| match a {
         Action::Send { request, executor, .. } if *request == wanted => Some(*executor),
         _ => None,
     })
 }
 
-// A class bound to a kind of which there are three in 3,200 finds them.
+// A class bound to a kind of which there are three executors in 3,200 finds all three.
 #[test]
 fn a_bound_class_finds_its_few_executors() {
     let mut s = settings();
@@ -40,7 +40,7 @@
     assert_eq!(BTreeSet::from_iter(served).len(), 3, "all three are used");
 }
 
-// All dispatchers send a table group to the same few executors more often than chance would.
+// All dispatchers prefer the same few executors for a table group, more often than by chance.
 #[test]
 fn dispatchers_agree_on_the_preferred_executors_of_a_table_group() {
     let mut all = Vec::new();
@@ -49,7 +49,7 @@
         for _ in 0..5 {
             let (request, actions) = rig.arrive_as(Arrival { table_group: 7, ..arrival(0, 0, 0.1) });
             rig.pass(50 * MS);
-            let executor = sent_to(&actions).or_else(|| sent_later(&rig, request)).expect("sent");
+            let executor = sent_to(&actions).or_else(|| executor_sent_later(&rig, request)).expect("sent");
             rig.finish(request, 0, executor, Outcome::Ok, 0.1);
             all.push(executor);
         }
@@ -58,9 +58,9 @@
     assert!(most >= Some(all.len() / 20), "{most:?} of {} at one executor of 3,200", all.len());
 }
 
-// What a dispatcher stays with is gone or drains: it goes on with others at once.
+// When all executors that a dispatcher prefers drain, it uses others at once.
 #[test]
-fn a_subset_that_drains_is_replaced_at_once() {
+fn a_draining_subset_is_replaced_at_once() {
     let mut rig = Rig::seeded(settings(), 3_200, 7);
     let before = BTreeSet::from_iter(served_by(&mut rig, 200, 0));
     let leaves = before.iter().map(|e| Endpoint { readiness: Readiness::Draining, ..endpoint(*e) });
@@ -70,12 +70,12 @@
     assert!(after.iter().all(|e| !before.contains(e)));
 }
 
-// 300 dispatchers with 3,200 executors: each executor is in the subsets of some of them.
+// With 300 dispatchers and 3,200 executors, each executor is in the subsets of some dispatchers.
 #[test]
 fn all_subsets_together_cover_the_list() {
     let mut served = BTreeSet::new();
     for seed in 0..300 {
-        // Without prices nothing keeps a dispatcher at those that it has met.
+        // Without prices a dispatcher has no reason to stay with executors that it has used.
         let free = Settings { handshake_price: 0.0, reports: Reports::Off, ..settings() };
         let mut rig = Rig::seeded(free, 3_200, seed);
         served.extend(served_by(&mut rig, 60, 0));
@@ -83,7 +83,7 @@
     assert!(served.len() > 3_200 * 95 / 100, "{} of 3,200 executors were sent anything", served.len());
 }
 
-// Cold executors are used from the first seconds on, a part of what they may get, wherever they stand in the list.
+// Executors in slow start get a part of their share from the first seconds on, wherever they are in the list.
 #[test]
 fn cold_executors_of_a_long_list_get_their_share() {
     let mut cold_served = BTreeSet::new();
--- a/tests/large_lists/main.rs
+++ b/tests/large_lists/main.rs
@@ -1,5 +1,5 @@
-//! What a decision costs as the list of executors grows, counted in executors that it looked at, so that the verdict
-//! hangs on no machine's speed.
+//! The cost of a decision as the list of executors grows, counted in examined executors, so that the result does not
+//! depend on the speed of the machine.
 
 mod choice;
 #[path = "../common/mod.rs"]
@@ -9,7 +9,8 @@
 use common::*;
 use ottercroft::api::*;
 
-/// A fleet as it is where lists are long: each dispatcher sees little traffic, reports come with probes, which have a price.
+/// A fleet as is usual with long lists: each dispatcher sees little traffic, and load reports come with probes, which have
+/// a price.
 fn settings() -> Settings {
     Settings {
         dispatchers: 300,
@@ -20,7 +21,7 @@
     }
 }
 
-/// A dispatcher with a list of which so many in a hundred have just started.
+/// A dispatcher with a list of which `cold_percent` percent have just started.
 fn dispatcher(executors: u32, cold_percent: u32) -> Rig {
     let endpoint = |n| Endpoint { started: (n % 100 < cold_percent).then_some(START), ..endpoint(n) };
     Rig::knowing(settings(), 7, (1..=executors).map(endpoint).collect())
--- a/tests/large_lists/work.rs
+++ b/tests/large_lists/work.rs
@@ -1,14 +1,14 @@
-//! How many executors decisions look at.
+//! The number of executors that decisions examine.
 
 use super::*;
 
 const SIZES: [u32; 4] = [60, 240, 960, 3_200];
-/// The most that an arrival may look at, in the mean and with all that comes of it until the next one: a few samples
-/// of 128 and what it has met.
-const MOST_EACH: u64 = 2_000;
+/// Maximum mean number of executors examined per arrival, including everything until the next arrival: a few samples of
+/// 128, and the executors used before.
+const MAX_PER_ARRIVAL: u64 = 2_000;
 
-/// Executors looked at for each arrival, ticks and ends of attempts included; an arrival every 200 ms.
-fn looked_at(rig: &mut Rig) -> u64 {
+/// Executors examined per arrival, including ticks and ends of attempts, with an arrival every 200 ms.
+fn examined_per_arrival(rig: &mut Rig) -> u64 {
     const ARRIVALS: u64 = 50;
     let before = rig.dispatcher.examined();
     for n in 0..ARRIVALS {
@@ -22,22 +22,22 @@
     (rig.dispatcher.examined() - before) / ARRIVALS
 }
 
-// Each draw weighed the whole list, and where many had just started it weighed it once for each of them, and summed up
-// what all of them may get each time: half of 3,200 cold took 40 ms of processor time for an arrival.
+// Guards against decisions whose cost grows with the list. When each draw weighed the whole list, and did so again for
+// each executor in slow start, an arrival took 40 ms of processor time with half of 3,200 executors in slow start.
 #[test]
-fn a_decision_does_not_follow_the_length_of_the_list() {
+fn the_cost_of_a_decision_does_not_grow_with_the_list() {
     for cold_percent in [0, 50, 95] {
-        let each = SIZES.map(|size| looked_at(&mut dispatcher(size, cold_percent)));
+        let each = SIZES.map(|size| examined_per_arrival(&mut dispatcher(size, cold_percent)));
         println!("{cold_percent}% cold: {each:?} looked at for an arrival, of {SIZES:?}");
-        assert!(each.iter().all(|n| *n <= MOST_EACH), "{cold_percent}% cold: {each:?}");
-        // A list of thirteen times the length costs no more than fuller samples do.
+        assert!(each.iter().all(|n| *n <= MAX_PER_ARRIVAL), "{cold_percent}% cold: {each:?}");
+        // A list thirteen times as long may cost only as much more as fuller samples do.
         assert!(each[3] <= each[1] * 2, "{cold_percent}% cold: {each:?}");
     }
 }
 
-// Executors of a whole zone are down: the draw looks further, but not at all of them.
+// When many executors are down, a draw examines more of them, but not all.
 #[test]
-fn a_draw_among_many_that_are_down_is_bounded() {
+fn sampling_among_many_executors_that_are_down_is_bounded() {
     let mut rig = dispatcher(3_200, 0);
     for n in 0..400 {
         let (request, mut actions) = rig.arrive_as(Arrival { table_group: n, ..arrival(0, 0, 0.2) });
@@ -45,16 +45,16 @@
         while let Some(executor) = sent_to(&actions) {
             let before = rig.dispatcher.examined();
             actions = rig.finish(request, attempt, executor, Outcome::ConnectFailed, 0.0);
-            assert!(rig.dispatcher.examined() - before <= MOST_EACH);
+            assert!(rig.dispatcher.examined() - before <= MAX_PER_ARRIVAL);
             attempt += 1;
         }
         rig.pass(5 * MS);
     }
 }
 
-// Events of a few executors each, one after the other, as in a release.
+// Many updates of a few executors each, as during a release.
 #[test]
-fn events_of_the_list_cost_what_they_name() {
+fn list_updates_examine_no_executors() {
     let mut rig = dispatcher(3_200, 0);
     rig.arrive(0, 0.2);
     let before = rig.dispatcher.examined();
@@ -64,5 +64,5 @@
         rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: vec![gone, new] });
     }
     assert_eq!(rig.dispatcher.examined(), before, "the list changes without a decision");
-    assert!(looked_at(&mut rig) <= MOST_EACH);
+    assert!(examined_per_arrival(&mut rig) <= MAX_PER_ARRIVAL);
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Executors taken out for work by a fleet: three real dispatchers, an operator, and faults between them.
+//! Planned maintenance by a fleet: three dispatcher processes, an operator, and faults on the links between them.
 
 use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
@@ -11,11 +11,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// No story takes this long unless something hangs.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Nothing new goes to an executor later than this after its step was agreed, and a look of a few turns.
-const GRACE: Duration = Duration::from_millis(500);
-/// One zone; executors are warm after a second.
+/// Timeout of each wait; no test takes this long unless something hangs.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// How long after a step was agreed an executor may still get new work, including the interval between checks of the
+/// plan.
+const DETECTION_DELAY: Duration = Duration::from_millis(500);
+/// Settings with one zone; the slow start of executors takes a second.
 const SETTINGS: &str = r#"{"areas":["a"],"balancers":3,"kinds":["k"],"domain":{"kindCores":[8],"memoryByKindMb":[16384],"parallelism":[1]},"permissions":{"cancel":true,"maxAttempts":3,"probes":true,"retryAfter":true,"maxRetryAfter":1.0,"dialTimeout":0.25},"report":{"how":"on_probe"},"requestClasses":[{"name":"read","promise":5.0,"hardLimit":20.0,"effect":"read_like"}],"rules":{"stopSendingWithin":0.5,"coldFrom":0.5,"rampTime":1,"fall":1,"fallMultiple":3}}"#;
 
 struct Fleet {
@@ -36,7 +37,7 @@
 }
 
 impl Fleet {
-    /// Three dispatchers, four executors and a client at each dispatcher that asks all the time.
+    /// Starts three dispatchers, four executors, and a client at each dispatcher that sends requests all the time.
     fn start(maintenance: &str) -> Fleet {
         let mut launch = Launch::new(env!("CARGO_BIN_EXE_ottercroft"), env!("CARGO_TARGET_TMPDIR"));
         launch.settings = SETTINGS.into();
@@ -61,11 +62,11 @@
                 .replace(r#""name":"t""#, &format!(r#""name":"maintenance-{}-{i}""#, std::process::id()))
                 .replace(r#""more":0"#, r#""operator":"127.0.0.1:0""#);
             let mut d = launch.clone().with(&["--settings", &file.display().to_string()]).serving(&config);
-            let said = |line: String, what: &str| -> SocketAddr {
+            let address_after = |line: String, what: &str| -> SocketAddr {
                 line.split(what).nth(1).unwrap().trim().parse().unwrap()
             };
-            let operators = said(d.logs("operators' address "), "operators' address ");
-            let here = said(d.logs("peers' address "), "peers' address ");
+            let operators = address_after(d.logs("operators' address "), "operators' address ");
+            let here = address_after(d.logs("peers' address "), "peers' address ");
             links.iter().filter(|((_, to), _)| *to == i).for_each(|(_, l)| l.leads_to(here));
             clients.push(client(d.address, stop.clone()));
             dispatchers.push(Some((d, operators)));
@@ -80,21 +81,21 @@
         call(self.dispatchers[at].as_ref().unwrap().1, line)
     }
 
-    /// Until the status at a dispatcher says this of an executor.
-    fn until(&self, at: usize, executor: usize, word: &str) -> String {
+    /// Waits until the status at a dispatcher shows this step of an executor.
+    fn wait_for(&self, at: usize, executor: usize, word: &str) -> String {
         let (begun, line) = (Instant::now(), format!("{} {word}", uid(executor)));
         loop {
             let status = self.call(at, "DRAIN STATUS");
             if status.lines().any(|l| l.starts_with(&line)) {
                 return status;
             }
-            assert!(begun.elapsed() < PATIENCE, "no {line:?} in time: {status}");
+            assert!(begun.elapsed() < TIMEOUT, "no {line:?} in time: {status}");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Plays the machine's part: it goes, and comes back as a new process.
-    fn service(&self, executor: usize) {
+    /// Simulates the work on the machine: the executor drains, and comes back as a new process.
+    fn replace_process(&self, executor: usize) {
         let at = self.executors[executor].address;
         self.feed.tell(false, &[target(&uid(executor), at, "draining")]);
         thread::sleep(Duration::from_millis(100));
@@ -104,13 +105,13 @@
         self.feed.tell(false, &[back]);
     }
 
-    /// What reached an executor between two moments.
+    /// Number of requests that an executor received between two points in time.
     fn pulls(&self, executor: usize, from: SystemTime, to: SystemTime) -> usize {
         self.executors[executor].pulls().iter().filter(|p| p.at >= from && p.at < to).count()
     }
 
-    /// Lets the clients end; requests that were not answered, or not as they should be.
-    fn unanswered(&mut self) -> u64 {
+    /// Stops the clients; returns the number of requests that were not answered properly.
+    fn stop_clients(&mut self) -> u64 {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).map(|c| c.join().unwrap()).sum()
     }
@@ -127,8 +128,8 @@
     answer
 }
 
-/// A client that asks all the time, until its dispatcher is gone or it is told to stop; how often it got neither
-/// rows nor a refusal.
+/// A client that sends requests until its dispatcher closes the connection or `stop` is set. Returns how often it got
+/// neither rows nor a rejection.
 fn client(to: SocketAddr, stop: Arc<AtomicBool>) -> JoinHandle<u64> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     thread::spawn(move || {
@@ -139,7 +140,7 @@
                 "/* method=read,rid={id:016x},budget=9000,est=20.0,space=9 */ SELECT a FROM sales_{}.t",
                 id % 7
             );
-            let Some(mut c) = Client::dials(to, &sql, Duration::from_secs(1), PATIENCE) else { break };
+            let Some(mut c) = Client::dials(to, &sql, Duration::from_secs(1), TIMEOUT) else { break };
             match c.got() {
                 Got::Rows(_) | Got::Error(1203, _) => {}
                 Got::Closed => break,
@@ -151,82 +152,90 @@
     })
 }
 
-// A plan of two: one after the other is drained, handed over, serviced and warmed; nothing new reaches an executor
-// that is out, the other waits for it, and clients are answered throughout.
+// A plan of two executors: they are drained, taken out, replaced and warmed one after the other. An executor that is out
+// gets no new work, the other one waits for it, and clients are answered throughout.
 #[test]
-fn two_executors_are_serviced_one_after_the_other() {
+fn two_executors_are_taken_out_one_after_the_other() {
     let mut fleet = Fleet::start("    min_motores = 2\n");
     assert_eq!(fleet.call(1, "DRAIN PLAN s-00000001,s-00000002"), "+OK planned s-00000001,s-00000002\n");
-    let status = fleet.until(2, 0, "out");
+    let status = fleet.wait_for(2, 0, "out");
     let out = SystemTime::now();
     assert!(status.contains("s-00000002 waits") && status.contains("is held up: 1 out already"), "{status}");
-    thread::sleep(GRACE + Duration::from_millis(200));
-    assert_eq!(fleet.pulls(0, out + GRACE, SystemTime::now()), 0, "nothing new goes to a motor that is out");
-    fleet.service(0);
-    fleet.until(0, 0, "warms");
-    fleet.until(0, 1, "out");
+    thread::sleep(DETECTION_DELAY + Duration::from_millis(200));
+    assert_eq!(
+        fleet.pulls(0, out + DETECTION_DELAY, SystemTime::now()),
+        0,
+        "an executor that is out gets no new work"
+    );
+    fleet.replace_process(0);
+    fleet.wait_for(0, 0, "warms");
+    fleet.wait_for(0, 1, "out");
     assert!(fleet.call(0, "DRAIN STATUS").contains("s-00000001 done"));
-    fleet.service(1);
-    let status = fleet.until(1, 1, "done");
+    fleet.replace_process(1);
+    let status = fleet.wait_for(1, 1, "done");
     assert!(status.starts_with("+OK plan of 2\n") && status.ends_with(".\n"), "{status}");
     let back = SystemTime::now();
     thread::sleep(Duration::from_millis(500));
-    assert!(fleet.pulls(0, back, SystemTime::now()) > 0, "it serves again");
-    assert_eq!(fleet.unanswered(), 0);
+    assert!(fleet.pulls(0, back, SystemTime::now()) > 0, "the executor is back in service");
+    assert_eq!(fleet.stop_clients(), 0);
 }
 
-// The leader is killed in the middle of a step: another goes on from it, and no step is done twice.
+// The leader is killed in the middle of a step: another dispatcher continues the plan, and no step is repeated.
 #[test]
-fn a_plan_goes_on_after_its_leader_is_killed() {
+fn a_plan_continues_after_its_leader_is_killed() {
     let mut fleet = Fleet::start("    min_motores = 2\n");
     fleet.call(0, "DRAIN PLAN s-00000003,s-00000004");
-    fleet.until(0, 2, "out");
-    // Whoever leads: both others are told to stay, so that one kill is enough whoever it was.
+    fleet.wait_for(0, 2, "out");
+    // The killed dispatcher may be the leader or not; the plan has to continue in both cases.
     fleet.dispatchers[0] = None;
-    fleet.service(2);
-    fleet.until(1, 2, "done");
-    fleet.until(2, 3, "out");
-    fleet.service(3);
-    fleet.until(1, 3, "done");
-    assert_eq!(fleet.unanswered(), 0);
+    fleet.replace_process(2);
+    fleet.wait_for(1, 2, "done");
+    fleet.wait_for(2, 3, "out");
+    fleet.replace_process(3);
+    fleet.wait_for(1, 3, "done");
+    assert_eq!(fleet.stop_clients(), 0);
 }
 
-// A dispatcher that is cut off hears nothing of what begins meanwhile: it leaves the next one alone by itself.
+// A partitioned dispatcher does not learn of steps that begin meanwhile: it stops using the next executors by itself.
 #[test]
-fn a_dispatcher_that_is_cut_off_sends_nothing_to_what_began_since() {
+fn a_partitioned_dispatcher_sends_nothing_to_executors_taken_out_since() {
     let mut fleet = Fleet::start("    min_motores = 2\n");
     fleet.call(0, "DRAIN PLAN s-00000001,s-00000002");
-    fleet.until(2, 0, "out");
-    let touches = |(a, b): &(usize, usize)| *a == 2 || *b == 2;
-    fleet.links.iter().filter(|(p, _)| touches(p)).for_each(|(_, l)| l.set(Weather::Silent));
-    fleet.service(0);
-    fleet.until(0, 1, "out");
+    fleet.wait_for(2, 0, "out");
+    let affected = |(a, b): &(usize, usize)| *a == 2 || *b == 2;
+    fleet.links.iter().filter(|(p, _)| affected(p)).for_each(|(_, l)| l.set(Weather::Silent));
+    fleet.replace_process(0);
+    fleet.wait_for(0, 1, "out");
     let out = SystemTime::now();
-    thread::sleep(GRACE + Duration::from_millis(500));
-    assert_eq!(fleet.pulls(1, out + GRACE, SystemTime::now()), 0, "not from the one that is cut off either");
-    let cut_off = call(fleet.dispatchers[2].as_ref().unwrap().1, "DRAIN PLAN s-00000004");
-    assert!(cut_off.starts_with("-ERR "), "{cut_off}");
+    thread::sleep(DETECTION_DELAY + Duration::from_millis(500));
+    assert_eq!(
+        fleet.pulls(1, out + DETECTION_DELAY, SystemTime::now()),
+        0,
+        "nor from the partitioned dispatcher"
+    );
+    let refused = call(fleet.dispatchers[2].as_ref().unwrap().1, "DRAIN PLAN s-00000004");
+    assert!(refused.starts_with("-ERR "), "{refused}");
     fleet.links.iter().for_each(|(_, l)| l.set(Weather::Clear));
-    fleet.service(1);
-    fleet.until(2, 1, "done");
-    assert_eq!(fleet.unanswered(), 0);
+    fleet.replace_process(1);
+    fleet.wait_for(2, 1, "done");
+    assert_eq!(fleet.stop_clients(), 0);
 }
 
-// An executor that never comes back stops the plan with a reason, the budget keeps the others in service, and an
-// operator's word lets it go on; an abort leaves what had not begun as it was.
+// An executor that does not come back stops the plan with a reason, and the budget keeps the others in service. An
+// operator's DRAIN MEND lets the plan continue; an abort leaves steps that have not begun as they were.
 #[test]
-fn a_executor_that_does_not_come_back_stops_the_plan() {
+fn an_executor_that_does_not_come_back_stops_the_plan() {
     let mut fleet = Fleet::start("    min_motores = 3\n    out_limit   = \"500ms\"\n");
     assert!(fleet.call(0, "DRAIN PLAN s-00000009").starts_with("-ERR no executor"));
     fleet.call(0, "DRAIN PLAN s-00000001,s-00000002,s-00000003");
-    let status = fleet.until(1, 0, "failed: it did not come back");
+    let status = fleet.wait_for(1, 0, "failed: it did not come back");
     assert!(status.contains("stopped: s-00000001: it did not come back"), "{status}");
     thread::sleep(Duration::from_millis(300));
-    assert!(fleet.call(2, "DRAIN STATUS").contains("s-00000002 waits"), "no further one begins");
+    assert!(fleet.call(2, "DRAIN STATUS").contains("s-00000002 waits"), "no further step starts");
     assert_eq!(fleet.call(1, "DRAIN MEND s-00000001"), "+OK s-00000001 comes back cold\n");
-    fleet.until(2, 1, "out");
+    fleet.wait_for(2, 1, "out");
     assert!(fleet.call(2, "DRAIN ABORT").starts_with("+OK aborted"));
     let status = fleet.call(0, "DRAIN STATUS");
     assert!(status.contains("s-00000003 aborted") && status.contains("s-00000001 done"), "{status}");
-    assert_eq!(fleet.unanswered(), 0);
+    assert_eq!(fleet.stop_clients(), 0);
 }
--- a/tests/motor_lists/main.rs
+++ b/tests/motor_lists/main.rs
@@ -1,9 +1,8 @@
-//! Executor lists in the program itself, against scripted executors: one story for each failure that they are to
-//! withstand.
+//! Executor lists in a dispatcher process with scripted executors: one test per failure.
 
 mod command_line;
 mod executors;
-mod trouble;
+mod unusable_lists;
 
 use standins::scripted::*;
 use std::net::SocketAddr;
@@ -13,25 +12,25 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_ottercroft");
 
-/// A folder of its own with a list, the settings that name it, and a configuration.
-struct Place {
+/// A directory with a list, the settings that name it, and a configuration.
+struct Fixture {
     dir: PathBuf,
     list: PathBuf,
-    more: String,
+    guard: String,
     accept: String,
-    tops: String,
+    list_options: String,
 }
 
-fn place() -> Place {
+fn fixture() -> Fixture {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("lists-{}-{n}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let more = "guard { max_loss = 1 }".to_string();
-    Place { list: dir.join("a.hcl"), dir, more, accept: String::new(), tops: String::new() }
+    let guard = "guard { max_loss = 1 }".to_string();
+    Fixture { list: dir.join("a.hcl"), dir, guard, accept: String::new(), list_options: String::new() }
 }
 
-impl Drop for Place {
+impl Drop for Fixture {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.dir);
     }
@@ -54,32 +53,32 @@
     path.display().to_string()
 }
 
-impl Place {
+impl Fixture {
     fn launch(&self) -> Launch {
         let settings = self.dir.join("settings.hcl");
         let own = format!(
             "motor_lists {{\n allow_loopback = true\n settle = \"50ms\"\n poll = \"100ms\"\n{}\n \
              source \"salas\" {{\n path = {:?}\n {}\n}}\n{}\n}}\n",
-            self.tops, self.list, self.accept, self.more
+            self.list_options, self.list, self.accept, self.guard
         );
         std::fs::write(&settings, own).unwrap();
-        // Executors are warm soon: what is cold is the decision module's matter, and has its own tests.
+        // The slow start is short here; it has its own tests.
         let mut launch = Launch::new(PROGRAM, &self.dir).with(&["--settings", &text(&settings)]);
         launch.settings = SETTINGS.replace("\"rampTime\":10", "\"rampTime\":0.1");
         launch
     }
 
-    /// Replaces the list's file by this text, unsealed.
-    fn put_as_is(&self, text: &str) {
+    /// Replaces the list file by this text, without a seal.
+    fn write_unsealed(&self, text: &str) {
         let new = self.dir.join("new");
         std::fs::write(&new, text).unwrap();
         std::fs::rename(new, &self.list).unwrap();
     }
 
-    /// Writes a list beside, seals it by the command, and renames it into its place.
-    fn put(&self, text_of: &str) {
+    /// Writes a list to a temporary file, seals it with `lists seal`, and renames it into place.
+    fn write_sealed(&self, content: &str) {
         let new = self.dir.join("new");
-        std::fs::write(&new, text_of).unwrap();
+        std::fs::write(&new, content).unwrap();
         let out = cli(&["lists", "seal", &text(&new)]);
         assert!(out.status.success(), "{out:?}");
         std::fs::rename(new, &self.list).unwrap();
@@ -96,8 +95,8 @@
     "/* method=load,rid=00000000000000b1,budget=15000,obj=00000000000000c1 */ INSERT INTO sales_7.t";
 const ROW: &str = "1\tx\ty\n";
 
-/// Waits until an executor that appeared is warm: what is sent to a cold one is bounded, and may be refused.
-fn warm() {
+/// Waits for the slow start of a new executor to end: until then few requests are sent to it, and some may be rejected.
+fn wait_until_warm() {
     std::thread::sleep(std::time::Duration::from_millis(300));
 }
 
--- a/tests/motor_lists/unusable_lists.rs
+++ b/tests/motor_lists/unusable_lists.rs
@@ -1,44 +1,44 @@
-//! Lists that are broken, or take away much, and starts with them.
+//! Lists that are unusable or remove much capacity, also at a start.
 
 use super::*;
 
-// A file that is torn, empty, gone or no file leaves the list in force, and each is told of.
+// A truncated, empty or missing file, or a directory in its place, leaves the list in force, and each is logged.
 #[test]
-fn whatever_becomes_of_the_file_the_list_in_force_stays() {
-    let (e1, place) = (Executor::new(), place());
-    place.put(&list(&[("e1", e1.address, "")]));
-    let (mut d, _coordinator) = place.launch().dispatcher(&[]);
-    let whole = std::fs::read_to_string(&place.list).unwrap();
-    // Each in one step: a file that is written in place is empty for a moment, and seen so on a busy machine.
-    place.put_as_is(&whole[..whole.len() * 2 / 3]);
+fn the_list_in_force_stays_when_the_file_is_unusable() {
+    let (e1, fixture) = (Executor::new(), fixture());
+    fixture.write_sealed(&list(&[("e1", e1.address, "")]));
+    let (mut d, _coordinator) = fixture.launch().dispatcher(&[]);
+    let whole = std::fs::read_to_string(&fixture.list).unwrap();
+    // Each change is atomic: a file that is written in place is empty for a moment, which a busy machine may observe.
+    fixture.write_unsealed(&whole[..whole.len() * 2 / 3]);
     d.logs("motor list refused; what was in force stays");
-    place.put_as_is("");
+    fixture.write_unsealed("");
     d.logs("motor list refused; what was in force stays");
-    std::fs::remove_file(&place.list).unwrap();
+    std::fs::remove_file(&fixture.list).unwrap();
     d.logs("motor list can't be read; what was in force stays");
-    std::fs::create_dir(&place.list).unwrap();
+    std::fs::create_dir(&fixture.list).unwrap();
     d.logs("a directory without a file");
     let mut client = Client::asks(d.address, &read(1));
     let mut peer = e1.accept();
     let pull = peer.command().unwrap();
     peer.page(&pull[1], "OK pages=1", ROW);
     assert_eq!(client.got(), rows());
-    std::fs::remove_dir(&place.list).unwrap();
-    place.put(&list(&[("e1", e1.address, "weight = 2")]));
+    std::fs::remove_dir(&fixture.list).unwrap();
+    fixture.write_sealed(&list(&[("e1", e1.address, "weight = 2")]));
     d.logs("motor list in force");
 }
 
-// A valid list that takes away much waits for a person, and the command that the log line names lets it in.
+// A valid list that removes much capacity is held back until it is accepted with the command in the log line.
 #[test]
-fn a_list_that_takes_away_much_is_taken_once_it_is_accepted() {
-    let (e, mut place) = ([Executor::new(), Executor::new(), Executor::new()], place());
-    // Acceptances stand elsewhere than beside the list: the log line's command has to say so.
-    place.more.clear();
-    place.accept = format!("accept = {:?}", place.dir.join("accepted"));
+fn a_held_back_list_comes_into_force_once_accepted() {
+    let (e, mut fixture) = ([Executor::new(), Executor::new(), Executor::new()], fixture());
+    // The acceptances are not next to the list, so the command in the log line has to name their file.
+    fixture.guard.clear();
+    fixture.accept = format!("accept = {:?}", fixture.dir.join("accepted"));
     let all = ["e0", "e1", "e2"].map(|uid| (uid, e[usize::from(uid.as_bytes()[1] - b'0')].address, ""));
-    place.put(&list(&all));
-    let (mut d, _coordinator) = place.launch().dispatcher(&[]);
-    place.put(&list(&all[..1]));
+    fixture.write_sealed(&list(&all));
+    let (mut d, _coordinator) = fixture.launch().dispatcher(&[]);
+    fixture.write_sealed(&list(&all[..1]));
     let line = d.logs("motor list held back");
     let command = line.split("ottercroft ").nth(1).unwrap().split(" source=").next().unwrap();
     let words: Vec<&str> = command.split_whitespace().collect();
@@ -48,23 +48,23 @@
     assert!(d.logs("motor list in force").contains("left=2"));
 }
 
-// The folder of last good lists fails for a while: a list that could not be kept was told once and then forgotten, and
-// the next start had none.
+// When the directory of the last good lists is not writable for a while, saving has to be retried: otherwise the next
+// start has no last good list.
 #[test]
-fn a_list_that_can_not_be_kept_is_kept_once_its_folder_is_there() {
-    let (e1, mut place) = (Executor::new(), place());
-    let kept = place.dir.join("kept");
-    std::fs::write(&kept, "a file where the folder has to be").unwrap();
-    place.tops = format!(" precedence = [\"salas\"]\n last_good = {kept:?}");
-    place.put(&list(&[("e1", e1.address, "")]));
-    let (mut d, _coordinator) = place.launch().dispatcher(&[]);
+fn a_last_good_list_is_saved_once_its_directory_exists() {
+    let (e1, mut fixture) = (Executor::new(), fixture());
+    let kept = fixture.dir.join("kept");
+    std::fs::write(&kept, "a file in place of the directory").unwrap();
+    fixture.list_options = format!(" precedence = [\"salas\"]\n last_good = {kept:?}");
+    fixture.write_sealed(&list(&[("e1", e1.address, "")]));
+    let (mut d, _coordinator) = fixture.launch().dispatcher(&[]);
     d.logs("no last good copy kept");
     std::fs::remove_file(&kept).unwrap();
     std::fs::create_dir(&kept).unwrap();
-    awaited("the kept list", || kept.join("salas.last-good").exists());
+    awaited("the saved list", || kept.join("salas.last-good").exists());
     drop(d);
-    std::fs::write(&place.list, "room \"a\" {").unwrap();
-    let (d, _coordinator) = place.launch().dispatcher(&[]);
+    std::fs::write(&fixture.list, "room \"a\" {").unwrap();
+    let (d, _coordinator) = fixture.launch().dispatcher(&[]);
     let mut client = Client::asks(d.address, &read(1));
     let mut peer = e1.accept();
     let pull = peer.command().unwrap();
@@ -72,18 +72,18 @@
     assert_eq!(client.got(), rows());
 }
 
-// A start with a broken file goes on with the last good list; with neither it serves and refuses with a time to
-// come back, or ends, as the settings say. A damaged copy is no list.
+// A start with an invalid file uses the last good list. Without either, the dispatcher rejects requests with a retry time
+// or exits, as set by `on_empty`. A damaged copy is not used.
 #[test]
 fn a_start_with_a_broken_file_uses_the_last_good_list() {
-    let (e1, mut place) = (Executor::new(), place());
-    let kept = place.dir.join("kept");
+    let (e1, mut fixture) = (Executor::new(), fixture());
+    let kept = fixture.dir.join("kept");
     std::fs::create_dir(&kept).unwrap();
-    place.tops = format!(" precedence = [\"salas\"]\n last_good = {kept:?}");
-    place.put(&list(&[("e1", e1.address, "")]));
+    fixture.list_options = format!(" precedence = [\"salas\"]\n last_good = {kept:?}");
+    fixture.write_sealed(&list(&[("e1", e1.address, "")]));
     let copy = kept.join("salas.last-good");
-    let (d, _coordinator) = place.launch().dispatcher(&[]);
-    // It is written by the thread of the lists, at its leisure.
+    let (d, _coordinator) = fixture.launch().dispatcher(&[]);
+    // The watcher thread writes it asynchronously.
     for _ in 0..400 {
         if copy.exists() {
             break;
@@ -91,8 +91,8 @@
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
     drop(d);
-    std::fs::write(&place.list, "room \"a\" {").unwrap();
-    let (d, _coordinator) = place.launch().dispatcher(&[]);
+    std::fs::write(&fixture.list, "room \"a\" {").unwrap();
+    let (d, _coordinator) = fixture.launch().dispatcher(&[]);
     let mut client = Client::asks(d.address, &read(1));
     let mut peer = e1.accept();
     let pull = peer.command().unwrap();
@@ -104,13 +104,13 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
     std::fs::write(&copy, bytes).unwrap();
-    let (d, _coordinator) = place.launch().dispatcher(&[]);
+    let (d, _coordinator) = fixture.launch().dispatcher(&[]);
     let mut client = Client::asks(d.address, &read(2));
     assert!(matches!(client.got(), Got::Error(1203, text) if text.contains("backoff=")));
     drop(d);
 
-    place.tops.push_str("\n on_empty = \"exit\"");
-    let launch = place.launch();
+    fixture.list_options.push_str("\n on_empty = \"exit\"");
+    let launch = fixture.launch();
     let (mut child, _) = launch.spawn(&launch.config("127.0.0.1:9".parse().unwrap(), &[]));
     let mut log = String::new();
     std::io::Read::read_to_string(&mut child.stderr.take().unwrap(), &mut log).unwrap();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address on loopback: one story for each thing the operators' days need of it.
+//! The operators' address on loopback: one test per use case.
 
 use standins::scripted::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,7 +13,7 @@
     Launch::new(env!("CARGO_BIN_EXE_ottercroft"), env!("CARGO_TARGET_TMPDIR"))
 }
 
-/// A configuration with an operators' address and a name of its own, so that hand-over files don't meet.
+/// A configuration with an operators' address and a unique name, so that hand-over files don't collide.
 fn config(coordinator: SocketAddr, executors: &[(&str, SocketAddr)], listen: &str) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("ops-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -24,7 +24,7 @@
         .replace(r#""more":0"#, r#""operator":"127.0.0.1:0","more":0"#)
 }
 
-/// A dispatcher and where its operators' address is.
+/// Starts a dispatcher; returns it with its operators' address.
 fn serving(config: &str) -> (Dispatcher, SocketAddr) {
     let mut d = launch().serving(config);
     let line = d.logs("operators' address ");
@@ -32,7 +32,7 @@
     (d, after.trim().parse().unwrap())
 }
 
-/// One call, and all that is answered until the close.
+/// Sends one call; returns everything received until the connection is closed.
 fn call(at: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -42,10 +42,10 @@
     answer
 }
 
-// During an upgrade the platform starts a second process on the same client port; it must listen beside the
-// first, not exit because the address is taken (the untouched program did).
+// During an upgrade the platform starts a second process on the same client port: it must share the port with the
+// first one, not exit because the address is in use.
 #[test]
-fn a_second_process_listens_beside_the_first() {
+fn a_second_process_shares_the_client_port() {
     let executor = Executor::new();
     let coordinator = Coordinator::new();
     let (first, first_ops) =
@@ -56,16 +56,16 @@
     assert!(second.child.try_wait().unwrap().is_none(), "the second process runs");
     assert_eq!(call(first_ops, "HEALTH"), "+OK ready\n");
     assert_eq!(call(second_ops, "HEALTH"), "+OK ready\n");
-    // The old one is told to stop: the new one says yes on, and the old one says no until it ends.
+    // The old process is stopped: HEALTH still succeeds at the new one, and fails at the old one until it exits.
     first.signal("TERM");
     assert!(call(first_ops, "HEALTH").starts_with("-ERR"));
     assert_eq!(call(second_ops, "HEALTH"), "+OK ready\n");
     let _ = second.take_log();
 }
 
-// LEAVE sends clients away: HEALTH says no, an idle client is closed, and JOIN makes it yes again.
+// After LEAVE, HEALTH fails and idle clients are closed; after JOIN, HEALTH succeeds again.
 #[test]
-fn leave_closes_idle_clients_and_join_takes_them_again() {
+fn leave_closes_idle_clients_and_join_accepts_them_again() {
     let executor = Executor::new();
     let coordinator = Coordinator::new();
     let (d, ops) = serving(&config(coordinator.address, &[("e1", executor.address)], "127.0.0.1:0"));
@@ -75,7 +75,7 @@
     assert_eq!(call(ops, "HEALTH"), "-ERR leaving: not ready\n");
     idle.stream.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
     assert_eq!(idle.stream.read(&mut [0; 64]).unwrap(), 0, "an idle client is closed after LEAVE");
-    // The front asks the client port too: it is told no by a refused connection.
+    // The load balancer also probes the client port, where the connection has to be refused.
     assert!(TcpStream::connect(d.address).is_err(), "the client port is closed while leaving");
     assert_eq!(call(ops, "JOIN"), "+OK joined\n");
     assert_eq!(call(ops, "HEALTH"), "+OK ready\n");
@@ -83,9 +83,9 @@
     assert_ne!(back.got(), Got::Closed, "after JOIN clients are served again");
 }
 
-// OFFLINE keeps new work away from an executor whatever the list says; ids nobody has are refused.
+// An executor that is OFFLINE gets no new work, whatever the endpoint list says; unknown ids are rejected.
 #[test]
-fn offline_keeps_work_away_until_online() {
+fn an_offline_executor_gets_no_work_until_online() {
     let (e1, e2) = (Executor::new(), Executor::new());
     let coordinator = Coordinator::new();
     let listed = [("e1", e1.address), ("e2", e2.address)];
@@ -96,7 +96,7 @@
     let mut client = Client::asks(d.address, READ);
     let mut peer = e2.accept();
     let pull = peer.command().unwrap();
-    assert_eq!(pull[0], "PULL", "the request went to e2, the one not taken out");
+    assert_eq!(pull[0], "PULL", "the request went to e2, which is not offline");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
     assert!(matches!(client.got(), Got::Rows(_)));
     let dump = call(ops, "DUMP");
@@ -105,14 +105,14 @@
     assert!(dump.contains(r#"dispatcher_results{disposition="succeeded",service="read"} 1"#), "{dump}");
     assert!(dump.contains("dispatcher_forwards 1\n"), "{dump}");
     assert!(dump.starts_with("+OK") && dump.ends_with("\n.\n"), "{dump}");
-    // One call back lifts both calls out.
+    // One ONLINE lifts the ban even after two OFFLINE calls.
     assert_eq!(call(ops, "ONLINE e1"), "+OK online e1\n");
     assert!(call(ops, "DUMP").contains("dispatcher_ejected 0\n"));
 }
 
-// A caller that sends nothing, or half a line, delays nobody; bad lines are told why.
+// A caller that sends nothing or a partial line does not delay others; malformed lines get an error.
 #[test]
-fn silent_and_wrong_callers_delay_nobody() {
+fn silent_and_malformed_callers_do_not_delay_others() {
     let executor = Executor::new();
     let coordinator = Coordinator::new();
     let (_d, ops) = serving(&config(coordinator.address, &[("e1", executor.address)], "127.0.0.1:0"));
@@ -123,17 +123,17 @@
     assert!(call(ops, "FROB").starts_with("-ERR unknown call"));
     assert!(call(ops, "ONLINE").starts_with("-ERR ONLINE takes an executor id"));
     assert!(call(ops, &"X".repeat(400)).starts_with("-ERR line longer"));
-    // The silent ones are closed in time, not held.
+    // Silent callers are closed after the timeout.
     half.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     assert_eq!(half.read(&mut [0; 8]).unwrap_or(0), 0);
     let mut lines = BufReader::new(silent.into_iter().last().unwrap()).lines();
     assert!(lines.next().is_none_or(|l| l.is_err()));
 }
 
-// The figures of SIGHUP and of what is open are compared with what was done: one refused file, one taken, one
-// request that the executor holds.
+// The metrics of SIGHUP and open requests have to match what happened: one rejected file, one applied file, and one
+// request that is outstanding at the executor.
 #[test]
-fn figures_of_sighup_and_open_requests_are_true() {
+fn metrics_of_sighup_and_open_requests_are_correct() {
     let executor = Executor::new();
     let (old, new) = (Coordinator::new(), Coordinator::new());
     let (mut d, ops) = serving(&config(old.address, &[("e1", executor.address)], "127.0.0.1:0"));
