--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -156,7 +156,7 @@
 
 /// What a configuration knows of rooms and kinds.
 fn catalog(config: &Path) -> Result<Catalog, Fault> {
-    platform(config).map(|(settings, names)| Catalog::of(&settings, &names))
+    platform(config).map(|(settings, names)| Catalog::from_settings(&settings, &names))
 }
 
 /// The settings of a configuration, with the names in them.
@@ -202,7 +202,7 @@
             }
             let rules = crate::membership::watcher::Rules::new(&l, catalog);
             for source in &l.sources {
-                let judged = crate::membership::watcher::judge(&source.path, &rules);
+                let judged = crate::membership::watcher::validate(&source.path, &rules);
                 faults.extend(judged.map_or_else(|all| all, |(_, all)| all));
             }
         }
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::membership::list::{Executor, ListFile, Wanted};
+use crate::membership::list::{DesiredState, Executor, ListFile};
 use std::net::SocketAddr;
 
 mod drains;
@@ -19,7 +19,7 @@
     }
 }
 
-/// An executor as tests word it: uid, port, weight, whether it is up.
+/// An executor in short form: uid, port, weight, whether it is up.
 type Line = (u8, u16, f64, bool);
 
 fn file(name: &str, generation: Option<u64>, room: &str, lines: &[Line]) -> ListFile {
@@ -30,7 +30,7 @@
             address: SocketAddr::from(([10, 0, 0, 1], *port)),
             kind: "k".into(),
             weight: *weight,
-            state: if *up { Wanted::Up } else { Wanted::Draining },
+            state: if *up { DesiredState::Up } else { DesiredState::Draining },
         })
     };
     let executors: Vec<_> = lines.iter().map(executor).collect();
@@ -57,7 +57,7 @@
     uids.iter().map(|u| ((*u).to_string(), State::Up)).collect()
 }
 
-fn changes(acts: &[Act]) -> Vec<(&str, State)> {
-    let targets = acts.iter().filter_map(|a| if let Act::Change(t) = a { Some(t) } else { None });
+fn changes(effects: &[Effect]) -> Vec<(&str, State)> {
+    let targets = effects.iter().filter_map(|a| if let Effect::Update(t) = a { Some(t) } else { None });
     targets.flatten().map(|t| (t.uid.as_str(), t.state)).collect()
 }
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -75,7 +75,7 @@
             is_repeat: true,
             held_by_client: false,
         };
-        let job = Job { kind, statement: statement.into(), token: None };
+        let job = Job { class_name: kind, statement: statement.into(), token: None };
         self.requests.open.insert(record.rid, OpenRequest { client: NO_CLIENT, job, arrival: None });
         let under =
             self.fleet_policy.as_ref().filter(|fleet_policy| fleet_policy.part.number() != record.policy);
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -58,7 +58,7 @@
         let operator_address = config.operator().map_err(context("configuration: operator"))?;
         let transport = config.settings.transport().map_err(context("configuration"))?;
         let (settings, names) = config.settings.settings().map_err(context("configuration"))?;
-        let catalog = Catalog::of(&settings, &names);
+        let catalog = Catalog::from_settings(&settings, &names);
         let storm = options.storms.as_ref().map(|storms| new_storm(storms, &settings, seed));
         let shutdown = Shutdown::new(shutdown_deadlines(&settings));
         let classes = Classes::of(&settings, &names);
@@ -77,8 +77,8 @@
         let admin_listener = bind_operators(operator_address, &descriptors, &poll, &pool)?;
         let figures = Figures::new();
         names.classes.keys().for_each(|class| figures.class(class));
-        let bans_file = BansFile::of(&std::env::temp_dir(), &config.name);
-        let bans = bans_file.handed_over();
+        let bans_file = BansFile::new(&std::env::temp_dir(), &config.name);
+        let bans = bans_file.load();
 
         let now = clock.now();
         let in_flight = start_in_flight(options.peers.as_ref(), classes, seed, now, &poll)?;
