--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -1,7 +1,7 @@
-//! All that the fleet agrees on: leases, and beside each other the record of work in hand and every machine.
+//! The replicated state of the fleet: leases, the ledger of in-flight requests and every [`Machine`].
 //!
-//! It is moved by the batches of the log, in their order and each once, alike at all peers. A new kind of state is a
-//! [`Machine`] with a line in [`Command`], in [`StateKind`] and in [`Agreed`].
+//! All peers apply the log's batches in log order and each batch once, and so reach the same state. To add a part,
+//! implement [`Machine`] and extend [`Command`], [`StateKind`] and [`Agreed`].
 
 use crate::leases::{Holder, Leases};
 use crate::ledger::{self, Ledger, Limits};
@@ -14,64 +14,65 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What moves the fleet's state.
+/// A command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// An incarnation asks for a lease: the next term of it. When it asked, by its own clock: its lease counts from then.
+    /// Requests a lease under the next term. The time of the request by the incarnation's own clock: its lease runs
+    /// from then.
     Register(Incarnation, Micros),
-    /// The lease goes on, from when that was asked for by its holder's clock.
+    /// Renews a lease, from the time of the request by its holder's clock.
     Renew(Holder, Micros),
-    /// The lease ended without a renewal, as seen by one who has seen so many of them.
+    /// Expires a lease that was not renewed; applies only if it still has the given number of renewals.
     Expire(Holder, u64),
-    /// The peer ends in order.
+    /// Gives a lease back, on shutdown or after it expired by its holder's clock.
     Leave(Holder),
-    /// Time passes, by the leader's clock: what is past its time goes.
+    /// Advances the time to the leader's clock and drops what has expired.
     Sweep(Micros),
-    /// Work in hand.
+    /// A command to the ledger of in-flight requests.
     Work(ledger::Command),
-    /// Machines that are taken out for work.
+    /// A command to the executor maintenance plan.
     Plan(plan::Command),
-    /// What all admit requests by.
+    /// A command to the admission policy.
     Policy(policy::Command),
-    /// Versions of the schema that requests may run under.
+    /// A command to the schema versions that requests may run under.
     Schema(schema::Command),
-    /// Slots for slow requests.
+    /// A command to the slots for slow requests.
     Slots(lend::Command),
 }
 
-/// A part of the state that has changed as a whole; who cares looks at it.
+/// A part of the state whose changes are reported as a whole; readers fetch the new state themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StateKind {
-    /// Machines that are taken out for work.
+    /// Executor maintenance.
     Plan,
-    /// What all admit requests by.
+    /// The admission policy.
     Policy,
-    /// Versions of the schema that requests may run under.
+    /// Schema versions that requests may run under.
     Schema,
     /// Slots for slow requests.
     Slots,
 }
 
-/// What a command did.
+/// The result of applying a command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// A lease was given, as asked for then.
+    /// A lease was granted, with the time of its request.
     Registered(Holder, Micros),
-    /// A lease was renewed, as asked for then.
+    /// A lease was renewed, with the time of that request.
     Renewed(Holder, Micros),
-    /// A lease is over.
+    /// A lease has ended.
     Ended(Holder),
-    /// Work in hand.
+    /// A record in the ledger has changed.
     Work(ledger::Effect),
-    /// A part has changed.
+    /// Another part of the state has changed.
     Changed(StateKind),
 }
 
-/// The whole.
+/// The replicated state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Agreed {
     leases: Leases,
-    /// The last batch of each incarnation that was applied; batches that come again are skipped.
+    /// The number of the last batch applied for each incarnation; duplicate batches are skipped.
     batches: BTreeMap<Incarnation, u64>,
     work: Ledger,
     plan: Plan,
@@ -81,7 +82,7 @@
 }
 
 impl Agreed {
-    /// That of a fleet that begins, with the highest number of a policy that its founder heard of.
+    /// The initial state of a fleet. `policy` is the highest policy number that its founder knows of.
     pub fn new(limits: Limits, policy: u64) -> Agreed {
         Agreed {
             leases: Leases::default(),
@@ -94,32 +95,32 @@
         }
     }
 
-    /// Those who have a lease.
+    /// The holders of the current leases.
     pub fn alive(&self) -> &BTreeSet<Holder> {
         self.leases.alive()
     }
 
-    /// How often a lease was renewed; `None` once it is over.
+    /// How often a lease was renewed; `None` once it has ended.
     pub fn renewals(&self, h: Holder) -> Option<u64> {
         self.leases.renewals(h)
     }
 
-    /// The record of work in hand.
+    /// The ledger of in-flight requests.
     pub fn work(&self) -> &Ledger {
         &self.work
     }
 
-    /// Machines that are taken out for work.
+    /// Executor maintenance.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// What all admit requests by.
+    /// The admission policy.
     pub fn policy(&self) -> &Policies {
         &self.policy
     }
 
-    /// Versions of the schema that requests may run under.
+    /// Schema versions that requests may run under.
     pub fn schema(&self) -> &Schema {
         &self.schema
     }
@@ -129,7 +130,7 @@
         &self.slots
     }
 
-    /// Whether anything here ends with time, so that its passing has to be told.
+    /// Whether any part can expire, so that the leader has to propose [`Command::Sweep`].
     pub fn keeps_time(&self) -> bool {
         let (schema, slots) = (Schema::default(), Slots::default());
         !self.work.is_empty()
@@ -138,12 +139,12 @@
             || self.slots != slots
     }
 
-    /// The last batch of an incarnation that was applied.
+    /// The number of the last batch applied for an incarnation.
     pub fn batch(&self, incarnation: Incarnation) -> u64 {
         self.batches.get(&incarnation).copied().unwrap_or(0)
     }
 
-    /// Takes a numbered batch of one incarnation: in order and once. False if it was skipped.
+    /// Applies a batch if it is the incarnation's next one. Returns false for one that is skipped.
     pub fn apply(
         &mut self,
         from: Incarnation,
@@ -212,12 +213,12 @@
         tell(parts, out);
     }
 
-    /// The whole, for a peer that joins.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads what [`Agreed::encode`] wrote.
+    /// Decodes what [`Agreed::encode`] wrote.
     pub fn decode(bytes: &[u8]) -> Result<Agreed, postcard::Error> {
         let mut agreed: Agreed = postcard::from_bytes(bytes)?;
         agreed.leases.restore();
@@ -226,7 +227,7 @@
     }
 }
 
-/// Tells which parts have changed.
+/// Appends [`Effect::Changed`] for each part that has changed.
 fn tell<const N: usize>(parts: [(StateKind, bool); N], out: &mut Vec<Effect>) {
     out.extend(parts.into_iter().filter(|(_, changed)| *changed).map(|(part, _)| Effect::Changed(part)));
 }
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -1,15 +1,15 @@
-//! Who may act: the leases of the fleet's incarnations, as its log has them.
+//! The leases of the fleet's incarnations, as replicated by its log.
 
 use crate::{Incarnation, peer_of};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer's right to act: one incarnation of it and a term, which grows each time that it lost its lease.
+/// The holder of a lease: an incarnation and a term, which grows with each new lease of that incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
-    /// The process.
+    /// The incarnation of the peer's process.
     pub incarnation: Incarnation,
-    /// Counts its leases, from 1.
+    /// The number of the lease, starting at 1.
     pub term: u32,
 }
 
@@ -17,46 +17,45 @@
 struct Lease {
     term: u32,
     alive: bool,
-    /// How often it was renewed.
     renewals: u64,
 }
 
-/// All leases, those of incarnations that are over included: terms never start anew for one that returns.
+/// All leases, ended ones included, so that an incarnation that registers again gets a higher term.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Leases {
     incarnations: BTreeMap<Incarnation, Lease>,
-    /// Who has one; follows from the incarnations.
+    /// Index of the holders of current leases, derived from `incarnations`.
     #[serde(skip)]
     alive: BTreeSet<Holder>,
 }
 
-/// Peers that can have a lease at once, at most: a lease has a peer's place in its top byte.
+/// The most peers that can hold a lease at once; the peer's number has to fit the top byte of an incarnation.
 pub const MOST_ALIVE: usize = 32;
-/// Lives remembered at most.
+/// The most incarnations that are kept.
 const MOST_LIVES: usize = 64;
 
 impl Leases {
-    /// Those who have a lease.
+    /// The holders of the current leases.
     pub fn alive(&self) -> &BTreeSet<Holder> {
         &self.alive
     }
 
-    /// Whether a lease goes on under this very term.
+    /// Whether this lease, with this term, is current.
     pub fn holds(&self, h: Holder) -> bool {
         self.alive.contains(&h)
     }
 
-    /// How often a lease was renewed; `None` once it is over.
+    /// How often a lease was renewed; `None` once it has ended.
     pub fn renewals(&self, h: Holder) -> Option<u64> {
         self.incarnations.get(&h.incarnation).filter(|_| self.holds(h)).map(|l| l.renewals)
     }
 
-    /// Gives an incarnation a lease; one that it has already goes on.
+    /// Grants an incarnation a lease, or renews the one that it has.
     pub fn register(&mut self, incarnation: Incarnation) -> Holder {
         let lease =
             self.incarnations.entry(incarnation).or_insert(Lease { term: 0, alive: false, renewals: 0 });
         match lease.alive {
-            // Asked for twice: who holds it counts from the later.
+            // A repeated request counts as a renewal, as the holder's lease runs from the later request.
             true => lease.renewals += 1,
             false => *lease = Lease { term: lease.term + 1, alive: true, renewals: 0 },
         }
@@ -65,7 +64,7 @@
         holder
     }
 
-    /// Whether the lease was there to be renewed.
+    /// Renews a lease; returns false if it has ended.
     pub fn renew(&mut self, h: Holder) -> bool {
         let held = self.holds(h);
         if let Some(lease) = self.incarnations.get_mut(&h.incarnation).filter(|_| held) {
@@ -74,8 +73,8 @@
         held
     }
 
-    /// Ends a lease; whether it was there. With `renewals`, only if it was renewed so often: who says that it ran
-    /// out has seen no renewal since, and one that stands in the log before that word is not to be lost.
+    /// Ends a lease; returns whether it did. With `renewals`, it ends only if it has exactly that many renewals: the
+    /// peer that reports the expiry may not have seen a renewal that precedes its report in the log.
     pub fn end(&mut self, h: Holder, renewals: Option<u64>) -> bool {
         let seen = self.renewals(h);
         if seen.is_none() || renewals.is_some_and(|n| seen != Some(n)) {
@@ -87,8 +86,8 @@
         self.alive.remove(&h)
     }
 
-    /// Forgets incarnations that a later one of their peer has followed, the oldest first; a peer's last is never
-    /// forgotten. Who went.
+    /// Removes ended incarnations that a later one of the same peer has superseded, oldest first, until the limit
+    /// is met, and returns them. The latest incarnation of a peer is never removed.
     pub fn forget(&mut self) -> Vec<Incarnation> {
         let mut gone = Vec::new();
         while self.incarnations.len() > MOST_LIVES {
@@ -102,7 +101,7 @@
         gone
     }
 
-    /// Works out again what follows from the rest.
+    /// Rebuilds the derived index after decoding.
     pub(crate) fn restore(&mut self) {
         let alive = self.incarnations.iter().filter(|(_, l)| l.alive);
         self.alive = alive.map(|(&incarnation, l)| Holder { incarnation, term: l.term }).collect();
--- a/crates/fleet/src/ledger/mod.rs
+++ b/crates/fleet/src/ledger/mod.rs
@@ -1,8 +1,8 @@
-//! The record of work in hand: a state machine that every peer applies alike.
+//! The ledger of in-flight requests: a state machine that all peers apply.
 //!
-//! A request has a record under its `ask`, the name that it keeps over all tries of its client. Whoever opens
-//! the record first owns it; all others are told that it is taken. What must not run twice stays on record
-//! after its end, so that a try that comes back is answered and not run.
+//! A request's record is stored under its `ask`, an id that stays the same over all attempts of its client. The first
+//! holder to open a record owns the request; later ones are told that it exists. Records of requests that must
+//! not run twice stay after the request's end, so that a repeated attempt is answered and not executed.
 
 mod types;
 
@@ -24,40 +24,40 @@
     state: State,
 }
 
-/// The record.
+/// The records of in-flight and recently ended requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
     limits: Limits,
     entries: BTreeMap<u64, Entry>,
-    /// What each holder owns; follows from the entries.
+    /// Index of the requests of each holder, derived from `entries`.
     #[serde(skip)]
     owned: BTreeMap<Holder, BTreeSet<u64>>,
-    /// When each entry goes: its deadline and more; follows from the entries.
+    /// Index of the expiry times: the deadline and the retention after it; derived from `entries`.
     #[serde(skip)]
     times: BTreeSet<(Micros, u64)>,
     swept: Micros,
 }
 
-/// Takes what came of a command.
+/// Receives the effects of a command.
 type Out<'a> = &'a mut dyn FnMut(Effect);
 
 impl Ledger {
-    /// An empty one.
+    /// Creates an empty ledger.
     pub fn new(limits: Limits) -> Ledger {
         Ledger { limits, entries: BTreeMap::new(), owned: BTreeMap::new(), times: BTreeSet::new(), swept: 0 }
     }
 
-    /// Records, the ended ones included.
+    /// The number of records, including those of ended requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether the ledger has no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// A request on record, if it is open: with its owner.
+    /// The record of an open request, with its owner.
     pub fn open(&self, ask: u64) -> Option<(&Record, Holder)> {
         match self.entries.get(&ask) {
             Some(Entry { record, state: State::Open(h) }) => Some((record, *h)),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// How a request on record ended, if it has.
+    /// How a recorded request ended, if it has.
     pub fn ended(&self, ask: u64) -> Option<&End> {
         match self.entries.get(&ask) {
             Some(Entry { state: State::Done(end), .. }) => Some(end),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// What a holder owns.
+    /// The requests that a holder owns.
     pub fn owned(&self, holder: Holder) -> impl Iterator<Item = u64> + '_ {
         self.owned.get(&holder).into_iter().flatten().copied()
     }
 
-    /// Takes a command, with those who have a lease.
+    /// Applies a command, given the current lease holders.
     pub(crate) fn apply(&mut self, command: Command, alive: &BTreeSet<Holder>, out: Out<'_>) {
         match command {
             Command::Open(h, ask, record) => {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What is past its time goes.
+    /// Removes the records that have expired.
     pub(crate) fn sweep(&mut self, now: Micros, out: Out<'_>) {
         self.swept = self.swept.max(now);
         while let Some(&(at, ask)) = self.times.first().filter(|(at, _)| *at <= now) {
@@ -145,14 +145,14 @@
                 self.times.remove(&(self.time(&e.record), ask));
             }
         } else if let Some(e) = self.entries.get_mut(&ask) {
-            // Who asks again is told how it ended, and needs no statement for that.
+            // Repeated attempts are answered from the outcome; the statement is no longer needed.
             (e.state, e.record.statement) = (State::Done(end.clone()), None);
         }
         out(Effect::Closed(ask, end));
     }
 
-    /// A lease is over: what must not run twice may have run, and never runs again; the rest goes to others,
-    /// spread over those alive. With nobody alive it is gone.
+    /// Handles the end of a lease. Requests that must not run twice may have run, so they end as
+    /// [`End::Unknown`]; all others are spread over the holders that are alive, or dropped if there are none.
     pub(crate) fn end(&mut self, h: Holder, heirs: &BTreeSet<Holder>, out: Out<'_>) {
         for ask in self.owned.remove(&h).unwrap_or_default() {
             let repeats = self.entries.get(&ask).is_some_and(|e| e.record.repeats);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Works out again what follows from the entries.
+    /// Rebuilds the derived indexes after decoding.
     pub(crate) fn restore(&mut self) {
         for (ask, e) in &self.entries {
             self.times.insert((e.record.deadline.saturating_add(self.limits.remember), *ask));
@@ -183,7 +183,7 @@
     }
 }
 
-/// Spreads requests over heirs, alike everywhere: splitmix64's finish.
+/// Hash for spreading requests over holders (rendezvous hashing), the same at all peers: the splitmix64 finalizer.
 fn mixed(ask: u64, incarnation: Incarnation) -> u64 {
     let mut x = ask ^ incarnation.rotate_left(32);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fleet/src/ledger/types.rs
+++ b/crates/fleet/src/ledger/types.rs
@@ -1,4 +1,4 @@
-//! What stands on record, and what moves it.
+//! Records of the ledger, its commands and their effects.
 
 use crate::{Holder, Micros};
 use serde::{Deserialize, Serialize};
@@ -6,85 +6,85 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Nothing of it is left that matters: it never ran, or may run again. The record goes.
+    /// It never ran, or may run again; its record is removed.
     Gone,
-    /// It ran and was answered; the pages of its result, or none where they were too large to keep.
+    /// It ran and was answered: the result pages, or `None` if they were too large to keep.
     Served(Option<Vec<Vec<u8>>>),
     /// It ended in an error and may have run.
     Failed,
-    /// Its owner was lost, and it may have run: it never runs again.
+    /// Its owner was lost and it may have run; it is never run again.
     Unknown,
 }
 
-/// A request on record.
+/// The record of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The id of the try that opened it.
+    /// The id of the attempt that opened the record.
     pub rid: u64,
-    /// Its class, an index.
+    /// The index of its class.
     pub class: u16,
-    /// Its tenant, an index.
+    /// The index of its tenant.
     pub tenant: Option<u16>,
-    /// Its key, in classes that keep order.
+    /// Its ordering key, in classes that keep order.
     pub key: Option<u64>,
-    /// Its group of tables.
+    /// Its table group.
     pub group: u64,
-    /// Estimated work of all threads, in seconds.
+    /// Estimated CPU seconds, over all threads.
     pub work_s: Option<f64>,
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
-    /// It may run more than once.
+    /// Whether it may run more than once.
     pub repeats: bool,
-    /// The statement, where it may be sent again by another and is short enough.
+    /// The statement, if the request may run more than once and the statement is short enough to keep.
     pub statement: Option<String>,
-    /// When its client gives up, by the Unix clock.
+    /// Its deadline, in Unix time.
     pub deadline: Micros,
-    /// Where it was sent, in order: the executors' numbers.
+    /// The numbers of the executors that it was sent to, in order.
     pub tried: Vec<u32>,
-    /// The number of the policy that admitted it; 0 for that of the settings.
+    /// The number of the policy that admitted it; 0 for the policy of the settings.
     pub policy: u64,
 }
 
-/// What happens to the record.
+/// A command to the ledger.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A request comes into hand.
+    /// Opens the record of a request.
     Open(Holder, u64, Record),
-    /// It was sent to an executor.
+    /// Adds an executor that the request was sent to.
     Tried(Holder, u64, u32),
-    /// It is over.
+    /// Ends a request.
     Close(Holder, u64, End),
 }
 
-/// What a command did.
+/// The result of applying a command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// The record was opened by its holder.
+    /// The holder has opened the record and owns the request.
     Opened(Holder, u64),
-    /// It was not: it is on record already.
+    /// Not opened: the request has a record already.
     Taken(Holder, u64),
-    /// It was not: there are too many.
+    /// Not opened: the ledger is full.
     Full(Holder, u64),
-    /// It was not: the holder's lease is over.
+    /// Not opened: the holder's lease has ended.
     Fenced(Holder, u64),
-    /// The record has a new owner, as the old one was lost.
+    /// The request has a new owner, as the lease of the old one ended.
     Claimed {
         /// The request.
         ask: u64,
-        /// Who owned it.
+        /// The previous owner.
         from: Holder,
-        /// Who owns it now.
+        /// The new owner.
         by: Holder,
     },
-    /// The request is over.
+    /// The request has ended.
     Closed(u64, End),
 }
 
-/// What bounds the record; the same at every peer, so it comes with the founding.
+/// Limits of the ledger. They have to be the same at all peers, so they are part of the fleet's initial configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Records at most.
+    /// The most records.
     pub records: u32,
-    /// How long after its deadline an ended request that must not run twice is remembered.
+    /// How long after its deadline the record of an ended request that must not run twice is kept.
     pub remember: Micros,
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,24 +1,26 @@
-//! What the dispatchers of one fleet agree on: who is alive, who owns which work in hand, which machines are out for
-//! work, and what all admit requests by.
+//! Replicated state of a fleet of dispatchers: leases, ownership of in-flight requests, executor maintenance,
+//! and the admission policy.
 //!
-//! A dispatcher that dies with requests in hand leaves them in a record that its peers hold too. The record is
-//! a state machine over a replicated log (Raft, by the `raft` crate); a peer's right to act on what it owns is
-//! a lease, renewed through the same log, and a peer whose lease ended loses all that it owned to others in one
-//! entry of that log, so that two successors never both claim. All of it is sans-I/O: bytes and times in, bytes
-//! and events out; the same inputs with the same seed give the same outputs.
+//! In-flight requests are replicated to all peers, so that they survive the loss of the dispatcher that owns them.
+//! The state is a deterministic state machine over a replicated log (Raft, by the `raft` crate). A peer may act
+//! on the requests that it owns only while it holds a lease, which it renews through the same log. When a lease
+//! ends, one log entry reassigns all requests of its holder, so that no request gets two new owners. The crate is
+//! sans-I/O: it takes bytes and times and returns bytes and events, and the same inputs with the same seed give the
+//! same outputs.
 //!
-//! - [`agreed`]: the whole state: commands in, effects out; [`leases`]: who may act.
-//! - [`machine`]: what each kind of agreed state has to be; none knows another.
-//! - [`ledger`]: the record of work in hand.
-//! - [`plan`]: machines that are taken out for work, one after the other.
-//! - [`policy`]: what all admit requests by, changed everywhere or nowhere.
-//! - [`schema`]: which versions of the schema queries may run under while machines are upgraded in turn.
-//! - [`lend`]: slots for slow queries, lent to holders for a short time.
-//! - [`group`]: the replicated log: how a fleet is founded, joined again after a restart, and written to.
-//! - [`log`]: the log in memory, with snapshots of the state.
-//! - [`wire`]: the frames between peers.
-//! - [`control_plane`]: dispatchers that follow a few members of the log without voting.
-//! - [`fleet`]: the whole for one dispatcher: leases, batches, events.
+//! - [`agreed`]: the whole replicated state: commands in, effects out.
+//! - [`leases`]: which incarnations may act.
+//! - [`machine`]: the trait that each part of the replicated state implements; the parts are independent.
+//! - [`ledger`]: records of in-flight requests.
+//! - [`plan`]: executor maintenance, one step after the other.
+//! - [`policy`]: the admission policy, switched at all peers or at none.
+//! - [`schema`]: which schema versions queries may run under during a rolling upgrade of the executors.
+//! - [`lend`]: short leases on concurrency slots for slow queries.
+//! - [`group`]: the Raft group: bootstrap, rejoining after a restart, proposals.
+//! - [`log`]: the in-memory log, with snapshots of the state.
+//! - [`wire`]: framing of the messages between peers.
+//! - [`control_plane`]: dispatchers that follow a few members of the group without voting.
+//! - [`fleet`]: one dispatcher's participation: leases, batching, events.
 
 pub mod agreed;
 pub mod control_plane;
@@ -40,24 +42,24 @@
 pub use ledger::{End, Ledger, Record};
 pub use machine::Machine;
 
-/// Microseconds, of the Unix clock where they are compared between machines.
+/// Microseconds; Unix time where values of different hosts are compared.
 pub type Micros = u64;
 
-/// A peer: its place in the configuration, from 1.
+/// A peer's number: its position in the configuration, starting at 1.
 pub type Peer = u8;
 
-/// One incarnation of one peer's process, and its id in the log: the peer in the top byte, its start in the rest.
+/// One incarnation of a peer's process and its Raft node id: the peer in the top byte, its start in the rest.
 pub type Incarnation = u64;
 
 const START_BITS: u32 = 56;
 
-/// The incarnation of a peer that began at `start`, a number that grows from incarnation to incarnation. 0 is no incarnation but the place
-/// of one that was not heard of yet.
+/// The incarnation of a peer that started at `start`, which has to grow with every incarnation. Start 0 is a placeholder
+/// for a peer whose incarnation is not known yet.
 pub fn incarnation(peer: Peer, start: u64) -> Incarnation {
     u64::from(peer) << START_BITS | (start & ((1 << START_BITS) - 1))
 }
 
-/// Whose incarnation it is.
+/// The peer that an incarnation belongs to.
 pub fn peer_of(incarnation: Incarnation) -> Peer {
     (incarnation >> START_BITS) as Peer
 }
--- a/crates/fleet/src/log.rs
+++ b/crates/fleet/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the library's own, with snapshots that hold the ledger.
+//! The in-memory Raft log: the library's storage, with snapshots that hold the replicated state.
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
@@ -6,24 +6,24 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The log of one peer; copies are the same log.
+/// The log of one peer; clones share the same storage.
 #[derive(Clone, Default)]
 pub struct Log {
     entries: MemStorage,
     snapshot: Rc<RefCell<Snapshot>>,
-    /// A peer needs a newer snapshot than there is.
+    /// Set when a peer needs a newer snapshot than the stored one.
     wanted: Rc<Cell<bool>>,
 }
 
 impl Log {
-    /// A log that begins behind a snapshot.
+    /// Creates a log that starts after a snapshot.
     pub fn from_snapshot(snapshot: Snapshot) -> Result<Log> {
         let log = Log::default();
         log.restore(snapshot)?;
         Ok(log)
     }
 
-    /// Replaces all by a snapshot that came.
+    /// Replaces the whole log by a received snapshot.
     pub fn restore(&self, snapshot: Snapshot) -> Result<()> {
         self.entries.wl().apply_snapshot(snapshot.clone())?;
         *self.snapshot.borrow_mut() = snapshot;
@@ -35,32 +35,32 @@
         self.entries.wl().append(entries)
     }
 
-    /// Keeps term, vote and commit.
+    /// Stores the term, vote and commit index.
     pub fn set_hard_state(&self, state: HardState) {
         self.entries.wl().set_hardstate(state);
     }
 
-    /// Keeps the commit.
+    /// Stores the commit index.
     pub fn commit(&self, index: u64) {
         self.entries.wl().mut_hard_state().commit = index;
     }
 
-    /// Keeps who takes part.
+    /// Stores the membership of the group.
     pub fn set_members(&self, members: ConfState) {
         self.entries.wl().set_conf_state(members);
     }
 
-    /// Who takes part.
+    /// The membership of the group.
     pub fn members(&self) -> ConfState {
         self.entries.initial_state().map(|s| s.conf_state).unwrap_or_default()
     }
 
-    /// Whether a peer waits for a newer snapshot; asked once.
+    /// Returns whether a peer waits for a newer snapshot, and clears the flag.
     pub fn take_wanted(&self) -> bool {
         self.wanted.take()
     }
 
-    /// Keeps a snapshot of the state at `index`, and forgets the entries before it but for the last `keep`.
+    /// Stores a snapshot of the state at `index` and drops the entries before it, except for the last `keep`.
     pub fn compact(&self, index: u64, data: Vec<u8>, keep: u64) -> Result<()> {
         let mut snapshot = Snapshot::default();
         let meta = snapshot.mut_metadata();
@@ -69,7 +69,7 @@
         meta.set_conf_state(self.members());
         snapshot.data = data.into();
         *self.snapshot.borrow_mut() = snapshot;
-        // One entry stays, whatever is asked: the library finds the log's beginning by it.
+        // At least one entry has to stay: the library derives the first index from it.
         let last = self.entries.last_index()?;
         self.entries.wl().compact((index + 1).saturating_sub(keep).min(last))
     }
@@ -107,7 +107,7 @@
     fn snapshot(&self, request_index: u64, to: u64) -> Result<Snapshot> {
         let snapshot = self.snapshot.borrow();
         let (index, members) = (snapshot.get_metadata().index, snapshot.get_metadata().get_conf_state());
-        // One that joined since would not believe it.
+        // A node ignores a snapshot whose membership does not include it, as after joining later.
         let knows = members.voters.contains(&to) || members.learners.contains(&to);
         if !knows || index == 0 || index < request_index || index + 1 < self.entries.first_index()? {
             self.wanted.set(true);
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -1,30 +1,31 @@
-//! What a kind of agreed state has to be, so that it can stand beside the others on the fleet's log.
+//! The trait that a part of the replicated state implements.
 //!
-//! Each machine is moved by commands of its own, in the order of the log, and sees nothing but those and who has a
-//! lease: none knows another. All peers apply the same commands and come to the same state.
+//! Each state machine applies its own commands in log order and sees nothing but those commands, the leader's time and
+//! the current leases; it does not depend on other state machines. All peers apply the same commands and reach the
+//! same state.
 
 use crate::{Holder, Micros};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
 
-/// A kind of agreed state. It goes whole into the snapshot that a peer gets which joins, so that it is bounded:
-/// a command that would make it larger than its bound changes nothing.
+/// A part of the replicated state. Its size is bounded, as a joining peer gets all of it in one snapshot: a command
+/// that would exceed the bound changes nothing.
 pub trait Machine: Default + Clone + PartialEq + Serialize + DeserializeOwned {
-    /// What moves it.
+    /// Its commands in the log.
     type Command: Serialize + DeserializeOwned;
 
-    /// Takes a command, with those who have a lease at this place of the log. Whether it changed anything; a
-    /// command that does not follow from the state changes nothing, so that one that comes twice does no harm.
+    /// Applies a command, given the lease holders at this log entry, and returns whether the state changed. A command
+    /// that is not valid in the current state changes nothing, so that duplicates are harmless.
     fn apply(&mut self, command: Self::Command, alive: &BTreeSet<Holder>) -> bool;
 
-    /// A lease began or ended. Whether it changed anything.
+    /// Handles the start or end of a lease. Returns whether the state changed.
     fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
         let _ = alive;
         false
     }
 
-    /// Time passes, by the leader's Unix clock, about once a second. Whether it changed anything.
+    /// Advances the time to `now`, the leader's Unix time, about once a second. Returns whether the state changed.
     fn sweep(&mut self, now: Micros) -> bool {
         let _ = now;
         false
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,4 +1,4 @@
-//! The frames between peers: a length and its check, then a message.
+//! Framing of the messages between peers: a length, its check value and a message.
 
 use crate::ledger::Limits;
 use crate::{Incarnation, Micros, Peer};
@@ -6,57 +6,57 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The founding of a fleet: alike at all who take part.
+/// The initial configuration of a fleet; the same at all participants.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Founding {
-    /// Its number, drawn by the founder.
+    /// The fleet's id, chosen at random by the founder.
     pub id: u64,
-    /// One incarnation for each peer of the configuration; start 0 holds the place of one that was not heard of.
+    /// One incarnation for each configured peer; start 0 stands for one that is not known yet.
     pub voters: Vec<Incarnation>,
-    /// What bounds the record.
+    /// The limits of the request ledger.
     pub limits: Limits,
-    /// When it was founded, by the founder's Unix clock.
+    /// The creation time, by the founder's Unix clock.
     pub at: Micros,
-    /// The highest number of a policy that any of those heard then knew: the fleet before had it in force.
+    /// The highest policy number known to the peers that the founder heard; the previous fleet had it in force.
     pub policy: u64,
 }
 
 /// A message between peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The first on every connection, and said again now and then.
+    /// Sent first on every connection and repeated periodically.
     Hello {
-        /// Who speaks.
+        /// The sender.
         from: Peer,
-        /// Which incarnation of it.
+        /// The sender's incarnation.
         incarnation: Incarnation,
-        /// The fleet it takes part in.
+        /// The fleet that the sender takes part in.
         fleet: Option<Founding>,
-        /// Whether that fleet's log was ever written to, as far as the speaker knows.
+        /// Whether the sender has seen an entry committed to that fleet's log.
         formed: bool,
-        /// The number of the policy that the speaker acts by.
+        /// The number of the policy that the sender applies.
         policy: u64,
     },
-    /// A message of the log of a fleet, in the library's own form.
+    /// A Raft message of the fleet with this id, in the library's encoding.
     Log(u64, Vec<u8>),
-    /// Who asks wants the result of a request that the other has in hand.
+    /// Asks the owner of a request for its result.
     Fetch(u64),
-    /// A result: its pages; none if it was refused or failed.
+    /// The result pages of a request; `None` if it was rejected or failed.
     Result(u64, Option<Vec<Vec<u8>>>),
 }
 
-/// Bytes ahead of every message: its length, and the length again in another form. Without that, a reader that
-/// has lost its place would wait for the rest of a frame that never was one.
+/// Bytes of the header: the message's length, and the length XORed with a constant. Without the second value, a reader
+/// that is out of step would take arbitrary bytes for a length and wait for the rest of that frame.
 pub const HEAD: usize = 8;
-/// The frames between peers.
+/// The framing between peers.
 const PEERS: Framing = Framing { check: 0x6f74_7463 };
 
-/// Why bytes are no frame.
+/// Why bytes can't be read as a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// Longer than allowed.
+    /// The frame is longer than allowed.
     TooLong(usize),
-    /// Not a message.
+    /// The header's check fails or the body is not a message.
     Garbled,
 }
 
@@ -71,15 +71,15 @@
 
 impl std::error::Error for Fault {}
 
-/// The frames of one protocol: a frame of another one is garbled here.
+/// The framing of one protocol; frames of another protocol fail the header's check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Framing {
-    /// What a length is told again with.
+    /// The constant that the length is XORed with to give its check value.
     pub check: u32,
 }
 
 impl Framing {
-    /// Writes a message as a frame.
+    /// Encodes a message as a frame.
     pub fn frame(self, message: &impl Serialize) -> Vec<u8> {
         let mut bytes = vec![0; HEAD];
         let body = postcard::to_stdvec(message).unwrap_or_default();
@@ -90,7 +90,7 @@
         bytes
     }
 
-    /// Reads the first frame of `bytes`: how long it is, and its message; `None` if it is not whole yet.
+    /// Decodes the first frame of `bytes`: its length and message, or `None` if it is incomplete.
     pub fn next<M: DeserializeOwned>(self, bytes: &[u8], most: usize) -> Result<Option<(usize, M)>, Fault> {
         let Some(head) = bytes.first_chunk::<HEAD>() else { return Ok(None) };
         let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
@@ -109,12 +109,12 @@
     }
 }
 
-/// Writes a message between peers as a frame.
+/// Encodes a message between peers as a frame.
 pub fn frame(message: &Message) -> Vec<u8> {
     PEERS.frame(message)
 }
 
-/// Reads the first frame of `bytes` between peers.
+/// Decodes the first frame of `bytes` between peers.
 pub fn next(bytes: &[u8], most: usize) -> Result<Option<(usize, Message)>, Fault> {
     PEERS.next(bytes, most)
 }
