--- a/crates/fleet/src/fleet/digest.rs
+++ b/crates/fleet/src/fleet/digest.rs
@@ -1,9 +1,9 @@
-//! What the log did, as events.
+//! Converts effects of the replicated log into events.
 
 use super::*;
 
 impl Fleet {
-    /// Turns what the log did into events, and sends its messages.
+    /// Queues the group's outgoing messages and converts its effects into events.
     pub(super) fn digest(&mut self, now: Micros) {
         let Some(group) = &mut self.group else { return };
         let fleet = group.founding.id;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What became of work in hand.
+    /// Handles an effect on an in-flight request.
     fn work(&mut self, effect: ledger::Effect) {
         use ledger::Effect;
         let own = |h: Holder| h.incarnation == self.incarnation;
@@ -88,7 +88,8 @@
         }
     }
 
-    /// The record came whole: what it says of this peer stands instead of what was missed.
+    /// Handles a snapshot that replaced the state: derives this peer's lease and requests from it, as the effects of the
+    /// skipped entries were not seen.
     pub(super) fn restored(&mut self, now: Micros) {
         let Some(agreed) = self.group.as_ref().map(Group::agreed) else { return };
         self.events.extend([FleetEvent::Changed(StateKind::Plan), FleetEvent::Changed(StateKind::Policy)]);
--- a/crates/fleet/src/fleet/joining.rs
+++ b/crates/fleet/src/fleet/joining.rs
@@ -1,9 +1,9 @@
-//! Founding a fleet, taking part in one, and giving up one that is lost.
+//! Bootstrapping a fleet, joining one, and abandoning one that has lost its majority.
 
 use super::*;
 
 impl Fleet {
-    /// A message of a peer.
+    /// Handles a message from a peer.
     pub fn hear(&mut self, now: Micros, from: Peer, message: Message) {
         match message {
             Message::Hello { incarnation, fleet, formed, policy, .. } => {
@@ -46,13 +46,13 @@
         }
         let Some(fleet) = fleet else { return };
         let unformed = self.group.as_ref().is_some_and(|g| !g.formed());
-        // One that waits to be taken in by a fleet that is no more follows a founding that names it. Else who founds
-        // names its incarnation, it gives up later and comes back as another, and the next founding names an incarnation that is
-        // no more either, for good.
+        // A peer that waits for membership in a fleet that no longer exists joins a fleet whose founding names its
+        // incarnation. Otherwise it would abandon the old fleet later and return as a new incarnation, and each
+        // further founding would again name an incarnation that has ended.
         let waits = self.group.as_ref().is_some_and(|g| !g.begun());
         let named = waits && id != own && fleet.voters.contains(&self.incarnation);
         if named || unformed && formed && id != own {
-            // Two were founded at once; the other came to be.
+            // Two fleets were founded at once and the other one has formed.
             self.give_up();
         }
         if self.group.is_none() {
@@ -76,8 +76,8 @@
         self.config.peers.len() / 2 + 1
     }
 
-    /// Founds a fleet if a majority has none and this is the first of them. Any two majorities share a peer,
-    /// and a peer takes part in one founding.
+    /// Founds a fleet if a majority of the peers has none and this is the lowest of them. Only one such fleet can form, as
+    /// any two majorities share a peer and a peer takes part in one founding at a time.
     pub(super) fn found(&mut self, now: Micros) {
         if now < self.begun + 2 * HELLO * self.config.tick {
             return;
@@ -119,8 +119,8 @@
         self.renewed.clear();
         self.queue.clear();
         self.asking.clear();
-        // Who takes part again does so as another incarnation: its votes stay with the old fleet. One that was never taken
-        // in has given none.
+        // Rejoins as a new incarnation, as the votes of this one belong to the old fleet. An incarnation that never
+        // became a member has not voted.
         if group.begun() {
             self.incarnation = incarnation(self.config.me, (self.incarnation & (u64::MAX >> 8)) + 1);
         }
@@ -132,10 +132,10 @@
         match (group.leader(), self.leaderless) {
             (Some(_), _) => self.leaderless = None,
             (None, None) => self.leaderless = Some(now),
-            // Taken in by a fleet that is no longer there, or founded one that never came to be.
+            // The fleet that it joined no longer exists, or the one that it founded never formed.
             (None, Some(since)) if !group.formed() && now > since + self.config.give_up / 2 => self.give_up(),
             (None, Some(since)) if now > since + self.config.give_up => {
-                // They have none, or another, which was founded while this peer was cut off.
+                // A majority has no fleet, or one that was founded while this peer was cut off.
                 let own = Some(group.founding.id);
                 let anew = self.fresh(now).filter(|(_, h)| h.fleet != own).count();
                 if anew >= self.majority() {
--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -1,9 +1,10 @@
-//! The lease: kept, lost, and as leader, said to be over.
+//! Renewal and expiry of this peer's lease and, as leader, expiry of the leases of others.
 
 use super::*;
 
-/// How often the leader tells that time has passed, as a rule and while a policy is under way.
+/// Interval of the leader's [`Command::Sweep`].
 const SWEEP: Micros = 1_000_000;
+/// The same while a change of policy is pending.
 const HURRY: Micros = 200_000;
 
 impl Fleet {
@@ -12,14 +13,14 @@
         self.events.push_back(FleetEvent::Lost(holder));
     }
 
-    /// A lease that ran out is over here first: nothing that it stood for is done after.
+    /// Drops an expired lease, so that this peer stops acting under it before others expire it.
     pub(super) fn check_lease(&mut self, now: Micros) {
         if let Some((holder, until)) = self.lease
             && until <= now
         {
             self.lease = None;
             self.lose(holder);
-            // What waits was meant under that lease. If it still holds for the others, it is given back.
+            // Queued commands were issued under that lease. Leave returns it, as other peers may still count it.
             self.queue.clear();
             self.queue.push(Command::Leave(holder));
             self.flush_by(now);
@@ -38,7 +39,7 @@
             }
             None if self.register_at <= now && group.leader().is_some() && group.votes() => {
                 self.register_at = now + self.config.lease;
-                // Its length counts from here, whenever it is seen.
+                // The lease runs from now, whenever the command is applied.
                 self.queue.push(Command::Register(self.incarnation, now));
                 self.flush_by(now);
             }
@@ -46,13 +47,13 @@
         }
     }
 
-    /// As leader: says whose lease is over, and that time has passed.
+    /// As leader, proposes the expiry of leases that were not renewed in time, and sweeps.
     pub(super) fn lead(&mut self, now: Micros) {
         let Some(group) = self.group.as_ref().filter(|g| g.leads()) else { return };
         let agreed = group.agreed();
         let others = agreed.alive().iter().filter(|h| h.incarnation != self.incarnation);
         let alive: Vec<(Holder, u64)> = others.filter_map(|h| Some((*h, agreed.renewals(*h)?))).collect();
-        // What waits for time to pass is looked at more often while a policy is under way.
+        // A pending change of policy depends on time limits, so the leader sweeps more often.
         let (timed, hurry) = (agreed.keeps_time(), agreed.policy().pending().is_some());
         for (holder, renewals) in alive {
             let seen = self.renewed.entry(holder).or_insert(now);
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! One dispatcher's part in its fleet: founding and joining, its lease, what it owns, and what it is told.
+//! One dispatcher's participation in its fleet: bootstrap, joining, its lease, the requests it owns, and events.
 //!
-//! A lease counts from when its renewal was asked for, at the owner, and from when the renewal was seen in the
-//! log, at all others: the owner knows that it is over before anybody may say so.
+//! A lease's duration is measured from the time of the renewal request at its holder, and from the time at which the
+//! renewal was applied from the log at all others. So the holder stops acting before any other peer may expire the lease.
 
 use crate::group::Group;
 mod digest;
@@ -28,32 +28,32 @@
     at: Micros,
 }
 
-/// Peers say who they are this often, in ticks.
+/// Ticks between two hello messages to each peer.
 const HELLO: u64 = 8;
-/// What was heard of a peer counts for this many of those.
+/// Hello intervals after which the last hello of a peer is stale.
 const FRESH: u64 = 4;
-/// Commands that wait at most; beyond, what need not be recorded is not.
+/// Queued commands beyond which requests that need not be recorded are no longer recorded.
 const WAITING: usize = 8_192;
-/// A lease is renewed this many times within its length.
+/// Renewals per lease duration.
 const RENEWALS: u64 = 5;
 
-/// One dispatcher's part in its fleet.
+/// One dispatcher's participation in its fleet.
 pub struct Fleet {
     config: FleetConfig,
     incarnation: Incarnation,
     rng: Pcg64Mcg,
     group: Option<Group>,
-    /// A fleet that others take part in, to be joined once its leader speaks.
+    /// A fleet of other peers, which this one joins when its leader sends a log message.
     other: Option<Founding>,
     heard: BTreeMap<Peer, Heard>,
-    /// Lives that asked to be taken in.
+    /// The incarnations that ask for membership.
     asking: BTreeMap<Peer, Incarnation>,
     begun: Micros,
     hello_at: Micros,
     lease: Option<(Holder, Micros)>,
     renew_at: Micros,
     register_at: Micros,
-    /// When the last renewal of each lease was seen.
+    /// When the last renewal of each lease was applied here.
     renewed: BTreeMap<Holder, Micros>,
     sweep_at: Micros,
     mine: BTreeSet<u64>,
@@ -62,21 +62,21 @@
     leader: Option<Peer>,
     leaderless: Option<Micros>,
     last: Micros,
-    /// The number of the policy that this dispatcher acts by, as its host says.
+    /// The number of the policy that this dispatcher applies, set by the caller.
     pub policy: u64,
-    /// Messages to peers.
+    /// Outgoing messages, for the caller to send.
     pub messages: Vec<(Peer, Message)>,
-    /// What happened.
+    /// Events, for the caller to handle.
     pub events: VecDeque<FleetEvent>,
 }
 
 impl Fleet {
-    /// An incarnation that begins now and knows nobody; `seed` makes the number of a fleet that it founds.
+    /// Creates an incarnation that starts now; `seed` determines the id of a fleet that it founds.
     pub fn new(config: FleetConfig, seed: u64, now: Micros) -> Fleet {
         let incarnation = incarnation(config.me, now);
         Fleet {
             incarnation,
-            // Another incarnation draws other numbers: a fleet that it founds is not the one that it founded before.
+            // Mixed with the incarnation, so that fleets founded by different incarnations get different ids.
             rng: Pcg64Mcg::seed_from_u64(seed ^ incarnation.rotate_left(17)),
             group: None,
             other: None,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Which peer this is.
+    /// This peer's number.
     pub fn me(&self) -> Peer {
         self.config.me
     }
@@ -112,48 +112,48 @@
         self.incarnation
     }
 
-    /// The record of work in hand as far as it is known here.
+    /// The ledger of in-flight requests, as applied here.
     pub fn ledger(&self) -> Option<&Ledger> {
         self.agreed().map(Agreed::work)
     }
 
-    /// All that is agreed, as far as it is known here.
+    /// The replicated state, as applied here.
     pub fn agreed(&self) -> Option<&Agreed> {
         self.group.as_ref().map(Group::agreed)
     }
 
-    /// The lease, if it holds now.
+    /// The holder of the current lease, if it has not expired.
     pub fn holds(&self, now: Micros) -> Option<Holder> {
         self.lease.filter(|(_, until)| now < *until).map(|(h, _)| h)
     }
 
-    /// The lease that holds now, and when it is over by this peer's clock.
+    /// The current lease and its expiry by this peer's clock, if it has not expired.
     pub fn lease(&self, now: Micros) -> Option<(Holder, Micros)> {
         self.lease.filter(|(_, until)| now < *until)
     }
 
-    /// The number of the fleet whose record is known here.
+    /// The id of the fleet whose state is known here.
     pub fn founding(&self) -> Option<u64> {
         self.group.as_ref().filter(|g| g.begun()).map(|g| g.founding.id)
     }
 
-    /// Whether this peer leads the fleet.
+    /// Whether this peer is the leader.
     pub fn leads(&self) -> bool {
         self.group.as_ref().is_some_and(Group::leads)
     }
 
-    /// Whether a request that is not on record was never on record as long as that matters: the fleet is older
-    /// than anything that a client could still ask again.
+    /// Whether the absence of a record proves that a request was never recorded: the fleet has existed for longer than
+    /// a client may repeat a request.
     pub fn vouches(&self, now: Micros) -> bool {
         self.group.as_ref().is_some_and(|g| now >= g.founding.at + self.config.limits.remember)
     }
 
-    /// Whether it owns a request, and may act on it now.
+    /// Whether this peer owns a request and may act on it now.
     pub fn owns(&self, now: Micros, ask: u64) -> bool {
         self.holds(now).is_some() && self.mine.contains(&ask)
     }
 
-    /// What this peer says of itself, first on every connection.
+    /// The message that announces this peer, sent first on every connection.
     pub fn hello(&self) -> Message {
         let fleet = self.group.as_ref().filter(|g| g.begun()).map(|g| g.founding.clone());
         let formed = self.group.as_ref().is_some_and(Group::formed);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// When [`Fleet::tick`] has something to do next.
+    /// When [`Fleet::tick`] has to be called next.
     pub fn next_due(&self) -> Micros {
         let lease = self.lease.map(|(_, until)| until.min(self.renew_at));
         let group = self.group.as_ref().map(Group::next_due);
@@ -177,9 +177,9 @@
             .unwrap_or(self.hello_at)
     }
 
-    /// Lets time pass.
+    /// Advances the time to `now`.
     pub fn tick(&mut self, now: Micros) {
-        // One that stood still has not heard the others meanwhile, which says nothing of them.
+        // After a pause of this process, renewals of others may be unread: don't count the pause against them.
         if now > self.last + self.config.lease / 2 {
             self.renewed.values_mut().for_each(|t| *t = now);
         }
@@ -210,10 +210,10 @@
         self.give_up_if_lost(now);
     }
 
-    /// Sends what waits and is due; called once all that came at one moment has been handled.
+    /// Proposes the queued commands as one batch; call it after handling all input of one moment.
     pub fn flush(&mut self, now: Micros) {
         let Some(group) = self.group.as_mut().filter(|g| g.has_room()) else {
-            // What is under way has to be seen first, which takes a leader: a look each tick is enough.
+            // Pending batches have to be applied first, which needs a leader: retrying each tick is enough.
             self.flush_at = Some(now + self.config.tick);
             return;
         };
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -1,10 +1,10 @@
-//! What is put on record, and what it is asked for.
+//! Operations on the ledger and queries of peers for results.
 
 use super::*;
 
 impl Fleet {
-    /// Puts a request on record. With `first`, it is told at once and [`FleetEvent::Opened`] says that it is agreed.
-    /// False if it can't be: there is no lease.
+    /// Records a request. With `first`, it is proposed at once and [`FleetEvent::Opened`] confirms the commit; otherwise
+    /// it is batched, and not recorded if the queue is full. Returns false if it can't be recorded or there is no lease.
     pub fn open(&mut self, now: Micros, ask: u64, record: Record, first: bool) -> bool {
         let Some(holder) = self.holds(now) else { return false };
         if !first && self.queue.len() >= WAITING {
@@ -15,7 +15,7 @@
         true
     }
 
-    /// It was sent to an executor.
+    /// Records that a request was sent to an executor.
     pub fn tried(&mut self, now: Micros, ask: u64, executor: u32) {
         let Some((holder, _)) = self.lease else { return };
         let waits = self.queue.iter_mut().rev().find_map(|c| match c {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A request is over. One that nobody was told of yet leaves no trace.
+    /// Ends a request. If its `Open` is still queued and nothing has to be kept, that command is removed instead.
     pub fn close(&mut self, now: Micros, ask: u64, end: End) {
         let Some((holder, _)) = self.lease else { return };
         self.mine.remove(&ask);
@@ -47,7 +47,7 @@
         self.flush_by(now + self.config.batch);
     }
 
-    /// Moves a part of the fleet's state. False if nothing can be agreed now.
+    /// Queues a command for the log. Returns false without a lease.
     pub fn agree(&mut self, now: Micros, command: Command) -> bool {
         if self.holds(now).is_none() {
             return false;
@@ -57,7 +57,7 @@
         true
     }
 
-    /// For how long no leader has been heard of; `None` while there is one.
+    /// For how long no leader has been known; `None` while there is one.
     pub fn without_word(&self, now: Micros) -> Option<Micros> {
         let led = self.group.as_ref().is_some_and(|g| g.leader().is_some());
         (!led).then(|| now.saturating_sub(self.leaderless.unwrap_or(now)))
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Tells a peer the result of a request that it asked for.
+    /// Sends a peer the result of a request that it asked for.
     pub fn tell(&mut self, to: Peer, ask: u64, pages: Option<Vec<Vec<u8>>>) {
         self.messages.push((to, Message::Result(ask, pages)));
     }
 
-    /// Ends in order: the lease goes back.
+    /// Returns the lease before an orderly shutdown.
     pub fn leave(&mut self, now: Micros) {
         if let Some((holder, _)) = self.lease.take() {
             self.queue.push(Command::Leave(holder));
--- a/crates/fleet/src/fleet/types.rs
+++ b/crates/fleet/src/fleet/types.rs
@@ -1,68 +1,68 @@
-//! What a fleet is told, and what it tells.
+//! Configuration and events of a fleet.
 
 use crate::agreed::StateKind;
 use crate::ledger::{End, Limits};
 use crate::{Holder, Micros, Peer};
 
-/// What a fleet is told at its start; the times are alike at all peers.
+/// Configuration of a fleet; all times have to be the same at all peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// Which peer this is.
+    /// This peer's number.
     pub me: Peer,
     /// All peers, this one included.
     pub peers: Vec<Peer>,
-    /// How long a lease lasts without a renewal.
+    /// Duration of a lease without a renewal.
     pub lease: Micros,
-    /// How much longer others wait before they say that it is over.
+    /// How long after that duration other peers wait before they expire the lease.
     pub margin: Micros,
-    /// The log's tick: its leader is heard once a tick.
+    /// Raft's tick; the leader sends a heartbeat each tick.
     pub tick: Micros,
-    /// How long what need not be agreed first may wait to go together with more.
+    /// How long commands that nothing waits for may be delayed to form larger batches.
     pub batch: Micros,
-    /// Without a leader for this long, a fleet whose majority has started anew is given up.
+    /// How long a fleet has to be without a leader before it is abandoned, if a majority of its peers has left it.
     pub give_up: Micros,
-    /// What bounds the record.
+    /// Limits of the ledger.
     pub limits: Limits,
 }
 
-/// What a fleet tells.
+/// An event for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetEvent {
-    /// This peer has a lease.
+    /// This peer has acquired a lease.
     Held(Holder),
-    /// The lease is over: all that this peer owned is no longer its own.
+    /// This peer's lease has ended, and with it the ownership of all its requests.
     Lost(Holder),
-    /// It owns this request from now on, as it asked to.
+    /// The record of this request was opened; this peer owns the request.
     Opened(u64),
-    /// The request is on record already.
+    /// The request was not opened: it has a record already.
     Taken(u64),
-    /// There is no room on record, or no lease: it is not on record.
+    /// The request was not opened: the ledger is full or the lease has ended.
     Unrecorded(u64),
-    /// The owner of a request was lost; who owns it now.
+    /// A request has a new owner, as the lease of the old one ended.
     Claimed {
         /// The request.
         ask: u64,
-        /// Who owned it.
+        /// The previous owner.
         from: Holder,
-        /// Who does now.
+        /// The new owner.
         by: Holder,
-        /// It is this peer.
+        /// Whether this peer is the new owner.
         mine: bool,
     },
-    /// A request is over.
+    /// A request has ended.
     Closed(u64, End),
-    /// A peer's lease is over.
+    /// The lease of some peer has ended.
     Ended(Holder),
-    /// A peer wants the result of a request.
+    /// A peer asks for the result of a request.
     Fetch(Peer, u64),
-    /// A peer has the result of a request, or none.
+    /// A peer's answer: the result of a request, or `None`.
     Result(u64, Option<Vec<Vec<u8>>>),
-    /// It takes part in this fleet.
+    /// This peer takes part in the fleet with this id.
     Joined(u64),
-    /// Another leads now.
+    /// The leader has changed.
     Leader(Option<Peer>),
-    /// A part of the fleet's state has changed as a whole.
+    /// A part of the replicated state has changed.
     Changed(StateKind),
-    /// The fleet has lost its majority, and with it its record; it is founded anew.
+    /// The fleet has lost its majority and with it its state; a new one will be founded.
     GivenUp(u64),
 }
--- a/crates/fleet/src/group/mod.rs
+++ b/crates/fleet/src/group/mod.rs
@@ -1,8 +1,8 @@
-//! The replicated log of a fleet, by the `raft` crate, with the state that its entries make.
+//! The Raft group of a fleet, by the `raft` crate, and the state that its log produces.
 //!
-//! No peer has a disk that lasts, so that none may come back under the id it had: every incarnation of a process takes
-//! part under an id of its own. One that starts anew is taken in as a learner, and once it has caught up it
-//! takes the place of its peer's former incarnation in one joint change.
+//! Peers have no durable storage, so a restarted process must not reuse its node id: every incarnation has an id of its
+//! own. A new incarnation is added as a learner; once it has caught up, it replaces its peer's former incarnation
+//! in one joint configuration change.
 
 mod pump;
 mod seat;
@@ -19,54 +19,54 @@
 use raft::{Config, RawNode, SnapshotStatus, StateRole, Storage};
 use std::collections::VecDeque;
 
-/// Ticks without a word from the leader before the first peer stands for election; each next one waits a tick
-/// more, so that they do not stand at once.
+/// Ticks without a message from the leader before the first peer starts an election; each further peer waits one tick
+/// more, so that they don't start at once.
 const ELECTION: usize = 6;
-/// Entries kept behind a snapshot, for peers that are a little late.
+/// Entries kept before a snapshot, so that peers slightly behind don't need the snapshot.
 const KEPT: u64 = 1_024;
-/// A learner this close to the end of the log has caught up.
+/// A learner at most this many entries behind the commit index has caught up.
 const CAUGHT_UP: u64 = 256;
-/// The log is cut once it is longer than the state and than this, in bytes.
+/// The log is compacted once it has grown by more bytes than this and than the size of the last snapshot.
 const LEAST_CUT: usize = 1 << 20;
-/// Batches under way at most; more wait.
+/// The most batches that are proposed but not yet applied; further ones wait.
 const UNDER_WAY: usize = 64;
-/// A snapshot that was not heard of after so many ticks did not come.
+/// Ticks after which a snapshot is reported as failed.
 const SNAPSHOT: u64 = 24;
-/// A batch that was not seen in the log after so many ticks is proposed again.
+/// Ticks after which a batch that was not applied is proposed again.
 const AGAIN: u64 = 8;
 
-/// A peer's part in the log.
+/// One node of the Raft group.
 pub struct Group {
-    /// The founding of its fleet.
+    /// The initial configuration of its fleet.
     pub founding: Founding,
     me: Incarnation,
     node: RawNode<Log>,
     log: Log,
     agreed: Agreed,
     applied: u64,
-    /// The state of the snapshot that came last.
+    /// The decoded state of the last received snapshot, until the library applies it.
     incoming: Option<Agreed>,
     period: Micros,
     tick_at: Micros,
-    /// Own batches that the log did not show yet: number, entry, when it was last proposed.
+    /// Own batches that are not applied yet: number, entry, and time of the last proposal.
     pending: VecDeque<(u64, Vec<u8>, Micros)>,
     next_batch: u64,
-    /// Bytes of the log since the last snapshot.
+    /// Bytes appended to the log since the last snapshot.
     grown: usize,
     size: usize,
-    /// Lives that a snapshot was sent to, and when: the library sends nothing more until it hears of it.
+    /// Incarnations that a snapshot was sent to, and when: the library sends them no entries until the outcome is known.
     snapshots: Vec<(Incarnation, Micros)>,
-    /// Messages to other incarnations.
+    /// Outgoing messages, by the incarnation to send them to.
     pub messages: Vec<(Incarnation, Vec<u8>)>,
-    /// What the log's entries did, in order.
+    /// Effects of the applied entries, in order.
     pub effects: Vec<Effect>,
-    /// The state was replaced by a snapshot: effects were missed.
+    /// Set when a snapshot replaced the state, so that the effects of some entries are missing.
     pub restored: bool,
-    /// Messages that could not be used.
+    /// The number of messages and entries that were rejected.
     pub refused: u64,
 }
 
-/// What stands in the log.
+/// The payload of a log entry: the proposing incarnation, the batch's number and its commands.
 type Batch = (Incarnation, u64, Vec<Command>);
 
 fn founding_snapshot(founding: &Founding) -> Snapshot {
@@ -79,7 +79,7 @@
 }
 
 impl Group {
-    /// The part of an incarnation that the founding names, or of one that joins later and knows nothing yet.
+    /// Creates the node of an incarnation; one that the founding does not name starts with an empty log and joins later.
     pub fn new(founding: Founding, me: Incarnation, period: Micros, now: Micros) -> raft::Result<Group> {
         let founder = founding.voters.contains(&me);
         let log = if founder { Log::from_snapshot(founding_snapshot(&founding))? } else { Log::default() };
@@ -121,27 +121,27 @@
         })
     }
 
-    /// The state as far as the log was seen.
+    /// The replicated state, as applied here.
     pub fn agreed(&self) -> &Agreed {
         &self.agreed
     }
 
-    /// Whether this peer leads.
+    /// Whether this node is the leader.
     pub fn leads(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// Who leads, as far as known.
+    /// The leader, if one is known.
     pub fn leader(&self) -> Option<Incarnation> {
         Some(self.node.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
-    /// Whether it was founded here or has the record of those who were: one that is only being taken in has not.
+    /// Whether this node has a state: as a founding member or from the log. False while it waits to be added.
     pub fn begun(&self) -> bool {
         self.applied > 0
     }
 
-    /// Whether anything was ever agreed.
+    /// Whether any entry was committed after the founding.
     pub fn formed(&self) -> bool {
         self.applied > 1
     }
@@ -151,39 +151,39 @@
         self.log.members().voters.contains(&self.me)
     }
 
-    /// Own commands that the log did not show yet, by batch.
+    /// The number of own batches that are not applied yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether a further batch can go under way.
+    /// Whether another batch can be proposed.
     pub fn has_room(&self) -> bool {
         self.pending.len() < UNDER_WAY
     }
 
-    /// When [`Group::tick`] has something to do next.
+    /// When [`Group::tick`] has to be called next.
     pub fn next_due(&self) -> Micros {
         self.tick_at
     }
 
-    /// Puts commands into the log, as one batch.
+    /// Proposes commands as one batch.
     pub fn propose(&mut self, commands: &[Command], now: Micros) {
         let number = self.next_batch;
         let Ok(entry) = postcard::to_stdvec(&(self.me, number, commands)) else { return };
         self.next_batch += 1;
-        // A proposal that finds no leader is dropped; it comes again.
+        // Without a leader the proposal is dropped; tick() proposes it again.
         let _ = self.node.propose(Vec::new(), entry.clone());
         self.pending.push_back((number, entry, now));
         self.pump();
     }
 
-    /// A message of the log's.
+    /// Handles a Raft message.
     pub fn step(&mut self, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             self.refused += 1;
             return;
         };
-        // What the library would take for a broken log, and end the process for.
+        // The library panics on a heartbeat whose commit index is past the end of the log.
         let last = self.log.last_index().unwrap_or(0);
         let beyond = message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > last;
         let snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
@@ -197,15 +197,15 @@
         self.pump();
     }
 
-    /// Lets time pass.
+    /// Advances the time to `now`.
     pub fn tick(&mut self, now: Micros) {
-        // Standing still for long is one tick: no leader is doubted for what was not heard meanwhile.
+        // A long pause of this process counts as one tick, so that it does not make the leader seem lost.
         while self.tick_at <= now {
             self.node.tick();
             self.tick_at =
                 if self.tick_at + 4 * self.period < now { now } else { self.tick_at } + self.period;
         }
-        // One that did not come is sent again; word of one that came was heard by itself.
+        // A failed snapshot is sent again; the library learns from the receiver's response that one has arrived.
         let late = now.saturating_sub(SNAPSHOT * self.period);
         let (over, sent) = std::mem::take(&mut self.snapshots).into_iter().partition(|(_, at)| *at <= late);
         self.snapshots = sent;
--- a/crates/fleet/src/group/pump.rs
+++ b/crates/fleet/src/group/pump.rs
@@ -1,9 +1,9 @@
-//! What the library wants done: messages, entries, snapshots.
+//! Processing of the Raft library's ready states: messages, entries, snapshots.
 
 use super::*;
 
 impl Group {
-    /// Does what the library wants done until nothing is left.
+    /// Processes ready states until none is left, and compacts the log if due.
     pub(super) fn pump(&mut self) {
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -15,7 +15,7 @@
             if !ready.entries().is_empty() {
                 self.grown += ready.entries().iter().map(|e| e.data.len() + 32).sum::<usize>();
                 if let Err(e) = self.log.append(ready.entries()) {
-                    unreachable!("the log takes what follows its end: {e}");
+                    unreachable!("entries that follow the end of the log can't be appended: {e}");
                 }
             }
             if let Some(state) = ready.hs() {
@@ -47,7 +47,7 @@
     }
 
     fn restore(&mut self, snapshot: Snapshot) {
-        // It was read before it was handed to the library.
+        // Group::step decoded it before it passed the message to the library.
         let Some(agreed) = self.incoming.take() else { return };
         self.applied = snapshot.get_metadata().index;
         (self.grown, self.size) = (0, snapshot.data.len());
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Own batches that the state has taken are no longer under way.
+    /// Removes own batches that were applied from the pending ones.
     pub(super) fn seen(&mut self) {
         let last = self.agreed.batch(self.me);
         self.next_batch = self.next_batch.max(last + 1);
--- a/crates/fleet/src/group/seat.rs
+++ b/crates/fleet/src/group/seat.rs
@@ -1,9 +1,10 @@
-//! How incarnations come into the log's vote, and their former ones out of it.
+//! Membership changes: adds new incarnations as voters and removes the former ones of their peers.
 
 use super::*;
 
 impl Group {
-    /// As leader: takes an incarnation in that has no vote yet, one step at a time.
+    /// As leader, takes the next step towards making an incarnation a voter: adds it as a learner, or promotes it once it
+    /// has caught up. Does nothing while another configuration change is pending.
     pub fn seat(&mut self, incarnation: Incarnation) {
         let members = self.log.members();
         let joint = !members.voters_outgoing.is_empty();
--- a/crates/fleet/src/ledger/types.rs
+++ b/crates/fleet/src/ledger/types.rs
@@ -29,7 +29,7 @@
     pub key: Option<u64>,
     /// Its table group.
     pub group: u64,
-    /// Estimated CPU seconds, over all threads.
+    /// Estimated work summed over all threads, in seconds.
     pub work_s: Option<f64>,
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
--- a/crates/fleet/src/lend/borrower.rs
+++ b/crates/fleet/src/lend/borrower.rs
@@ -1,13 +1,13 @@
-//! The holder's side: what it may use, and what it says to the record. Sans-I/O.
+//! The holder's side of the slot leases: how many slots it may use and what it requests. Sans-I/O.
 
 use super::{Command, Slots};
 use crate::{Holder, Micros};
 use std::collections::VecDeque;
 
-/// Commands under way at most; with more, the fleet is silent and nothing is gained by another.
+/// The most commands that are not applied yet; beyond that the fleet does not respond and another would not help.
 const UNDER_WAY: usize = 8;
 
-/// One term of one holder. Its times are its own, from any clock that only goes on.
+/// The slot leases of one holder. Its times are from its own clock, which has to be monotonic.
 #[derive(Debug, Clone)]
 pub struct Borrower {
     me: Holder,
@@ -15,20 +15,21 @@
     margin: Micros,
     gap: Micros,
     number: u64,
-    /// Commands asked for: number, when, and the slots given back. The first is the last that was taken.
+    /// Commands sent: number, time and slots returned. The first is the last one that was applied.
     asked: VecDeque<(u64, Micros, u16)>,
-    /// The last that was said: wanted and at most.
+    /// The last values sent: `want` and `most`.
     said: Option<(u16, u16)>,
 }
 
 impl Borrower {
-    /// One that stops `margin` before the `term` of its leases is over, and speaks every `gap` at most.
+    /// Creates a client that stops using slots `margin` before their `term` ends and sends at most one command per `gap`,
+    /// unless one is due for renewal.
     pub fn new(me: Holder, term: Micros, margin: Micros, gap: Micros) -> Borrower {
         Borrower { me, term, margin, gap, number: 0, asked: VecDeque::new(), said: None }
     }
 
-    /// Slots in which a request may begin now. What runs beyond the lease's end, when this is 0 without a word of the
-    /// record for a term less the margin, has to be ended by then: the slots may be another's.
+    /// The number of slots that requests may use now. It falls to 0 when no command was applied for the term less the margin;
+    /// requests that still run then have to be stopped within the margin, as the slots may go to another holder.
     pub fn usable(&self, now: Micros, slots: &Slots) -> u16 {
         let taken = slots.taken(self.me);
         let Some((_, at, _)) = self.asked.iter().rev().find(|(n, ..)| *n <= taken) else { return 0 };
@@ -40,8 +41,8 @@
         have.saturating_sub(back.max(given))
     }
 
-    /// What to tell the record, if anything: `busy` slots are in use, `want` and `most` are as in
-    /// [`Command::Hold`]. Once this is said, no more may be used than [`Borrower::usable`] says from then on.
+    /// The next command to propose, if one is due: `busy` slots are in use, `want` and `most` are as in
+    /// [`Command::Hold`]. From then on no more slots may be used than [`Borrower::usable`] returns.
     pub fn ask(&mut self, now: Micros, slots: &Slots, busy: u16, want: u16, most: u16) -> Option<Command> {
         let taken = slots.taken(self.me);
         while self.asked.get(1).is_some_and(|(n, ..)| *n <= taken) {
@@ -51,7 +52,7 @@
         let goal = if slots.lacking() > 0 { want } else { most.max(want) };
         let given = have - have.min(goal.min(have - back).max(busy));
         let last = self.asked.back().map_or(0, |(_, at, _)| *at);
-        // What one says before it knows what became of the last word would give back the same slots again.
+        // A command sent before the last one was applied would return the same slots twice.
         let waits = self.asked.back().is_some_and(|(n, ..)| *n > taken);
         let changed = !waits && (self.said != Some((want, most)) || given > 0);
         let due = now >= last.saturating_add(self.term / 4);
--- a/crates/fleet/src/lend/command.rs
+++ b/crates/fleet/src/lend/command.rs
@@ -1,35 +1,35 @@
-//! What moves the slots.
+//! Commands of the slot leases.
 
 use crate::{Holder, Micros};
 use serde::{Deserialize, Serialize};
 
-/// What is lent, and how.
+/// The number of slots and the terms of their leases.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Slots of the moment; more than [`super::MOST`] count as that.
+    /// The current number of slots, capped at [`super::MOST`].
     pub total: u16,
-    /// How long a slot is lent without a renewal, by the leader's clock.
+    /// Duration of a slot's lease without a renewal, by the leader's clock.
     pub term: Micros,
-    /// How long a holder that has more than its part may go on renewing what others lack: the longest request.
+    /// How long a holder may keep renewing slots that were recalled for others: the duration of the longest request.
     pub longest: Micros,
 }
 
-/// Moves it.
+/// A command to the slot leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The slots of the moment, and the terms.
+    /// Sets the number of slots and the terms.
     Set(Terms),
-    /// A holder gives back some of what it has, renews the rest and asks for more.
+    /// Returns some of a holder's slots, renews the rest and requests more.
     Hold {
-        /// Who.
+        /// The holder.
         holder: Holder,
-        /// Grows with each of its commands; one that comes again is skipped.
+        /// A number that grows with each command of the holder; duplicates are skipped.
         number: u64,
-        /// Slots that it gives back of those it has. It uses them no more from the moment that it asks.
+        /// The number of slots that it returns. It stops using them when it sends the command.
         back: u16,
-        /// Its share by its own word.
+        /// The number of slots that it needs.
         want: u16,
-        /// What it could fill while nobody lacks any of its share.
+        /// The number of slots that it could use while no holder has too few.
         most: u16,
     },
 }
--- a/crates/fleet/src/lend/mod.rs
+++ b/crates/fleet/src/lend/mod.rs
@@ -1,9 +1,10 @@
-//! Slots for slow requests, lent by the agreed record: numbered credits, each with one holder at most.
+//! Leases on concurrency slots for slow requests. Slots are numbered, and each has at most one holder.
 //!
-//! A holder says how many it gives back and wants; the record lends what is free, the holder with the fewest first. So
-//! one that asks for too much gets an equal part and what the others leave. A lease's time counts from the first
-//! sweep after it was renewed, so that it ends no sooner than its term after the renewal was asked for; what a lost
-//! holder had counts as used until then. Fewer slots in all than are lent: nothing is lent until enough came back.
+//! A holder says how many slots it returns and how many it needs. Free slots are leased to the holder with the fewest
+//! first, so one that asks for too much gets an equal share and what the others leave. A lease runs from the first
+//! sweep after its renewal, so that it ends no sooner than its term after the renewal was requested. The slots of a
+//! lost holder count as used until their leases end. When the total falls below the number of leased slots, no slot is
+//! leased until enough were returned.
 //!
 //! [`Borrower`] is the holder's side.
 
@@ -17,17 +18,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Slots at most.
+/// The most slots.
 pub const MOST: u16 = 4096;
-/// Holders that ask, at most.
+/// The most holders.
 pub const HOLDERS: usize = 256;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Lent {
     holder: Holder,
-    /// When it ends, by the leader's clock; `None` until the next sweep.
+    /// The lease's end by the leader's clock; `None` until the next sweep.
     until: Option<Micros>,
-    /// Since when it is wanted back.
+    /// When the slot was recalled, if it is.
     recalled: Option<Micros>,
 }
 
@@ -38,7 +39,7 @@
     most: u16,
 }
 
-/// The slots. Bounded by [`MOST`] and [`HOLDERS`].
+/// The slots and their leases, bounded by [`MOST`] and [`HOLDERS`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slots {
     terms: Terms,
@@ -48,39 +49,38 @@
 }
 
 impl Slots {
-    /// The terms of the moment.
+    /// The current number of slots and terms.
     pub fn terms(&self) -> Terms {
         self.terms
     }
 
-    /// Slots lent, with their holders. Those of lost holders count until they end.
+    /// The leased slots with their holders, including those of lost holders until their leases end.
     pub fn lent(&self) -> impl Iterator<Item = (u16, Holder)> + '_ {
         self.lent.iter().map(|(n, l)| (*n, l.holder))
     }
 
-    /// What a holder has, and how many of those are wanted back.
+    /// The number of slots of a holder, and how many of them are recalled.
     pub fn of(&self, holder: Holder) -> (u16, u16) {
         let all = self.lent.values().filter(|l| l.holder == holder);
         all.fold((0, 0), |(have, back), l| (have + 1, back + u16::from(l.recalled.is_some())))
     }
 
-    /// When a slot that is lent ends, by the leader's clock; `None` if it is not lent or was renewed since the last
-    /// sweep.
+    /// The end of a slot's lease by the leader's clock; `None` if it is not leased or was renewed since the last sweep.
     pub fn until(&self, slot: u16) -> Option<Micros> {
         self.lent.get(&slot).and_then(|l| l.until)
     }
 
-    /// The number of a holder's last command that was taken; 0 if there was none.
+    /// The number of a holder's last applied command; 0 if there was none.
     pub fn taken(&self, holder: Holder) -> u64 {
         self.asks.get(&holder).map_or(0, |a| a.number)
     }
 
-    /// Slots that could be lent.
+    /// The number of free slots.
     pub fn free(&self) -> u16 {
         self.terms.total.saturating_sub(self.lent.len() as u16)
     }
 
-    /// Slots that holders lack of their equal parts, or that are lent beyond the total, less the free ones.
+    /// The number of slots to recall: those that holders lack of their shares or that exceed the total, less the free ones.
     pub fn lacking(&self) -> u16 {
         let have = self.have();
         let of = |h: &Holder| have.get(h).copied().unwrap_or(0);
@@ -95,8 +95,8 @@
         have
     }
 
-    /// The total split over those who ask: nobody gets more than it wants, and who gets less has as many as anybody,
-    /// or one fewer.
+    /// The max-min fair share of each holder: none gets more than it needs, and a holder that gets less has the largest
+    /// share, or one slot fewer.
     fn parts(&self) -> BTreeMap<Holder, u16> {
         let mut order: Vec<(u16, Holder)> = self.asks.iter().map(|(h, a)| (a.want, *h)).collect();
         order.sort();
@@ -110,8 +110,8 @@
         parts
     }
 
-    /// Lends what is free: first to those below what they want, the one with the fewest first; then to those who
-    /// could fill more, the one that has the least over its share first.
+    /// Leases the free slots: first to holders with fewer than they need, the one with the fewest first; then to those that
+    /// could use more, the one with the fewest beyond its need first.
     fn lend(&mut self) -> bool {
         let (mut free, mut have, mut changed) = (self.free(), self.have(), false);
         while free > 0 {
@@ -130,13 +130,13 @@
         changed
     }
 
-    /// Wants back as many slots as are lacking, from those who have the most over their parts.
+    /// Recalls as many slots as are lacking, from the holders with the most beyond their shares.
     fn recall(&mut self) {
         let (parts, mut have) = (self.parts(), self.have());
         let mut back: BTreeMap<Holder, u16> = BTreeMap::new();
         for _ in 0..self.lacking() {
             let over = |(h, n): &(&Holder, &u16)| n.saturating_sub(parts.get(h).copied().unwrap_or(0));
-            // Those of lost holders come back by themselves.
+            // Slots of lost holders are freed when their leases end.
             let known = have.iter().filter(|(h, _)| parts.contains_key(h));
             let Some((most, holder)) = known.map(|e| (over(&e), *e.0)).max() else { break };
             if most == 0 {
@@ -145,7 +145,7 @@
             *have.entry(holder).or_default() -= 1;
             *back.entry(holder).or_default() += 1;
         }
-        // Slots recalled already come first, so that each has one time from which it counts.
+        // Slots that are recalled already come first, so that a slot keeps the time of its recall.
         let mut order: Vec<(bool, u16)> = self.lent.iter().map(|(n, l)| (l.recalled.is_none(), *n)).collect();
         order.sort();
         for (_, n) in order {
@@ -159,7 +159,7 @@
     fn hold(&mut self, holder: Holder, back: u16) {
         let mine = self.lent.iter().filter(|(_, l)| l.holder == holder);
         let mut mine: Vec<(bool, u16)> = mine.map(|(n, l)| (l.recalled.is_none(), *n)).collect();
-        // Those that are wanted back go first.
+        // Recalled slots are returned first.
         mine.sort();
         mine.truncate(back.into());
         for (_, n) in mine {
