--- a/crates/fleet/src/leases/tests.rs
+++ b/crates/fleet/src/leases/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::incarnation;
 
-// A leader that missed a renewal judged a lease to be over while the renewal stood in the log before its word.
-// Its holder had seen the renewal and went on for a whole lease; the others took over what it had in hand.
+// A leader that has not seen a renewal proposes the lease's expiry while the renewal precedes it in the log. If the
+// expiry applied, others would take over the holder's requests while it acts on its renewed lease.
 #[test]
-fn a_lease_is_not_ended_by_word_from_before_its_last_renewal() {
+fn an_expiry_from_before_the_last_renewal_is_ignored() {
     let mut leases = Leases::default();
     let h = leases.register(incarnation(1, 5));
     let seen = leases.renewals(h);
     assert!(leases.renew(h));
     assert!(!leases.end(h, seen) && leases.holds(h));
     assert!(leases.end(h, leases.renewals(h)) && !leases.renew(h));
-    assert_eq!(leases.register(incarnation(1, 5)).term, 2, "a later lease is another one");
+    assert_eq!(leases.register(incarnation(1, 5)).term, 2, "a new lease gets a higher term");
     let (again, seen) = (Holder { incarnation: incarnation(1, 5), term: 2 }, Some(0));
-    assert_eq!(leases.register(incarnation(1, 5)), again, "asked for twice it is the same");
-    assert!(!leases.end(again, seen), "and as good as renewed");
+    assert_eq!(leases.register(incarnation(1, 5)), again, "a repeated registration keeps the lease");
+    assert!(!leases.end(again, seen), "a repeated registration counts as a renewal");
 }
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -1,13 +1,13 @@
-//! One fault each, and what becomes of what was in hand.
+//! Single faults and their effect on in-flight requests.
 
 use crate::world::*;
 use fleet::ledger::End;
 use fleet::wire::Message;
 use fleet::{FleetEvent, Peer};
 
-// Two dispatchers that get the same request at the same moment: one owns it, the other is told.
+// Two dispatchers get the same request at the same moment: one owns it, the other is told that it has a record.
 #[test]
-fn a_request_is_owned_by_whoever_was_first() {
+fn the_first_to_open_a_request_owns_it() {
     let mut w = World::new(3, 1);
     w.formed();
     assert!(open(&mut w, 1, 7, false) && open(&mut w, 2, 7, false));
@@ -17,9 +17,10 @@
     assert_eq!((opened, taken), (1, 1));
 }
 
-// The owner dies: what may repeat goes to exactly one other, and what must not run twice goes to nobody.
+// The owner is killed: a request that may run again goes to exactly one other peer, and one that must not run twice
+// to none.
 #[test]
-fn what_a_dead_peer_owned_goes_to_one_other_and_a_load_to_none() {
+fn requests_of_a_dead_peer_go_to_one_other_unless_they_must_not_run_twice() {
     for dead in 1..=3 {
         let mut w = World::new(3, 10 + u64::from(dead));
         w.formed();
@@ -29,7 +30,7 @@
         let killed = w.now;
         while !w.events.iter().any(|(_, n)| matches!(n, FleetEvent::Claimed { .. })) {
             w.run(10 * MS, |w| w.one_owner([1, 2].into_iter()));
-            assert!(w.now < killed + 2_000 * MS, "taken over within two seconds");
+            assert!(w.now < killed + 2_000 * MS, "not taken over within two seconds");
         }
         w.run(500 * MS, |w| w.one_owner([1, 2].into_iter()));
         let mine = |n: &FleetEvent| matches!(n, FleetEvent::Claimed { ask: 1, mine: true, .. });
@@ -37,7 +38,7 @@
         for f in w.fleets.values() {
             assert_eq!(f.ledger().unwrap().ended(2), Some(&End::Unknown));
         }
-        // It starts anew, as another incarnation, and takes part again with a vote.
+        // It restarts as a new incarnation and becomes a voter again.
         w.restart(dead);
         w.run(4_000 * MS, |_| ());
         let now = w.now;
@@ -46,10 +47,10 @@
     }
 }
 
-// A peer that was only cut off learns by its own clock that its lease is over, before anybody else may say so,
-// and comes back under a new term.
+// A disconnected peer that still runs drops its lease by its own clock before any other peer may expire it, and
+// returns under a new term.
 #[test]
-fn a_peer_that_was_cut_off_lets_go_before_others_take_over() {
+fn a_disconnected_peer_drops_its_lease_before_others_take_over() {
     let mut w = World::new(3, 5);
     w.formed();
     assert!(open(&mut w, 2, 1, true));
@@ -59,16 +60,17 @@
     w.run(3_000 * MS, |w| w.one_owner([1].into_iter()));
     let lost = w.events.iter().position(|(p, n)| *p == 2 && matches!(n, FleetEvent::Lost(_))).unwrap();
     let claimed = w.events.iter().position(|(_, n)| matches!(n, FleetEvent::Claimed { ask: 1, .. })).unwrap();
-    assert!(lost < claimed, "the owner knows first");
-    assert!(!open(&mut w, 2, 9, false), "without a lease nothing is put on record");
+    assert!(lost < claimed, "others took over before the owner dropped its lease");
+    assert!(!open(&mut w, 2, 9, false), "a request was recorded without a lease");
     w.cut.clear();
     w.run(3_000 * MS, |w| w.one_owner([1].into_iter()));
     assert!(w.fleets[&2].holds(w.now).unwrap().term > term);
 }
 
-// A majority that starts anew has lost the record: the last one that had it gives it up, and all found another.
+// When a majority restarts, the fleet's state is lost: the peer that still has it abandons the fleet, and all
+// peers found a new one.
 #[test]
-fn a_fleet_that_lost_its_majority_is_founded_anew() {
+fn a_fleet_that_lost_its_majority_is_founded_again() {
     let mut w = World::new(3, 6);
     w.formed();
     w.restart(1);
@@ -77,16 +79,19 @@
     assert!(w.told(3, |n| matches!(n, FleetEvent::GivenUp(_))));
     let now = w.now;
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
-    assert!(w.fleets.values().all(|f| !f.vouches(now)), "what it never knew it does not vouch for");
+    assert!(
+        w.fleets.values().all(|f| !f.vouches(now)),
+        "a new fleet vouches for requests from before it was founded"
+    );
     w.run(31_000 * MS, |_| ());
     let now = w.now;
     assert!(w.fleets.values().all(|f| f.vouches(now)));
 }
 
-// The rest starts anew while one is cut off, and founds a fleet without it: when it is back it gives its own up,
-// which nobody else has part in, and joins. It was stuck in the old one for good.
+// While one peer is disconnected, the others restart and found a fleet without it. When it reconnects, it has to
+// abandon its old fleet, which has no other members, and join theirs; it used to stay in the old one for good.
 #[test]
-fn one_that_was_cut_off_joins_the_fleet_that_was_founded_without_it() {
+fn a_disconnected_peer_joins_the_fleet_that_was_founded_without_it() {
     let mut w = World::new(3, 9);
     w.formed();
     w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
@@ -102,9 +107,9 @@
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
 }
 
-// A peer that says nonsense, or speaks of another fleet, is not followed.
+// Malformed messages, and messages of another fleet, are ignored.
 #[test]
-fn nonsense_changes_nothing() {
+fn malformed_messages_change_nothing() {
     let mut w = World::new(3, 8);
     w.formed();
     let now = w.now;
@@ -117,15 +122,15 @@
     w.formed();
 }
 
-// A lease that was asked for twice was counted from the later time when the answer to the first came late: its holder
-// went on by it for a lease longer than the others knew of. Each answer tells now what it answers.
+// When a lease was requested twice and the first grant arrived late, its holder counted it from the second request and
+// used it for up to a lease duration after the others had expired it. Each grant carries the time of its request.
 #[test]
-fn a_lease_counts_from_when_what_gave_it_was_asked_for() {
+fn a_lease_runs_from_the_request_that_granted_it() {
     for late in 0..12 {
         let mut w = World::new(3, 40 + late);
         w.run(500 * MS, |_| ());
         for _ in 0..60 {
-            // One hears nothing and is heard, or the other way round, for about a lease.
+            // The links to or from one peer are cut for about a lease's duration.
             let victim = 1 + w.draw(3) as Peer;
             let deaf = w.draw(2) == 0;
             let others: Vec<Peer> = (1..=3).filter(|p| *p != victim).collect();
@@ -136,7 +141,7 @@
                     let agreed =
                         |q: Peer| w.fleets[&q].agreed().map(|a| a.alive().clone()).unwrap_or_default();
                     let holder = w.fleets[&p].holds(w.now);
-                    // Nobody acts by a lease that another has seen to be over.
+                    // No peer acts under a lease whose end another peer has applied.
                     for q in (1..=3).filter(|q| *q != p) {
                         let over = |h| w.events.iter().any(|(by, n)| *by == q && *n == FleetEvent::Ended(h));
                         assert!(
--- a/crates/fleet/tests/fleet/main.rs
+++ b/crates/fleet/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Fleets in virtual time, under faults drawn from a seed.
+//! Simulated fleets in virtual time, under seeded random faults.
 
 mod faults;
 mod policy;
--- a/crates/fleet/tests/fleet/storm.rs
+++ b/crates/fleet/tests/fleet/storm.rs
@@ -1,16 +1,16 @@
-//! Faults drawn from a seed, under traffic.
+//! Seeded random faults under traffic.
 
 use crate::world::*;
 use fleet::Fleet;
 use std::hash::Hasher;
 
-/// Faults for a while, then none; returns the trace.
+/// Runs traffic under random faults, then without faults; returns the hash of all events.
 fn storm(n: u8, seed: u64) -> u64 {
     let mut w = World::new(n, seed);
     w.formed();
     let mut next = 1_u64;
     for _ in 0..40 {
-        // Traffic at all that have a lease.
+        // One request at each peer that is not paused.
         for p in 1..=n {
             if !w.paused.contains_key(&p) {
                 let repeats = w.draw(2) == 0;
@@ -26,7 +26,7 @@
     w.heal_all();
     let asks = next;
     w.run(6_000 * MS, |w| w.one_owner(1..asks));
-    // All have the same record, and what is open there is owned by somebody alive who knows it.
+    // All peers have the same ledger, and each open request is owned by exactly one live peer that knows it.
     let now = w.now;
     for ask in 1..next {
         let of = |f: &Fleet| {
@@ -45,9 +45,10 @@
     w.trace.finish()
 }
 
-// Whatever goes wrong: never two owners, the same record in the end, and nothing left without an owner.
+// Under any faults, a request never has two owners; in the end all ledgers are equal and no open request is without
+// an owner.
 #[test]
-fn any_faults_leave_one_owner_and_one_record() {
+fn any_faults_leave_one_owner_and_equal_ledgers() {
     for seed in 0..12 {
         storm(3, seed);
     }
--- a/crates/fleet/tests/fleet/trouble.rs
+++ b/crates/fleet/tests/fleet/trouble.rs
@@ -1,13 +1,13 @@
-//! What goes wrong with a fleet, drawn from its seed, and its end.
+//! Random faults of a simulated fleet, and their repair.
 
 use crate::world::*;
 use fleet::Peer;
 use std::collections::BTreeSet;
 
 impl World {
-    /// One of the dispatchers may be killed, stopped or cut off for a while.
+    /// Kills, pauses or disconnects at most one dispatcher for a while.
     pub fn trouble(&mut self) {
-        // A minority at most is out at once; one that started anew is, until it takes part again.
+        // At most a minority is unavailable at once; a restarted peer counts as unavailable until it has a lease.
         let now = self.now;
         let victim = 1 + self.draw(u64::from(self.n)) as Peer;
         let out: BTreeSet<Peer> = (1..=self.n)
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Who has been out for long enough is back.
+    /// Restarts or reconnects the peers whose outage is over.
     pub fn heal(&mut self) {
         let now = self.now;
         let healed: Vec<Peer> = self.healed_at.iter().filter(|(_, t)| **t <= now).map(|(p, _)| *p).collect();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// All are back.
+    /// Restarts and reconnects all peers.
     pub fn heal_all(&mut self) {
         self.cut.clear();
         for p in 1..=self.n {
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: cut links, late and lost messages, peers that stand still, die and start anew.
+//! A simulated fleet in virtual time, with cut links, late and lost messages, and peers that pause, die and restart.
 
 use fleet::agreed::Command;
 use fleet::ledger::{Limits, Record};
@@ -48,22 +48,24 @@
     pub now: Micros,
     pub rng: Pcg64Mcg,
     pub fleets: BTreeMap<Peer, Fleet>,
-    /// Stands still until then.
+    /// Paused peers, and until when.
     pub paused: BTreeMap<Peer, Micros>,
     pub cut: BTreeSet<(Peer, Peer)>,
-    /// Messages under way, by when they come.
+    /// Messages in transit: time of arrival, sender, receiver, frame.
     pub wires: VecDeque<(Micros, Peer, Peer, Vec<u8>)>,
     pub events: Vec<(Peer, FleetEvent)>,
-    /// All that ever was told, for comparing runs.
+    /// Hash of all events, to compare runs.
     pub trace: DefaultHasher,
-    /// Each one's part in changes of policy; its own file faults what it names here.
+    /// Each peer's state in changes of policy.
     pub parts: BTreeMap<Peer, Part>,
+    /// Peers whose own check rejects policies that contain "unknown".
     pub faulty: BTreeSet<Peer>,
-    /// The highest number that a request was admitted by, and how many were, held and refused.
+    /// The highest policy number that a request was admitted under.
     pub admitted: u64,
+    /// The number of requests that were admitted, held and refused.
     pub gates: [u64; 3],
     pub acts: Vec<(Peer, Act)>,
-    /// When those that are out are back.
+    /// When the outages of killed or disconnected peers end.
     pub healed_at: BTreeMap<Peer, Micros>,
 }
 
@@ -106,7 +108,7 @@
             if self.paused.contains_key(&to) {
                 self.wires.push_back((at + 5 * MS, from, to, bytes));
             } else if let Some(f) = self.fleets.get_mut(&to) {
-                // Through the codec, as on a socket.
+                // Encoded and decoded as on a socket.
                 let (_, message) = next(&bytes, 64 << 20).unwrap().unwrap();
                 f.hear(now, from, message);
             }
@@ -134,7 +136,7 @@
         }
     }
 
-    /// A peer looks at the policy and does what comes of it.
+    /// Lets a peer act on the replicated policy.
     fn look(&mut self, p: Peer) {
         let now = self.now;
         let (Some(f), Some(part)) = (self.fleets.get_mut(&p), self.parts.get_mut(&p)) else { return };
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A request arrives: never is it admitted by an older policy than any before it was.
+    /// A request arrives; it must not be admitted under an older policy than any earlier request.
     fn arrives(&mut self, p: Peer) {
         let holder = self.fleets.get(&p).and_then(|f| f.holds(self.now));
         match self.parts.get(&p).map(|part| part.gate(holder)) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// No request is two peers' at once.
+    /// Asserts that no request has two owners.
     pub fn one_owner(&self, asks: impl Iterator<Item = u64>) {
         for ask in asks {
             let owners: Vec<Peer> =
@@ -201,7 +203,7 @@
     pub fn formed(&mut self) {
         self.run(5_000 * MS, |_| ());
         let now = self.now;
-        assert!(self.fleets.values().all(|f| f.holds(now).is_some()), "all have a lease");
+        assert!(self.fleets.values().all(|f| f.holds(now).is_some()), "not all peers have a lease");
         assert_eq!(self.fleets.values().filter(|f| f.leads()).count(), 1);
     }
 
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The record under any commands.
+//! Properties of the ledger under arbitrary commands.
 
 use fleet::agreed::{Agreed, Command, Effect};
 use fleet::ledger::{self, End, Limits, Record};
@@ -49,9 +49,10 @@
 }
 
 proptest! {
-    // One owner, bounded, and never given to another what must not run twice; a copy by snapshot goes on alike.
+    // Each open request has one owner with a lease, the ledger stays within its limit, a request that must not run twice
+    // never changes owner, and a copy made by snapshot applies commands with the same effects.
     #[test]
-    fn any_commands_leave_a_sound_record(commands in prop::collection::vec(command(), 1..120)) {
+    fn the_ledger_stays_consistent_under_any_commands(commands in prop::collection::vec(command(), 1..120)) {
         let mut ledger = Agreed::new(LIMITS, 0);
         let from: Incarnation = incarnation(1, 1);
         let mut loads: BTreeMap<u64, Holder> = BTreeMap::new();
@@ -62,7 +63,7 @@
             prop_assert!(ledger.apply(from, n as u64 + 1, vec![c.clone()], &mut effects));
             prop_assert!(copy.apply(from, n as u64 + 1, vec![c.clone()], &mut again));
             prop_assert_eq!(&effects, &again);
-            prop_assert!(!ledger.apply(from, n as u64 + 1, vec![c], &mut again), "a batch counts once");
+            prop_assert!(!ledger.apply(from, n as u64 + 1, vec![c], &mut again), "a batch is applied once");
             prop_assert!(ledger.work().len() <= LIMITS.records as usize);
             for e in &effects {
                 if let Effect::Work(ledger::Effect::Claimed { ask, from, by }) = e {
@@ -72,10 +73,10 @@
             let alive: Vec<Holder> = ledger.alive().iter().copied().collect();
             for ask in 1..20 {
                 if let Some((r, h)) = ledger.work().open(ask) {
-                    prop_assert!(alive.contains(&h), "what is open has an owner with a lease");
+                    prop_assert!(alive.contains(&h), "the owner of an open request has a lease");
                     prop_assert!(ledger.work().owned(h).any(|a| a == ask));
                     if !r.repeats {
-                        prop_assert!(loads.insert(ask, h).is_none_or(|was| was == h), "a load changed hands");
+                        prop_assert!(loads.insert(ask, h).is_none_or(|was| was == h), "a request that must not run twice changed its owner");
                     }
                 } else {
                     loads.remove(&ask);
--- a/crates/fleet/tests/lend.rs
+++ b/crates/fleet/tests/lend.rs
@@ -1,4 +1,4 @@
-//! Slots lent by the record, under any order of commands, late sweeps, cuts and lost holders.
+//! Slot leases under any order of commands, late sweeps, disconnected and lost holders.
 
 use fleet::lend::{Borrower, Command, Slots, Terms};
 use fleet::{Holder, Machine, Micros, incarnation};
@@ -17,7 +17,7 @@
     Command::Set(Terms { total, term: TERM, longest: 4_000 * MS })
 }
 
-/// One that borrows: what it knows of the record, what it wants, and whether it hears and is heard.
+/// A simulated holder: its view of the state, the slots it needs and uses, and whether it is disconnected.
 struct Side {
     me: Holder,
     borrower: Borrower,
@@ -51,11 +51,11 @@
 }
 
 proptest! {
-    /// Guards against one slot in two hands: what any side may use, by its own clock and by what it knows, cut off
-    /// or not, is covered by the record; and the record never lends more than there are, nor anything new while
-    /// more is lent than there are.
+    /// Guards against two holders that use one slot: the slots that a holder may use by its own clock and view,
+    /// disconnected or not, are leased to it in the state. No more slots are leased than there are, and no new ones
+    /// while the total is exceeded.
     #[test]
-    fn no_slot_is_lent_twice(steps in prop::collection::vec(step(), 1..200)) {
+    fn no_slot_is_leased_twice(steps in prop::collection::vec(step(), 1..200)) {
         let mut record = Slots::default();
         let mut alive: BTreeSet<Holder> = (0..4).map(|p| holder(p + 1, 1)).collect();
         let side = |me| {
@@ -72,7 +72,7 @@
                 Step::Busy(h, n) => sides[h].busy = n,
                 Step::Cut(h) => sides[h].cut = !sides[h].cut,
                 Step::Lost(h) => {
-                    // Its lease has ended; the same process goes on under a new term, and uses no more than it had.
+                    // Its lease has ended; the same process continues under a new term and starts without slots.
                     let old = sides[h].me;
                     alive.remove(&old);
                     record.leases(&alive);
@@ -90,7 +90,7 @@
                 if let Some(c) = s.borrower.ask(now, &s.known, s.busy, s.want, s.want + 3)
                     && !s.cut
                 {
-                    // It comes twice; once is enough.
+                    // Sent twice: the duplicate must have no effect.
                     log.extend([c, c]);
                 }
             }
@@ -107,15 +107,15 @@
                 prop_assert!(s.borrower.usable(now, &s.known) <= record.of(s.me).0);
             }
         }
-        // A peer that joins gets the same.
+        // A joining peer decodes the same state.
         let copy: Slots = postcard::from_bytes(&postcard::to_stdvec(&record).unwrap()).unwrap();
         prop_assert_eq!(copy, record);
     }
 
-    /// Guards against a holder that asks for all and says that all is in use: the others come to what they want, up
-    /// to an equal part, in the longest request's time and a lease.
+    /// Guards against a holder that requests all slots and never returns any: within the longest request's duration and
+    /// a lease term, the others get what they need, up to an equal share.
     #[test]
-    fn one_that_asks_for_too_much_gets_its_part_and_what_is_left(
+    fn a_holder_that_asks_for_too_much_gets_its_share_and_what_is_left(
         wants in prop::collection::vec(0..30u16, 2..6), total in 1..60u16,
     ) {
         let all: Vec<Holder> = (0..=wants.len()).map(|p| holder(p as u8 + 1, 1)).collect();
@@ -127,7 +127,7 @@
             record.sweep(now);
             let hold = |holder, want| Command::Hold { holder, number, back: 0, want, most: want };
             record.apply(hold(all[0], u16::MAX), &alive);
-            // The others come late, when it has everything.
+            // The others arrive when the first one holds all slots.
             for (h, want) in all[1..].iter().zip(&wants).filter(|_| number > 5) {
                 record.apply(hold(*h, *want), &alive);
             }
@@ -140,9 +140,9 @@
     }
 }
 
-/// Guards against slots that a lost holder takes with it, and against giving them out before its lease's end.
+/// Guards against slots that are lost with their holder, and against leasing them again before their leases end.
 #[test]
-fn what_a_lost_holder_had_comes_back_at_its_leases_end() {
+fn the_slots_of_a_lost_holder_are_free_when_their_leases_end() {
     let (a, b) = (holder(1, 1), holder(2, 1));
     let alive = BTreeSet::from([a, b]);
     let (mut record, now) = (Slots::default(), 1_000_000 * MS);
@@ -159,10 +159,10 @@
     assert_eq!((record.of(a).0, record.of(b).0), (0, 4));
 }
 
-/// Guards against lending while more is lent than there is: fewer slots are wanted back, and none is lent until
-/// enough came back.
+/// Guards against leasing slots while the total is exceeded: after the total was lowered, the excess is recalled, and
+/// nothing is leased until enough was returned.
 #[test]
-fn fewer_slots_than_are_lent_are_recalled_first() {
+fn a_lower_total_recalls_slots_before_any_is_leased() {
     let (a, b) = (holder(1, 1), holder(2, 1));
     let alive = BTreeSet::from([a, b]);
     let mut record = Slots::default();
