--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -1,15 +1,15 @@
-//! The replicated state of the fleet: leases, the ledger of in-flight requests and every [`Machine`].
+//! The replicated state of the fleet: leases, the ledger of in-flight requests and every [`StateMachine`].
 //!
 //! All peers apply the log's batches in log order and each batch once, and so reach the same state. To add a part,
-//! implement [`Machine`] and extend [`Command`], [`StateKind`] and [`Agreed`].
+//! implement [`StateMachine`] and extend [`Command`], [`StateKind`] and [`Agreed`].
 
 use crate::leases::{Holder, Leases};
 use crate::ledger::{self, Ledger, Limits};
 use crate::lend::{self, Slots};
-use crate::machine::Machine;
 use crate::plan::{self, Plan};
 use crate::policy::{self, Policies};
 use crate::schema::{self, Schema};
+use crate::state_machine::StateMachine;
 use crate::{Incarnation, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -165,7 +165,7 @@
             Command::Register(incarnation, asked) => {
                 let holder = self.leases.register(incarnation);
                 out.push(Effect::Registered(holder, asked));
-                self.changed_leases(out);
+                self.leases_changed(out);
             }
             Command::Renew(h, asked) => {
                 out.extend(self.leases.renew(h).then_some(Effect::Renewed(h, asked)));
@@ -196,19 +196,19 @@
         }
         out.push(Effect::Ended(h));
         self.work.end(h, self.leases.alive(), &mut |e| out.push(Effect::Work(e)));
-        self.changed_leases(out);
+        self.leases_changed(out);
     }
 
-    fn changed_leases(&mut self, out: &mut Vec<Effect>) {
+    fn leases_changed(&mut self, out: &mut Vec<Effect>) {
         for incarnation in self.leases.forget() {
             self.batches.remove(&incarnation);
         }
         let alive = self.leases.alive();
         let parts = [
-            (StateKind::Plan, self.plan.leases(alive)),
-            (StateKind::Policy, self.policy.leases(alive)),
-            (StateKind::Schema, self.schema.leases(alive)),
-            (StateKind::Slots, self.slots.leases(alive)),
+            (StateKind::Plan, self.plan.on_lease_change(alive)),
+            (StateKind::Policy, self.policy.on_lease_change(alive)),
+            (StateKind::Schema, self.schema.on_lease_change(alive)),
+            (StateKind::Slots, self.slots.on_lease_change(alive)),
         ];
         tell(parts, out);
     }
--- a/crates/fleet/src/lend/mod.rs
+++ b/crates/fleet/src/lend/mod.rs
@@ -11,7 +11,7 @@
 mod borrower;
 mod command;
 
-use crate::machine::Machine;
+use crate::state_machine::StateMachine;
 use crate::{Holder, Micros};
 pub use borrower::Borrower;
 pub use command::{Command, Terms};
@@ -174,7 +174,7 @@
     }
 }
 
-impl Machine for Slots {
+impl StateMachine for Slots {
     type Command = Command;
 
     fn apply(&mut self, command: Command, alive: &BTreeSet<Holder>) -> bool {
@@ -196,7 +196,7 @@
         *self != was
     }
 
-    fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
+    fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
         let before = self.asks.len();
         self.asks.retain(|h, _| alive.contains(h));
         let changed = self.asks.len() < before;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! - [`agreed`]: the whole replicated state: commands in, effects out.
 //! - [`leases`]: which incarnations may act.
-//! - [`machine`]: the trait that each part of the replicated state implements; the parts are independent.
+//! - [`state_machine`]: the trait that each part of the replicated state implements; the parts are independent.
 //! - [`ledger`]: records of in-flight requests.
 //! - [`plan`]: executor maintenance, one step after the other.
 //! - [`policy`]: the admission policy, switched at all peers or at none.
@@ -30,17 +30,17 @@
 pub mod ledger;
 pub mod lend;
 pub mod log;
-pub mod machine;
 pub mod plan;
 pub mod policy;
 pub mod schema;
+pub mod state_machine;
 pub mod wire;
 
 pub use agreed::{Agreed, StateKind};
 pub use fleet::{Fleet, FleetConfig, FleetEvent};
 pub use leases::Holder;
 pub use ledger::{End, Ledger, Record};
-pub use machine::Machine;
+pub use state_machine::StateMachine;
 
 /// Microseconds; Unix time where values of different hosts are compared.
 pub type Micros = u64;
--- a/crates/fleet/src/plan/mod.rs
+++ b/crates/fleet/src/plan/mod.rs
@@ -217,7 +217,7 @@
     }
 }
 
-impl crate::Machine for Plan {
+impl crate::StateMachine for Plan {
     type Command = Command;
 
     fn apply(&mut self, command: Command, _: &BTreeSet<Holder>) -> bool {
--- a/crates/fleet/src/policy/apply.rs
+++ b/crates/fleet/src/policy/apply.rs
@@ -1,7 +1,7 @@
 //! How the policy moves.
 
 use super::*;
-use crate::{Machine, peer_of};
+use crate::{StateMachine, peer_of};
 
 impl Policies {
     fn propose(&mut self, p: Policy, by: Peer, at: Micros, limits: [Micros; 2], least: u64) -> bool {
@@ -92,7 +92,7 @@
     faults
 }
 
-impl Machine for Policies {
+impl StateMachine for Policies {
     type Command = Command;
 
     fn apply(&mut self, command: Command, alive: &BTreeSet<Holder>) -> bool {
@@ -133,7 +133,7 @@
         self.settle(alive) || changed
     }
 
-    fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
+    fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
         if let Some(p) = &mut self.pending {
             // What those said whose lease is over no longer counts, nor does it pile up.
             p.votes.retain(|h, faults| alive.contains(h) || !faults.is_empty());
--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -14,7 +14,7 @@
 pub mod executors;
 pub mod window;
 
-use crate::machine::Machine;
+use crate::state_machine::StateMachine;
 use crate::{Holder, Micros};
 use executors::{Executors, Held};
 use serde::{Deserialize, Serialize};
@@ -185,7 +185,7 @@
     }
 }
 
-impl Machine for Schema {
+impl StateMachine for Schema {
     type Command = Command;
 
     fn apply(&mut self, command: Command, alive: &BTreeSet<Holder>) -> bool {
@@ -209,7 +209,7 @@
         true
     }
 
-    fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
+    fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
         self.window.leases(alive) | self.settle()
     }
 
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/state_machine.rs
@@ -11,7 +11,7 @@
 
 /// A part of the replicated state. Its size is bounded, as a joining peer gets all of it in one snapshot: a command
 /// that would exceed the bound changes nothing.
-pub trait Machine: Default + Clone + PartialEq + Serialize + DeserializeOwned {
+pub trait StateMachine: Default + Clone + PartialEq + Serialize + DeserializeOwned {
     /// Its commands in the log.
     type Command: Serialize + DeserializeOwned;
 
@@ -20,7 +20,7 @@
     fn apply(&mut self, command: Self::Command, alive: &BTreeSet<Holder>) -> bool;
 
     /// Handles the start or end of a lease. Returns whether the state changed.
-    fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
+    fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
         let _ = alive;
         false
     }
--- a/crates/fleet/tests/lend.rs
+++ b/crates/fleet/tests/lend.rs
@@ -1,7 +1,7 @@
 //! Slot leases under any order of commands, late sweeps, disconnected and lost holders.
 
 use fleet::lend::{Borrower, Command, Slots, Terms};
-use fleet::{Holder, Machine, Micros, incarnation};
+use fleet::{Holder, Micros, StateMachine, incarnation};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -75,7 +75,7 @@
                     // Its lease has ended; the same process continues under a new term and starts without slots.
                     let old = sides[h].me;
                     alive.remove(&old);
-                    record.leases(&alive);
+                    record.on_lease_change(&alive);
                     let new = Holder { term: old.term + 1, ..old };
                     alive.insert(new);
                     gone.push(std::mem::replace(&mut sides[h], side(new)));
@@ -151,7 +151,7 @@
     record.apply(hold(a, 4), &alive);
     record.apply(hold(b, 4), &alive);
     record.sweep(now);
-    record.leases(&BTreeSet::from([b]));
+    record.on_lease_change(&BTreeSet::from([b]));
     assert_eq!((record.of(a).0, record.of(b).0, record.until(0)), (4, 0, Some(now + TERM)));
     record.sweep(now + TERM - 1);
     assert_eq!((record.of(a).0, record.of(b).0), (4, 0));
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of machines taken out for work, under any order of asks, faults, aborts and leaders that know it late.
 
-use fleet::Machine as _;
+use fleet::StateMachine as _;
 use fleet::plan::{Budget, Command, Machine, Plan, Step, lead, may_begin};
 use fleet::{Holder, Micros, incarnation};
 use proptest::prelude::*;
--- a/crates/fleet/tests/policy_model/view.rs
+++ b/crates/fleet/tests/policy_model/view.rs
@@ -3,7 +3,7 @@
 use crate::model::{Break, Checks};
 use fleet::leases::Leases;
 use fleet::policy::{Command, Policies, Stage};
-use fleet::{Holder, Incarnation, Machine, Micros, peer_of};
+use fleet::{Holder, Incarnation, Micros, StateMachine, peer_of};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
@@ -66,7 +66,7 @@
     }
 
     fn changed_leases(&mut self, checks: &Checks) {
-        self.policies.leases(&self.counted(checks));
+        self.policies.on_lease_change(&self.counted(checks));
     }
 
     /// Those whose word is waited for: all with a lease, but for the broken variants.
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -5,7 +5,7 @@
 use fleet::schema::executors::{Held, MOST};
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema};
-use fleet::{Holder, Machine, Micros, incarnation};
+use fleet::{Holder, Micros, StateMachine, incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[path = "schema/world.rs"]
@@ -53,9 +53,13 @@
     let word = s.word_of(holder(1), |_| false).unwrap();
     assert!(s.apply(word.clone(), &alive) && !s.apply(word, &alive));
     alive = [holder(1), holder(3)].into();
-    assert!(s.leases(&alive) && s.window().ending().unwrap().waits().contains(&holder(3)));
+    assert!(s.on_lease_change(&alive) && s.window().ending().unwrap().waits().contains(&holder(3)));
     assert!(!s.apply(Command::Clear(holder(2), 7, s.step()), &alive), "it has no lease");
-    assert!(!s.leases(&alive) && s.status().contains("waits for 1 holders and 0 ms"), "{}", s.status());
+    assert!(
+        !s.on_lease_change(&alive) && s.status().contains("waits for 1 holders and 0 ms"),
+        "{}",
+        s.status()
+    );
     assert!(s.apply(s.word_of(holder(3), |_| false).unwrap(), &alive));
     assert_eq!(s.window(), &Window::Closed(8));
     assert!(s.accepts(&Command::Open(8, s.step())).is_err() && s.accepts(&Command::Back(s.step())).is_err());
--- a/crates/fleet/tests/schema/world.rs
+++ b/crates/fleet/tests/schema/world.rs
@@ -2,7 +2,7 @@
 
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema, Version};
-use fleet::{Holder, Machine, Micros, incarnation};
+use fleet::{Holder, Micros, StateMachine, incarnation};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,7 +40,7 @@
         Entry::Command(c) => schema.apply(c.clone(), alive),
         Entry::Leases(now) => {
             *alive = now.clone();
-            schema.leases(alive)
+            schema.on_lease_change(alive)
         }
         Entry::Sweep(now) => schema.sweep(*now),
     };
--- a/crates/slots/tests/sim/mod.rs
+++ b/crates/slots/tests/sim/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: dispatchers with this crate's queues, the record that lends slots, news that come late.
 
 use fleet::lend::{Borrower, Command, Slots, Terms as Lending};
-use fleet::{Holder, Machine, incarnation};
+use fleet::{Holder, StateMachine, incarnation};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use slots::{Id, Job, Lent, Micros, Next, Queue, Shares, Tenant, Terms, Verdict};
--- a/src/schema/tests.rs
+++ b/src/schema/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::api::Micros;
 use fleet::schema::{Command, Schema, Version};
-use fleet::{Holder, Machine, incarnation};
+use fleet::{Holder, StateMachine, incarnation};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
