--- a/crates/fleet/src/fleet/digest.rs
+++ b/crates/fleet/src/fleet/digest.rs
@@ -91,9 +91,9 @@
     /// Handles a snapshot that replaced the state: derives this peer's lease and requests from it, as the effects of the
     /// skipped entries were not seen.
     pub(super) fn restored(&mut self, now: Micros) {
-        let Some(agreed) = self.group.as_ref().map(Group::agreed) else { return };
+        let Some(state) = self.group.as_ref().map(Group::state) else { return };
         self.events.extend([FleetEvent::Changed(StateKind::Plan), FleetEvent::Changed(StateKind::Policy)]);
-        let alive = agreed.alive().clone();
+        let alive = state.alive().clone();
         self.renewed = alive.iter().map(|h| (*h, now)).collect();
         let Some((holder, _)) = self.lease else { return };
         if !alive.contains(&holder) {
@@ -101,7 +101,7 @@
             self.register_at = now;
             return self.lose(holder);
         }
-        let owned: BTreeSet<u64> = agreed.work().owned(holder).collect();
+        let owned: BTreeSet<u64> = state.work().owned(holder).collect();
         for ask in self.mine.difference(&owned) {
             self.events.push_back(FleetEvent::Closed(*ask, End::Gone));
         }
--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -50,11 +50,11 @@
     /// As leader, proposes the expiry of leases that were not renewed in time, and sweeps.
     pub(super) fn lead(&mut self, now: Micros) {
         let Some(group) = self.group.as_ref().filter(|g| g.leads()) else { return };
-        let agreed = group.agreed();
-        let others = agreed.alive().iter().filter(|h| h.incarnation != self.incarnation);
-        let alive: Vec<(Holder, u64)> = others.filter_map(|h| Some((*h, agreed.renewals(*h)?))).collect();
+        let state = group.state();
+        let others = state.alive().iter().filter(|h| h.incarnation != self.incarnation);
+        let alive: Vec<(Holder, u64)> = others.filter_map(|h| Some((*h, state.renewals(*h)?))).collect();
         // A pending change of policy depends on time limits, so the leader sweeps more often.
-        let (timed, hurry) = (agreed.keeps_time(), agreed.policy().pending().is_some());
+        let (timed, hurry) = (state.keeps_time(), state.policy().pending().is_some());
         for (holder, renewals) in alive {
             let seen = self.renewed.entry(holder).or_insert(now);
             if now > *seen + self.config.lease + self.config.margin {
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -12,8 +12,8 @@
 
 pub use types::{FleetConfig, FleetEvent};
 
-use crate::agreed::{Agreed, Command, Effect, StateKind};
 use crate::ledger::{self, End, Ledger, Record};
+use crate::state::{Command, Effect, ReplicatedState, StateKind};
 use crate::wire::{Founding, Message};
 use crate::{Holder, Incarnation, Micros, Peer, incarnation, peer_of};
 use rand_core::{RngCore, SeedableRng};
@@ -114,12 +114,12 @@
 
     /// The ledger of in-flight requests, as applied here.
     pub fn ledger(&self) -> Option<&Ledger> {
-        self.agreed().map(Agreed::work)
+        self.state().map(ReplicatedState::work)
     }
 
     /// The replicated state, as applied here.
-    pub fn agreed(&self) -> Option<&Agreed> {
-        self.group.as_ref().map(Group::agreed)
+    pub fn state(&self) -> Option<&ReplicatedState> {
+        self.group.as_ref().map(Group::state)
     }
 
     /// The holder of the current lease, if it has not expired.
--- a/crates/fleet/src/fleet/types.rs
+++ b/crates/fleet/src/fleet/types.rs
@@ -1,7 +1,7 @@
 //! Configuration and events of a fleet.
 
-use crate::agreed::StateKind;
 use crate::ledger::{End, Limits};
+use crate::state::StateKind;
 use crate::{Holder, Micros, Peer};
 
 /// Configuration of a fleet; all times have to be the same at all peers.
--- a/crates/fleet/src/group/mod.rs
+++ b/crates/fleet/src/group/mod.rs
@@ -7,8 +7,8 @@
 mod pump;
 mod seat;
 
-use crate::agreed::{Agreed, Command, Effect};
 use crate::log::Log;
+use crate::state::{Command, Effect, ReplicatedState};
 use crate::wire::Founding;
 use crate::{Incarnation, Micros, peer_of};
 use protobuf::Message as _;
@@ -42,10 +42,10 @@
     me: Incarnation,
     node: RawNode<Log>,
     log: Log,
-    agreed: Agreed,
+    state: ReplicatedState,
     applied: u64,
     /// The decoded state of the last received snapshot, until the library applies it.
-    incoming: Option<Agreed>,
+    incoming: Option<ReplicatedState>,
     period: Micros,
     tick_at: Micros,
     /// Own batches that are not applied yet: number, entry, and time of the last proposal.
@@ -74,7 +74,7 @@
     let meta = snapshot.mut_metadata();
     (meta.index, meta.term) = (1, 1);
     meta.set_conf_state(ConfState::from((founding.voters.clone(), Vec::new())));
-    snapshot.data = Agreed::new(founding.limits, founding.policy).encode().into();
+    snapshot.data = ReplicatedState::new(founding.limits, founding.policy).encode().into();
     snapshot
 }
 
@@ -100,7 +100,7 @@
         };
         let node = RawNode::new(&config, log.clone(), &slog::Logger::root(slog::Discard, slog::o!()))?;
         Ok(Group {
-            agreed: Agreed::new(founding.limits, founding.policy),
+            state: ReplicatedState::new(founding.limits, founding.policy),
             founding,
             me,
             node,
@@ -122,8 +122,8 @@
     }
 
     /// The replicated state, as applied here.
-    pub fn agreed(&self) -> &Agreed {
-        &self.agreed
+    pub fn state(&self) -> &ReplicatedState {
+        &self.state
     }
 
     /// Whether this node is the leader.
@@ -188,7 +188,7 @@
         let beyond = message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > last;
         let snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
         if snapshot {
-            self.incoming = Agreed::decode(&message.get_snapshot().data).ok();
+            self.incoming = ReplicatedState::decode(&message.get_snapshot().data).ok();
         }
         let unreadable = snapshot && self.incoming.is_none();
         if message.to != self.me || beyond || unreadable || self.node.step(message).is_err() {
--- a/crates/fleet/src/group/pump.rs
+++ b/crates/fleet/src/group/pump.rs
@@ -32,7 +32,7 @@
         }
         let wanted = self.log.take_wanted();
         if self.applied > 1 && (wanted || self.grown > LEAST_CUT.max(self.size)) {
-            let data = self.agreed.encode();
+            let data = self.state.encode();
             (self.grown, self.size) = (0, data.len());
             let _ = self.log.compact(self.applied, data, KEPT);
         }
@@ -48,11 +48,11 @@
 
     fn restore(&mut self, snapshot: Snapshot) {
         // Group::step decoded it before it passed the message to the library.
-        let Some(agreed) = self.incoming.take() else { return };
+        let Some(state) = self.incoming.take() else { return };
         self.applied = snapshot.get_metadata().index;
         (self.grown, self.size) = (0, snapshot.data.len());
         if self.log.restore(snapshot).is_ok() {
-            self.agreed = agreed;
+            self.state = state;
             self.restored = true;
             self.seen();
         }
@@ -68,7 +68,7 @@
                         self.refused += 1;
                         continue;
                     };
-                    self.agreed.apply(incarnation, number, commands, &mut self.effects);
+                    self.state.apply(incarnation, number, commands, &mut self.effects);
                     if incarnation == self.me {
                         self.seen();
                     }
@@ -86,7 +86,7 @@
 
     /// Removes own batches that were applied from the pending ones.
     pub(super) fn seen(&mut self) {
-        let last = self.agreed.batch(self.me);
+        let last = self.state.batch(self.me);
         self.next_batch = self.next_batch.max(last + 1);
         while self.pending.front().is_some_and(|(n, _, _)| *n <= last) {
             self.pending.pop_front();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //! sans-I/O: it takes bytes and times and returns bytes and events, and the same inputs with the same seed give the
 //! same outputs.
 //!
-//! - [`agreed`]: the whole replicated state: commands in, effects out.
+//! - [`state`]: the whole replicated state: commands in, effects out.
 //! - [`leases`]: which incarnations may act.
 //! - [`state_machine`]: the trait that each part of the replicated state implements; the parts are independent.
 //! - [`ledger`]: records of in-flight requests.
@@ -22,7 +22,6 @@
 //! - [`control_plane`]: dispatchers that follow a few members of the group without voting.
 //! - [`fleet`]: one dispatcher's participation: leases, batching, events.
 
-pub mod agreed;
 pub mod control_plane;
 pub mod fleet;
 pub mod group;
@@ -33,13 +32,14 @@
 pub mod plan;
 pub mod policy;
 pub mod schema;
+pub mod state;
 pub mod state_machine;
 pub mod wire;
 
-pub use agreed::{Agreed, StateKind};
 pub use fleet::{Fleet, FleetConfig, FleetEvent};
 pub use leases::Holder;
 pub use ledger::{End, Ledger, Record};
+pub use state::{ReplicatedState, StateKind};
 pub use state_machine::StateMachine;
 
 /// Microseconds; Unix time where values of different hosts are compared.
--- a/crates/fleet/src/policy/record.rs
+++ b/crates/fleet/src/policy/record.rs
@@ -1,7 +1,7 @@
 //! Where a dispatcher learns the policy from and speaks to: the fleet's log, or a member of it.
 
 use super::{Command, Policies};
-use crate::agreed::{self, Agreed};
+use crate::state::{self, ReplicatedState};
 use crate::{Fleet, Holder, Micros};
 
 /// The agreed policy as one dispatcher sees it, and the lease that it admits by.
@@ -26,11 +26,11 @@
     }
 
     fn policies(&self) -> Option<&Policies> {
-        self.agreed().map(Agreed::policy)
+        self.state().map(ReplicatedState::policy)
     }
 
     fn say(&mut self, now: Micros, command: Command) -> bool {
-        self.agree(now, agreed::Command::Policy(command))
+        self.agree(now, state::Command::Policy(command))
     }
 
     fn heeded(&mut self, number: u64) {
--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/state.rs
@@ -1,7 +1,7 @@
 //! The replicated state of the fleet: leases, the ledger of in-flight requests and every [`StateMachine`].
 //!
 //! All peers apply the log's batches in log order and each batch once, and so reach the same state. To add a part,
-//! implement [`StateMachine`] and extend [`Command`], [`StateKind`] and [`Agreed`].
+//! implement [`StateMachine`] and extend [`Command`], [`StateKind`] and [`ReplicatedState`].
 
 use crate::leases::{Holder, Leases};
 use crate::ledger::{self, Ledger, Limits};
@@ -70,7 +70,7 @@
 
 /// The replicated state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct ReplicatedState {
     leases: Leases,
     /// The number of the last batch applied for each incarnation; duplicate batches are skipped.
     batches: BTreeMap<Incarnation, u64>,
@@ -81,10 +81,10 @@
     slots: Slots,
 }
 
-impl Agreed {
+impl ReplicatedState {
     /// The initial state of a fleet. `policy` is the highest policy number that its founder knows of.
-    pub fn new(limits: Limits, policy: u64) -> Agreed {
-        Agreed {
+    pub fn new(limits: Limits, policy: u64) -> ReplicatedState {
+        ReplicatedState {
             leases: Leases::default(),
             batches: BTreeMap::new(),
             work: Ledger::new(limits),
@@ -218,12 +218,12 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes what [`Agreed::encode`] wrote.
-    pub fn decode(bytes: &[u8]) -> Result<Agreed, postcard::Error> {
-        let mut agreed: Agreed = postcard::from_bytes(bytes)?;
-        agreed.leases.restore();
-        agreed.work.restore();
-        Ok(agreed)
+    /// Decodes what [`ReplicatedState::encode`] wrote.
+    pub fn decode(bytes: &[u8]) -> Result<ReplicatedState, postcard::Error> {
+        let mut state: ReplicatedState = postcard::from_bytes(bytes)?;
+        state.leases.restore();
+        state.work.restore();
+        Ok(state)
     }
 }
 
--- a/crates/fleet/tests/control_plane/faults.rs
+++ b/crates/fleet/tests/control_plane/faults.rs
@@ -97,7 +97,7 @@
     w.until(30_000 * MS, "the policy is back", |w| {
         w.all_admit() && w.followers.values().all(|f| f.part.number() >= 1)
     });
-    let policies = w.members[&1].fleet.agreed().unwrap().policy();
+    let policies = w.members[&1].fleet.state().unwrap().policy();
     assert_eq!(policies.current().text, "one");
 }
 
--- a/crates/fleet/tests/control_plane/main.rs
+++ b/crates/fleet/tests/control_plane/main.rs
@@ -23,7 +23,7 @@
     w.until(600 * MS, "in force at all", |w| w.all_at(1));
     assert!(w.gates[1] > 0, "while all stop, what arrives waits");
     assert_eq!(w.gates[2], refused, "nothing was refused");
-    let entries: usize = w.members.values().map(|n| n.fleet.agreed().unwrap().alive().len()).sum();
+    let entries: usize = w.members.values().map(|n| n.fleet.state().unwrap().alive().len()).sum();
     assert_eq!(entries, 9, "three members have leases in the log, and no follower");
 }
 
@@ -39,7 +39,7 @@
         w.followers.values().all(|f| f.acts.iter().any(given_up))
     });
     assert!(w.all_at(0));
-    let agreed = w.members[&1].fleet.agreed().unwrap();
+    let agreed = w.members[&1].fleet.state().unwrap();
     let ended = agreed.policy().ended().next().unwrap();
     assert!(ended.faults.iter().any(|(_, f)| f[0] == "d7: unknown class"), "{ended:?}");
     assert!(w.propose(1, "two"));
@@ -62,7 +62,7 @@
         assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
         assert!(numbers.len() <= 4, "most were superseded: {numbers:?}");
     }
-    let agreed = w.members[&2].fleet.agreed().unwrap();
+    let agreed = w.members[&2].fleet.state().unwrap();
     let ended: Vec<_> = agreed.policy().ended().take(2).map(|e| (e.number, e.why.clone())).collect();
     assert_eq!(ended, [(20, None), (19, Some("superseded by 20".to_string()))]);
 }
@@ -77,7 +77,7 @@
         assert!(w.propose(1, text));
     }
     w.until(2_000 * MS, "the last that can be done is in force", |w| w.all_at(3));
-    let agreed = w.members[&2].fleet.agreed().unwrap();
+    let agreed = w.members[&2].fleet.state().unwrap();
     assert_eq!(agreed.policy().waiting().count(), 0);
     assert!(agreed.policy().ended().any(|e| e.number == 4 && e.why.is_some()));
 }
@@ -91,7 +91,7 @@
         w.propose(1, &format!("policy {n}"));
     }
     w.run(100 * MS, |_| ());
-    let agreed = w.members[&2].fleet.agreed().unwrap();
+    let agreed = w.members[&2].fleet.state().unwrap();
     let waiting = agreed.policy().waiting().count();
     assert!(waiting <= fleet::policy::MOST_WAITING, "{waiting}");
     assert!(agreed.policy().queues("more").is_err() || waiting < fleet::policy::MOST_WAITING);
--- a/crates/fleet/tests/control_plane/storm.rs
+++ b/crates/fleet/tests/control_plane/storm.rs
@@ -88,7 +88,7 @@
     w.until(60_000 * MS, "all admit alike in the end", |w| {
         let newest = w.followers.values().map(|f| f.part.number()).max().unwrap_or(0);
         let idle =
-            w.members.values().all(|n| n.fleet.agreed().is_some_and(|a| a.policy().pending().is_none()));
+            w.members.values().all(|n| n.fleet.state().is_some_and(|a| a.policy().pending().is_none()));
         idle && w.all_at(newest)
     });
     w.gates
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -107,7 +107,7 @@
     let mut w = World::new(3, 0, 28);
     w.run(3_000 * MS, |_| ());
     let fleet = w.members[&1].fleet.founding().unwrap();
-    let known = |w: &World| w.members[&1].fleet.agreed().unwrap().policy().revision();
+    let known = |w: &World| w.members[&1].fleet.state().unwrap().policy().revision();
     for n in 1..=50 {
         w.propose_anywhere(&format!("policy {n}"));
         w.run(300 * MS, |_| ());
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -139,7 +139,7 @@
             w.run(span, |w| {
                 for p in 1..=3 {
                     let agreed =
-                        |q: Peer| w.fleets[&q].agreed().map(|a| a.alive().clone()).unwrap_or_default();
+                        |q: Peer| w.fleets[&q].state().map(|a| a.alive().clone()).unwrap_or_default();
                     let holder = w.fleets[&p].holds(w.now);
                     // No peer acts under a lease whose end another peer has applied.
                     for q in (1..=3).filter(|q| *q != p) {
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -1,8 +1,8 @@
 //! A change of policy takes hold everywhere or nowhere.
 
 use crate::world::*;
-use fleet::agreed::Command;
 use fleet::policy::{self, Act, Gate, Policies};
+use fleet::state::Command;
 use fleet::{Fleet, FleetEvent, Micros, Peer};
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -24,7 +24,7 @@
 }
 
 fn policies(w: &World, p: Peer) -> Policies {
-    w.fleets.get(&p).and_then(|f| f.agreed()).map(|a| a.policy().clone()).unwrap_or_default()
+    w.fleets.get(&p).and_then(|f| f.state()).map(|a| a.policy().clone()).unwrap_or_default()
 }
 
 /// The number in force at each that runs.
@@ -123,7 +123,7 @@
         w.restart(2);
         if !survives {
             // It has told its number, and is gone before it could say more.
-            while w.fleets[&1].agreed().is_none_or(|a| a.policy().abreast()) {
+            while w.fleets[&1].state().is_none_or(|a| a.policy().abreast()) {
                 w.run(5 * MS, |_| ());
             }
             w.fleets.remove(&3);
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -1,8 +1,8 @@
 //! A simulated fleet in virtual time, with cut links, late and lost messages, and peers that pause, die and restart.
 
-use fleet::agreed::Command;
 use fleet::ledger::{Limits, Record};
 use fleet::policy::{Act, Gate, Part, Policy};
+use fleet::state::Command;
 use fleet::wire::{frame, next};
 use fleet::{Fleet, FleetConfig, FleetEvent, Micros, Peer};
 use rand_core::{RngCore, SeedableRng};
@@ -146,7 +146,7 @@
             if faults { vec!["unknown class".to_string()] } else { Vec::new() }
         };
         f.policy = part.number();
-        let policies = f.agreed().map(|a| a.policy().clone());
+        let policies = f.state().map(|a| a.policy().clone());
         for act in part.look(now, p, f.holds(now), policies.as_ref(), &mut check) {
             if let Act::Say(c) = &act
                 && !f.agree(now, Command::Policy(c.clone()))
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! Properties of the ledger under arbitrary commands.
 
-use fleet::agreed::{Agreed, Command, Effect};
 use fleet::ledger::{self, End, Limits, Record};
+use fleet::state::{Command, Effect, ReplicatedState};
 use fleet::{Holder, Incarnation, incarnation};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -53,28 +53,28 @@
     // never changes owner, and a copy made by snapshot applies commands with the same effects.
     #[test]
     fn the_ledger_stays_consistent_under_any_commands(commands in prop::collection::vec(command(), 1..120)) {
-        let mut ledger = Agreed::new(LIMITS, 0);
+        let mut state = ReplicatedState::new(LIMITS, 0);
         let from: Incarnation = incarnation(1, 1);
         let mut loads: BTreeMap<u64, Holder> = BTreeMap::new();
         for (n, c) in commands.into_iter().enumerate() {
-            let mut copy = Agreed::decode(&ledger.encode()).unwrap();
-            prop_assert_eq!(&copy, &ledger);
+            let mut copy = ReplicatedState::decode(&state.encode()).unwrap();
+            prop_assert_eq!(&copy, &state);
             let (mut effects, mut again) = (Vec::new(), Vec::new());
-            prop_assert!(ledger.apply(from, n as u64 + 1, vec![c.clone()], &mut effects));
+            prop_assert!(state.apply(from, n as u64 + 1, vec![c.clone()], &mut effects));
             prop_assert!(copy.apply(from, n as u64 + 1, vec![c.clone()], &mut again));
             prop_assert_eq!(&effects, &again);
-            prop_assert!(!ledger.apply(from, n as u64 + 1, vec![c], &mut again), "a batch is applied once");
-            prop_assert!(ledger.work().len() <= LIMITS.records as usize);
+            prop_assert!(!state.apply(from, n as u64 + 1, vec![c], &mut again), "a batch is applied once");
+            prop_assert!(state.work().len() <= LIMITS.records as usize);
             for e in &effects {
                 if let Effect::Work(ledger::Effect::Claimed { ask, from, by }) = e {
-                    prop_assert!(ledger.work().open(*ask).is_some_and(|(r, h)| r.repeats && h == *by) && from != by);
+                    prop_assert!(state.work().open(*ask).is_some_and(|(r, h)| r.repeats && h == *by) && from != by);
                 }
             }
-            let alive: Vec<Holder> = ledger.alive().iter().copied().collect();
+            let alive: Vec<Holder> = state.alive().iter().copied().collect();
             for ask in 1..20 {
-                if let Some((r, h)) = ledger.work().open(ask) {
+                if let Some((r, h)) = state.work().open(ask) {
                     prop_assert!(alive.contains(&h), "the owner of an open request has a lease");
-                    prop_assert!(ledger.work().owned(h).any(|a| a == ask));
+                    prop_assert!(state.work().owned(h).any(|a| a == ask));
                     if !r.repeats {
                         prop_assert!(loads.insert(ask, h).is_none_or(|was| was == h), "a request that must not run twice changed its owner");
                     }
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -3,12 +3,12 @@
 //! Peers of a fleet are upgraded one by one: a new program joins by a snapshot that the old one encoded, applies
 //! commands from its log and reads its frames. The fixtures are bytes in hex, as the earlier release wrote them.
 
-use fleet::agreed::{Agreed, Command, Effect};
 use fleet::control_plane::messages::{
     FRAMING, FollowerId, FollowerMessage, MemberMessage, Rejection, Resume, VERSION, from_follower,
     from_member,
 };
 use fleet::ledger::{self, End, Limits, Record};
+use fleet::state::{Command, Effect, ReplicatedState};
 use fleet::wire::{self, Founding, Message};
 use fleet::{Holder, incarnation, lend, plan, policy, schema};
 use serde::Serialize;
@@ -73,8 +73,8 @@
 }
 
 /// The state that the batch comes to.
-fn agreed() -> Agreed {
-    let mut agreed = Agreed::new(LIMITS, 3);
+fn agreed() -> ReplicatedState {
+    let mut agreed = ReplicatedState::new(LIMITS, 3);
     let mut effects: Vec<Effect> = Vec::new();
     assert!(agreed.apply(incarnation(1, 5), 1, commands(), &mut effects));
     agreed
@@ -83,7 +83,7 @@
 #[test]
 fn a_snapshot_of_an_earlier_release_is_read_and_written_alike() {
     let stored = bytes(include_str!("record-snapshot.hex"));
-    assert_eq!(Agreed::decode(&stored).unwrap(), agreed());
+    assert_eq!(ReplicatedState::decode(&stored).unwrap(), agreed());
     assert_eq!(agreed().encode(), stored);
 }
 
--- a/crates/lab/src/takeover/record.rs
+++ b/crates/lab/src/takeover/record.rs
@@ -114,7 +114,7 @@
     (0..200).for_each(|_| three.turn());
     let held = three.fleets[0].ledger().map_or(0, |l| l.len());
     let memory_mb = (resident_mb() - before) / 3.0;
-    let snapshot_mb = three.fleets[0].agreed().map_or(0.0, |l| l.encode().len() as f64 / 1e6);
+    let snapshot_mb = three.fleets[0].state().map_or(0.0, |l| l.encode().len() as f64 / 1e6);
     // One starts anew, and has to learn all of it.
     three.slowest_ms = 0.0;
     let last = three.fleets.iter().position(|f| !f.leads()).unwrap_or(2);
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -13,7 +13,7 @@
 
 impl DispatcherServer {
     pub(super) fn plan(&self) -> Option<&Plan> {
-        self.in_flight.as_ref()?.takeover.fleet.agreed().map(fleet::Agreed::plan)
+        self.in_flight.as_ref()?.takeover.fleet.state().map(fleet::ReplicatedState::plan)
     }
 
     pub(super) fn machines(&self) -> BTreeMap<String, Machine> {
@@ -36,7 +36,7 @@
             return;
         }
         in_flight.maintenance.next_poll_at = now + POLL_INTERVAL;
-        let Some(plan) = in_flight.takeover.fleet.agreed().map(fleet::Agreed::plan) else {
+        let Some(plan) = in_flight.takeover.fleet.state().map(fleet::ReplicatedState::plan) else {
             return self.plan_not_yet_known(now);
         };
         if plan.steps().next().is_none() && in_flight.maintenance.held_back.is_empty() {
@@ -120,7 +120,7 @@
                 && !self.executors.busy(id)
             {
                 let idle = Command::Idle(holder, id.into());
-                in_flight.takeover.fleet.agree(now, fleet::agreed::Command::Plan(idle));
+                in_flight.takeover.fleet.agree(now, fleet::state::Command::Plan(idle));
             }
         }
     }
@@ -132,9 +132,9 @@
         let (machines, busy) = (self.machines(), self.dispatch.busy_cores(now));
         let Some(in_flight) = &mut self.in_flight else { return };
         let alive: BTreeSet<_> =
-            in_flight.takeover.fleet.agreed().map(|a| a.alive().clone()).unwrap_or_default();
+            in_flight.takeover.fleet.state().map(|a| a.alive().clone()).unwrap_or_default();
         for command in plan::lead(plan, &machines, busy, &alive, &in_flight.maintenance.budget, now) {
-            in_flight.takeover.fleet.agree(now, fleet::agreed::Command::Plan(command));
+            in_flight.takeover.fleet.agree(now, fleet::state::Command::Plan(command));
         }
     }
 }
