--- a/crates/fleet/src/fleet/digest.rs
+++ b/crates/fleet/src/fleet/digest.rs
@@ -13,7 +13,7 @@
         let leader = group.leader().map(peer_of);
         if leader != self.leader {
             self.leader = leader;
-            self.events.push_back(FleetEvent::Leader(leader));
+            self.events.push_back(FleetEvent::LeaderChanged(leader));
         }
         let (effects, restored) = (std::mem::take(&mut group.effects), std::mem::take(&mut group.restored));
         if restored {
@@ -32,7 +32,7 @@
                     if until > now && self.lease.is_none() {
                         self.lease = Some((h, until));
                         self.renew_at = now;
-                        self.events.push_back(FleetEvent::Held(h));
+                        self.events.push_back(FleetEvent::LeaseAcquired(h));
                     }
                 }
             }
@@ -51,9 +51,9 @@
                     self.register_at = now;
                     self.lose(h);
                 }
-                self.events.push_back(FleetEvent::Ended(h));
+                self.events.push_back(FleetEvent::LeaseEnded(h));
             }
-            Effect::Changed(part) => self.events.push_back(FleetEvent::Changed(part)),
+            Effect::Changed(part) => self.events.push_back(FleetEvent::StateChanged(part)),
             Effect::Work(e) => self.work(e),
         }
     }
@@ -69,9 +69,9 @@
                     self.events.push_back(FleetEvent::Opened(ask));
                 }
             }
-            Effect::Taken(h, ask) if own(h) => self.events.push_back(FleetEvent::Taken(ask)),
+            Effect::Taken(h, ask) if own(h) => self.events.push_back(FleetEvent::AlreadyRecorded(ask)),
             Effect::Full(h, ask) | Effect::Fenced(h, ask) if own(h) => {
-                self.events.push_back(FleetEvent::Unrecorded(ask));
+                self.events.push_back(FleetEvent::NotRecorded(ask));
             }
             Effect::Opened(..) | Effect::Taken(..) | Effect::Full(..) | Effect::Fenced(..) => {}
             Effect::Claimed { ask, from, by } => {
@@ -79,7 +79,7 @@
                 if mine {
                     self.mine.insert(ask);
                 }
-                self.events.push_back(FleetEvent::Claimed { ask, from, by, mine });
+                self.events.push_back(FleetEvent::Reassigned { ask, from, by, mine });
             }
             Effect::Closed(ask, end) => {
                 self.mine.remove(&ask);
@@ -92,7 +92,8 @@
     /// skipped entries were not seen.
     pub(super) fn restored(&mut self, now: Micros) {
         let Some(state) = self.group.as_ref().map(Group::state) else { return };
-        self.events.extend([FleetEvent::Changed(StateKind::Plan), FleetEvent::Changed(StateKind::Policy)]);
+        self.events
+            .extend([FleetEvent::StateChanged(StateKind::Plan), FleetEvent::StateChanged(StateKind::Policy)]);
         let alive = state.alive().clone();
         self.renewed = alive.iter().map(|h| (*h, now)).collect();
         let Some((holder, _)) = self.lease else { return };
@@ -106,7 +107,7 @@
             self.events.push_back(FleetEvent::Closed(*ask, End::Gone));
         }
         for &ask in owned.difference(&self.mine) {
-            self.events.push_back(FleetEvent::Claimed { ask, from: holder, by: holder, mine: true });
+            self.events.push_back(FleetEvent::Reassigned { ask, from: holder, by: holder, mine: true });
         }
         self.mine = owned;
     }
--- a/crates/fleet/src/fleet/joining.rs
+++ b/crates/fleet/src/fleet/joining.rs
@@ -20,8 +20,8 @@
                     group.step(&bytes);
                 }
             }
-            Message::Fetch(ask) => self.events.push_back(FleetEvent::Fetch(from, ask)),
-            Message::Result(ask, pages) => self.events.push_back(FleetEvent::Result(ask, pages)),
+            Message::Fetch(ask) => self.events.push_back(FleetEvent::ResultRequested(from, ask)),
+            Message::Result(ask, pages) => self.events.push_back(FleetEvent::ResultReceived(ask, pages)),
         }
         self.digest(now);
     }
@@ -106,7 +106,7 @@
         if let Ok(group) = Group::new(founding, self.incarnation, self.config.tick, now) {
             (self.group, self.other) = (Some(group), None);
             (self.leaderless, self.hello_at) = (Some(now), now);
-            self.events.push_back(FleetEvent::Joined(id));
+            self.events.push_back(FleetEvent::FleetJoined(id));
         }
     }
 
@@ -124,7 +124,7 @@
         if group.begun() {
             self.incarnation = incarnation(self.config.me, (self.incarnation & (u64::MAX >> 8)) + 1);
         }
-        self.events.push_back(FleetEvent::GivenUp(group.founding.id));
+        self.events.push_back(FleetEvent::FleetAbandoned(group.founding.id));
     }
 
     pub(super) fn give_up_if_lost(&mut self, now: Micros) {
--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -10,7 +10,7 @@
 impl Fleet {
     pub(super) fn lose(&mut self, holder: Holder) {
         self.mine.clear();
-        self.events.push_back(FleetEvent::Lost(holder));
+        self.events.push_back(FleetEvent::LeaseLost(holder));
     }
 
     /// Drops an expired lease, so that this peer stops acting under it before others expire it.
--- a/crates/fleet/src/fleet/types.rs
+++ b/crates/fleet/src/fleet/types.rs
@@ -29,17 +29,17 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetEvent {
     /// This peer has acquired a lease.
-    Held(Holder),
+    LeaseAcquired(Holder),
     /// This peer's lease has ended, and with it the ownership of all its requests.
-    Lost(Holder),
+    LeaseLost(Holder),
     /// The record of this request was opened; this peer owns the request.
     Opened(u64),
     /// The request was not opened: it has a record already.
-    Taken(u64),
+    AlreadyRecorded(u64),
     /// The request was not opened: the ledger is full or the lease has ended.
-    Unrecorded(u64),
+    NotRecorded(u64),
     /// A request has a new owner, as the lease of the old one ended.
-    Claimed {
+    Reassigned {
         /// The request.
         ask: u64,
         /// The previous owner.
@@ -52,17 +52,17 @@
     /// A request has ended.
     Closed(u64, End),
     /// The lease of some peer has ended.
-    Ended(Holder),
+    LeaseEnded(Holder),
     /// A peer asks for the result of a request.
-    Fetch(Peer, u64),
+    ResultRequested(Peer, u64),
     /// A peer's answer: the result of a request, or `None`.
-    Result(u64, Option<Vec<Vec<u8>>>),
+    ResultReceived(u64, Option<Vec<Vec<u8>>>),
     /// This peer takes part in the fleet with this id.
-    Joined(u64),
+    FleetJoined(u64),
     /// The leader has changed.
-    Leader(Option<Peer>),
+    LeaderChanged(Option<Peer>),
     /// A part of the replicated state has changed.
-    Changed(StateKind),
+    StateChanged(StateKind),
     /// The fleet has lost its majority and with it its state; a new one will be founded.
-    GivenUp(u64),
+    FleetAbandoned(u64),
 }
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -13,7 +13,7 @@
     assert!(open(&mut w, 1, 7, false) && open(&mut w, 2, 7, false));
     w.run(200 * MS, |w| w.one_owner([7].into_iter()));
     let opened = (1..=3).filter(|p| w.told(*p, |n| *n == FleetEvent::Opened(7))).count();
-    let taken = (1..=3).filter(|p| w.told(*p, |n| *n == FleetEvent::Taken(7))).count();
+    let taken = (1..=3).filter(|p| w.told(*p, |n| *n == FleetEvent::AlreadyRecorded(7))).count();
     assert_eq!((opened, taken), (1, 1));
 }
 
@@ -28,12 +28,12 @@
         w.run(200 * MS, |_| ());
         w.fleets.remove(&dead);
         let killed = w.now;
-        while !w.events.iter().any(|(_, n)| matches!(n, FleetEvent::Claimed { .. })) {
+        while !w.events.iter().any(|(_, n)| matches!(n, FleetEvent::Reassigned { .. })) {
             w.run(10 * MS, |w| w.one_owner([1, 2].into_iter()));
             assert!(w.now < killed + 2_000 * MS, "not taken over within two seconds");
         }
         w.run(500 * MS, |w| w.one_owner([1, 2].into_iter()));
-        let mine = |n: &FleetEvent| matches!(n, FleetEvent::Claimed { ask: 1, mine: true, .. });
+        let mine = |n: &FleetEvent| matches!(n, FleetEvent::Reassigned { ask: 1, mine: true, .. });
         assert_eq!((1..=3).filter(|p| w.told(*p, mine)).count(), 1);
         for f in w.fleets.values() {
             assert_eq!(f.ledger().unwrap().ended(2), Some(&End::Unknown));
@@ -58,8 +58,9 @@
     let term = w.fleets[&2].holds(w.now).unwrap().term;
     w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
     w.run(3_000 * MS, |w| w.one_owner([1].into_iter()));
-    let lost = w.events.iter().position(|(p, n)| *p == 2 && matches!(n, FleetEvent::Lost(_))).unwrap();
-    let claimed = w.events.iter().position(|(_, n)| matches!(n, FleetEvent::Claimed { ask: 1, .. })).unwrap();
+    let lost = w.events.iter().position(|(p, n)| *p == 2 && matches!(n, FleetEvent::LeaseLost(_))).unwrap();
+    let claimed =
+        w.events.iter().position(|(_, n)| matches!(n, FleetEvent::Reassigned { ask: 1, .. })).unwrap();
     assert!(lost < claimed, "others took over before the owner dropped its lease");
     assert!(!open(&mut w, 2, 9, false), "a request was recorded without a lease");
     w.cut.clear();
@@ -76,7 +77,7 @@
     w.restart(1);
     w.restart(2);
     w.run(20_000 * MS, |_| ());
-    assert!(w.told(3, |n| matches!(n, FleetEvent::GivenUp(_))));
+    assert!(w.told(3, |n| matches!(n, FleetEvent::FleetAbandoned(_))));
     let now = w.now;
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
     assert!(
@@ -103,7 +104,7 @@
     w.cut.clear();
     w.run(15_000 * MS, |_| ());
     let now = w.now;
-    assert!(w.told(2, |n| matches!(n, FleetEvent::GivenUp(_))));
+    assert!(w.told(2, |n| matches!(n, FleetEvent::FleetAbandoned(_))));
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
 }
 
@@ -143,7 +144,8 @@
                     let holder = w.fleets[&p].holds(w.now);
                     // No peer acts under a lease whose end another peer has applied.
                     for q in (1..=3).filter(|q| *q != p) {
-                        let over = |h| w.events.iter().any(|(by, n)| *by == q && *n == FleetEvent::Ended(h));
+                        let over =
+                            |h| w.events.iter().any(|(by, n)| *by == q && *n == FleetEvent::LeaseEnded(h));
                         assert!(
                             !holder.is_some_and(|h| over(h) && !agreed(q).contains(&h)),
                             "{p} by {holder:?}"
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -151,7 +151,7 @@
     w.formed();
     let id = |w: &World| {
         w.events.iter().rev().find_map(|(p, n)| match n {
-            FleetEvent::Joined(id) if *p == 1 => Some(*id),
+            FleetEvent::FleetJoined(id) if *p == 1 => Some(*id),
             _ => None,
         })
     };
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -164,10 +164,10 @@
     fn look(&mut self, now: Micros) {
         while let Some(event) = self.fleet.events.pop_front() {
             match event {
-                FleetEvent::Held(_) => tracing::info!("lease held"),
-                FleetEvent::Lost(_) => tracing::warn!("lease lost"),
-                FleetEvent::Leader(leader) => tracing::info!(leader, "control: leader"),
-                FleetEvent::GivenUp(_) => tracing::error!("control: the group has lost its record"),
+                FleetEvent::LeaseAcquired(_) => tracing::info!("lease held"),
+                FleetEvent::LeaseLost(_) => tracing::warn!("lease lost"),
+                FleetEvent::LeaderChanged(leader) => tracing::info!(leader, "control: leader"),
+                FleetEvent::FleetAbandoned(_) => tracing::error!("control: the group has lost its record"),
                 _ => {}
             }
         }
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -11,34 +11,37 @@
         while let Some(event) = self.fleet.events.pop_front() {
             self.ruled |= matches!(
                 event,
-                FleetEvent::Held(_) | FleetEvent::Lost(_) | FleetEvent::Joined(_) | FleetEvent::GivenUp(_)
+                FleetEvent::LeaseAcquired(_)
+                    | FleetEvent::LeaseLost(_)
+                    | FleetEvent::FleetJoined(_)
+                    | FleetEvent::FleetAbandoned(_)
             );
             match event {
                 FleetEvent::Opened(ask) => self.opened(now, ask),
-                FleetEvent::Taken(ask) => self.taken(now, ask),
-                FleetEvent::Unrecorded(ask) => self.not_recorded(ask),
-                FleetEvent::Claimed { ask, from, mine, .. } => self.claimed(now, ask, from, mine),
+                FleetEvent::AlreadyRecorded(ask) => self.taken(now, ask),
+                FleetEvent::NotRecorded(ask) => self.not_recorded(ask),
+                FleetEvent::Reassigned { ask, from, mine, .. } => self.claimed(now, ask, from, mine),
                 FleetEvent::Closed(ask, end) => self.closed(now, ask, &end),
-                FleetEvent::Fetch(peer, ask) => self.fetched(now, peer, ask),
-                FleetEvent::Result(ask, pages) => self.result(ask, pages),
-                FleetEvent::Changed(StateKind::Plan) => self.planned = true,
-                FleetEvent::Changed(StateKind::Policy) => self.ruled = true,
+                FleetEvent::ResultRequested(peer, ask) => self.fetched(now, peer, ask),
+                FleetEvent::ResultReceived(ask, pages) => self.result(ask, pages),
+                FleetEvent::StateChanged(StateKind::Plan) => self.planned = true,
+                FleetEvent::StateChanged(StateKind::Policy) => self.ruled = true,
                 // Nothing of these is acted on yet.
-                FleetEvent::Changed(StateKind::Schema | StateKind::Slots) => {}
-                FleetEvent::Lost(holder) => self.lost(holder),
-                FleetEvent::Held(h) => tracing::info!(term = h.term, "fleet: lease held"),
-                FleetEvent::Ended(h) => {
+                FleetEvent::StateChanged(StateKind::Schema | StateKind::Slots) => {}
+                FleetEvent::LeaseLost(holder) => self.lost(holder),
+                FleetEvent::LeaseAcquired(h) => tracing::info!(term = h.term, "fleet: lease held"),
+                FleetEvent::LeaseEnded(h) => {
                     tracing::warn!(
                         peer = fleet::peer_of(h.incarnation),
                         term = h.term,
                         "fleet: a peer's lease is over"
                     );
                 }
-                FleetEvent::Joined(id) => {
+                FleetEvent::FleetJoined(id) => {
                     tracing::info!(fleet = format_args!("{id:016x}"), "fleet: takes part")
                 }
-                FleetEvent::Leader(leader) => tracing::info!(?leader, "fleet: leader"),
-                FleetEvent::GivenUp(id) => {
+                FleetEvent::LeaderChanged(leader) => tracing::info!(?leader, "fleet: leader"),
+                FleetEvent::FleetAbandoned(id) => {
                     let fleet = format_args!("{id:016x}");
                     tracing::error!(fleet, "fleet: its majority has started anew; its record is lost");
                 }
