--- a/crates/fleet/src/group/pump.rs
+++ b/crates/fleet/src/group/pump.rs
@@ -1,9 +1,9 @@
-//! What the library wants done: messages, entries, snapshots.
+//! Processing of the Raft library's ready states: messages, entries, snapshots.
 
 use super::*;
 
 impl Group {
-    /// Does what the library wants done until nothing is left.
+    /// Processes ready states until none is left, and compacts the log if due.
     pub(super) fn pump(&mut self) {
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -15,7 +15,7 @@
             if !ready.entries().is_empty() {
                 self.grown += ready.entries().iter().map(|e| e.data.len() + 32).sum::<usize>();
                 if let Err(e) = self.log.append(ready.entries()) {
-                    unreachable!("the log takes what follows its end: {e}");
+                    unreachable!("entries that follow the end of the log can't be appended: {e}");
                 }
             }
             if let Some(state) = ready.hs() {
@@ -32,7 +32,7 @@
         }
         let wanted = self.log.take_wanted();
         if self.applied > 1 && (wanted || self.grown > LEAST_CUT.max(self.size)) {
-            let data = self.agreed.encode();
+            let data = self.state.encode();
             (self.grown, self.size) = (0, data.len());
             let _ = self.log.compact(self.applied, data, KEPT);
         }
@@ -47,12 +47,12 @@
     }
 
     fn restore(&mut self, snapshot: Snapshot) {
-        // It was read before it was handed to the library.
-        let Some(agreed) = self.incoming.take() else { return };
+        // Group::step decoded it before it passed the message to the library.
+        let Some(state) = self.incoming.take() else { return };
         self.applied = snapshot.get_metadata().index;
         (self.grown, self.size) = (0, snapshot.data.len());
         if self.log.restore(snapshot).is_ok() {
-            self.agreed = agreed;
+            self.state = state;
             self.restored = true;
             self.seen();
         }
@@ -68,7 +68,7 @@
                         self.refused += 1;
                         continue;
                     };
-                    self.agreed.apply(incarnation, number, commands, &mut self.effects);
+                    self.state.apply(incarnation, number, commands, &mut self.effects);
                     if incarnation == self.me {
                         self.seen();
                     }
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Own batches that the state has taken are no longer under way.
+    /// Removes own batches that were applied from the pending ones.
     pub(super) fn seen(&mut self) {
-        let last = self.agreed.batch(self.me);
+        let last = self.state.batch(self.me);
         self.next_batch = self.next_batch.max(last + 1);
         while self.pending.front().is_some_and(|(n, _, _)| *n <= last) {
             self.pending.pop_front();
