--- a/crates/fleet/src/control_plane/follower/connection.rs
+++ b/crates/fleet/src/control_plane/follower/connection.rs
@@ -1,23 +1,23 @@
-//! Which member a follower is connected to, and how it goes to another one.
+//! Selection of the member a follower connects to, and failover to another member.
 
 use super::{Follower, FollowerEvent, Lost, Order};
 use crate::Micros;
 use crate::control_plane::messages::{FollowerMessage, VERSION};
 use rand_core::RngCore;
 
-/// A pause between connections doubles with each that fails, this many times at most.
+/// The reconnect delay doubles with each consecutive failure, at most this many times.
 const DOUBLINGS: u32 = 5;
 
-/// The way to a member, by its index.
+/// State of the connection to a member, which is given by its index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Connection {
-    /// To be dialed then.
+    /// Not connected; to be dialed at `dial_at`.
     Idle { member: usize, dial_at: Micros },
-    /// Dialed, and given up if it is not up by then.
+    /// Dialing; fails if the connection is not established by `until`.
     Dialing { member: usize, until: Micros },
-    /// Subscribed; the member has to answer by then.
+    /// Subscription sent; the member has to answer by `until`.
     Subscribing { member: usize, until: Micros },
-    /// Followed: when it last said something, and since when it gives no lease.
+    /// Subscribed: the time of the last message, and since when the member has granted no lease.
     Following { member: usize, heard: Micros, no_lease_since: Option<Micros> },
 }
 
@@ -33,20 +33,22 @@
 }
 
 impl Follower {
-    /// Chooses the member to connect to next: one that is near before others, any but the one that was just lost.
+    /// Chooses the next member to connect to, preferring members of the same region and avoiding the one just
+    /// lost.
     pub(super) fn choose(&mut self, now: Micros, lost: Option<usize>) {
         let count = self.config.near.len();
         let others = |near: bool| -> Vec<usize> {
             (0..count).filter(|m| Some(*m) != lost && self.config.near[*m] == near).collect()
         };
         let (near, far) = (others(true), others(false));
-        // With every second failure those further away have their turn, too.
+        // Every second failure selects from the remote members, in case all members of the region are down.
         let mut from = if near.is_empty() || self.failures % 2 == 1 && !far.is_empty() { far } else { near };
         if from.is_empty() {
             from = (0..count).collect();
         }
         let member = from.get(self.draw(from.len() as u64) as usize).copied().unwrap_or(0);
-        // All that followed a lost member do not come to the others at once.
+        // A random delay spreads the reconnects, so that the followers of a lost member do not reach the
+        // others at once.
         let window = self.config.timing.renew_every << self.failures.min(DOUBLINGS);
         let pause = self.draw(window.min(self.config.timing.lease) + 1);
         self.connection = Connection::Idle { member, dial_at: now + pause };
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Dials what is to be dialed, and leaves a member that is not there.
+    /// Dials a member when due, and drops the connection when its deadline has passed.
     pub(super) fn keep_connection(&mut self, now: Micros) {
         if self.connection_due() > now {
             return;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The connection that was ordered is up.
+    /// The connection requested with [`Order::Dial`] is established.
     pub fn connected(&mut self, now: Micros) {
         let Connection::Dialing { member, .. } = self.connection else { return };
         let until = now + self.config.timing.follower_lease;
@@ -104,14 +106,14 @@
         });
     }
 
-    /// The connection is over, or could not be made.
+    /// The connection was closed or could not be established.
     pub fn disconnected(&mut self, now: Micros) {
         if !matches!(self.connection, Connection::Idle { .. }) {
             self.lose(now, Lost::Closed);
         }
     }
 
-    /// Goes to another member. The lease goes on to its end.
+    /// Disconnects and chooses another member. The current lease remains valid until it expires.
     pub(super) fn lose(&mut self, now: Micros, why: Lost) {
         let member = self.connection.member();
         let followed = self.member().is_some();
--- a/crates/fleet/src/control_plane/follower/mod.rs
+++ b/crates/fleet/src/control_plane/follower/mod.rs
@@ -1,6 +1,7 @@
-//! A dispatcher that follows the agreed record: which member it is connected to, what it knows, and its lease.
+//! A dispatcher that follows the agreed state: its connection to a member, the replicated state, and its
+//! lease.
 //!
-//! `connection` chooses members and goes to another one when one is lost; `stream` takes what a member sends.
+//! `connection` chooses members and fails over when one is lost; `stream` handles the messages of a member.
 
 mod connection;
 mod stream;
@@ -14,109 +15,112 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// What a follower is told at its start.
+/// Configuration of a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FollowerConfig {
-    /// The group that it follows.
+    /// The group to follow.
     pub group: String,
-    /// Its name, for operators.
+    /// The follower's name, for operators.
     pub name: String,
-    /// For each member, in the order of the group's names: whether it is near, so that it is chosen first.
+    /// For each member, in the order of the group's configuration: whether it is in the same region and thus
+    /// preferred.
     pub near: Vec<bool>,
-    /// The group's times.
+    /// Time settings of the group.
     pub timing: Timing,
 }
 
-/// What the host is to do with the connection.
+/// A request to the host about the follower's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Order {
-    /// Connect to the member of this index, and close any connection before it.
+    /// Connect to the member with this index, after closing any existing connection.
     Dial(usize),
     /// Close the connection.
     Close,
 }
 
-/// Why a connection to a member ended.
+/// Reason why a connection to a member ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Lost {
-    /// It ended or could not be made.
+    /// The connection was closed or could not be established.
     Closed,
-    /// Nothing came for longer than a lease.
+    /// No message arrived within a lease.
     Silent,
-    /// The member gave no lease for long.
+    /// The member granted no lease for too long.
     NoLease,
-    /// The member ends.
+    /// The member is shutting down.
     GoAway,
-    /// The member turned the subscription away.
+    /// The member rejected the subscription.
     Rejected(Rejection),
-    /// The connection leads to another member, or to one of another group.
+    /// The connection leads to another member or to another group, or the member violated the protocol.
     WrongMember,
     /// A change is missing.
     Gap(Gap),
-    /// A snapshot is older than what is known.
+    /// A snapshot is older than the follower's state.
     Stale,
 }
 
-/// What happened, for logs.
+/// Events for the host's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowerEvent {
-    /// It follows the member of this index.
+    /// Subscribed to the member with this index.
     Following(usize),
-    /// The connection to the member of this index is over.
+    /// The connection to the member with this index ended.
     Lost(usize, Lost),
-    /// It has a lease.
+    /// The follower holds a lease.
     LeaseHeld,
-    /// Its lease is over.
+    /// The follower's lease expired.
     LeaseLost,
 }
 
-/// Counters.
+/// Counters of a follower.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FollowerTally {
-    /// Connections to members that were begun.
+    /// Connection attempts to members.
     pub dials: u64,
-    /// Changes taken.
+    /// Changes applied.
     pub changes: u64,
-    /// Snapshots taken.
+    /// Snapshots applied.
     pub snapshots: u64,
-    /// Changes that did not follow on what was known.
+    /// Changes that did not follow the known revision.
     pub gaps: u64,
-    /// Renewals that brought no lease.
+    /// Renewals that were not granted a lease.
     pub denied: u64,
 }
 
-/// A dispatcher that follows.
+/// The state machine of a follower. Sans-I/O: the host carries out [`Follower::orders`] and sends
+/// [`Follower::outgoing`].
 pub struct Follower {
     config: FollowerConfig,
     id: FollowerId,
     rng: Pcg64Mcg,
     connection: Connection,
-    /// Connections that failed one after the other.
+    /// Number of consecutive failed connections.
     failures: u32,
-    /// The founding that revisions count in, and what is agreed.
+    /// Id of the log in which revisions count, and the agreed state.
     known: Option<(u64, Policies)>,
-    /// The revision that the host acts by.
+    /// The revision the host has applied.
     heeded: Revision,
-    /// The number of the policy that the host acts by.
+    /// The number of the policy the host admits requests under.
     number: u64,
-    /// Grows with each connection: what was said to one member is said again to the next.
+    /// Incremented with each connection, so that votes sent to one member are repeated to the next.
     term: u32,
     lease_until: Option<Micros>,
     renew_at: Micros,
     last_asked: Micros,
     changed: bool,
-    /// What the host is to do with the connection.
+    /// Requests to the host about the connection.
     pub orders: Vec<Order>,
-    /// Messages to the member.
+    /// Messages to send to the member.
     pub outgoing: Vec<FollowerMessage>,
-    /// What happened.
+    /// Events for the host's log.
     pub events: VecDeque<FollowerEvent>,
     /// Counters.
     pub tally: FollowerTally,
 }
 
 impl Follower {
-    /// Knows nothing; connects at the first tick. `seed` spreads followers over members and time.
+    /// Creates a follower without state; it connects on the first tick. `seed` randomizes the choice of
+    /// members and the connection times.
     pub fn new(config: FollowerConfig, seed: u64, now: Micros) -> Follower {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let id = FollowerId(rng.next_u64());
@@ -143,12 +147,12 @@
         follower
     }
 
-    /// The newest revision that is known, and its founding.
+    /// The latest known revision and the log it belongs to.
     pub fn revision(&self) -> Option<Resume> {
         self.known.as_ref().map(|(fleet, p)| Resume { fleet: *fleet, revision: p.revision() })
     }
 
-    /// The member that it follows, by index.
+    /// Index of the member it is subscribed to.
     pub fn member(&self) -> Option<usize> {
         match self.connection {
             Connection::Following { member, .. } => Some(member),
@@ -156,12 +160,12 @@
         }
     }
 
-    /// Whether what is agreed or the lease has changed since this was last asked.
+    /// Whether the agreed state or the lease has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// When [`Follower::tick`] has something to do next.
+    /// When [`Follower::tick`] has to be called next.
     pub fn next_due(&self) -> Micros {
         let connection = self.connection_due();
         let lease = self.lease_until.unwrap_or(Micros::MAX);
@@ -169,7 +173,7 @@
         connection.min(lease).min(renew)
     }
 
-    /// Lets time pass.
+    /// Handles timers: lease expiry, connection deadlines and renewals.
     pub fn tick(&mut self, now: Micros) {
         if self.lease_until.is_some_and(|until| until <= now) {
             self.lease_until = None;
@@ -189,7 +193,7 @@
         self.outgoing.push(FollowerMessage::Renew { at, asked: now });
     }
 
-    /// It ends: nothing is admitted from here on.
+    /// Shuts down: gives up the lease and tells the member.
     pub fn leave(&mut self) {
         self.lease_until = None;
         if self.member().is_some() {
--- a/crates/fleet/src/control_plane/follower/stream.rs
+++ b/crates/fleet/src/control_plane/follower/stream.rs
@@ -1,4 +1,4 @@
-//! What a member sends: its welcome, what is agreed, and leases.
+//! Handling of a member's messages: subscription answers, the agreed state, and leases.
 
 use super::connection::Connection;
 use super::{Follower, FollowerEvent, Lost};
@@ -7,8 +7,8 @@
 use crate::{Micros, Peer};
 
 impl Follower {
-    /// A member says something. Once what came was taken, the host looks at what is agreed if
-    /// [`Follower::take_changed`] says so, before it admits anything more.
+    /// Handles a message of the member. If [`Follower::take_changed`] returns true afterwards, the host must
+    /// apply the agreed state before it admits further requests.
     pub fn hear(&mut self, now: Micros, message: MemberMessage) {
         if let Connection::Following { heard, .. } = &mut self.connection {
             *heard = now;
@@ -30,7 +30,8 @@
                 self.keepalive(now, asked, lease);
             }
             (MemberMessage::GoAway, Connection::Following { .. }) => self.lose(now, Lost::GoAway),
-            // Out of turn: whoever speaks so is none of the members that are listed.
+            // A message that the protocol does not allow in this state: the sender is not a configured
+            // member.
             (_, Connection::Subscribing { .. } | Connection::Following { .. }) => {
                 self.lose(now, Lost::WrongMember);
             }
@@ -44,7 +45,7 @@
         }
         self.connection = Connection::Following { member: dialed, heard: now, no_lease_since: Some(now) };
         self.term += 1;
-        // What was said of a change to another member is said to this one, too.
+        // Votes sent to the previous member are repeated to this one.
         self.changed = true;
         self.renew_at = now;
         self.events.push_back(FollowerEvent::Following(dialed));
@@ -60,7 +61,7 @@
         self.heeded = 0;
         self.tally.snapshots += 1;
         self.changed = true;
-        // So that the member knows that it came, and another follower can have one.
+        // Renew at once: the acknowledgement frees the member's snapshot slot for another follower.
         self.renew_at = now;
     }
 
@@ -80,7 +81,8 @@
     }
 
     fn keepalive(&mut self, now: Micros, asked: Micros, lease: Option<Micros>) {
-        // Only a renewal of this connection's can bring a lease, and one no longer than leases are.
+        // Only a renewal sent on this connection can extend the lease, and by no more than the configured
+        // duration.
         let own = asked <= self.last_asked;
         let length = lease.map(|l| l.min(self.config.timing.follower_lease)).filter(|_| own);
         let until = length.map(|l| asked + l).filter(|until| *until > now);
--- a/crates/fleet/src/control_plane/member/consent.rs
+++ b/crates/fleet/src/control_plane/member/consent.rs
@@ -1,7 +1,7 @@
-//! What a member says in the log of a change, which holds for itself and for all its followers.
+//! Votes that a member submits to the log on behalf of itself and all its followers.
 //!
-//! Its own *yes* and *stopped* wait until each follower that it gave a lease to has said the same, or that lease is
-//! over. A *no* of anyone is said at once.
+//! The member's own *yes* and *stopped* are deferred until every follower that holds one of its leases has
+//! said the same, or that lease has expired. A *no* from anyone is submitted immediately.
 
 use super::sessions::Session;
 use super::{Member, MemberRecord};
@@ -10,20 +10,20 @@
 use crate::{Holder, Micros};
 use std::collections::BTreeMap;
 
-/// Time limits of a policy that is proposed again after the group has lost its record.
+/// Vote and closing time limits of a policy that is proposed again after the group has lost its state.
 const RESTORE_LIMITS: [Micros; 2] = [3_000_000, 3_000_000];
 
-/// What the member has to say of a change once all its followers have said so.
+/// A command that waits for the consent of all followers with a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Deferred {
-    /// Yes to the change of this number.
+    /// A yes vote on the change of this number.
     Yes(Holder, u64),
-    /// Stopped for the change of this number.
+    /// Admission has stopped for the change of this number.
     Stopped(Holder, u64),
 }
 
 impl Member {
-    /// Says a command in the log, or keeps it until the followers allow it.
+    /// Submits a command to the log, or defers it until the followers consent.
     pub(super) fn defer(&mut self, now: Micros, record: &mut impl MemberRecord, command: Command) {
         match command {
             Command::Vote(h, number, faults) if faults.is_empty() => {
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Says what was kept, once the followers allow it or one of them says no.
+    /// Submits the deferred command once all followers have consented or one of them has objected.
     pub(super) fn speak(&mut self, now: Micros, record: &mut impl MemberRecord) {
         self.speak_of_restored(now, record);
         let Some(deferred) = self.deferred else { return };
         let (Deferred::Yes(holder, number) | Deferred::Stopped(holder, number)) = deferred;
         let pending = record.policies().and_then(Policies::pending).map(|p| p.policy.number);
         if record.holds(now) != Some(holder) || pending != Some(number) {
-            // Under another lease, or of another change, the member's own part says it anew.
+            // With a new lease or a new change, the participant repeats its vote.
             self.deferred = None;
             return;
         }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The session of each follower that has a lease; `None` for one that is not connected.
+    /// The session of each follower that holds a lease; `None` for a follower that is not connected.
     fn leased_sessions(&self) -> impl Iterator<Item = (&str, Option<&Session>)> {
         let subscribed = |s| -> Option<(FollowerId, &Session)> {
             let session: &Session = s;
@@ -98,7 +98,8 @@
         all_stopped.then_some(Command::Stopped(holder, number))
     }
 
-    /// A policy that was in force and that the group has lost is proposed again, unless another one is under way.
+    /// Proposes a policy again that was in force before the group lost its state, unless a change is already
+    /// pending.
     fn speak_of_restored(&mut self, now: Micros, record: &mut impl MemberRecord) {
         let Some(policy) = self.restore.take() else { return };
         let Some(policies) = record.policies() else { return };
--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -1,7 +1,7 @@
-//! One member's followers: who is connected, who has a lease, and what is sent to whom.
+//! The followers of one member: connections, leases, and the changes sent to each.
 //!
-//! `sessions` has connections and what they ask, `leases` the leases given, `streams` what each is sent next, and
-//! `consent` what the member may say in the log for itself and all its followers.
+//! `sessions` handles connections and requests, `leases` the granted leases, `streams` the changes sent to
+//! each follower, and `consent` what the member submits to the log on behalf of itself and its followers.
 
 mod consent;
 mod leases;
@@ -19,85 +19,86 @@
 use std::collections::{BTreeMap, VecDeque};
 pub use violation::Violation;
 
-/// A follower's connection, as its host numbers them.
+/// Id of a follower's connection, assigned by the host.
 pub type SessionId = u64;
 
-/// What a member is told at its start.
+/// Configuration of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberConfig {
     /// The group's name.
     pub group: String,
-    /// Which of its members this is.
+    /// This member's number.
     pub me: Peer,
     /// The names of the other members.
     pub others: Vec<String>,
-    /// Its times.
+    /// Time settings of the group.
     pub timing: Timing,
-    /// Followers at once at most.
+    /// Maximum number of followers.
     pub most_followers: usize,
-    /// Snapshots under way at once at most; who needs one beyond that waits.
+    /// Maximum number of unacknowledged snapshots; further followers wait in a queue.
     pub most_snapshots: usize,
 }
 
-/// Counters.
+/// Counters of a member.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MemberTally {
-    /// Subscriptions taken.
+    /// Subscriptions accepted.
     pub subscribed: u64,
-    /// Subscriptions turned away.
+    /// Subscriptions rejected.
     pub rejected: u64,
-    /// Those that went on from a revision.
+    /// Subscriptions that resumed from a revision.
     pub resumed: u64,
     /// Snapshots sent.
     pub snapshots: u64,
     /// Changes sent.
     pub changes: u64,
-    /// Leases given or renewed.
+    /// Leases granted or renewed.
     pub leases: u64,
-    /// Renewals that got none.
+    /// Renewals that were not granted a lease.
     pub denied: u64,
-    /// Connections ended because nothing came.
+    /// Connections closed because no message arrived.
     pub silent: u64,
 }
 
-/// What is agreed as a member sees it at one moment.
+/// A member's view of the agreed state at one moment.
 #[derive(Clone, Copy)]
 pub struct MemberView<'a> {
-    /// The founding of the log.
+    /// Id of the log.
     pub fleet: u64,
-    /// What is agreed.
+    /// The agreed policies.
     pub policies: &'a Policies,
-    /// The member's own lease, and when it is over by its own clock.
+    /// The member's own lease, and when it expires by the member's clock.
     pub lease: Option<(Holder, Micros)>,
 }
 
-/// One member's side.
+/// The state machine of a member towards its followers. Sans-I/O: the host sends [`Member::outgoing`] and
+/// closes the connections in [`Member::closing`].
 pub struct Member {
     config: MemberConfig,
     part: Part,
     sessions: BTreeMap<SessionId, Session>,
     granted: BTreeMap<FollowerId, Granted>,
-    /// Sessions that need a snapshot and wait for others to have theirs, in order.
+    /// Sessions that wait for a snapshot slot, in order.
     snapshot_queue: VecDeque<SessionId>,
     deferred: Option<Deferred>,
-    /// The founding and revision that all sessions were last brought to.
+    /// The log id and revision up to which all sessions were last served.
     sent_up_to: Option<(u64, u64)>,
-    /// The highest number of a policy that a follower has acted by.
+    /// The highest policy number any follower has admitted requests under.
     followers_policy: u64,
     restore: Option<Policy>,
     leaving: bool,
-    /// When all connections are looked at next.
+    /// When the connections are next checked for silence.
     look_at: Micros,
-    /// Messages to followers.
+    /// Messages to send to followers.
     pub outgoing: Vec<(SessionId, MemberMessage)>,
-    /// Sessions whose connection is to end once what was sent to them is written.
+    /// Sessions to close once their pending messages are written.
     pub closing: Vec<SessionId>,
     /// Counters.
     pub tally: MemberTally,
 }
 
 impl Member {
-    /// Nobody follows it yet.
+    /// Creates a member without followers.
     pub fn new(config: MemberConfig) -> Member {
         Member {
             config,
@@ -117,29 +118,30 @@
         }
     }
 
-    /// Its own part in changes.
+    /// The member's own participant in policy changes.
     pub fn part(&self) -> &Part {
         &self.part
     }
 
-    /// How many follow it.
+    /// Number of subscribed followers.
     pub fn followers(&self) -> usize {
         self.sessions.values().filter(|s| s.subscribed.is_some()).count()
     }
 
-    /// How many of the leases that it gave are not over.
+    /// Number of granted leases that have not expired.
     pub fn leases(&self, now: Micros) -> usize {
         self.granted.values().filter(|g| now < g.until).count()
     }
 
-    /// The highest number of a policy that it or a follower of it has acted by: a group that is founded anew must
-    /// not begin below that.
+    /// The highest policy number that this member or one of its followers has admitted requests under. A
+    /// newly founded group must not start below it.
     pub fn known_policy(&self) -> u64 {
         self.part.number().max(self.followers_policy)
     }
 
-    /// Looks at what is agreed after it has moved or time has passed: sends what is new, and says in the log what may
-    /// be said. `check` tells what is wrong with a policy here.
+    /// Processes a change of the agreed state or the passage of time: sends new changes to followers and
+    /// submits what the followers have consented to. `check` returns the faults of a policy on this
+    /// dispatcher.
     pub fn look(
         &mut self,
         now: Micros,
@@ -166,7 +168,7 @@
         told
     }
 
-    /// The member ends: followers are told, and get no further lease.
+    /// Shuts down: tells all followers and grants no further leases.
     pub fn leave(&mut self) {
         self.leaving = true;
         let all: Vec<SessionId> = self.sessions.keys().copied().collect();
@@ -177,9 +179,9 @@
     }
 }
 
-/// The log as a member sees it.
+/// The replicated log as seen by a member.
 pub trait MemberRecord: PolicyRecord {
-    /// What is agreed now; `None` if the record is not known here yet.
+    /// The current agreed state; `None` if this member has not received it yet.
     fn view(&self, now: Micros) -> Option<MemberView<'_>>;
 }
 
--- a/crates/fleet/src/control_plane/member/sessions.rs
+++ b/crates/fleet/src/control_plane/member/sessions.rs
@@ -1,4 +1,4 @@
-//! Connections of followers: what they say, and what is answered at once.
+//! Connections of followers: handling of their messages and the direct answers.
 
 use super::{Member, MemberView, SessionId, Violation};
 use crate::Micros;
@@ -7,47 +7,48 @@
 };
 use crate::policy::{FAULT, FAULTS, MOST_TEXT, Policy, Revision};
 
-/// The highest number of a policy that is believed: with a change each microsecond it takes nine years to come there.
+/// The highest policy number that is accepted: at one change per microsecond a fleet reaches it after nine
+/// years.
 const MOST_POLICY: u64 = 1 << 48;
 
-/// A connection without a word for so many of a follower's leases is over.
+/// A connection is closed after this many follower leases without a message.
 const SILENT_LEASES: u64 = 3;
 
-/// A connection of a follower.
+/// State of a follower's connection.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Session {
-    /// Who it is, once it has said so.
+    /// The follower's id and name, once it has subscribed.
     pub(super) subscribed: Option<(FollowerId, String)>,
-    /// The founding that its revision counts in.
+    /// Id of the log in which its revisions count.
     pub(super) fleet: Option<u64>,
-    /// The last revision that it acts by, as it said.
+    /// The last revision it has reported as applied.
     pub(super) revision: Revision,
-    /// The last revision that was sent to it; `None` if it needs a snapshot.
+    /// The last revision sent to it; `None` if it needs a snapshot.
     pub(super) sent: Option<Revision>,
-    /// The revision of a snapshot that is on its way.
+    /// The revision of an unacknowledged snapshot.
     pub(super) snapshot: Option<Revision>,
-    /// It was given a lease on this connection.
+    /// Whether it was granted a lease on this connection.
     pub(super) leased: bool,
-    /// What it said of a change: its number, and what is wrong with it.
+    /// Its vote on a change: the change's number and the faults found.
     pub(super) vote: Option<(u64, Vec<String>)>,
-    /// The change that it admits nothing until the end of.
+    /// The number of the change for which it has stopped admission.
     pub(super) stopped: Option<u64>,
-    /// The change that it can't do, and why.
+    /// The number of the change it cannot apply, and the reason.
     pub(super) cannot: Option<(u64, String)>,
-    /// When it last said something.
+    /// When its last message arrived.
     pub(super) heard: Micros,
-    /// It does not take what is written to it: nothing more is sent for now.
+    /// Its send buffer is full: no further changes are sent for now.
     pub(super) blocked: bool,
 }
 
 impl Member {
-    /// A connection came up.
+    /// A connection was accepted.
     pub fn connected(&mut self, now: Micros, session: SessionId) {
         self.sessions.insert(session, Session { heard: now, ..Session::default() });
     }
 
-    /// Ends connections that have said nothing for long: a follower renews its lease several times within one. Looks
-    /// at all of them once in a follower's lease.
+    /// Closes connections that have been silent for too long; a follower renews several times per lease. The
+    /// check runs once per follower lease.
     pub fn tick(&mut self, now: Micros) {
         if now < self.look_at {
             return;
@@ -64,19 +65,19 @@
         }
     }
 
-    /// When [`Member::tick`] or [`Member::look`] has something to do because of time.
+    /// When [`Member::tick`] or [`Member::look`] has to be called next because of a timer.
     pub fn next_due(&self) -> Micros {
         let lease = self.deferred.and_then(|_| self.next_lease_end());
         lease.map_or(self.look_at, |end| end.min(self.look_at))
     }
 
-    /// A connection is over. The lease given on it goes on.
+    /// A connection was closed. A lease granted on it remains valid until it expires.
     pub fn disconnected(&mut self, session: SessionId) {
         self.sessions.remove(&session);
         self.snapshot_queue.retain(|s| *s != session);
     }
 
-    /// A connection takes nothing more for now, or takes more again.
+    /// The send buffer of a connection became full, or writable again.
     pub fn blocked(&mut self, session: SessionId, blocked: bool) {
         if let Some(s) = self.sessions.get_mut(&session) {
             s.blocked = blocked;
@@ -90,7 +91,7 @@
         subscribed.map_or("", |(_, name)| name)
     }
 
-    /// A follower says something. [`Member::look`] has to follow before the loop waits again.
+    /// Handles a message from a follower. [`Member::look`] must be called before the event loop waits again.
     pub fn hear(
         &mut self,
         now: Micros,
@@ -163,7 +164,8 @@
         resume: Option<Resume>,
         view: Option<MemberView<'_>>,
     ) -> Result<(), Violation> {
-        // A process has one connection: the one before is over, whether that was seen or not.
+        // A follower process has one connection: a new one replaces the old one, even if its end has not been
+        // noticed yet.
         let same = |s: &Session| s.subscribed.as_ref().is_some_and(|(f, _)| *f == follower);
         let former = self.sessions.iter().find(|(id, s)| **id != session && same(s)).map(|(id, _)| *id);
         if let Some(former) = former {
@@ -199,10 +201,12 @@
     ) -> Result<(), Violation> {
         let Some(s) = self.sessions.get_mut(&session) else { return Ok(()) };
         if s.blocked {
-            // It does not read: a lease that it does not hear of would only hold up the others.
+            // The follower does not read: a lease it does not receive would only delay changes for the
+            // others.
             return Ok(());
         }
-        // What it acts by counts only in the record that it is sent here; while it waits for a snapshot, not at all.
+        // The reported revision counts only if it belongs to the log sent on this connection, and not while
+        // the session waits for a snapshot.
         if let (Some(at), Some(sent)) = (at.filter(|at| Some(at.fleet) == s.fleet), s.sent) {
             if at.revision > sent {
                 return Err(Violation::Revision(at.revision));
--- a/crates/fleet/src/control_plane/member/streams.rs
+++ b/crates/fleet/src/control_plane/member/streams.rs
@@ -1,14 +1,15 @@
-//! What each follower is sent next: the changes after the revision that it has, or a snapshot.
+//! The changes sent to each follower: those after its revision, or a snapshot.
 //!
-//! There is no queue for each follower. All are sent from the history that is kept once, each from its own place; one
-//! that does not read falls behind, and gets a snapshot once its place is no longer kept.
+//! There is no queue per follower. All are served from one shared history, each from its own revision. A
+//! follower that does not read falls behind, and gets a snapshot once its revision has been dropped from the
+//! history.
 
 use super::sessions::Session;
 use super::{Member, MemberView, SessionId};
 use crate::control_plane::messages::MemberMessage;
 
 impl Member {
-    /// Sends each follower what it has not been sent yet.
+    /// Sends each follower the changes it has not been sent yet.
     pub(super) fn send_changes(&mut self, view: MemberView<'_>) {
         let newest = (view.fleet, view.policies.revision());
         if self.sent_up_to == Some(newest) {
@@ -26,11 +27,11 @@
         self.send_snapshots(view);
     }
 
-    /// Whether a follower has been sent all that is new; if not, it needs a snapshot.
+    /// Sends new changes to a follower. Returns false if it needs a snapshot.
     fn send_changes_to(&mut self, session: SessionId, view: MemberView<'_>) -> bool {
         let Some(s) = self.sessions.get_mut(&session) else { return true };
         if s.fleet != Some(view.fleet) {
-            // The record that it followed is lost. What it has said of that one counts no more.
+            // The log it followed is lost, and so are its revisions, votes and stops there.
             (s.fleet, s.sent, s.snapshot, s.revision, s.leased) = (None, None, None, 0, false);
             (s.vote, s.stopped, s.cannot) = (None, None, None);
             return false;
@@ -51,12 +52,12 @@
         true
     }
 
-    /// Snapshots that were sent and that their followers do not act by yet.
+    /// Number of snapshots sent and not yet acknowledged.
     pub fn snapshots_under_way(&self) -> usize {
         self.sessions.values().filter(|s| s.snapshot.is_some()).count()
     }
 
-    /// Sends snapshots to those who wait, as many at once as may be under way.
+    /// Sends snapshots to waiting sessions, up to the limit of unacknowledged ones.
     fn send_snapshots(&mut self, view: MemberView<'_>) {
         let further = self.config.most_snapshots.saturating_sub(self.snapshots_under_way());
         for _ in 0..further {
--- a/crates/fleet/src/control_plane/member/violation.rs
+++ b/crates/fleet/src/control_plane/member/violation.rs
@@ -1,23 +1,23 @@
-//! What ends a follower's connection.
+//! Protocol violations that end a follower's connection.
 
 use crate::control_plane::messages::Rejection;
 use crate::policy::Revision;
 use std::fmt;
 
-/// Why a follower's message is not taken; its connection ends.
+/// Why a follower's message was refused; its connection is closed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// It speaks before it has subscribed.
+    /// A message before the subscription.
     NotSubscribed,
-    /// It subscribes twice.
+    /// A second subscription on one connection.
     SubscribedTwice,
-    /// A name or text is too long.
+    /// A name or text exceeds its maximum length.
     TooLong,
     /// It claims a revision that was not sent to it.
     Revision(Revision),
-    /// It claims to have acted by a policy of a number that no fleet comes to.
+    /// It claims a policy number that no fleet can reach.
     Policy(u64),
-    /// It was turned away.
+    /// Its subscription was rejected.
     Rejected(Rejection),
 }
 
--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -1,4 +1,4 @@
-//! What followers and members say to each other, and its frames.
+//! Messages between followers and members, and their framing.
 
 use crate::policy::{Change, Policies, Revision};
 use crate::wire::{Fault, Framing};
@@ -6,119 +6,121 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The version of these messages; others are not spoken to.
+/// Protocol version; peers with another version are rejected.
 pub const VERSION: u32 = 1;
-/// The longest message of a follower, in bytes: a policy's text with what surrounds it.
+/// Maximum size of a follower's message in bytes: a policy text plus its envelope.
 pub const MOST_FOLLOWER_FRAME: usize = 64 << 10;
-/// The longest message of a member, in bytes: a snapshot has two policies' texts and the last end of a change.
+/// Maximum size of a member's message in bytes: a snapshot contains two policy texts and the outcome of the
+/// last change.
 pub const MOST_MEMBER_FRAME: usize = 256 << 10;
-/// The longest name of a group or follower, in bytes.
+/// Maximum length of a group or follower name in bytes.
 pub const MOST_NAME: usize = 64;
 
-/// The frames of this protocol. Peers' frames have another check, so that neither is taken for the other.
+/// Framing of this protocol. Its check value differs from the one between peers, so that frames of the two
+/// protocols cannot be confused.
 pub const FRAMING: Framing = Framing { check: 0x6f74_6374 };
 
-/// One process that follows; another start of the same dispatcher has another.
+/// Identifies one follower process; a restarted dispatcher gets a new id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FollowerId(pub u64);
 
-/// From where on a follower wants to hear.
+/// The position from which a follower wants to resume.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resume {
-    /// The founding of the members' log that its revision counts in.
+    /// Id of the log in which `revision` counts; a newly founded log has a new id.
     pub fleet: u64,
-    /// The last revision that it has.
+    /// The last revision the follower has.
     pub revision: Revision,
 }
 
-/// What a follower says.
+/// A message from a follower.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FollowerMessage {
-    /// The first on every connection.
+    /// The first message on every connection.
     Subscribe {
-        /// [`VERSION`] of the speaker.
+        /// [`VERSION`] of the sender.
         version: u32,
-        /// The group that it means to follow.
+        /// The group to follow.
         group: String,
-        /// Which process it is.
+        /// The follower process.
         follower: FollowerId,
-        /// Its name, for operators.
+        /// The follower's name, for operators.
         name: String,
-        /// From where on it wants to hear; `None` if it knows nothing.
+        /// Where to resume; `None` if the follower has no state.
         resume: Option<Resume>,
-        /// The highest number of a policy that it has acted by.
+        /// The highest policy number the follower has admitted requests under.
         policy: u64,
     },
-    /// It acts by all up to this revision, and asks for its lease to go on.
+    /// The follower has applied everything up to this revision and asks to renew its lease.
     Renew {
-        /// What it acts by; `None` if it knows nothing yet.
+        /// The applied position; `None` if the follower has no state yet.
         at: Option<Resume>,
-        /// When it asks, by its own clock: the lease counts from then.
+        /// Time of the request by the follower's clock; the lease runs from then.
         asked: Micros,
     },
-    /// What is wrong with the policy of this number; nothing is a yes.
+    /// Vote on the policy of this number, with the faults found in it; no faults means yes.
     Vote(u64, Vec<String>),
-    /// It admits nothing until the change of this number is over.
+    /// The follower admits no requests until the change of this number is over.
     Stopped(u64),
-    /// It can't do what it voted for.
+    /// The follower cannot apply a policy that it voted for.
     Cannot(u64, String),
-    /// The members have lost this policy, which was in force.
+    /// A policy that was in force and that the members have lost.
     Restore {
-        /// Its number.
+        /// The policy's number.
         number: u64,
-        /// Its text.
+        /// The policy's text.
         text: String,
-        /// The text's digest.
+        /// Digest of the text.
         digest: [u8; 32],
     },
-    /// It ends, and admits nothing more.
+    /// The follower shuts down and admits no further requests.
     Leave,
 }
 
-/// What a member says.
+/// A message from a member.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MemberMessage {
-    /// The answer to a subscription.
+    /// Accepts a subscription.
     Welcome {
         /// The group.
         group: String,
-        /// Which of its members speaks.
+        /// The member that answers.
         member: Peer,
     },
-    /// The subscription is not taken; the connection ends.
+    /// Rejects a subscription; the connection is closed.
     Rejected(Rejection),
-    /// All that is agreed, at its revision.
+    /// The complete agreed state at its revision.
     Snapshot {
-        /// The founding that revisions count in.
+        /// Id of the log in which revisions count.
         fleet: u64,
-        /// What is agreed, which has its revision.
+        /// The agreed state, including its revision.
         policies: Box<Policies>,
     },
     /// The next change.
     Change(Revision, Change),
-    /// The answer to a renewal.
+    /// Answers a renewal.
     Keepalive {
-        /// The renewal's own time.
+        /// The `asked` time of the renewal.
         asked: Micros,
-        /// How long the lease is, from that time; `None` if there is none.
+        /// Duration of the lease from `asked`; `None` if no lease was granted.
         lease: Option<Micros>,
-        /// The newest revision here.
+        /// The member's latest revision.
         revision: Revision,
     },
-    /// The member ends: go to another one.
+    /// The member shuts down; the follower should connect to another one.
     GoAway,
 }
 
-/// Why a subscription is not taken.
+/// Reason for rejecting a subscription.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// The member speaks this version.
+    /// Protocol version of the member.
     Version(u32),
-    /// The member is one of this group.
+    /// The group the member belongs to.
     Group(String),
-    /// The member takes no further followers; the names of the others.
+    /// The member has reached its follower limit; the names of the other members.
     Full(Vec<String>),
-    /// The member does not know the group's record yet.
+    /// The member has not received the group's state yet.
     NotReady,
 }
 
@@ -133,12 +135,12 @@
     }
 }
 
-/// Reads the first message of a follower.
+/// Decodes the first message in `bytes` sent by a follower.
 pub fn from_follower(bytes: &[u8]) -> Result<Option<(usize, FollowerMessage)>, Fault> {
     FRAMING.next(bytes, MOST_FOLLOWER_FRAME)
 }
 
-/// Reads the first message of a member.
+/// Decodes the first message in `bytes` sent by a member.
 pub fn from_member(bytes: &[u8]) -> Result<Option<(usize, MemberMessage)>, Fault> {
     FRAMING.next(bytes, MOST_MEMBER_FRAME)
 }
--- a/crates/fleet/src/control_plane/mod.rs
+++ b/crates/fleet/src/control_plane/mod.rs
@@ -1,14 +1,16 @@
-//! Dispatchers that follow the agreed record without voting: a few members agree on it, and many followers watch it.
+//! Control plane: a few members replicate the agreed state through a Raft log, and many followers receive it
+//! without voting.
 //!
-//! Members run the replicated log. A follower keeps one connection to one of them, over which it gets each change of
-//! the policy by its revision, and a lease that ends before the member's own. No follower is an entry in the log: a
-//! member says *yes* and *stopped* there for itself and for all whom it has given a lease. So the rule of a change
-//! holds for all followers: from the moment that any admits by the new policy, none admits by the old one.
+//! A follower keeps one connection to one member. Over it the follower receives each policy change with its
+//! revision, and a lease that expires before the member's own lease. Followers have no entries in the log: a
+//! member records a *yes* vote or *stopped* there only on behalf of itself and of every follower that holds
+//! one of its leases. The guarantee of a policy change therefore covers all followers: once any dispatcher
+//! admits requests under the new policy, none admits under the old one.
 //!
-//! - [`messages`]: what followers and members say to each other.
-//! - [`timing`]: lease and election times, derived from the links' round trip.
-//! - [`member`]: the side of the member: sessions, leases given, what it may say in the log.
-//! - [`follower`]: the side of the dispatcher: which member, what is known, its lease.
+//! - [`messages`]: the messages between followers and members.
+//! - [`timing`]: lease and election timeouts, derived from the round-trip time of the links.
+//! - [`member`]: the member's side: sessions, granted leases, and what it may submit to the log.
+//! - [`follower`]: the follower's side: choice of member, replicated state, and lease.
 
 pub mod follower;
 pub mod member;
--- a/crates/fleet/src/control_plane/timing.rs
+++ b/crates/fleet/src/control_plane/timing.rs
@@ -1,49 +1,52 @@
-//! Lease and election times, derived from the round trip between members.
+//! Lease and election timeouts, derived from the round-trip time between members.
 //!
-//! - A *tick* is half a round trip, as the log's leader is heard once a tick: an election timeout of six ticks or
-//!   more is three round trips, so that a leader whose word is on its way is not doubted.
-//! - A *lease* is 25 ticks: twelve round trips hold an election with its renewals before anyone's lease is over.
-//! - A follower's lease is half of a member's: a member renews its own five times within its length, so that four
-//!   fifths of it less the way through the log are always left.
+//! - A *tick* is half a round trip. The log's leader sends a heartbeat every tick, and the election timeout
+//!   is at least six ticks, which is three round trips: a heartbeat still in transit does not trigger an
+//!   election.
+//! - A *lease* is 25 ticks: twelve round trips are enough to elect a leader and renew the leases before any
+//!   lease expires.
+//! - A follower's lease is half of a member's lease. A member renews five times per lease, so at least four
+//!   fifths of its lease remain at any time, less the latency of the log.
 
 use crate::Micros;
 
-/// The shortest tick, in microseconds: what processes on one machine need.
+/// Minimum tick in microseconds, sized for processes on the same machine.
 pub const LEAST_TICK: Micros = 30_000;
-/// Ticks in a lease at least: a leader has to be found well within it, or all lose theirs with it.
+/// Minimum number of ticks in a lease: a leader must be elected well within a lease, or all members lose
+/// their leases.
 pub const TICKS_IN_LEASE: u64 = 25;
-/// The shortest lease, in microseconds.
+/// Minimum lease in microseconds.
 pub const LEAST_LEASE: Micros = 1_000_000;
-/// A follower's lease is a member's divided by this.
+/// A follower's lease is a member's lease divided by this.
 const FOLLOWER_PART: u64 = 2;
-/// A follower renews this many times within its lease.
+/// Number of times a follower renews within one lease.
 const RENEWALS: u64 = 3;
-/// Clocks of two machines differ in speed by less than one part in this many.
+/// The clock rates of two machines differ by less than one part in this many.
 const CLOCK_DRIFT: u64 = 10;
 
-/// Times of a control group, in microseconds.
+/// Time settings of a control group, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// The log's tick.
+    /// Tick of the log.
     pub tick: Micros,
-    /// How long a member's lease lasts without a renewal.
+    /// Duration of a member's lease without renewal.
     pub lease: Micros,
-    /// How much longer others wait before they say that it is over.
+    /// Additional time that others wait before they declare a lease expired.
     pub margin: Micros,
-    /// How long a follower's lease lasts without a renewal, at most.
+    /// Maximum duration of a follower's lease without renewal.
     pub follower_lease: Micros,
-    /// How often a follower renews it.
+    /// Interval at which a follower renews its lease.
     pub renew_every: Micros,
 }
 
 impl Timing {
-    /// Those of members whose links take so long there and back.
+    /// Derives the settings from the round-trip time between members.
     pub fn from_round_trip(round_trip: Micros) -> Timing {
         let tick = LEAST_TICK.max(round_trip / 2);
         Timing::with_lease(round_trip, LEAST_LEASE.max(TICKS_IN_LEASE * tick))
     }
 
-    /// Those with a stated lease.
+    /// Derives the settings with an explicit lease duration.
     pub fn with_lease(round_trip: Micros, lease: Micros) -> Timing {
         let follower_lease = lease / FOLLOWER_PART;
         Timing {
@@ -55,7 +58,7 @@
         }
     }
 
-    /// The shortest lease that holds an election over links of this round trip.
+    /// The shortest lease within which an election completes at this round-trip time.
     pub fn least_lease(round_trip: Micros) -> Micros {
         TICKS_IN_LEASE * LEAST_TICK.max(round_trip / 2)
     }
--- a/crates/fleet/src/plan/lead.rs
+++ b/crates/fleet/src/plan/lead.rs
@@ -1,56 +1,56 @@
-//! How the plan goes on: what its leader proposes next, and what holds the next machine up.
+//! How the leader advances the maintenance plan, and what blocks the next executor.
 
 use super::{Command, Plan, Step};
 use crate::{Holder, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine as a dispatcher knows it.
+/// An executor as a dispatcher sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
-    /// Its hall.
+    /// Index of its zone.
     pub hall: usize,
-    /// Its cores.
+    /// Its number of cores.
     pub cores: f64,
-    /// It is on the list and takes work, bans of the plan left out.
+    /// Whether it is listed and accepts work, apart from bans by the plan.
     pub up: bool,
-    /// When its process started, by the list; 0 for long ago.
+    /// Start time of its process according to the endpoint list; 0 if unknown or long ago.
     pub started: Micros,
 }
 
-/// What must stay in service.
+/// Capacity that must remain in service during maintenance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// Machines at least, of all halls.
+    /// Minimum number of executors in service, over all zones.
     pub machines: usize,
-    /// Cores in service for each that is busy, at least.
+    /// Minimum ratio of cores in service to busy cores.
     pub headroom: f64,
-    /// Machines missing at once, at most.
+    /// Maximum number of executors missing at the same time.
     pub at_once: usize,
-    /// How long work on a machine is waited for.
+    /// How long a drain waits for work to finish.
     pub drain_limit: Micros,
-    /// How long a machine may be out.
+    /// How long an executor may be out.
     pub out_limit: Micros,
-    /// How long it warms up.
+    /// Duration of its warm-up.
     pub ramp: Micros,
 }
 
-/// Why the next machine does not begin.
+/// Why the next executor cannot start its maintenance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Holdup {
-    /// Nothing waits, or the plan has stopped.
+    /// No executor is waiting, or the plan has stopped.
     Nothing,
-    /// So many are missing already.
+    /// This many executors are missing already, which is the limit.
     AtOnce(usize),
-    /// Another of its hall is missing, and the hall would fall short.
+    /// Another executor of this zone is missing, and too few would remain there.
     Hall(usize),
-    /// So many machines would be left.
+    /// Only this many executors would remain.
     Machines(usize),
-    /// So many cores would be left, and so many are needed.
+    /// Cores that would remain, and cores needed.
     Cores(f64, f64),
 }
 
-/// What the leader proposes next, from the plan and what it sees: at most one command for each machine.
-/// `busy` are the cores that work in all, `alive` those who have a lease.
+/// Returns the commands the leader should propose now, at most one per executor, from the plan and the
+/// current observations. `busy` is the number of busy cores in total, `alive` the current lease holders.
 pub fn lead(
     plan: &Plan,
     machines: &BTreeMap<String, Machine>,
@@ -86,7 +86,7 @@
     commands
 }
 
-/// The machine that may begin now, or what holds it up.
+/// The executor whose maintenance may start now, or what blocks it.
 pub fn may_begin(
     plan: &Plan,
     machines: &BTreeMap<String, Machine>,
@@ -107,7 +107,7 @@
     if cores < needed {
         return Err(Holdup::Cores(cores, needed));
     }
-    // A hall that has lost one already keeps more than half of its machines.
+    // A zone in which an executor is already missing keeps more than half of its executors.
     if let Some(hall) = machines.get(next).map(|m| m.hall) {
         let of_hall = |id: &str| machines.get(id).is_some_and(|m| m.hall == hall);
         let all = machines.values().filter(|m| m.hall == hall).count();
--- a/crates/fleet/src/plan/mod.rs
+++ b/crates/fleet/src/plan/mod.rs
@@ -1,8 +1,8 @@
-//! The plan by which machines are taken out for work: agreed state of the fleet, moved by commands of its log.
+//! Maintenance plan: the order in which executors are taken out of service, as replicated state of the fleet.
 //!
-//! A machine waits, drains, is out, warms up and is done; it may fail or be aborted on the way. What a command
-//! asks for that does not follow from where the machine is changes nothing, so that a leader that was lost in
-//! the middle of a step is followed by one that goes on from it: no step is done twice and none is left out.
+//! An executor waits, drains, is out, warms up and is done; it may also fail or be aborted. A command that
+//! does not apply to the executor's current step changes nothing. A new leader can therefore continue where a
+//! failed one stopped, and no step is repeated or skipped.
 
 mod lead;
 
@@ -12,103 +12,103 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Where a machine is in its plan.
+/// The step an executor has reached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    /// Its turn has not come.
+    /// Waiting for its turn.
     Waits,
-    /// It gets nothing new, since then; those who have nothing out on it any more.
+    /// Draining since this time: it receives no new work. The holders have no work left on it.
     Drains(Micros, BTreeSet<Holder>),
-    /// It is handed over, since then.
+    /// Out of service since this time.
     Out(Micros),
-    /// It is back and cold, since then.
+    /// Back in service and warming up since this time.
     Warms(Micros),
-    /// It serves as before.
+    /// Maintenance is complete.
     Done,
     /// It did not come back, or could not be drained.
     Failed(String),
-    /// The plan was aborted before it was handed over, or while it was out and it has come back since.
+    /// The plan was aborted before it went out of service, or while it was out, and it has come back since.
     Aborted,
 }
 
 impl Step {
-    /// Whether it gets nothing new.
+    /// Whether it receives no new work.
     pub fn banned(&self) -> bool {
         matches!(self, Step::Drains(..) | Step::Out(_) | Step::Failed(_))
     }
 
-    /// Whether nothing more happens to it.
+    /// Whether this is a final step.
     pub fn over(&self) -> bool {
         matches!(self, Step::Done | Step::Failed(_) | Step::Aborted)
     }
 
-    /// Whether it is missing from service, wholly or partly.
+    /// Whether its capacity is missing, wholly or partly.
     pub fn missing(&self) -> bool {
         matches!(self, Step::Drains(..) | Step::Out(_) | Step::Warms(_) | Step::Failed(_))
     }
 }
 
-/// Moves the plan.
+/// A command that changes the plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// These machines are to be serviced, after what is planned already.
+    /// Appends these executors to the plan.
     Ask(Vec<String>),
-    /// It is this one's turn, from then on, if the plan has not changed since this version of it: who says so
-    /// has looked at all that is missing.
+    /// Starts draining this executor at this time, provided the plan still has this version: the proposer has
+    /// checked the capacity against that version.
     Begin(String, Micros, u64),
-    /// A dispatcher has nothing out on it any more.
+    /// A dispatcher has no work left on the executor.
     Idle(Holder, String),
-    /// All are idle, or have been waited for long enough.
+    /// All dispatchers are idle on the executor, or the drain limit has passed: it goes out of service.
     HandOver(String, Micros),
-    /// It is back.
+    /// The executor is back.
     Back(String, Micros),
-    /// It is warm.
+    /// The executor has warmed up.
     Warm(String),
-    /// It will not come back; the plan stops.
+    /// The executor will not come back, for this reason; the plan stops.
     Fail(String, String),
-    /// No further machine; those that only drain go on serving.
+    /// Starts no further executor; those still draining return to service.
     Abort,
-    /// A machine that failed or is out is well again, by an operator's word: it comes back cold.
+    /// An operator reports a failed or absent executor as repaired: it comes back and warms up.
     Mend(String, Micros),
 }
 
-/// Machines planned at most.
+/// Maximum number of planned executors.
 pub const MOST: usize = 256;
 
-/// The plan.
+/// The maintenance plan.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Machines in the order they are serviced, with where they are.
+    /// The executors with their steps, in maintenance order.
     steps: Vec<(String, Step)>,
-    /// Why no further machine begins, if none does.
+    /// Why no further executor is started; `None` if the plan is running.
     stopped: Option<String>,
-    /// Counts its changes.
+    /// Incremented with each change.
     version: u64,
 }
 
 impl Plan {
-    /// Machines in their order, with where they are.
+    /// The executors with their steps, in maintenance order.
     pub fn steps(&self) -> impl Iterator<Item = (&str, &Step)> {
         self.steps.iter().map(|(id, s)| (id.as_str(), s))
     }
 
-    /// Where a machine is; `None` if it is in no plan.
+    /// The step of an executor; `None` if it is not in the plan.
     pub fn step(&self, id: &str) -> Option<&Step> {
         self.steps.iter().find(|(i, _)| i == id).map(|(_, s)| s)
     }
 
-    /// Why no further machine begins, if none does.
+    /// Why no further executor is started; `None` if the plan is running.
     pub fn stopped(&self) -> Option<&str> {
         self.stopped.as_deref()
     }
 
-    /// The first that waits, if any may begin.
+    /// The first waiting executor, unless the plan has stopped.
     pub fn next(&self) -> Option<&str> {
         let waits = self.steps.iter().find(|(_, s)| *s == Step::Waits).map(|(id, _)| id.as_str());
         waits.filter(|_| self.stopped.is_none())
     }
 
-    /// Whether these could be asked for; else why not.
+    /// Checks whether these executors can be added to the plan; the error says why not.
     pub fn accepts(&self, ids: &[String]) -> Result<(), String> {
         let unique: BTreeSet<&String> = ids.iter().collect();
         if ids.is_empty() || unique.len() < ids.len() {
@@ -124,9 +124,9 @@
         Ok(())
     }
 
-    /// The machines that a dispatcher must leave alone: those that the plan has out, and, where it has been
-    /// without word of the fleet for some time, those that may have begun since: in their order so many at once,
-    /// and as many again for each ramp that has passed.
+    /// The executors to which a dispatcher must not send work: those that the plan excludes and, if the
+    /// dispatcher has been cut off from the fleet for some time, those that may have started draining since.
+    /// That is `at_once` of the waiting ones in their order, and as many again for each ramp that has passed.
     pub fn held_back(&self, budget: &Budget, without_word: Option<Micros>) -> BTreeSet<&str> {
         let mut held: BTreeSet<&str> =
             self.steps.iter().filter(|(_, s)| s.banned()).map(|(id, _)| id.as_str()).collect();
@@ -144,7 +144,7 @@
                 if self.accepts(&ids).is_err() {
                     return false;
                 }
-                // A plan that is over makes room for the next; what failed in it stays to be seen.
+                // A finished plan is replaced by the new one; its failed executors stay visible.
                 if self.steps.iter().all(|(_, s)| s.over()) {
                     self.steps.retain(|(_, s)| s.banned());
                     self.stopped = None;
--- a/crates/fleet/src/policy/apply.rs
+++ b/crates/fleet/src/policy/apply.rs
@@ -1,4 +1,4 @@
-//! How the policy moves.
+//! State transitions of the policy.
 
 use super::*;
 use crate::{Machine, peer_of};
@@ -16,7 +16,7 @@
         true
     }
 
-    /// Voting on a policy begins.
+    /// Starts the vote on a policy.
     pub(super) fn begin(&mut self, policy: Policy, by: Peer, at: Micros, until: [Micros; 2]) {
         self.history.record(Change::Proposed(policy.clone()));
         self.pending = Some(Proposal {
@@ -30,7 +30,7 @@
         });
     }
 
-    /// The change under way, if it is this one and this far.
+    /// The pending change, if it has this number and stage.
     fn under_way(&mut self, number: u64, stage: Stage) -> Option<&mut Proposal> {
         self.pending.as_mut().filter(|p| p.policy.number == number && p.stage == stage)
     }
@@ -56,7 +56,7 @@
         true
     }
 
-    /// Goes on as far as those with a lease let it.
+    /// Advances the pending change as far as the current lease holders allow.
     fn settle(&mut self, alive: &BTreeSet<Holder>) -> bool {
         let Some(p) = &mut self.pending else { return false };
         if alive.is_empty() {
@@ -80,7 +80,7 @@
     }
 }
 
-/// As much of it as is kept.
+/// Truncates faults to the stored bounds.
 fn bounded(mut faults: Vec<String>) -> Vec<String> {
     faults.truncate(FAULTS);
     for f in &mut faults {
@@ -135,7 +135,7 @@
 
     fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
         if let Some(p) = &mut self.pending {
-            // What those said whose lease is over no longer counts, nor does it pile up.
+            // Votes and stops of expired leases no longer count and are dropped, which bounds their number.
             p.votes.retain(|h, faults| alive.contains(h) || !faults.is_empty());
             p.stopped.retain(|h| alive.contains(h));
             while p.votes.len() > 2 * crate::leases::MOST_ALIVE {
--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -1,10 +1,11 @@
-//! What all dispatchers admit requests by: one numbered policy, changed everywhere or nowhere.
+//! Admission policy: one numbered policy for all dispatchers, changed at all of them or at none.
 //!
-//! A change is proposed, and each holder of a lease votes on it. Once all have said yes, each stops admitting and says
-//! so; once all have stopped, the change is in force, and whoever sees that admits by it. So between the last request
-//! that was admitted by the old one and the first by the new there is a moment at which nobody admitted any. Who is
-//! cut off holds the switch up until its lease is over, which it knows before the others do; who begins a lease in
-//! the middle of a switch has to stop, too. What the policy says is not looked at here: it is a text with its digest.
+//! A change is proposed, and every lease holder votes on it. Once all have voted yes, each stops admitting
+//! requests and reports that. Once all have stopped, the change is in force, and each dispatcher that learns
+//! of it admits under the new policy. Between the last request admitted under the old policy and the first
+//! under the new one there is thus a moment at which nobody admits any. A disconnected dispatcher delays the
+//! change until its lease expires, which it notices before the others do. A dispatcher that acquires a lease
+//! during a change has to stop as well. The content of a policy is opaque here: a text and its digest.
 
 mod apply;
 pub mod part;
@@ -21,74 +22,74 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The longest text of a policy, in bytes.
+/// Maximum length of a policy's text in bytes.
 pub const MOST_TEXT: usize = 32 << 10;
-/// Policies kept besides the one in force: work in hand ends under the one that admitted it.
+/// Number of past policies kept, because requests in flight finish under the policy that admitted them.
 pub const PAST: usize = 3;
-/// Ends of proposals that are remembered.
+/// Number of outcomes of past changes that are kept.
 pub const ENDED: usize = 8;
-/// Faults kept of one vote, and the length of each, in bytes.
+/// Maximum number of faults kept per vote.
 pub const FAULTS: usize = 16;
-/// See [`FAULTS`].
+/// Maximum length of a fault in bytes.
 pub const FAULT: usize = 240;
 
-/// A policy: its number, its text as its file had it, and that text's SHA-256.
+/// A policy: its number, the text of its file, and the SHA-256 of that text.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
-    /// Grows with each proposal; 0 is what the settings say, which has no text.
+    /// Increases with each proposal; 0 is the policy from the settings, which has no text.
     pub number: u64,
     /// The text.
     pub text: String,
-    /// Its digest.
+    /// SHA-256 of the text.
     pub digest: [u8; 32],
 }
 
-/// How far a change is.
+/// Stage of a pending change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Those with a lease check it and vote.
+    /// Lease holders check the policy and vote.
     Voting,
-    /// All have said yes; they stop admitting by the old one.
+    /// All have voted yes; lease holders stop admitting under the old policy.
     Closing,
 }
 
-/// A change under way.
+/// A pending change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// What is proposed.
+    /// The proposed policy.
     pub policy: Policy,
-    /// Through whom, and when by that one's clock.
+    /// The peer through which it was proposed.
     pub by: Peer,
-    /// See `by`.
+    /// When it was proposed, by that peer's clock.
     pub at: Micros,
-    /// How far it is.
+    /// The stage it has reached.
     pub stage: Stage,
-    /// Who has voted: what is wrong with it there; nothing is a yes.
+    /// The votes: faults found by each holder; no faults means yes.
     pub votes: BTreeMap<Holder, Vec<String>>,
-    /// Who admits nothing until this is over.
+    /// Holders that have stopped admission until the change is over.
     pub stopped: BTreeSet<Holder>,
-    /// When voting, and when the whole is given up.
+    /// Deadlines of the vote and of the whole change.
     until: [Micros; 2],
 }
 
-/// The time limits of a change that has just come out of the queue: its time runs from the next sweep.
+/// Deadlines of a change that has just left the queue: they are set at the next sweep.
 const NOT_TIMED: [Micros; 2] = [Micros::MAX; 2];
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ended {
-    /// Its number.
+    /// The change's number.
     pub number: u64,
-    /// Why it did not take hold; `None` if it did.
+    /// Why it was given up; `None` if it came into force.
     pub why: Option<String>,
-    /// What was wrong with it, by peer.
+    /// Faults found, by peer.
     pub faults: Vec<(Peer, Vec<String>)>,
 }
 
-/// Changes whose taking is remembered: so many may be called within one look at the log.
+/// Number of accepted changes that are remembered: as many may be proposed between two reads of the log.
 const MOST_TAKEN: usize = 16;
 
-/// A change that was taken.
+/// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Taken {
     number: u64,
@@ -96,68 +97,70 @@
     at: Micros,
 }
 
-/// Moves the policy.
+/// A command that changes the policy state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A change is proposed. It changes nothing while another is under way.
+    /// Proposes a change. It has no effect while another change is pending.
     Propose {
-        /// Its text; empty for what the settings say.
+        /// The policy's text; empty for the policy from the settings.
         text: String,
-        /// The text's digest.
+        /// SHA-256 of the text.
         digest: [u8; 32],
-        /// Through whom.
+        /// The proposing peer.
         by: Peer,
-        /// When, by that one's Unix clock.
+        /// Time of the proposal by that peer's Unix clock.
         at: Micros,
-        /// How long votes are waited for, and after that how long all may take to stop.
+        /// Time limits of the vote and, after it, of stopping admission.
         limits: [Micros; 2],
-        /// The least number it gets: what one knows who was in a fleet that has lost its record.
+        /// Minimum number for the policy, from a proposer that knows it from a fleet that has lost its state.
         least: u64,
     },
-    /// A change is proposed; while another is under way it waits for its turn, as far as the queue's bound allows.
+    /// Proposes a change; it is queued while another one is pending, within the queue's limits.
     Queue(Waiting),
-    /// The one before the one in force, proposed anew: through whom, when, and the limits.
+    /// Proposes the previous policy again: the proposing peer, the time, and the limits.
     Back(Peer, Micros, [Micros; 2]),
-    /// A holder has checked the change of this number; what is wrong with it.
+    /// A holder's vote on the change of this number, with the faults found; no faults means yes.
     Vote(Holder, u64, Vec<String>),
-    /// A holder admits nothing until the change of this number is over.
+    /// A holder has stopped admission until the change of this number is over.
     Stopped(Holder, u64),
-    /// A holder can't do what it voted for.
+    /// A holder cannot apply the change of this number although it voted yes.
     Cannot(Holder, u64, String),
-    /// An operator calls the change of this number off.
+    /// An operator aborts the change of this number.
     Abort(u64),
 }
 
-/// The policy in force, the change under way, and what came of earlier ones.
+/// The policy in force, the pending and queued changes, and the outcomes of earlier ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policies {
     current: Policy,
-    /// Those in force before, the latest first.
+    /// Policies in force before, latest first.
     past: Vec<Policy>,
     pending: Option<Proposal>,
-    /// Changes that wait for the one under way to end, in order.
+    /// Changes that wait for the pending one to end, in order.
     waiting: VecDeque<Waiting>,
-    /// The time limits of the change that left the queue last.
+    /// Time limits of the change that last left the queue.
     turn_limits: [Micros; 2],
     history: History,
-    /// The latest first.
+    /// Latest first.
     ended: Vec<Ended>,
-    /// The highest number ever given.
+    /// The highest number assigned so far.
     last: u64,
-    /// The changes that were taken last, the latest first.
+    /// The most recently accepted changes, latest first.
     taken: VecDeque<Taken>,
-    /// The number that was in force in a fleet before, whose record is lost: nobody admits by less.
+    /// The policy number in force in a previous fleet whose state is lost: nobody admits under a lower
+    /// number.
     least: u64,
 }
 
 impl Policies {
-    /// Those of a fleet that follows one in which this number was in force.
+    /// The initial state of a fleet that succeeds one in which this policy number was in force.
     pub fn after(least: u64) -> Policies {
         Policies { last: least, least, ..Policies::default() }
     }
 
-    /// Whether the policy in force may be admitted by: in a fleet that follows one whose record is lost, nothing is
-    /// until what was in force there, or what an operator proposes instead, has taken hold.
+    /// Whether requests may be admitted under the policy in force. In a fleet that succeeds one whose state
+    /// is lost, they may not until the policy in force there, or one that an operator proposes instead, is in
+    /// force again.
     pub fn abreast(&self) -> bool {
         self.current.number >= self.least
     }
@@ -167,38 +170,39 @@
         &self.current
     }
 
-    /// The one of this number, if it is in force or was lately.
+    /// The policy with this number, if it is in force or was recently.
     pub fn numbered(&self, number: u64) -> Option<&Policy> {
         std::iter::once(&self.current).chain(&self.past).find(|p| p.number == number)
     }
 
-    /// The one that was in force before, if any.
+    /// The policy in force before the current one.
     pub fn before(&self) -> Option<&Policy> {
         self.past.first()
     }
 
-    /// The change under way.
+    /// The pending change.
     pub fn pending(&self) -> Option<&Proposal> {
         self.pending.as_ref()
     }
 
-    /// The number of a change that was taken lately, by the peer that it came through and that one's clock.
+    /// The number of a recently accepted change, identified by the proposing peer and the time of the
+    /// proposal.
     pub fn taken(&self, by: Peer, at: Micros) -> Option<u64> {
         self.taken.iter().find(|t| t.by == by && t.at == at).map(|t| t.number)
     }
 
-    /// Remembers a change that is taken just now.
+    /// Remembers a change that was just accepted.
     fn take(&mut self, number: u64, by: Peer, at: Micros) {
         self.taken.push_front(Taken { number, by, at });
         self.taken.truncate(MOST_TAKEN);
     }
 
-    /// What came of earlier changes, the latest first.
+    /// The outcomes of earlier changes, latest first.
     pub fn ended(&self) -> impl Iterator<Item = &Ended> {
         self.ended.iter()
     }
 
-    /// Whether a change could be proposed now; else why not.
+    /// Checks whether a change can be proposed now; the error says why not.
     pub fn accepts(&self, text: &str) -> Result<(), String> {
         match &self.pending {
             Some(p) => Err(format!("policy {} is under way already", p.policy.number)),
--- a/crates/fleet/src/policy/part.rs
+++ b/crates/fleet/src/policy/part.rs
@@ -1,67 +1,69 @@
-//! One dispatcher's part in a change of policy: what it checks, says and admits by. Sans-I/O.
+//! A dispatcher's participation in policy changes: its checks, its votes, and the policy it admits under.
+//! Sans-I/O.
 //!
-//! It is looked at each time that the log was seen to move, before any request is taken: what it has said in the log
-//! holds from before it was said.
+//! The host calls [`Part::look`] whenever the log has advanced and before it admits further requests, so that
+//! a vote or stop already holds when it is submitted.
 
 use super::{Command, Policies, Policy, Stage};
 use crate::{Holder, Micros, Peer};
 
-/// How long before a policy that the fleet has lost is proposed to it again.
+/// Interval at which a policy that the fleet has lost is proposed again.
 const AGAIN: Micros = 1_000_000;
 
-/// What a request that arrives meets.
+/// Admission decision for an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// It is admitted by the policy of this number.
+    /// Admit it under the policy of this number.
     Admit(u64),
-    /// A change is about to take hold or to be given up: it waits for that.
+    /// Hold it back until the pending change comes into force or is given up.
     Hold,
-    /// There is no lease, or the fleet has lost a policy that is known here: nobody can tell by what to admit.
+    /// Refuse it: there is no lease, or the fleet has lost a policy known here, so the policy to admit under
+    /// is unknown.
     Refuse,
 }
 
-/// What is to be done, in order.
+/// An action for the host, in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Act {
-    /// To be said in the log. If it can't be, [`Part::unsaid`].
+    /// Submit this command to the log; call [`Part::unsaid`] if that fails.
     Say(Command),
-    /// What is admitted from now on is by this one.
+    /// Admit requests under this policy from now on.
     InForce(Policy),
-    /// A change of this number was voted on: what is wrong with it.
+    /// This dispatcher has voted on the change of this number, with these faults.
     Voted(u64, Vec<String>),
-    /// Nothing is admitted until the change of this number is over.
+    /// Admit nothing until the change of this number is over.
     Closing(u64),
-    /// The change of this number is over and has not taken hold: why, and what was wrong with it, by peer.
+    /// The change of this number was given up, for this reason and with these faults by peer.
     GivenUp(u64, String, Vec<(Peer, Vec<String>)>),
 }
 
-/// What a dispatcher knows and has said.
+/// A dispatcher's view of the policy and the votes it has submitted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Part {
-    /// The policy of the highest number that it has ever acted by.
+    /// The highest-numbered policy it has ever admitted under.
     known: Policy,
-    /// It knows the fleet's state, and that is not behind what it knows.
+    /// The fleet's state is known and not behind `known`.
     abreast: bool,
     closing: bool,
     voted: Option<(Holder, u64)>,
     stopped: Option<(Holder, u64)>,
-    /// The change under way that was seen last.
+    /// Number of the pending change seen last.
     watched: Option<u64>,
     again: Micros,
 }
 
 impl Part {
-    /// The number of the policy that it acts by.
+    /// The number of the policy it admits under.
     pub fn number(&self) -> u64 {
         self.known.number
     }
 
-    /// Whether the fleet's state is known, and by what to admit.
+    /// Whether the fleet's state is known and its policy may be admitted under.
     pub fn abreast(&self) -> bool {
         self.abreast
     }
 
-    /// What a request that arrives meets, with the lease that holds at this very moment.
+    /// Admission decision for a request that arrives now, given the lease that is valid at this moment.
     pub fn gate(&self, holder: Option<Holder>) -> Gate {
         match holder {
             Some(_) if self.abreast && self.closing => Gate::Hold,
@@ -70,13 +72,13 @@
         }
     }
 
-    /// Something that it wanted said could not be: it is said again at the next look.
+    /// A command could not be submitted: it is repeated on the next [`Part::look`].
     pub fn unsaid(&mut self) {
         (self.voted, self.stopped, self.again) = (None, None, 0);
     }
 
-    /// Looks at the fleet's state. `check` tells what is wrong with a policy here, and makes it ready: what it has
-    /// nothing against it can do without fail.
+    /// Processes the fleet's state. `check` returns the faults of a policy on this dispatcher and prepares
+    /// it: applying a policy without faults must not fail later.
     pub fn look(
         &mut self,
         now: Micros,
@@ -91,7 +93,8 @@
             return acts;
         };
         let current = agreed.current();
-        // Fleets that were founded apart count alike: of two policies of one number the fleet's own holds.
+        // Separately founded fleets may use the same numbers: of two policies with one number, the fleet's
+        // own applies.
         let other = current.number == self.known.number && current.digest != self.known.digest;
         if current.number > self.known.number || other {
             self.known = current.clone();
@@ -122,7 +125,7 @@
             }
             Some(p) if closes && self.stopped != Some((holder, p.policy.number)) => {
                 self.stopped = Some((holder, p.policy.number));
-                // One that was given its lease after the vote has not looked at it yet.
+                // A dispatcher that acquired its lease after the vote has not checked the policy yet.
                 let faults = check(&p.policy);
                 acts.push(Act::Say(match faults.is_empty() {
                     true => Command::Stopped(holder, p.policy.number),
@@ -130,7 +133,8 @@
                 }));
             }
             None if current.number < self.known.number && self.again <= now => {
-                // The fleet was founded anew without its record: what was in force comes back by a change like any.
+                // The fleet was founded again without its state: the policy that was in force is proposed
+                // like any other change.
                 self.again = now + AGAIN;
                 let Policy { number: least, text, digest } = self.known.clone();
                 let limits = [3 * AGAIN, 3 * AGAIN];
--- a/crates/fleet/src/policy/queue.rs
+++ b/crates/fleet/src/policy/queue.rs
@@ -1,38 +1,40 @@
-//! Changes that wait while another one is under way.
+//! Queue of changes proposed while another change is pending.
 //!
-//! A policy is whole: the latest that waits says all that matters, whatever those before it say. So it has its turn
-//! next, and once it is in force those before it are superseded; if it is given up, the one before it has its turn.
-//! However many come in a burst, each is in force or superseded within the time of two changes.
+//! A policy is complete, so the latest queued one supersedes all before it. It is therefore started next.
+//! Once it is in force, the earlier ones are dropped as superseded; if it is given up, the one before it is
+//! started. However many changes arrive in a burst, each is in force or superseded within the duration of two
+//! changes.
 
 use super::{ENDED, Ended, NOT_TIMED, Policies, Policy};
 use crate::{Micros, Peer};
 use serde::{Deserialize, Serialize};
 
-/// Changes that wait at most.
+/// Maximum number of queued changes.
 pub const MOST_WAITING: usize = 128;
-/// Bytes of their texts at most.
+/// Maximum total length of their texts in bytes.
 const MOST_WAITING_TEXT: usize = 1 << 20;
 
-/// A change that is proposed, and what is known of it while it waits.
+/// A proposed change while it is queued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Waiting {
-    /// The policy; its number is given as it joins the queue.
+    /// The policy; its number is assigned when it joins the queue.
     pub policy: Policy,
-    /// Through whom it came.
+    /// The proposing peer.
     pub by: Peer,
-    /// When, by that one's Unix clock.
+    /// Time of the proposal by that peer's Unix clock.
     pub at: Micros,
-    /// How long votes are waited for, and after that how long all may take to stop; from when its turn comes.
+    /// Time limits of the vote and, after it, of stopping admission, counted from when the change leaves the
+    /// queue.
     pub limits: [Micros; 2],
 }
 
 impl Policies {
-    /// The changes that wait, in order.
+    /// The queued changes, in order.
     pub fn waiting(&self) -> impl Iterator<Item = &Waiting> {
         self.waiting.iter()
     }
 
-    /// Whether a change could join the queue now; else why not.
+    /// Checks whether a change can be queued now; the error says why not.
     pub fn queues(&self, text: &str) -> Result<(), String> {
         let bytes: usize = self.waiting.iter().map(|w| w.policy.text.len()).sum();
         match &self.pending {
@@ -47,12 +49,12 @@
         }
     }
 
-    /// Begins a change, or has it wait for its turn.
+    /// Starts a change, or queues it while another is pending.
     pub(super) fn queue(&mut self, mut waiting: Waiting) -> bool {
         if self.queues(&waiting.policy.text).is_err() {
             return false;
         }
-        // Who knows of a higher number says so in the policy's own.
+        // A proposer that knows a higher number passes it in the policy's number.
         self.last = self.last.saturating_add(1).max(waiting.policy.number);
         self.take(self.last, waiting.by, waiting.at);
         waiting.policy.number = self.last;
@@ -63,14 +65,14 @@
         true
     }
 
-    /// The latest that waits has its turn.
+    /// Starts the latest queued change.
     pub(super) fn begin_next(&mut self) {
         let Some(next) = self.waiting.pop_back() else { return };
         self.turn_limits = next.limits;
         self.begin(next.policy, next.by, next.at, NOT_TIMED);
     }
 
-    /// Those that wait and are older than the policy in force never take hold.
+    /// Drops queued changes that are older than the policy in force.
     pub(super) fn drop_superseded(&mut self) {
         let number = self.current.number;
         let older = self.waiting.iter().take_while(|w| w.policy.number < number).count();
@@ -78,12 +80,12 @@
             let why = Some(format!("superseded by {number}"));
             self.ended.insert(0, Ended { number: waiting.policy.number, why, faults: Vec::new() });
         }
-        // The newest number first, whatever ended when.
+        // By number, highest first, regardless of the order in which they ended.
         self.ended.sort_by_key(|e| std::cmp::Reverse(e.number));
         self.ended.truncate(ENDED);
     }
 
-    /// The time of a change that came out of the queue runs from now on; whether it did not yet.
+    /// Sets the deadlines of a change that has just left the queue. Returns whether they were still unset.
     pub(super) fn time_from(&mut self, now: Micros) -> bool {
         let [vote_limit, close_limit] = self.turn_limits;
         let Some(proposal) = self.pending.as_mut().filter(|p| p.until == NOT_TIMED) else { return false };
--- a/crates/fleet/src/policy/record.rs
+++ b/crates/fleet/src/policy/record.rs
@@ -1,22 +1,22 @@
-//! Where a dispatcher learns the policy from and speaks to: the fleet's log, or a member of it.
+//! Access to the agreed policy: through the fleet's log, or through a member of the fleet.
 
 use super::{Command, Policies};
 use crate::agreed::{self, Agreed};
 use crate::{Fleet, Holder, Micros};
 
-/// The agreed policy as one dispatcher sees it, and the lease that it admits by.
+/// The agreed policy as seen by one dispatcher, and the lease it admits under.
 pub trait PolicyRecord {
-    /// The lease, if it holds now.
+    /// The lease, if it is valid now.
     fn holds(&self, now: Micros) -> Option<Holder>;
 
-    /// What is agreed, as far as it is known here.
+    /// The agreed policies; `None` if they are not known here yet.
     fn policies(&self) -> Option<&Policies>;
 
-    /// Says something of a change. False if nobody can be told now.
+    /// Submits a command to the log. Returns false if that is not possible now.
     fn say(&mut self, now: Micros, command: Command) -> bool;
 
-    /// All of [`PolicyRecord::policies`] was heeded, and this number is acted by: what is admitted from here on
-    /// follows it.
+    /// The host has applied all of [`PolicyRecord::policies`] and admits under the policy of this number from
+    /// now on.
     fn heeded(&mut self, number: u64);
 }
 
--- a/crates/fleet/src/policy/revisions.rs
+++ b/crates/fleet/src/policy/revisions.rs
@@ -1,32 +1,32 @@
-//! The policy as a sequence of revisions, so that others than the log's members can follow it.
+//! The policy state as a sequence of revisions, for followers that do not take part in the log.
 //!
-//! Each change that a follower has to know of raises the revision by one and is kept for a while: whoever has a
-//! revision that is still kept gets what came since, anyone else a snapshot. Revisions are part of the agreed state,
-//! so that any member can go on where another one stopped.
+//! Each change that followers need increments the revision and is kept for a while. A follower whose revision
+//! is still kept receives the changes since then, any other one a snapshot. Revisions are part of the
+//! replicated state, so that any member can continue where another one stopped.
 
 use super::{Ended, Policies, Policy, Proposal, Stage};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Counts the changes of one fleet's policy.
+/// Counts the changes of a fleet's policy state.
 pub type Revision = u64;
 
-/// Changes kept for followers that are a little behind.
+/// Number of changes kept for followers that lag behind.
 pub const KEPT_CHANGES: usize = 128;
-/// Bytes of policy texts kept in those, at most.
+/// Maximum total length of the policy texts in the kept changes, in bytes.
 pub const KEPT_TEXT: usize = 512 << 10;
 
-/// A change that followers have to know of.
+/// A change of the policy state as sent to followers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// A policy is proposed: voting begins.
+    /// A policy was proposed; the vote starts.
     Proposed(Policy),
-    /// All have said yes to the policy of this number: admission by the old one stops.
+    /// All have voted yes to the policy of this number; admission under the old one stops.
     Closing(u64),
     /// The policy of this number is in force.
     InForce(u64),
-    /// A change did not take hold.
+    /// A change was given up.
     GivenUp(Ended),
 }
 
@@ -42,17 +42,17 @@
 /// The latest changes, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct History {
-    /// The number of the latest change.
+    /// Revision of the latest change.
     revision: Revision,
-    /// The revision at which admission was last told to stop.
+    /// Revision at which admission was last closed.
     barrier: Revision,
-    /// The revision at which the latest policy was proposed.
+    /// Revision at which the latest policy was proposed.
     proposed: Revision,
     kept: VecDeque<Change>,
 }
 
 impl History {
-    /// Appends a change, and forgets the oldest beyond the bounds.
+    /// Appends a change and drops the oldest ones beyond the limits.
     pub(super) fn record(&mut self, change: Change) {
         self.revision += 1;
         match change {
@@ -71,12 +71,12 @@
     }
 }
 
-/// A change that does not follow on what is known.
+/// A received change that does not follow the known revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gap {
-    /// The revision that is known.
+    /// The known revision.
     pub known: Revision,
-    /// The one that came.
+    /// The received revision.
     pub came: Revision,
 }
 
@@ -89,23 +89,24 @@
 impl std::error::Error for Gap {}
 
 impl Policies {
-    /// The number of the latest change.
+    /// Revision of the latest change.
     pub fn revision(&self) -> Revision {
         self.history.revision
     }
 
-    /// The revision at which admission was last told to stop: who admits by a lease has to know it.
+    /// Revision at which admission was last closed; a dispatcher must know it to admit requests under a
+    /// lease.
     pub fn barrier(&self) -> Revision {
         self.history.barrier
     }
 
-    /// The least revision that includes the change under way, if there is one.
+    /// The lowest revision that includes the pending change; 0 if none is pending.
     pub fn includes_pending(&self) -> Revision {
         self.pending.as_ref().map_or(0, |_| self.history.proposed)
     }
 
-    /// The changes after a revision, with their numbers; `None` if they are no longer kept, or if that revision is
-    /// not known here yet.
+    /// The changes after a revision, with their revisions; `None` if they are no longer kept or if that
+    /// revision is not known here yet.
     pub fn changes_since(
         &self,
         revision: Revision,
@@ -116,7 +117,7 @@
         Some((revision + 1..).zip(changes))
     }
 
-    /// What a follower has to know: without votes, and without what only members need.
+    /// The part of the state that followers need: without votes and other data used only by members.
     pub fn snapshot(&self) -> Policies {
         let mut snapshot = Policies {
             current: self.current.clone(),
@@ -132,7 +133,7 @@
         snapshot
     }
 
-    /// Takes a change as a follower, which has to be the one after the revision that is known.
+    /// Applies a change on a follower; its revision must directly follow the known one.
     pub fn follow(&mut self, revision: Revision, change: Change) -> Result<(), Gap> {
         let known = self.history.revision;
         if revision != known + 1 {
@@ -156,7 +157,7 @@
             }
         }
         self.history.record(change);
-        // A follower hands nothing on.
+        // A follower does not serve other followers.
         self.history.kept.clear();
         Ok(())
     }
@@ -168,7 +169,7 @@
 }
 
 impl Proposal {
-    /// A change under way as a follower knows it.
+    /// A pending change as a follower sees it.
     fn followed(policy: Policy, stage: Stage) -> Proposal {
         let never: [Micros; 2] = [Micros::MAX; 2];
         Proposal {
--- a/crates/fleet/src/schema/capacity.rs
+++ b/crates/fleet/src/schema/capacity.rs
@@ -1,44 +1,45 @@
-//! Whether an executor may be taken out, to come back with the next version: counted by the maintenance budget,
-//! for the clients of each version apart. An upgrade that would leave one short waits, and says why.
+//! Checks whether an executor may be taken out for an upgrade, by applying the maintenance budget to the
+//! clients of each schema version separately. An upgrade that would leave a version short of capacity waits,
+//! and the reason is reported.
 
 use super::{Schema, Version};
 use crate::plan::{Budget, Machine, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Versions that a client speaks, the oldest and the newest of them.
+/// The range of versions that a client supports: oldest and newest.
 pub type Span = (Version, Version);
 
-/// What the clients of one span use.
+/// Usage by the clients of one version range.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Use {
-    /// Cores that work for them now.
+    /// Cores busy for them now.
     pub busy: f64,
-    /// Sessions, idle ones included.
+    /// Their sessions, including idle ones.
     pub sessions: usize,
 }
 
-/// Why an executor stays.
+/// Why an executor must stay in service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Short {
-    /// Those who speak nothing else would have too few cores.
+    /// Clients limited to these versions would have too few cores.
     Cores {
         /// The executor.
         id: String,
-        /// The versions that they speak, of those in the window.
+        /// The versions they support, restricted to the window.
         span: Span,
-        /// Cores that would be left.
+        /// Cores that would remain.
         left: f64,
-        /// Cores that they need.
+        /// Cores they need.
         needed: f64,
     },
-    /// Those who speak nothing else would have no executor at all.
+    /// Clients limited to these versions would have no executor left.
     Last {
         /// The executor.
         id: String,
-        /// The versions that they speak, of those in the window.
+        /// The versions they support, restricted to the window.
         span: Span,
-        /// Their sessions.
+        /// Number of their sessions.
         sessions: usize,
     },
 }
@@ -58,10 +59,11 @@
     }
 }
 
-/// Whether the executor `id` may leave: without it and all that the plan has missing, the clients of every span of
-/// versions need no more cores than those who hold one of its versions have, with the budget's `headroom`. `demand`
-/// is by what clients speak; parts of a span under which nothing may begin do not count, and neither do those who
-/// speak nothing else: they are refused wherever executors are.
+/// Checks whether the executor `id` may leave. Without it and the executors missing by the plan, the clients
+/// of every version range must need no more cores, multiplied by the budget's `headroom`, than the executors
+/// holding a version of that range have. `demand` is keyed by the range that clients support. Versions under
+/// which no work may start are ignored, and so are clients that support only those: they are refused
+/// regardless of executors.
 pub fn may_leave(
     id: &str,
     schema: &Schema,
@@ -89,7 +91,8 @@
             (all.busy, all.sessions) = (all.busy + used.busy.max(0.0), all.sessions + used.sessions);
         }
     }
-    // Spans are intervals, so that all fit at once exactly if those inside each interval fit into it.
+    // Ranges are intervals, so all demand fits at once exactly if, for each interval, the demand of the
+    // ranges inside it fits into it.
     let ends: BTreeSet<Version> = needs.keys().flat_map(|&(a, b)| [a, b]).collect();
     for &from in &ends {
         for &to in ends.range(from..) {
--- a/crates/fleet/src/schema/executors.rs
+++ b/crates/fleet/src/schema/executors.rs
@@ -1,25 +1,27 @@
-//! Which executor holds which version: what was told of it, and what its answers say against that.
+//! The schema version held by each executor: the configured version, and contradicting reports by the
+//! executor.
 
 use super::Version;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Executors known at most.
+/// Maximum number of known executors.
 pub const MOST: usize = 4096;
-/// The longest id of one that is kept, in bytes.
+/// Maximum length of an executor id in bytes.
 pub const LONGEST_ID: usize = 128;
 
-/// What is known of an executor's version.
+/// What is known about an executor's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Held {
-    /// It holds this one, as far as anybody says.
+    /// It holds this version; nothing contradicts that.
     Holds(Version),
-    /// Two words of one process contradict: it is out of use for versioned work until that is settled.
+    /// There are contradicting statements about one process: it serves no versioned work until the dispute is
+    /// resolved.
     Disputed {
-        /// The version that it was told to hold.
+        /// The configured version.
         told: Version,
-        /// What was said against that.
+        /// The contradicting version.
         said: Version,
     },
 }
@@ -27,27 +29,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Executor {
     told: Version,
-    /// The start of the process that it was told of.
+    /// Start time of the process that `told` is about.
     started: Micros,
-    /// What was said against it, and the start of the process that this is about.
+    /// The contradicting version, and the start time of the process it is about.
     against: Option<(Version, Micros)>,
 }
 
 impl Executor {
-    /// The latest start that anybody spoke of.
+    /// The latest start time known for this executor.
     fn latest(&self) -> Micros {
         self.against.map_or(self.started, |(_, at)| at.max(self.started))
     }
 }
 
-/// The executors, by their ids. Words on a process older than the one known are late and change nothing.
+/// The executors by id. Statements about a process older than the known one are outdated and ignored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Executors {
     all: BTreeMap<String, Executor>,
 }
 
 impl Executors {
-    /// What is known of one; `None` if nobody told.
+    /// The known version of an executor; `None` if it is unknown.
     pub fn held(&self, id: &str) -> Option<Held> {
         self.all.get(id).map(|m| match m.against {
             Some((said, _)) => Held::Disputed { told: m.told, said },
@@ -55,7 +57,7 @@
         })
     }
 
-    /// The version that one holds; `None` if nobody told, or if that is disputed.
+    /// The version an executor holds; `None` if it is unknown or disputed.
     pub fn version(&self, id: &str) -> Option<Version> {
         match self.held(id)? {
             Held::Holds(version) => Some(version),
@@ -63,23 +65,24 @@
         }
     }
 
-    /// All of them, in order.
+    /// All executors, in order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Held)> {
         self.all.keys().filter_map(|id| Some((id.as_str(), self.held(id)?)))
     }
 
-    /// How many are known.
+    /// Number of known executors.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether none is.
+    /// Whether no executor is known.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Whether what an executor's answers say is new: it contradicts what was told of it, or a process later than
-    /// the disputed one says what was told. A process that says now this and now that stays disputed.
+    /// Whether a version reported by an executor changes the state: it contradicts the configured version, or
+    /// a process newer than the disputed one reports the configured version. A process that alternates
+    /// between versions stays disputed.
     pub fn is_new(&self, id: &str, version: Version, started: Micros) -> bool {
         self.all.get(id).is_some_and(|m| {
             let newer = m.against.is_none_or(|(_, at)| started > at);
@@ -87,12 +90,12 @@
         })
     }
 
-    /// The start of the process that a dispute is about.
+    /// Start time of the process that a dispute is about.
     pub fn disputed_since(&self, id: &str) -> Option<Micros> {
         self.all.get(id)?.against.map(|(_, at)| at)
     }
 
-    /// The list or a plan tells which version the process that began at `started` holds.
+    /// Sets the configured version, from a list or a plan, of the process started at `started`.
     pub(super) fn tell(&mut self, id: String, version: Version, started: Micros) -> bool {
         let Some(m) = self.all.get_mut(&id) else {
             let fits = self.all.len() < MOST && !id.is_empty() && id.len() <= LONGEST_ID;
@@ -102,7 +105,7 @@
             return false;
         }
         if started == m.started {
-            // Two lists that differ.
+            // Two endpoint lists disagree.
             let differs = version != m.told && m.against.is_none();
             m.against = m.against.or(differs.then_some((version, started)));
             return differs;
@@ -112,7 +115,7 @@
         true
     }
 
-    /// Its own answers say which version the process that began at `started` holds.
+    /// Records the version reported by the process started at `started` itself.
     pub(super) fn say(&mut self, id: &str, version: Version, started: Micros) -> bool {
         let new = self.is_new(id, version, started);
         if let Some(m) = self.all.get_mut(id).filter(|_| new) {
@@ -121,7 +124,7 @@
         new
     }
 
-    /// An operator's word on the process that a dispute is about.
+    /// Resolves a dispute by an operator's decision.
     pub(super) fn settle(&mut self, id: &str, version: Version, started: Micros) -> bool {
         match self.all.get_mut(id) {
             Some(m) if m.against.is_some_and(|(_, at)| at == started) => {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// The process that began at `started` has left the list.
+    /// The process started at `started` was removed from the endpoint list.
     pub(super) fn gone(&mut self, id: &str, started: Micros) -> bool {
         let known = self.all.get(id).is_some_and(|m| started >= m.latest());
         known && self.all.remove(id).is_some()
--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -1,14 +1,16 @@
-//! The versions of the schema that a fleet of executors speaks while they are upgraded in turn: agreed state,
-//! moved by commands of the fleet's log.
+//! Schema versions of a fleet while its executors are upgraded one after the other: replicated state of the
+//! fleet.
 //!
-//! A window is closed on one version, opens to the next, and closes on that, or goes back. A version ends only
-//! once every holder of a lease has said, in that very step, that it has nothing of it in hand, and a while after
-//! that step began (`linger`), in which those who hear nothing of the fleet stop by themselves. What asks for a step names
-//! the step that it saw, so that a call which comes late or twice does no harm.
+//! A window is closed on one version, opens to the next one, and then closes on that one or is rolled back. A
+//! version ends only once every lease holder has confirmed, in the current step, that it has no work under
+//! it, and at least `linger` has passed since that step began, so that dispatchers cut off from the fleet
+//! stop by themselves. A command for a step names the step its sender saw, so that late or repeated commands
+//! have no effect.
 //!
 //! - [`window`]: the steps.
-//! - [`executors`]: which executor holds which version.
-//! - [`capacity`]: whether one may be taken out without leaving a version's clients short.
+//! - [`executors`]: the version held by each executor.
+//! - [`capacity`]: whether an executor may be taken out without leaving a version's clients short of
+//!   capacity.
 
 pub mod capacity;
 pub mod executors;
@@ -21,38 +23,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use window::Window;
 
-/// A version of the schema, from 1 to [`MOST_VERSION`].
+/// A schema version, from 1 to [`MOST_VERSION`].
 pub type Version = u16;
 
-/// The largest version.
+/// The highest version.
 pub const MOST_VERSION: Version = 9_999;
-/// The longest `linger`.
+/// Maximum `linger`.
 pub const MOST_LINGER: Micros = 600_000_000;
 
-/// Moves the window, or says which executor holds what.
+/// A command that moves the window or updates an executor's version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The first version of a fleet that has none yet, and its `linger`: by the settings of who proposes it.
+    /// Sets the first version of a fleet and its `linger`, from the proposer's settings.
     Found(Version, Micros),
-    /// Open the window to this version, from the step that the operator's call saw.
+    /// Opens the window to this version; names the step the operator saw.
     Open(Version, u64),
-    /// End the older one.
+    /// Ends the older version.
     Close(u64),
-    /// End the newer one.
+    /// Rolls back: ends the newer version.
     Back(u64),
-    /// A holder has nothing of a version in hand, nor begins any, and said so in this step.
+    /// A holder confirms, in this step, that it has no work under a version and starts none.
     Clear(Holder, Version, u64),
-    /// The list or a plan: an executor holds a version, with the start of its process.
+    /// A list or a plan sets the version of an executor, with the start time of its process.
     Tell(String, Version, Micros),
-    /// Its own answers: the same.
+    /// An executor reports its own version, with the start time of its process.
     Says(String, Version, Micros),
-    /// An operator settles what a disputed executor holds, naming the start that the dispute is about.
+    /// An operator resolves a dispute about an executor's version, naming the start time of the disputed
+    /// process.
     Settle(String, Version, Micros),
-    /// A process has left the list.
+    /// A process was removed from the endpoint list.
     Gone(String, Micros),
 }
 
-/// The agreed state.
+/// The replicated schema state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schema {
     window: Window,
@@ -67,24 +70,25 @@
         &self.window
     }
 
-    /// Counts the steps of the window.
+    /// The current step; incremented each time the window moves.
     pub fn step(&self) -> u64 {
         self.step
     }
 
-    /// How long the end of a version takes at the least.
+    /// The minimum duration of ending a version.
     pub fn linger(&self) -> Micros {
         self.linger
     }
 
-    /// Which executor holds which version.
+    /// The version held by each executor.
     pub fn executors(&self) -> &Executors {
         &self.executors
     }
 
-    /// Versions under which a dispatcher may begin something, oldest first. `without_word` is how long it has
-    /// heard nothing of the fleet, if it has not. One that hears nothing in an open window stops after half of
-    /// `linger`, as either version may have ended since; of a closed window's version it knows nothing worse.
+    /// Versions under which a dispatcher may start work, oldest first. `without_word` is how long it has been
+    /// cut off from the fleet, if it is. With an open window, a dispatcher that is cut off stops after half
+    /// of `linger`, because either version may have ended since. With a closed window, the version it knows
+    /// is the best it can use.
     pub fn starts(&self, without_word: Option<Micros>) -> Vec<Version> {
         let closed = matches!(self.window, Window::Closed(_));
         match without_word {
@@ -93,15 +97,15 @@
         }
     }
 
-    /// What a holder should propose, if the end of a version waits for its word alone: `in_hand` tells whether it
-    /// has anything of a version in hand.
+    /// The confirmation a holder should propose, if the end of a version waits for it. `in_hand` returns
+    /// whether the holder has work under a version.
     pub fn word_of(&self, holder: Holder, in_hand: impl Fn(Version) -> bool) -> Option<Command> {
         let (version, ending) = (self.window.ends()?, self.window.ending()?);
         let due = ending.waits().contains(&holder) && !in_hand(version);
         due.then_some(Command::Clear(holder, version, self.step))
     }
 
-    /// Whether a command follows from the state; else why not, for the operator who asked.
+    /// Checks whether a command applies to the current state; the error is shown to the operator.
     pub fn accepts(&self, command: &Command) -> Result<(), String> {
         let step = |s: u64| match s == self.step {
             true => Ok(()),
@@ -149,7 +153,7 @@
         }
     }
 
-    /// `SCHEMA STATUS`: where the window is and what it waits for, on one line.
+    /// `SCHEMA STATUS`: the state of the window and what it waits for, on one line.
     pub fn status(&self) -> String {
         let how = match &self.window {
             Window::Unset => return "schema unset".into(),
--- a/crates/fleet/src/schema/window.rs
+++ b/crates/fleet/src/schema/window.rs
@@ -1,24 +1,25 @@
-//! The window: which versions of the schema may begin, which only ends, and what its end waits for.
+//! The version window: which versions work may start under, which one is ending, and what that waits for.
 
 use super::Version;
 use crate::{Holder, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Sweeps that are further apart add nothing to the time that an end has waited: what lies between may be the
-/// difference of two leaders' clocks. Clocks that differ by less shorten the wait by as much at a change of leader.
+/// Maximum interval between sweeps that counts as waiting time: a longer one may be the clock difference
+/// between two leaders. A smaller clock difference shortens the wait by that amount when the leader changes.
 const MOST_SWEEP: Micros = 3_000_000;
 
-/// What the end of a version waits for: all who have a lease, and a while for those who have none.
+/// What the end of a version waits for: a confirmation by each lease holder, and a minimum time for
+/// dispatchers without a lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ending {
-    /// Holders that have nothing of it in hand, by their own word in this step.
+    /// Holders that have confirmed in this step that they have no work under the version.
     clear: BTreeSet<Holder>,
-    /// Holders that have not said so yet.
+    /// Holders that have not confirmed yet.
     waits: BTreeSet<Holder>,
-    /// How long it has waited, by sweeps.
+    /// Waiting time so far, as counted by sweeps.
     waited: Micros,
-    /// The last sweep of this step.
+    /// Time of the last sweep in this step.
     swept: Option<Micros>,
 }
 
@@ -27,12 +28,12 @@
         Ending { waits: alive.clone(), ..Ending::default() }
     }
 
-    /// Holders that have not said yet that they have nothing of it in hand.
+    /// Holders that have not confirmed yet that they have no work under the version.
     pub fn waits(&self) -> &BTreeSet<Holder> {
         &self.waits
     }
 
-    /// How long it has waited, in microseconds.
+    /// Waiting time so far, in microseconds.
     pub fn waited(&self) -> Micros {
         self.waited
     }
@@ -52,43 +53,43 @@
         last != Some(now)
     }
 
-    /// With nobody alive there is nobody to say so, and it waits on.
+    /// Without lease holders nobody can confirm, so the wait continues.
     fn over(&self, linger: Micros) -> bool {
         self.waits.is_empty() && !self.clear.is_empty() && self.waited >= linger
     }
 }
 
-/// Where the fleet is. The newer version of a window is always the older one's successor.
+/// State of the window. The newer version is always the older one plus one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Window {
-    /// No version was ever named: nothing is negotiated.
+    /// No version has been set: none is negotiated.
     #[default]
     Unset,
     /// One version.
     Closed(Version),
-    /// Both may begin.
+    /// Work may start under both versions.
     Opening {
-        /// The older.
+        /// The older version.
         old: Version,
     },
-    /// Only the newer begins, and the older ends.
+    /// Work starts only under the newer version; the older one is ending.
     Closing {
-        /// The older.
+        /// The older version.
         old: Version,
-        /// What that waits for.
+        /// What the end of the older version waits for.
         ending: Ending,
     },
-    /// Rolled back: only the older begins, and the newer ends.
+    /// Rolled back: work starts only under the older version; the newer one is ending.
     Back {
-        /// The older.
+        /// The older version.
         old: Version,
-        /// What the end of the newer waits for.
+        /// What the end of the newer version waits for.
         ending: Ending,
     },
 }
 
 impl Window {
-    /// The versions in it, oldest first.
+    /// The versions in the window, oldest first.
     pub fn versions(&self) -> Vec<Version> {
         match self {
             Window::Unset => vec![],
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The versions under which something new may begin, oldest first. What is in hand may go on under any
+    /// The versions under which new work may start, oldest first. Work in progress may continue under any
     /// version of [`Window::versions`].
     pub fn starts(&self) -> Vec<Version> {
         let mut versions = self.versions();
@@ -107,7 +108,7 @@
         versions
     }
 
-    /// The version that ends.
+    /// The version that is ending.
     pub fn ends(&self) -> Option<Version> {
         match self {
             Window::Closing { old, .. } => Some(*old),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// What the end of a version waits for, where one ends.
+    /// What the ending version waits for, if one is ending.
     pub fn ending(&self) -> Option<&Ending> {
         match self {
             Window::Closing { ending, .. } | Window::Back { ending, .. } => Some(ending),
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A holder has nothing of the version that ends in hand.
+    /// Records a holder's confirmation that it has no work under the ending version.
     pub(super) fn clear(&mut self, holder: Holder) -> bool {
         let Some(ending) = self.ending_mut() else { return false };
         ending.waits.remove(&holder) && ending.clear.insert(holder)
@@ -157,7 +158,7 @@
         self.ending_mut().is_some_and(|e| e.sweep(now))
     }
 
-    /// Goes on to the closed window, if nothing holds that up any more.
+    /// Closes the window once the ending version has nothing left to wait for.
     pub(super) fn settle(&mut self, linger: Micros) -> bool {
         let next = match self {
             Window::Closing { old, ending } if ending.over(linger) => old.saturating_add(1),
--- a/crates/fleet/tests/control_plane/faults.rs
+++ b/crates/fleet/tests/control_plane/faults.rs
@@ -1,10 +1,10 @@
-//! What is lost: members, leaders, the whole group, a follower's connection.
+//! Loss of members, leaders, the whole group, or a follower's connection.
 
 use super::world::*;
 use fleet::Peer;
 use fleet::policy::Gate;
 
-// A member dies: its followers go to others within their leases' time, and a change goes on without it.
+// When a member dies, its followers must fail over within their lease time and a change must still complete.
 #[test]
 fn followers_of_a_lost_member_go_to_others() {
     let mut w = World::new(5, 30, 11);
@@ -19,7 +19,8 @@
     assert!(moved.iter().all(|i| w.member_of(*i).is_some_and(|p| p != lost)));
 }
 
-// The leader dies in the middle of a change: another one is elected, and the change ends one way at all.
+// When the leader dies during a change, the next leader must bring the change to one outcome on all
+// dispatchers.
 #[test]
 fn a_leader_that_dies_in_a_change_leaves_it_to_the_next() {
     for after in [0, 10, 20, 30, 40, 60, 80] {
@@ -41,8 +42,9 @@
     }
 }
 
-// A follower that moves in the middle of a change gets its lease only once it heeds the change: in no order does it
-// admit by the old policy after another admits by the new one (the world looks at each step).
+// A follower that fails over during a change gets a lease only once it has applied the change. Otherwise it
+// could admit under the old policy after another follower admits under the new one, which the world asserts
+// at each step.
 #[test]
 fn a_follower_that_moves_in_a_change_admits_nothing_old() {
     for seed in 0..40 {
@@ -54,14 +56,14 @@
         for _ in 0..steps {
             w.step();
         }
-        // All connections of one member end; it goes on by itself, and so do the leases that it gave.
+        // The member closes all its connections and keeps running; the leases it granted remain valid.
         let leads = w.leader().unwrap();
         w.members.get_mut(&leads).unwrap().member.leave();
         w.until(10_000 * MS, "in force at all", |w| w.all_at(1));
     }
 }
 
-// All members are started anew, one by one: the record stays, and all followers go on.
+// Restarting all members one by one must preserve the agreed state and keep all followers admitting.
 #[test]
 fn members_are_started_anew_one_by_one() {
     let mut w = World::new(3, 15, 13);
@@ -82,8 +84,8 @@
     w.until(3_000 * MS, "the next is in force", |w| w.all_at(2));
 }
 
-// All members are lost at once, and the record with them. Followers know the number that was in force: they admit by
-// nothing older, and bring the policy back themselves.
+// All members are lost at once, and the agreed state with them. Followers know the policy number that was in
+// force: they must admit under nothing older and propose that policy again.
 #[test]
 fn a_group_that_has_lost_its_record_gets_the_policy_back_from_followers() {
     let mut w = World::new(3, 10, 14);
@@ -101,7 +103,7 @@
     assert_eq!(policies.current().text, "one");
 }
 
-// Members that are cut off from a majority give no leases; their followers go to others.
+// A member without a majority cannot grant leases; its followers must fail over to other members.
 #[test]
 fn a_member_without_a_majority_loses_its_followers() {
     let mut w = World::new(3, 12, 15);
@@ -117,8 +119,8 @@
     });
 }
 
-// Regions are tens of milliseconds apart: times derived from the round trip hold a leader through it, and a change
-// still takes less than three seconds with a member lost.
+// With regions tens of milliseconds apart, timeouts derived from the round trip must not trigger elections,
+// and a change must complete in under 2.5 s.
 #[test]
 fn links_between_regions_take_their_time() {
     let mut w = World::new(5, 20, 16);
--- a/crates/fleet/tests/control_plane/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -1,26 +1,26 @@
-//! One follower's process: its decisions, its part in changes, and a clock of its own.
+//! A follower process: its state machine, its participation in policy changes, and a clock of its own.
 
 use fleet::control_plane::{Follower, SessionId};
 use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
 use fleet::{Micros, Peer};
 
-/// A time by a clock that runs so many thousandths faster.
+/// The time on a clock that is faster by `drift` thousandths.
 pub fn faster(now: Micros, drift: i64) -> Micros {
     now.saturating_add_signed(now as i64 * drift / 1_000)
 }
 
-/// A follower's process.
+/// A follower process.
 pub struct FollowerNode {
     pub follower: Follower,
     pub part: Part,
-    /// Its connection: to whom, and its number.
+    /// The member it is connected to, and the session id.
     pub connection: Option<(Peer, SessionId)>,
-    /// Its clock runs so many thousandths faster than the world's, from another start.
+    /// How much faster than the world's clock its clock runs, in thousandths; `offset` is added to it.
     pub drift: i64,
     pub offset: Micros,
-    /// The policies that it can't do.
+    /// It finds a fault in policies that contain an unknown class.
     pub faulty: bool,
-    /// It takes nothing from its connection.
+    /// It does not read from its connection.
     pub deaf: bool,
     pub last_revision: Option<(u64, u64)>,
     pub acts: Vec<Act>,
@@ -31,7 +31,7 @@
         faster(now, self.drift) + self.offset
     }
 
-    /// What a request that arrives meets.
+    /// Admission decision for an arriving request.
     pub fn gate(&self, now: Micros) -> Gate {
         self.part.gate(self.follower.holds(self.clock(now)))
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Revisions of one founding follow on each other, or a snapshot jumps ahead.
+    /// Asserts that revisions of one log increase by one, except after a snapshot.
     pub fn check_revision(&mut self, snapshots: u64) {
         let Some(at) = self.follower.revision() else { return };
         if let Some((fleet, revision)) = self.last_revision
--- a/crates/fleet/tests/control_plane/main.rs
+++ b/crates/fleet/tests/control_plane/main.rs
@@ -1,4 +1,4 @@
-//! Followers of a control group: what holds of changes, leases and moves, in virtual time.
+//! Followers of a control group: policy changes, leases and failover in virtual time.
 
 mod faults;
 mod follower_node;
@@ -13,7 +13,7 @@
 use fleet::policy::{Act, Gate};
 use world::*;
 
-// Nobody is down: all followers admit by the change soon, and no request is refused for it.
+// Without failures, all followers admit under a change soon after it is proposed, and no request is refused.
 #[test]
 fn a_change_is_in_force_at_all_followers_and_refuses_nothing() {
     let mut w = World::new(3, 20, 1);
@@ -27,7 +27,8 @@
     assert_eq!(entries, 9, "three members have leases in the log, and no follower");
 }
 
-// One follower that can't do a policy is enough for it to take hold nowhere, and its name and reason are told.
+// If one follower cannot apply a policy, the change must be given up everywhere, and the outcome names the
+// follower and its fault.
 #[test]
 fn a_policy_that_one_follower_cannot_do_takes_hold_nowhere() {
     let mut w = World::new(3, 12, 2);
@@ -46,8 +47,8 @@
     w.until(1_000 * MS, "the next is in force", |w| w.all_at(2));
 }
 
-// Of the changes that come while one is under way the latest has its turn next: an operator's word is in force or
-// superseded by a later one within the time of two changes, however many come.
+// Of the queued changes the latest is started next, so that any proposed policy is in force or superseded
+// within the duration of two changes.
 #[test]
 fn of_changes_that_wait_the_latest_is_next() {
     let mut w = World::new(3, 6, 3);
@@ -67,7 +68,7 @@
     assert_eq!(ended, [(20, None), (19, Some("superseded by 20".to_string()))]);
 }
 
-// The latest that waits can't be done by one: the one before it has its turn, and is not lost with it.
+// If the latest queued change is given up, the one before it must be started instead of being lost.
 #[test]
 fn a_change_that_waits_is_not_lost_with_a_later_one() {
     let mut w = World::new(3, 6, 6);
@@ -82,7 +83,7 @@
     assert!(agreed.policy().ended().any(|e| e.number == 4 && e.why.is_some()));
 }
 
-// The queue has a bound: what is beyond it is turned away and told so, and nothing that was taken is lost.
+// The queue is bounded: proposals beyond the limit are rejected, and no accepted one is lost.
 #[test]
 fn the_queue_of_changes_is_bounded() {
     let mut w = World::new(3, 1, 4);
@@ -102,7 +103,7 @@
     w.until(3_000 * MS, "the last that was taken is in force", |w| w.all_at(last));
 }
 
-// Who has no lease refuses, and is not waited for once its lease is over.
+// A follower without a lease refuses requests, and changes stop waiting for it once its lease has expired.
 #[test]
 fn a_follower_that_is_cut_off_refuses_before_the_others_go_on() {
     let mut w = World::new(3, 9, 5);
--- a/crates/fleet/tests/control_plane/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -1,11 +1,11 @@
-//! Whom a member turns away, and what ends a connection.
+//! Subscriptions that a member rejects, and protocol violations that end a connection.
 
 use super::world::*;
 use fleet::control_plane::member::{MemberRecord, Violation};
 use fleet::control_plane::messages::{FollowerMessage, MemberMessage, VERSION};
 use fleet::control_plane::{FollowerId, Rejection, Resume};
 
-// A member at its bound says so and names the others; those it turns away find room there.
+// A full member names the other members when it rejects a follower, and rejected followers find room there.
 #[test]
 fn a_member_at_its_bound_names_the_others() {
     let mut w = World::new(3, 0, 25);
@@ -37,7 +37,7 @@
     told
 }
 
-// A follower of another group or version is told why.
+// A follower with another group or protocol version is rejected with the reason.
 #[test]
 fn others_are_turned_away_with_a_reason() {
     let mut w = World::new(3, 1, 26);
@@ -58,7 +58,7 @@
     assert!(out.iter().any(|(_, m)| matches!(m, MemberMessage::Rejected(Rejection::Version(VERSION)))));
 }
 
-// A number that no fleet comes to would be the least of all that follow: nobody is believed who claims it.
+// An impossibly high policy number would become the minimum for all followers, so a member must reject it.
 #[test]
 fn a_policy_that_cannot_be_is_not_believed() {
     let mut w = World::new(3, 2, 30);
@@ -72,7 +72,7 @@
     w.until(1_000 * MS, "it has the next number", |w| w.all_at(1));
 }
 
-// Whoever speaks before it has subscribed, or claims what was not sent to it, is none of ours.
+// Messages before the subscription, and claims of revisions that were not sent, end the connection.
 #[test]
 fn violations_end_the_connection() {
     let mut w = World::new(3, 1, 27);
--- a/crates/fleet/tests/control_plane/storm.rs
+++ b/crates/fleet/tests/control_plane/storm.rs
@@ -1,5 +1,6 @@
-//! All kinds of faults at once, drawn from seeds: the world looks at each step that nobody admits by an older policy
-//! than any before, and that revisions follow on each other. In the end all are at the same one.
+//! Random combinations of faults from fixed seeds. At each step the world asserts that no request is admitted
+//! under an older policy than an earlier request, and that revisions are consecutive. In the end all
+//! followers must admit under the same policy.
 
 use super::world::*;
 use fleet::Peer;
@@ -44,7 +45,7 @@
 }
 
 fn mend_members(w: &mut World) {
-    // A majority stays: a group that loses it loses its record, which other tests are about.
+    // Keeps a majority running: a group that loses it also loses its state, which other tests cover.
     for peer in 1..=w.count {
         if !w.members.contains_key(&peer) && w.draw(3) == 0 {
             w.start_member(peer);
@@ -60,7 +61,7 @@
         if down == 0 || w.draw(2) == 0 {
             strike(&mut w);
         }
-        // Never more than one member gone at once.
+        // At most one member is down at a time.
         if usize::from(w.count) - w.members.len() > 1 {
             (1..=w.count).for_each(|p| {
                 if !w.members.contains_key(&p) {
@@ -78,7 +79,7 @@
     w.cut.clear();
     w.silent.clear();
     (1..=w.count).for_each(|p| {
-        // A member that was told to end does so.
+        // Members that were told to leave end here at the latest.
         w.kill_member(p);
         w.run(100 * MS, |_| ());
         w.start_member(p);
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -1,4 +1,4 @@
-//! What followers are sent: changes by revision, snapshots within bounds, and refusals that say why.
+//! What followers receive: changes by revision, and a bounded number of snapshots.
 
 use super::world::*;
 use fleet::control_plane::member::MemberRecord;
@@ -7,7 +7,8 @@
 use fleet::policy::{Change, Gate, Policies, Policy};
 use proptest::prelude::*;
 
-// One that comes back with a revision that is still kept gets the changes since, and no snapshot.
+// A follower that returns with a revision still kept in the history gets the changes since then, and no
+// snapshot.
 #[test]
 fn a_follower_that_comes_back_resumes_by_its_revision() {
     let mut w = World::new(3, 8, 21);
@@ -26,7 +27,7 @@
     assert!(w.members.values().map(|n| n.member.tally.resumed).sum::<u64>() > 0);
 }
 
-// One that was away for longer than changes are kept gets a snapshot.
+// A follower that was away for longer than changes are kept gets a snapshot.
 #[test]
 fn a_follower_that_is_far_behind_gets_a_snapshot() {
     let mut w = World::new(3, 4, 22);
@@ -41,7 +42,7 @@
     assert_eq!(w.followers[&1].follower.tally.snapshots, 2);
 }
 
-// One that does not read holds nobody up, and nothing piles up for it: it is sent nothing while it is blocked.
+// A follower that does not read must not delay the others; nothing is queued for it while it is blocked.
 #[test]
 fn a_follower_that_does_not_read_is_sent_a_snapshot_later() {
     let mut w = World::new(3, 4, 23);
@@ -58,7 +59,8 @@
     w.until(5_000 * MS, "it is back", |w| w.all_at(1));
 }
 
-// A whole release brings as many snapshots at once as the bound allows, and all get theirs.
+// When all followers restart at once, the number of concurrent snapshots stays within its limit and all
+// followers get one.
 #[test]
 fn snapshots_under_way_are_bounded() {
     let mut w = World::new(3, 60, 24);
@@ -86,7 +88,7 @@
     node.member.look(now, &mut node.fleet, &mut |_| Vec::new());
 }
 
-/// What a renewal by this revision brings.
+/// The lease granted for a renewal at this revision.
 fn renewed(w: &mut World, session: u64, at: Option<Resume>) -> Option<u64> {
     let now = w.now;
     let node = w.members.get_mut(&1).unwrap();
@@ -100,8 +102,8 @@
     answer.expect("a renewal is answered")
 }
 
-// One that waits for its snapshot while others have theirs on the way knows nothing of a change that was closed since:
-// a lease for it would have it admit by the old policy beside the new one.
+// A follower that waits for a snapshot slot may not know of a change that has closed since. With a lease it
+// would admit under the old policy while others admit under the new one.
 #[test]
 fn who_waits_for_a_snapshot_gets_no_lease() {
     let mut w = World::new(3, 0, 28);
@@ -122,8 +124,8 @@
     assert!(renewed(&mut w, 900, Some(newest)).is_some(), "one that heeds its snapshot gets one");
 }
 
-// Revisions of a group that was founded anew count from the start: what a follower says of the one before, while its
-// snapshot is on the way, is no word on the new one.
+// Revisions of a newly founded group start from the beginning, so a revision that a follower reports from the
+// previous log must not count while its snapshot is in transit.
 #[test]
 fn a_revision_of_another_founding_counts_for_nothing() {
     let mut w = World::new(3, 0, 29);
@@ -140,14 +142,14 @@
 }
 
 proptest! {
-    // Whatever comes, it is a message, a fault, or not whole yet.
+    // Any input must decode to a message, a framing error, or an incomplete frame, without a panic.
     #[test]
     fn any_bytes_are_read_without_fail(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = FRAMING.next::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
         let _ = FRAMING.next::<MemberMessage>(&bytes, MOST_FOLLOWER_FRAME);
     }
 
-    // A message of peers is none of a follower's, and the other way round.
+    // Frames of the follower protocol must not decode as frames of the peer protocol.
     #[test]
     fn protocols_are_told_apart(asked in any::<u64>()) {
         let ours = FRAMING.frame(&FollowerMessage::Renew { at: None, asked });
@@ -156,7 +158,7 @@
         prop_assert_eq!(read.1, FollowerMessage::Renew { at: None, asked });
     }
 
-    // A change that does not follow on what is known changes nothing.
+    // A change that does not directly follow the known revision must leave the state unchanged.
     #[test]
     fn revisions_follow_on_each_other(revision in 0_u64..10) {
         let mut policies = Policies::default();
--- a/crates/fleet/tests/control_plane/turns.rs
+++ b/crates/fleet/tests/control_plane/turns.rs
@@ -1,4 +1,4 @@
-//! What each process does in its turn.
+//! The work of each process within one step of the world.
 
 use super::wires::{Payload, Wire};
 use super::world::{MS, World};
@@ -65,7 +65,7 @@
         let Some(f) = self.followers.get_mut(&index) else { return };
         let clock = f.clock(now);
         if let Some((peer, session)) = f.connection.take() {
-            // Its own end is over at once; the member sees it when the way allows.
+            // The follower closes its side at once, and the member is told in the same step.
             if let Some(node) = self.members.get_mut(&peer) {
                 node.member.disconnected(session);
             }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A request arrives: never is it admitted by an older policy than any before it was.
+    /// A request arrives; asserts that it is not admitted under an older policy than any earlier request.
     pub fn arrives(&mut self, index: usize) {
         match self.followers.get(&index).map(|f| f.gate(self.now)) {
             Some(Gate::Admit(number)) => {
--- a/crates/fleet/tests/control_plane/watch.rs
+++ b/crates/fleet/tests/control_plane/watch.rs
@@ -1,4 +1,4 @@
-//! How tests let the world run, look at it, and call changes.
+//! Helpers with which tests advance the world, inspect it, and propose changes.
 
 use super::world::{LIMITS, MS, World};
 use fleet::policy::{self, Gate, Policy, PolicyRecord, Waiting};
@@ -13,7 +13,7 @@
         }
     }
 
-    /// Until something holds, within a span of the world's time.
+    /// Advances the world until `holds` returns true; panics after `within` of virtual time.
     pub fn until(&mut self, within: Micros, what: &str, holds: impl Fn(&World) -> bool) -> Micros {
         let begun = self.now;
         while !holds(self) {
@@ -27,17 +27,17 @@
         self.until(20_000 * MS, "all have a lease", World::all_admit);
     }
 
-    /// Whether every follower admits now.
+    /// Whether every follower admits requests.
     pub fn all_admit(&self) -> bool {
         self.followers.values().all(|f| matches!(f.gate(self.now), Gate::Admit(_)))
     }
 
-    /// Whether every follower admits by this number.
+    /// Whether every follower admits under the policy of this number.
     pub fn all_at(&self, number: u64) -> bool {
         self.followers.values().all(|f| f.gate(self.now) == Gate::Admit(number))
     }
 
-    /// Proposes a policy at a member; whether it could.
+    /// Proposes a policy at a member. Returns whether it could be submitted.
     pub fn propose(&mut self, peer: Peer, text: &str) -> bool {
         self.next_at += 1;
         let at = self.now + self.next_at;
@@ -50,7 +50,7 @@
         node.fleet.say(now, policy::Command::Queue(waiting))
     }
 
-    /// Proposes at any member that can, within some seconds.
+    /// Proposes a policy at any member that can submit it; panics if none can for 4,000 steps.
     pub fn propose_anywhere(&mut self, text: &str) {
         for _ in 0..4_000 {
             let peers: Vec<Peer> = self.members.keys().copied().collect();
@@ -62,12 +62,12 @@
         panic!("nobody could propose");
     }
 
-    /// The member that a follower is connected to.
+    /// The member a follower is subscribed to.
     pub fn member_of(&self, index: usize) -> Option<Peer> {
         self.followers.get(&index).and_then(|f| f.follower.member()).map(|m| (m + 1) as Peer)
     }
 
-    /// The member that leads.
+    /// The member that leads the log.
     pub fn leader(&self) -> Option<Peer> {
         self.members.iter().find(|(_, n)| n.fleet.leads()).map(|(p, _)| *p)
     }
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -1,4 +1,4 @@
-//! What is under way between processes.
+//! Messages in transit between processes.
 
 use super::world::{MS, World};
 use fleet::control_plane::member::MemberRecord;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Bytes of one connection come in their order; those of one that is silent wait.
+    /// Delivers messages in order per connection and direction; those on stalled connections are kept back.
     pub fn deliver_to_followers_and_members(&mut self) {
         let now = self.now;
         let wires = std::mem::take(&mut self.wires);
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -1,6 +1,6 @@
-//! A control group and its followers in virtual time: late messages, cut links, processes that stand still, die and
-//! start anew, and clocks that differ. `wires` has what is under way, `turns` what each process does in its turn, and
-//! `watch` how tests look at it.
+//! A control group and its followers in virtual time, with delayed messages, cut links, paused, killed and
+//! restarted processes, and drifting clocks. `wires` has the messages in transit, `turns` the work of each
+//! process per step, and `watch` the helpers for tests.
 
 use super::follower_node::{FollowerNode, faster};
 use super::wires::{Payload, Wire};
@@ -14,10 +14,10 @@
 
 pub const MS: Micros = 1_000;
 pub const GROUP: &str = "control";
-/// Votes and stops have this long, which no test waits for unless somebody is gone.
+/// Vote and closing time limits. No test reaches them unless a process is down.
 pub const LIMITS: [Micros; 2] = [5_000 * MS, 5_000 * MS];
 
-/// A member's process.
+/// A member process.
 pub struct MemberNode {
     pub fleet: Fleet,
     pub member: Member,
@@ -30,26 +30,26 @@
     pub count: u8,
     pub members: BTreeMap<Peer, MemberNode>,
     pub followers: BTreeMap<usize, FollowerNode>,
-    /// Between members: when, from, to, what.
+    /// Messages in transit between members: arrival time, sender, receiver, frame.
     pub peer_wires: VecDeque<(Micros, Peer, Peer, Vec<u8>)>,
     pub wires: Vec<Wire>,
-    /// Which follower and member a connection is between.
+    /// The follower and the member of each connection.
     pub sessions: BTreeMap<SessionId, (usize, Peer)>,
     pub next_session: SessionId,
-    /// Members that hear nothing of each other.
+    /// Links between members that drop all messages, by sender and receiver.
     pub cut: BTreeSet<(Peer, Peer)>,
-    /// Followers whose connections are silent.
+    /// Followers whose connections carry no messages.
     pub silent: BTreeSet<usize>,
     pub paused_members: BTreeMap<Peer, Micros>,
     pub paused_followers: BTreeMap<usize, Micros>,
-    /// One way between members.
+    /// One-way delay between members.
     pub delay: Micros,
     pub admitted: u64,
-    /// Requests admitted, held, refused.
+    /// Numbers of requests admitted, held and refused.
     pub gates: [u64; 3],
     pub most_followers: usize,
     pub most_snapshots: usize,
-    /// The most snapshots that any member had under way.
+    /// The highest number of unacknowledged snapshots seen at any member.
     pub snapshots_seen: usize,
     pub next_at: Micros,
 }
@@ -88,7 +88,7 @@
         self.rng.next_u64() % below.max(1)
     }
 
-    /// Starts a member, anew or for the first time.
+    /// Starts or restarts a member.
     pub fn start_member(&mut self, peer: Peer) {
         let timing = self.timing;
         let fleet_config = FleetConfig {
@@ -113,7 +113,7 @@
         self.members.insert(peer, MemberNode { fleet, member });
     }
 
-    /// Ends a member at once; its followers see their connections end.
+    /// Kills a member; its followers see their connections close.
     pub fn kill_member(&mut self, peer: Peer) {
         self.members.remove(&peer);
         self.paused_members.remove(&peer);
@@ -122,7 +122,7 @@
         over.into_iter().for_each(|s| self.close(s));
     }
 
-    /// Starts a follower, anew or for the first time.
+    /// Starts or restarts a follower.
     pub fn start_follower(&mut self, index: usize) {
         if let Some((_, session)) = self.followers.get(&index).and_then(|f| f.connection) {
             self.close(session);
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -1,4 +1,4 @@
-//! A change of policy takes hold everywhere or nowhere.
+//! Policy changes between peers: in force at all of them or at none.
 
 use crate::world::*;
 use fleet::agreed::Command;
@@ -27,12 +27,12 @@
     w.fleets.get(&p).and_then(|f| f.agreed()).map(|a| a.policy().clone()).unwrap_or_default()
 }
 
-/// The number in force at each that runs.
+/// The policy numbers in force at the running peers.
 fn numbers(w: &World) -> BTreeSet<u64> {
     w.parts.iter().filter(|(p, _)| w.fleets.contains_key(p)).map(|(_, part)| part.number()).collect()
 }
 
-// Nobody is down: the change is in force everywhere within a few round trips, and nothing is refused for it.
+// Without failures, a change is in force everywhere within a few round trips, and no request is refused.
 #[test]
 fn a_change_takes_hold_everywhere_and_refuses_nothing() {
     let mut w = World::new(3, 1);
@@ -50,7 +50,7 @@
     assert_eq!(policies(&w, 3).current().text, "");
 }
 
-// One that can't take it: nowhere, and its faults are told at all the others.
+// If one peer cannot apply a policy, the change is given up everywhere, and every peer learns the faults.
 #[test]
 fn one_vote_against_it_and_it_takes_hold_nowhere() {
     let mut w = World::new(3, 2);
@@ -68,8 +68,8 @@
     assert_eq!(numbers(&w), BTreeSet::from([2]), "a number is never given twice");
 }
 
-// One is cut off in the middle: the others wait until its lease is over, and it admits nothing from before that.
-// It comes back to the new policy.
+// If a peer is cut off during a change, the others wait until its lease has expired and it admits nothing
+// after that. It must return under the new policy.
 #[test]
 fn one_that_is_cut_off_holds_it_up_no_longer_than_its_lease() {
     let mut w = World::new(3, 3);
@@ -91,7 +91,7 @@
     assert_eq!(numbers(&w), BTreeSet::from([1]));
 }
 
-// Two at once, and one called off: one is taken, the other told so.
+// Of two concurrent proposals one is accepted. A change can be aborted while votes are missing.
 #[test]
 fn of_two_at_once_one_is_taken() {
     let mut w = World::new(5, 4);
@@ -99,7 +99,7 @@
     assert!(propose(&mut w, 1, "policy a") && propose(&mut w, 4, "policy b"));
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([1]));
-    // Called off while one of them stands still, so that not all have voted.
+    // One peer is paused, so that its vote is missing when the change is aborted.
     let slow = if w.fleets[&5].leads() { 4 } else { 5 };
     w.paused.insert(slow, w.now + 700 * MS);
     assert!(propose(&mut w, 1, "policy c"));
@@ -110,8 +110,9 @@
     assert!(policies(&w, 3).ended().next().unwrap().why.as_deref().unwrap().contains("called off"));
 }
 
-// A majority starts anew and the fleet's record is lost. The new one hears of the number that was in force and admits
-// nothing before that is back, which the one who knows it sees to; or, if that one has died, an operator.
+// A majority restarts and the fleet's state is lost. The new fleet learns the policy number that was in force
+// and admits nothing until that policy is back. The peer that knows it proposes it again; if that peer has
+// died, an operator has to propose one.
 #[test]
 fn a_policy_outlives_the_fleets_record() {
     for survives in [true, false] {
@@ -122,7 +123,8 @@
         w.restart(1);
         w.restart(2);
         if !survives {
-            // It has told its number, and is gone before it could say more.
+            // The peer has told its policy number to the others, and dies before it can propose the policy
+            // again.
             while w.fleets[&1].agreed().is_none_or(|a| a.policy().abreast()) {
                 w.run(5 * MS, |_| ());
             }
@@ -143,8 +145,9 @@
     }
 }
 
-// One stands still while the others start anew, and what they agree on has the same number: it followed its old policy
-// in the new fleet, which it took for its own, as both had been founded by the same seed.
+// One peer is paused while the others restart, found a new fleet and agree on a policy of the same number.
+// With fleet ids derived from the same seed the paused peer took the new fleet for its own and kept its old
+// policy.
 #[test]
 fn one_that_stood_still_takes_the_policy_of_the_fleet_that_was_founded_meanwhile() {
     let mut w = World::new(3, 12);
@@ -173,7 +176,7 @@
     assert!(acts.iter().any(|a| matches!(a, Act::InForce(p) if p.text == "policy another")), "{acts:?}");
 }
 
-/// Changes under faults for a while, then none; returns the trace.
+/// Proposes changes under random faults, then heals all. Returns the hash of the trace.
 fn changes(n: u8, seed: u64) -> u64 {
     let mut w = World::new(n, seed);
     w.formed();
@@ -204,8 +207,8 @@
     w.trace.finish()
 }
 
-// Whatever goes wrong, never is a request admitted by an older policy than any request before it (asserted at every
-// step of the world), and all end with the same one.
+// Under any faults no request is admitted under an older policy than an earlier request (asserted by the
+// world at each step), and all peers end with the same policy.
 #[test]
 fn any_faults_leave_one_policy_and_never_two_at_once() {
     for seed in 0..14 {
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of machines taken out for work, under any order of asks, faults, aborts and leaders that know it late.
+//! The maintenance plan under random orders of commands, faults, aborts and leaders with outdated state.
 
 use fleet::Machine as _;
 use fleet::plan::{Budget, Command, Machine, Plan, Step, lead, may_begin};
@@ -42,7 +42,7 @@
     }
 }
 
-/// A world in which machines come back or not; returns how many were serviced.
+/// Runs a simulation in which executors may or may not come back. Returns how many were serviced.
 fn world(seed: u64, at_once: usize) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = |below: u64| rng.next_u64() % below;
@@ -50,7 +50,8 @@
     let alive: BTreeSet<Holder> = (1..=3).map(holder).collect();
     let (mut now, mut back): (Micros, BTreeMap<String, Option<Micros>>) = (1_000_000 * MS, BTreeMap::new());
     let mut stale = plan.clone();
-    // One that was cut off: what it knew, since when, and how many asks there were.
+    // A dispatcher that is cut off: its last known plan, since when, and the number of accepted requests for
+    // maintenance then.
     let mut cut: Option<(Plan, Micros, u32)> = None;
     let (mut asks, mut done) = (0_u32, BTreeSet::new());
     for round in 0..600 {
@@ -65,13 +66,13 @@
             1..=3 => commands.push(Command::Mend(format!("m{}", draw(8)), now)),
             _ => {}
         }
-        // Idle dispatchers say so, some late, some never: then the limit ends the wait.
+        // Idle dispatchers report so late or never; the drain limit ends the wait.
         for (id, step) in plan.steps() {
             if matches!(step, Step::Drains(..)) && draw(4) == 0 {
                 commands.push(Command::Idle(holder(1 + draw(3) as u8), id.into()));
             }
         }
-        // The leader, or one that was and knows the plan as it stood some time ago.
+        // Commands come from the current leader or from a former one with an outdated plan.
         let view = if draw(5) == 0 { stale.clone() } else { plan.clone() };
         let busy = 8.0 * draw(5) as f64;
         commands.extend(lead(&view, &machines, busy, &alive, &budget, now));
@@ -135,7 +136,7 @@
             }
         }
         back.retain(|id, _| plan.step(id).is_some_and(|s| matches!(s, Step::Out(_) | Step::Failed(_))));
-        // Whatever has begun since it was cut off, a dispatcher without word leaves alone.
+        // A dispatcher that is cut off must avoid every executor that has started draining since.
         if let Some((known, since, then)) = &cut
             && *then == asks
         {
@@ -153,15 +154,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    // The budget holds, no machine goes through a step twice, and one that is cut off never sends to a machine
-    // that has been taken out since, whatever happens.
+    // Under any faults the capacity budget holds, no executor goes back to an earlier step, and a dispatcher
+    // that is cut off never sends work to an executor that has been taken out since.
     #[test]
     fn any_plan_keeps_its_budget(seed: u64, at_once in 1_usize..3) {
         world(seed, at_once);
     }
 }
 
-// Without faults every machine that was asked for is serviced, one after the other.
+// Without faults every executor of the plan is serviced, one after the other.
 #[test]
 fn plans_come_to_their_end() {
     assert!((0..20).map(|seed| world(seed, 1)).sum::<usize>() > 40);
--- a/crates/fleet/tests/policy_model/dispatcher.rs
+++ b/crates/fleet/tests/policy_model/dispatcher.rs
@@ -1,4 +1,5 @@
-//! One dispatcher: what it has seen of the log, its lease as it knows itself, and its real part in a change.
+//! One dispatcher: the log entries it has seen, its view of its lease, and its real participant in policy
+//! changes.
 
 use crate::model::{Break, Checks};
 use crate::view::{Entry, View};
@@ -9,37 +10,37 @@
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub struct Dispatcher {
     pub me: Peer,
-    /// Which incarnation this is.
+    /// Number of its current incarnation.
     pub start: u64,
-    /// Entries of the kept log that it has seen, and what they made.
+    /// Number of entries of the kept log that it has seen, and the state they produced.
     pub seen: usize,
     pub view: Arc<View>,
-    /// How often this incarnation has asked for a lease.
+    /// Number of leases this incarnation has requested.
     pub asks: u32,
-    /// What was asked for last has not been seen yet.
+    /// Whether the last lease request is not seen yet.
     pub asked: bool,
-    /// Its lease, as it knows itself.
+    /// Its lease, as far as it knows.
     pub holder: Option<Holder>,
     pub part: Part,
-    /// Said, and on its way to the log.
+    /// Commands submitted and not yet in the log.
     pub out: Vec<Command>,
 }
 
 impl Dispatcher {
-    /// One that has asked for its first lease.
+    /// A dispatcher that has requested its first lease.
     pub fn new(me: Peer) -> Dispatcher {
         let (view, part) = (Arc::default(), Part::default());
         Dispatcher { me, start: 1, seen: 0, view, asks: 1, asked: true, holder: None, part, out: Vec::new() }
     }
 
-    /// Its lease is over. What it sees without one does not matter: it says and admits nothing, and looks at what there
-    /// is once it has the next. So it sees nothing until it asks for that.
+    /// Its lease expires. Without a lease it submits and admits nothing and reads the current state when it
+    /// gets the next one, so the model delivers no entries to it until it requests a lease.
     pub fn lose(&mut self) {
         (self.holder, self.asked) = (None, false);
         (self.seen, self.view) = (0, Arc::default());
     }
 
-    /// Its next incarnation, which knows nothing.
+    /// Restarts it as a new incarnation without state; `lost` drops the commands in transit.
     pub fn die(&mut self, lost: bool) {
         self.lose();
         self.start += 1;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Whether it has a lease or has asked for one.
+    /// Whether it has a lease or has requested one.
     pub fn follows(&self) -> bool {
         self.holder.is_some() || self.asked
     }
@@ -58,7 +59,7 @@
         incarnation(self.me, self.start)
     }
 
-    /// By what a request would be admitted that arrived now.
+    /// The policy number a request would be admitted under now.
     pub fn admits(&self, checks: &Checks) -> Option<u64> {
         match self.part.gate(self.holder) {
             Gate::Admit(number) => Some(number),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether it may act under this lease, now or once it sees that it was given.
+    /// Whether it may act under this lease, now or once it sees that it was granted.
     pub fn may_hold(&self, h: Holder) -> bool {
         self.holder == Some(h) || (self.asked && self.incarnation() == h.incarnation)
     }
--- a/crates/fleet/tests/policy_model/main.rs
+++ b/crates/fleet/tests/policy_model/main.rs
@@ -1,5 +1,6 @@
-//! A change of policy under every order of what may happen to three dispatchers, within bounds. The agreed state, the
-//! leases and each dispatcher's part are the real ones; see docs/policy-model.md for what the model leaves out.
+//! Model check of a policy change: every order of events at three dispatchers, within bounds. The agreed
+//! state, the leases and each dispatcher's participant are the real ones; docs/policy-model.md lists what the
+//! model leaves out.
 
 mod dispatcher;
 mod model;
@@ -12,7 +13,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Proposals, aborts, sweeps, crashes, and leases that end by their holder's clock.
+/// Bounds on proposals, aborts, sweeps, crashes, and leases that expire by their holder's clock.
 const fn at_most([proposals, aborts, sweeps, crashes, ends]: [u8; 5]) -> Bounds {
     Bounds { proposals, aborts, sweeps, crashes, ends }
 }
@@ -31,7 +32,8 @@
     Checks { befall: 1, faulty: Some((3, 1)), reached: properties::reached_by_the_faulty(), ..fit(bounds) }
 }
 
-/// Goes through all states within each of the bounds; every state that has to be reachable is, within some of them.
+/// Explores all states within each of the bounds and asserts that every required state is reached within some
+/// of them.
 fn hold(all: &[Checks]) {
     let mut reached = BTreeSet::new();
     for checks in all {
@@ -51,7 +53,7 @@
     assert!(missed.is_empty(), "never reached: {missed:?}");
 }
 
-/// Finds the shortest way to a property that does not hold.
+/// Finds a shortest path to a violation of the property.
 fn fails(broken: Break, property: &'static str, base: Checks) {
     let begun = Instant::now();
     let checks = Checks { broken, reached: Vec::new(), ..base };
@@ -65,26 +67,27 @@
     );
 }
 
-// A change that is in force at one dispatcher while another still admits by what was before, in some order of votes,
-// ends of leases and requests that no example thought of.
+// Guards against a change that is in force at one dispatcher while another still admits under the old policy,
+// in an order of votes, lease expiries and requests that no example test covers.
 #[test]
 fn a_change_takes_hold_everywhere_or_nowhere() {
     hold(&[[1, 0, 0, 0, 1], [2, 1, 0, 0, 0], [2, 0, 1, 0, 0]].map(|b| fit(at_most(b))));
 }
 
-// The same as a dispatcher dies at any moment, and what it has said gets lost with it or comes late.
+// The same with a crash of a dispatcher at any moment; its submitted commands are lost or arrive late.
 #[test]
 fn a_crash_at_any_moment_leaves_no_two_policies() {
     hold(&[Checks { reached: Vec::new(), ..fit(at_most([1, 0, 0, 1, 0])) }]);
 }
 
-// The same where one can't do the first proposal: it takes hold over its head, or it goes on with what was given up.
+// The same where one dispatcher cannot apply the first proposal: the change must not come into force over its
+// vote, nor stay in force there after it was given up.
 #[test]
 fn a_change_that_one_cannot_do_takes_hold_only_without_it() {
     hold(&[[1, 0, 0, 0, 1], [2, 1, 0, 0, 0], [2, 0, 1, 0, 0]].map(|b| faulty(at_most(b))));
 }
 
-// Combinations of the above that the short runs leave out.
+// Combinations of the above beyond the bounds of the other tests.
 #[test]
 fn combinations_of_what_may_go_wrong_leave_no_two_policies() {
     hold(
@@ -94,7 +97,8 @@
     hold(&[Checks { reached: Vec::new(), ..faulty(at_most([1, 0, 0, 1, 0])) }]);
 }
 
-// A model that would find nothing wrong with a protocol that is wrong.
+// Guards against a model that finds no fault in a wrong protocol: each broken variant must violate its
+// property.
 #[test]
 fn wrong_protocols_are_found_out() {
     use properties::{ALL_ALIKE, ALL_FIT, NEVER_BACK};
--- a/crates/fleet/tests/policy_model/model.rs
+++ b/crates/fleet/tests/policy_model/model.rs
@@ -1,44 +1,45 @@
-//! What is checked, and everything that may happen next.
+//! What is checked, and the possible next actions.
 
 use crate::world::World;
 use fleet::{Holder, Peer};
 use stateright::{Model, Property};
 
-/// What is done wrongly, to see that it is found.
+/// A deliberate defect of the protocol that the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
     Nothing,
-    /// A dispatcher says that it has stopped, but goes on until the change is in force.
+    /// A dispatcher reports that it has stopped, but admits requests until the change is in force.
     AdmitsWhileClosing,
-    /// A lease is said to be over before its holder knows.
+    /// A lease is declared expired before its holder knows.
     ExpiresEarly,
-    /// Stopping is waited for of those alone who have voted.
+    /// Closing waits only for the holders that have voted.
     CountsVoters,
-    /// Votes and stopping are waited for of those alone who had a lease when the change was proposed.
+    /// Voting and closing wait only for the holders that had a lease when the change was proposed.
     CountsThoseOfTheProposal,
 }
 
-/// How often each may still happen.
+/// How many more times each event may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Bounds {
     pub proposals: u8,
     pub aborts: u8,
     pub sweeps: u8,
     pub crashes: u8,
-    /// Leases that end by their holder's clock.
+    /// Leases that expire by their holder's clock.
     pub ends: u8,
 }
 
-/// What is checked: one model with its bounds.
+/// One model configuration with its bounds.
 #[derive(Clone)]
 pub struct Checks {
     pub broken: Break,
     pub bounds: Bounds,
-    /// Crashes and ends of leases befall the dispatchers from this place on; the others are like them.
+    /// Crashes and lease expiries happen only to dispatchers from this index on; the others are symmetric to
+    /// them.
     pub befall: usize,
-    /// This peer can't do the policy of this number.
+    /// This peer cannot apply the policy of this number.
     pub faulty: Option<(Peer, u64)>,
-    /// What has to be reachable.
+    /// Properties that must be reachable.
     pub reached: Vec<Property<Checks>>,
 }
 
@@ -48,26 +49,27 @@
     }
 }
 
-/// What may happen next.
+/// A possible next event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A dispatcher sees so many further entries, and then looks.
+    /// A dispatcher receives this many further log entries and processes them.
     Deliver(usize, usize),
-    /// The next word of a dispatcher comes to stand in the log.
+    /// A dispatcher's next submitted command is appended to the log.
     Append(usize),
-    /// A dispatcher's lease is over by its own clock.
+    /// A dispatcher's lease expires by its own clock.
     LeaseOut(usize),
-    /// A lease is said to be over.
+    /// A lease is declared expired in the log.
     Expire(Holder),
-    /// A dispatcher dies and begins anew; what it has said gets lost with it or comes late.
+    /// A dispatcher crashes and restarts; its submitted commands are lost if the flag is set, and arrive late
+    /// otherwise.
     Crash(usize, bool),
-    /// A dispatcher asks for a lease.
+    /// A dispatcher requests a lease.
     Register(usize),
     Propose,
     Abort,
-    /// A change is given up for its time.
+    /// A change is given up because a deadline has passed.
     Late,
-    /// A request is admitted by a higher number than any before.
+    /// A request is admitted under a higher number than any before.
     Admit(usize),
 }
 
@@ -94,7 +96,7 @@
                 to.push(Action::Crash(n, true));
                 to.extend((!d.out.is_empty()).then_some(Action::Crash(n, false)));
             }
-            // A dispatcher gives the lease that it has lost back before it asks for another.
+            // A dispatcher's expired lease has to be ended in the log before it requests another one.
             let gone = w.end.leases.alive().iter().all(|h| h.incarnation != d.incarnation());
             if !d.follows() && gone {
                 to.push(Action::Register(n));
--- a/crates/fleet/tests/policy_model/properties.rs
+++ b/crates/fleet/tests/policy_model/properties.rs
@@ -1,4 +1,4 @@
-//! What holds always, and what has to be reached so that it says anything.
+//! Safety properties, and the states that must be reachable for the check to be meaningful.
 
 use crate::model::Checks;
 use crate::world::World;
@@ -30,7 +30,7 @@
             let mut all = gates(c, w);
             all.next().is_none_or(|first| all.all(|n| n == first))
         }),
-        // What any place of the log knows as given up, its end knows, too.
+        // What any prefix of the log has given up, the full log has given up, too.
         holds(GIVEN_UP, |_, w| {
             let given_up = |n| w.end.policies.ended().any(|e| e.number == n && e.why.is_some());
             let views = w.each.iter().map(|d| d.view.policies.current().number);
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Reached where nobody has a fault to find.
+/// Must be reachable if no dispatcher finds a fault.
 pub fn reached_by_the_fit() -> Vec<Property<Checks>> {
     vec![
         reached("a change takes hold and is admitted by", |_, w| w.highest == 1),
@@ -61,7 +61,7 @@
     ]
 }
 
-/// Reached where one can't do the first that is proposed.
+/// Must be reachable if one dispatcher cannot apply the first proposal.
 pub fn reached_by_the_faulty() -> Vec<Property<Checks>> {
     vec![
         reached("a vote against ends it", |_, w| w.end.ended("voted against")),
--- a/crates/fleet/tests/policy_model/view.rs
+++ b/crates/fleet/tests/policy_model/view.rs
@@ -1,4 +1,4 @@
-//! What is agreed, at one place of the log: the real leases and the real policies.
+//! The agreed state at one position of the log: the real leases and the real policies.
 
 use crate::model::{Break, Checks};
 use fleet::leases::Leases;
@@ -10,28 +10,28 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Entry {
-    /// An incarnation asks for a lease, for the how manieth time.
+    /// A lease request by an incarnation, with the request's number.
     Register(Incarnation, u32),
     Expire(Holder),
     Policy(Command),
-    /// Time has passed, past every limit.
+    /// A sweep at a time past every deadline.
     Sweep,
 }
 
-/// The state at one place of the log.
+/// The state at one position of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     pub leases: Leases,
     pub policies: Policies,
-    /// A change took hold while one with a lease had a fault to find with it.
+    /// A change came into force while a lease holder had found a fault in it.
     pub unfit: bool,
-    /// Who had a lease when the change under way was proposed; kept for the variant that counts those alone.
+    /// Lease holders when the pending change was proposed; used by [`Break::CountsThoseOfTheProposal`].
     proposed: BTreeSet<Holder>,
 }
 
 impl Hash for View {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        // Who is alive follows from what is written.
+        // The set of lease holders is not serialized, but follows from the serialized fields.
         postcard::to_stdvec(&self.leases).expect("leases can be written").hash(to);
         (&self.policies, self.unfit, &self.proposed).hash(to);
     }
@@ -69,7 +69,7 @@
         self.policies.leases(&self.counted(checks));
     }
 
-    /// Those whose word is waited for: all with a lease, but for the broken variants.
+    /// Holders whose votes and stops are required: all lease holders, except in the broken variants.
     fn counted(&self, checks: &Checks) -> BTreeSet<Holder> {
         let alive = self.leases.alive();
         let of = |those: &dyn Fn(&Holder) -> bool| alive.iter().filter(|h| those(h)).copied().collect();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether some change came to this end.
+    /// Whether some change was given up for a reason that contains this text.
     pub fn ended(&self, how: &str) -> bool {
         self.policies.ended().any(|e| e.why.as_ref().is_some_and(|why| why.contains(how)))
     }
--- a/crates/fleet/tests/policy_model/world.rs
+++ b/crates/fleet/tests/policy_model/world.rs
@@ -1,4 +1,4 @@
-//! All dispatchers and their log at one moment, and how it moves on.
+//! State of the model: all dispatchers and their log, and its transitions.
 
 use crate::dispatcher::Dispatcher;
 use crate::model::{Action, Bounds, Break, Checks};
@@ -9,21 +9,21 @@
 
 pub const DISPATCHERS: Peer = 3;
 
-/// All of them at one moment.
+/// State of the model.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub struct World {
-    /// From the entry on that some dispatcher has not seen.
+    /// The log from the first entry that some dispatcher has not seen.
     pub log: Vec<Entry>,
-    /// After all of the log.
+    /// The state after the whole log.
     pub end: Arc<View>,
     pub each: Vec<Dispatcher>,
-    /// The highest number by which any request was admitted.
+    /// The highest policy number any request was admitted under.
     pub highest: u64,
     pub left: Bounds,
 }
 
 impl World {
-    /// All have a lease and know it.
+    /// All dispatchers have a lease and know it.
     pub fn new(checks: &Checks) -> World {
         let each: Vec<Dispatcher> = (1..=DISPATCHERS).map(Dispatcher::new).collect();
         let mut w = World { log: Vec::new(), end: Arc::default(), each, highest: 0, left: checks.bounds };
@@ -86,7 +86,8 @@
         self.forget();
     }
 
-    /// What changes nothing is left out: whoever looks again at the same says and does nothing new.
+    /// Entries without effect are left out: a dispatcher that processes the same state again submits nothing
+    /// new.
     fn append(&mut self, entry: Entry, checks: &Checks) {
         let mut next = View::clone(&self.end);
         next.apply(&entry, checks);
@@ -106,7 +107,7 @@
         self.end.policies.pending().map(|p| p.policy.number)
     }
 
-    /// Holders that the log takes for alive and whose lease may be said to be over.
+    /// Leases that are valid in the log and may be declared expired.
     pub fn over(&self, checks: &Checks) -> impl Iterator<Item = Holder> {
         let held = |h: &Holder| self.each.iter().any(|d| d.may_hold(*h));
         let early = |h: &Holder| {
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -1,4 +1,5 @@
-//! The window of schema versions: its steps told as stories, and under any order of commands, leases and delays.
+//! The window of schema versions: example upgrades, and a property test over random orders of commands,
+//! leases and delays.
 
 use fleet::plan::{self, Budget, Plan};
 use fleet::schema::capacity::{Short, Use, may_leave};
@@ -21,7 +22,7 @@
     Command::Tell(id.into(), version, started)
 }
 
-/// At 7, with four executors of it, two of which are at 8 where the window is open.
+/// A fleet at version 7 with four executors. If `open`, the window is open to 8 and two executors hold 8.
 fn fleet(open: bool, alive: &BTreeSet<Holder>) -> Schema {
     let mut s = Schema::default();
     s.apply(Command::Found(7, S), alive);
@@ -37,8 +38,8 @@
     (1..=3).for_each(|n| assert!(s.sweep(n * S)));
 }
 
-// An upgrade from 7 to 8, each command twice as after a leader that was killed; a holder that comes in the middle
-// counts, and a dispatcher that has no lease does not hold the end up.
+// Upgrade from 7 to 8 with every command repeated, as after a leader failure. A holder that joins meanwhile
+// must confirm, too, and a dispatcher without a lease does not delay the end.
 #[test]
 fn a_version_ends_once_every_holder_has_said_so_and_no_sooner() {
     let mut alive: BTreeSet<Holder> = [holder(1), holder(2)].into();
@@ -61,7 +62,8 @@
     assert!(s.accepts(&Command::Open(8, s.step())).is_err() && s.accepts(&Command::Back(s.step())).is_err());
 }
 
-// A word of one step that arrives in a later one would end a version that is in hand again.
+// A confirmation for an earlier step must not count in a later one, where it would end a version that is in
+// use again.
 #[test]
 fn a_word_counts_for_its_step_only_and_a_late_call_moves_nothing() {
     let alive: BTreeSet<Holder> = [holder(1)].into();
@@ -79,8 +81,8 @@
     assert_eq!(s.window().ends(), Some(8));
 }
 
-// Half of the executors are at 8 as the operator says BACK, while the window closes already: 8 ends, and who comes
-// back at 7 serves again.
+// Half of the executors hold 8 when the operator rolls back while the window is closing: 8 must end, and
+// executors that return with 7 serve again.
 #[test]
 fn back_in_the_middle_ends_at_the_old_version() {
     let alive: BTreeSet<Holder> = [holder(1), holder(2)].into();
@@ -98,8 +100,9 @@
     assert_eq!((s.executors().version("m0"), s.executors().version("m1")), (Some(7), Some(8)));
 }
 
-// One that is cut off must begin nothing that may have ended: never what was ending, and in an open window nothing
-// once the fleet could have ended either. A leader's clock that jumps must not shorten that.
+// A dispatcher that is cut off must start nothing under a version that may have ended: never under the ending
+// version, and with an open window under none once the fleet could have ended either. A jump of a leader's
+// clock must not shorten the wait.
 #[test]
 fn who_is_cut_off_stops_before_a_version_can_end() {
     let alive: BTreeSet<Holder> = [holder(1)].into();
@@ -113,8 +116,8 @@
     assert_eq!(s.starts(Some(900 * S)), [8]);
 }
 
-// An executor that comes back with the wrong version is out of use until somebody settles it, and a late word on a
-// former process changes nothing.
+// An executor that comes back with the wrong version must not serve until the dispute is resolved, and a late
+// report about a former process must change nothing.
 #[test]
 fn an_executor_whose_answers_contradict_is_disputed_until_settled() {
     let alive = BTreeSet::new();
@@ -136,7 +139,7 @@
     );
 }
 
-// The state goes whole into snapshots: a list without end must not make it grow without end.
+// The state is part of every snapshot, so an endless list of executors must not make it grow without bound.
 #[test]
 fn the_executors_known_are_bounded() {
     let (mut s, alive) = (fleet(false, &BTreeSet::new()), BTreeSet::new());
@@ -145,7 +148,7 @@
     assert!(s.apply(Command::Gone("x0".into(), 1), &alive) && !s.apply(tell(&"y".repeat(200), 7, 1), &alive));
 }
 
-// An upgrade that takes the next executor too early would leave those who speak only the old version short.
+// Taking out the next executor too early would leave clients that support only one version short of capacity.
 #[test]
 fn an_executor_stays_while_a_version_would_be_short_without_it() {
     let alive = BTreeSet::new();
--- a/crates/fleet/tests/schema/world.rs
+++ b/crates/fleet/tests/schema/world.rs
@@ -1,4 +1,5 @@
-//! A log, dispatchers that know it late, and calls that come late, twice or never.
+//! Simulation of a log, dispatchers that read it late, and operator commands that arrive late, twice or
+//! never.
 
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema, Version};
@@ -16,7 +17,7 @@
     Sweep(Micros),
 }
 
-/// A dispatcher: what it has seen of the log, and what it has in hand.
+/// A dispatcher: the log entries it has seen, and its work in progress by version.
 #[derive(Debug, Clone, Default)]
 struct Peer {
     view: (Schema, BTreeSet<Holder>),
@@ -77,10 +78,10 @@
     }
 
     fn begin(&mut self, p: usize, draw: u8) {
-        // It is up to date as of the first entry that it has not seen.
+        // Its state is as old as the first entry that it has not seen.
         let peer = &mut self.peers[p];
         let silent = self.log.get(peer.seen).map(|(at, _)| self.now - at);
-        // It knows of a lease by the log, and by its own clock of the end of it, before the others do.
+        // It learns of a lease from the log, and of its expiry by its own clock before the others do.
         let holder = Holder { incarnation: incarnation(p as u8 + 1, 1), term: peer.term };
         let alive = self.state.1.contains(&holder) && peer.view.1.contains(&holder);
         let starts = peer.view.0.starts(silent.filter(|_| !alive));
@@ -106,7 +107,7 @@
 
     fn sweep(&mut self, time: Micros) {
         self.now += time;
-        // Leaders' clocks differ: by more than an hour, and back.
+        // Leaders' clocks differ by more than an hour, in both directions.
         let skew = (self.now / (7 * S) % 3) * 5_000 * S;
         self.append(Entry::Sweep(self.now + skew));
     }
@@ -127,7 +128,7 @@
             12..=14 => self.begin(p, b),
             15 | 16 => self.end(p, b),
             17 | 18 => self.post_word(p),
-            // Whatever was posted arrives, some of it late or again.
+            // Submitted commands arrive, some of them late or repeatedly.
             19..=23 if !self.posted.is_empty() => {
                 let back = if op == 23 { b as usize } else { b as usize % 3 };
                 let i = self.posted.len() - 1 - back % self.posted.len();
@@ -147,8 +148,9 @@
 }
 
 proptest! {
-    // No version ends in the hands of somebody alive, nobody begins under one that has ended, whatever arrives late,
-    // twice or never; BACK ends at the older; the same log gives the same state, bounded, and the same when read again.
+    // Whatever arrives late, twice or never, no version ends while a lease holder has work under it, no work
+    // starts under an ended version, and a rollback ends at the older version. Replaying the log yields the
+    // same state, and the state stays bounded and round-trips through its encoding.
     #[test]
     fn any_order_of_commands_leases_and_delays(
         steps in prop::collection::vec((0u8..32, any::<u8>(), any::<u8>()), 1..400),
@@ -156,7 +158,7 @@
         let mut w = World::default();
         w.append(Entry::Command(Command::Found(1, LINGER)));
         (0..3).for_each(|p| { w.catch_up(p, 1); w.step((24, p as u8, 0)); });
-        // Somebody has 2, so that the first window can close.
+        // One executor holds version 2, so that the first window can close.
         w.append(Entry::Command(Command::Tell("m9".into(), 2, 1)));
         steps.into_iter().for_each(|s| w.step(s));
         let bytes = postcard::to_stdvec(&w.state.0).unwrap();
@@ -165,7 +167,7 @@
         let mut again = (Schema::default(), BTreeSet::new());
         w.log.iter().for_each(|(_, e)| take(&mut again, e));
         prop_assert_eq!(&again, &w.state);
-        // Rolled back now, wherever it is; the fleet goes on and everybody ends what it has.
+        // Roll back from any state: the fleet continues and every dispatcher finishes its work.
         let window = w.state.0.window().clone();
         w.append(Entry::Command(Command::Back(w.state.0.step())));
         for p in 0..3 {
