--- a/crates/fleet/src/control_plane/follower/connection.rs
+++ b/crates/fleet/src/control_plane/follower/connection.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 
 /// The reconnect delay doubles with each consecutive failure, at most this many times.
-const DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// State of the connection to a member, which is given by its index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
         let member = from.get(self.draw(from.len() as u64) as usize).copied().unwrap_or(0);
         // A random delay spreads the reconnects, so that the followers of a lost member do not reach the
         // others at once.
-        let window = self.config.timing.renew_every << self.failures.min(DOUBLINGS);
+        let window = self.config.timing.renew_every << self.failures.min(MAX_BACKOFF_DOUBLINGS);
         let pause = self.draw(window.min(self.config.timing.lease) + 1);
         self.connection = Connection::Idle { member, dial_at: now + pause };
     }
--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -34,9 +34,9 @@
     /// Time settings of the group.
     pub timing: Timing,
     /// Maximum number of followers.
-    pub most_followers: usize,
+    pub max_followers: usize,
     /// Maximum number of unacknowledged snapshots; further followers wait in a queue.
-    pub most_snapshots: usize,
+    pub max_snapshots: usize,
 }
 
 /// Counters of a member.
--- a/crates/fleet/src/control_plane/member/sessions.rs
+++ b/crates/fleet/src/control_plane/member/sessions.rs
@@ -3,13 +3,13 @@
 use super::{Member, MemberView, SessionId, Violation};
 use crate::Micros;
 use crate::control_plane::messages::{
-    FollowerId, FollowerMessage, MOST_NAME, MemberMessage, Rejection, Resume, VERSION,
+    FollowerId, FollowerMessage, MAX_NAME_BYTES, MemberMessage, Rejection, Resume, VERSION,
 };
-use crate::policy::{FAULT, FAULTS, MOST_TEXT, Policy, Revision};
+use crate::policy::{MAX_FAULT_BYTES, MAX_FAULTS, MAX_TEXT_BYTES, Policy, Revision};
 
 /// The highest policy number that is accepted: at one change per microsecond a fleet reaches it after nine
 /// years.
-const MOST_POLICY: u64 = 1 << 48;
+const MAX_POLICY_NUMBER: u64 = 1 << 48;
 
 /// A connection is closed after this many follower leases without a message.
 const SILENT_LEASES: u64 = 3;
@@ -100,10 +100,10 @@
         view: Option<MemberView<'_>>,
     ) -> Result<(), Violation> {
         if let FollowerMessage::Subscribe { version, group, follower, name, resume, policy } = message {
-            if group.len() > MOST_NAME || name.len() > MOST_NAME {
+            if group.len() > MAX_NAME_BYTES || name.len() > MAX_NAME_BYTES {
                 return Err(Violation::TooLong);
             }
-            if policy > MOST_POLICY {
+            if policy > MAX_POLICY_NUMBER {
                 return Err(Violation::Policy(policy));
             }
             self.followers_policy = self.followers_policy.max(policy);
@@ -124,17 +124,17 @@
                 return self.renew(now, session, follower, &name, (at, asked), view);
             }
             FollowerMessage::Vote(number, mut faults) => {
-                faults.truncate(FAULTS);
+                faults.truncate(MAX_FAULTS);
                 s.vote = Some((number, faults));
             }
             FollowerMessage::Stopped(number) => s.stopped = Some(number),
-            FollowerMessage::Cannot(number, why) if why.len() <= FAULT * FAULTS => {
+            FollowerMessage::Cannot(number, why) if why.len() <= MAX_FAULT_BYTES * MAX_FAULTS => {
                 s.cannot = Some((number, why));
             }
-            FollowerMessage::Restore { number, .. } if number > MOST_POLICY => {
+            FollowerMessage::Restore { number, .. } if number > MAX_POLICY_NUMBER => {
                 return Err(Violation::Policy(number));
             }
-            FollowerMessage::Restore { number, text, digest } if text.len() <= MOST_TEXT => {
+            FollowerMessage::Restore { number, text, digest } if text.len() <= MAX_TEXT_BYTES => {
                 self.restore = Some(Policy { number, text, digest });
             }
             FollowerMessage::Cannot(..) | FollowerMessage::Restore { .. } => return Err(Violation::TooLong),
@@ -150,7 +150,7 @@
         if group != self.config.group {
             return Some(Rejection::Group(self.config.group.clone()));
         }
-        if self.followers() >= self.config.most_followers {
+        if self.followers() >= self.config.max_followers {
             return Some(Rejection::Full(self.config.others.clone()));
         }
         (view.is_none() || self.leaving).then_some(Rejection::NotReady)
--- a/crates/fleet/src/control_plane/member/streams.rs
+++ b/crates/fleet/src/control_plane/member/streams.rs
@@ -59,7 +59,7 @@
 
     /// Sends snapshots to waiting sessions, up to the limit of unacknowledged ones.
     fn send_snapshots(&mut self, view: MemberView<'_>) {
-        let further = self.config.most_snapshots.saturating_sub(self.snapshots_under_way());
+        let further = self.config.max_snapshots.saturating_sub(self.snapshots_under_way());
         for _ in 0..further {
             let Some(session) = self.snapshot_queue.pop_front() else { return };
             let Some(s) = self.sessions.get_mut(&session) else { continue };
--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -9,12 +9,12 @@
 /// Protocol version; peers with another version are rejected.
 pub const VERSION: u32 = 1;
 /// Maximum size of a follower's message in bytes: a policy text plus its envelope.
-pub const MOST_FOLLOWER_FRAME: usize = 64 << 10;
+pub const MAX_FOLLOWER_FRAME: usize = 64 << 10;
 /// Maximum size of a member's message in bytes: a snapshot contains two policy texts and the outcome of the
 /// last change.
-pub const MOST_MEMBER_FRAME: usize = 256 << 10;
+pub const MAX_MEMBER_FRAME: usize = 256 << 10;
 /// Maximum length of a group or follower name in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Framing of this protocol. Its check value differs from the one between peers, so that frames of the two
 /// protocols cannot be confused.
@@ -137,10 +137,10 @@
 
 /// Decodes the first message in `bytes` sent by a follower.
 pub fn from_follower(bytes: &[u8]) -> Result<Option<(usize, FollowerMessage)>, Fault> {
-    FRAMING.next(bytes, MOST_FOLLOWER_FRAME)
+    FRAMING.next(bytes, MAX_FOLLOWER_FRAME)
 }
 
 /// Decodes the first message in `bytes` sent by a member.
 pub fn from_member(bytes: &[u8]) -> Result<Option<(usize, MemberMessage)>, Fault> {
-    FRAMING.next(bytes, MOST_MEMBER_FRAME)
+    FRAMING.next(bytes, MAX_MEMBER_FRAME)
 }
--- a/crates/fleet/src/control_plane/timing.rs
+++ b/crates/fleet/src/control_plane/timing.rs
@@ -11,18 +11,18 @@
 use crate::Micros;
 
 /// Minimum tick in microseconds, sized for processes on the same machine.
-pub const LEAST_TICK: Micros = 30_000;
+pub const MIN_TICK: Micros = 30_000;
 /// Minimum number of ticks in a lease: a leader must be elected well within a lease, or all members lose
 /// their leases.
-pub const TICKS_IN_LEASE: u64 = 25;
+pub const MIN_TICKS_PER_LEASE: u64 = 25;
 /// Minimum lease in microseconds.
-pub const LEAST_LEASE: Micros = 1_000_000;
+pub const MIN_LEASE: Micros = 1_000_000;
 /// A follower's lease is a member's lease divided by this.
-const FOLLOWER_PART: u64 = 2;
+const FOLLOWER_LEASE_DIVISOR: u64 = 2;
 /// Number of times a follower renews within one lease.
-const RENEWALS: u64 = 3;
+const RENEWALS_PER_LEASE: u64 = 3;
 /// The clock rates of two machines differ by less than one part in this many.
-const CLOCK_DRIFT: u64 = 10;
+const CLOCK_DRIFT_DIVISOR: u64 = 10;
 
 /// Time settings of a control group, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,24 +42,24 @@
 impl Timing {
     /// Derives the settings from the round-trip time between members.
     pub fn from_round_trip(round_trip: Micros) -> Timing {
-        let tick = LEAST_TICK.max(round_trip / 2);
-        Timing::with_lease(round_trip, LEAST_LEASE.max(TICKS_IN_LEASE * tick))
+        let tick = MIN_TICK.max(round_trip / 2);
+        Timing::with_lease(round_trip, MIN_LEASE.max(MIN_TICKS_PER_LEASE * tick))
     }
 
     /// Derives the settings with an explicit lease duration.
     pub fn with_lease(round_trip: Micros, lease: Micros) -> Timing {
-        let follower_lease = lease / FOLLOWER_PART;
+        let follower_lease = lease / FOLLOWER_LEASE_DIVISOR;
         Timing {
-            tick: LEAST_TICK.max(round_trip / 2),
+            tick: MIN_TICK.max(round_trip / 2),
             lease,
-            margin: lease / CLOCK_DRIFT,
+            margin: lease / CLOCK_DRIFT_DIVISOR,
             follower_lease,
-            renew_every: follower_lease / RENEWALS,
+            renew_every: follower_lease / RENEWALS_PER_LEASE,
         }
     }
 
     /// The shortest lease within which an election completes at this round-trip time.
-    pub fn least_lease(round_trip: Micros) -> Micros {
-        TICKS_IN_LEASE * LEAST_TICK.max(round_trip / 2)
+    pub fn min_lease(round_trip: Micros) -> Micros {
+        MIN_TICKS_PER_LEASE * MIN_TICK.max(round_trip / 2)
     }
 }
--- a/crates/fleet/src/plan/mod.rs
+++ b/crates/fleet/src/plan/mod.rs
@@ -73,7 +73,7 @@
 }
 
 /// Maximum number of planned executors.
-pub const MOST: usize = 256;
+pub const MAX_EXECUTORS: usize = 256;
 
 /// The maintenance plan.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,8 +118,8 @@
             return Err(format!("{id} is planned already"));
         }
         let left = self.steps.iter().filter(|(_, s)| !s.over()).count();
-        if left + ids.len() > MOST {
-            return Err(format!("more than {MOST} machines"));
+        if left + ids.len() > MAX_EXECUTORS {
+            return Err(format!("more than {MAX_EXECUTORS} machines"));
         }
         Ok(())
     }
--- a/crates/fleet/src/policy/apply.rs
+++ b/crates/fleet/src/policy/apply.rs
@@ -45,11 +45,11 @@
             Some(_) => Change::GivenUp(ended.clone()),
         });
         self.ended.insert(0, ended);
-        self.ended.truncate(ENDED);
+        self.ended.truncate(MAX_OUTCOMES);
         if why.is_none() {
             let old = std::mem::replace(&mut self.current, p.policy);
             self.past.insert(0, old);
-            self.past.truncate(PAST);
+            self.past.truncate(MAX_PAST);
             self.drop_superseded();
         }
         self.begin_next();
@@ -82,10 +82,10 @@
 
 /// Truncates faults to the stored bounds.
 fn bounded(mut faults: Vec<String>) -> Vec<String> {
-    faults.truncate(FAULTS);
+    faults.truncate(MAX_FAULTS);
     for f in &mut faults {
-        if f.len() > FAULT {
-            let end = (0..=FAULT).rev().find(|n| f.is_char_boundary(*n)).unwrap_or(0);
+        if f.len() > MAX_FAULT_BYTES {
+            let end = (0..=MAX_FAULT_BYTES).rev().find(|n| f.is_char_boundary(*n)).unwrap_or(0);
             f.truncate(end);
         }
     }
--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -14,24 +14,24 @@
 mod revisions;
 
 pub use part::{Act, Gate, Part};
-pub use queue::{MOST_WAITING, Waiting};
+pub use queue::{MAX_QUEUED, Waiting};
 pub use record::PolicyRecord;
-pub use revisions::{Change, Gap, History, KEPT_CHANGES, KEPT_TEXT, Revision};
+pub use revisions::{Change, Gap, History, MAX_KEPT_CHANGES, MAX_KEPT_TEXT_BYTES, Revision};
 
 use crate::{Holder, Micros, Peer};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Maximum length of a policy's text in bytes.
-pub const MOST_TEXT: usize = 32 << 10;
+pub const MAX_TEXT_BYTES: usize = 32 << 10;
 /// Number of past policies kept, because requests in flight finish under the policy that admitted them.
-pub const PAST: usize = 3;
+pub const MAX_PAST: usize = 3;
 /// Number of outcomes of past changes that are kept.
-pub const ENDED: usize = 8;
+pub const MAX_OUTCOMES: usize = 8;
 /// Maximum number of faults kept per vote.
-pub const FAULTS: usize = 16;
+pub const MAX_FAULTS: usize = 16;
 /// Maximum length of a fault in bytes.
-pub const FAULT: usize = 240;
+pub const MAX_FAULT_BYTES: usize = 240;
 
 /// A policy: its number, the text of its file, and the SHA-256 of that text.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
 }
 
 /// Deadlines of a change that has just left the queue: they are set at the next sweep.
-const NOT_TIMED: [Micros; 2] = [Micros::MAX; 2];
+const DEADLINES_UNSET: [Micros; 2] = [Micros::MAX; 2];
 
 /// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -87,7 +87,7 @@
 }
 
 /// Number of accepted changes that are remembered: as many may be proposed between two reads of the log.
-const MOST_TAKEN: usize = 16;
+const MAX_ACCEPTED: usize = 16;
 
 /// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -194,7 +194,7 @@
     /// Remembers a change that was just accepted.
     fn take(&mut self, number: u64, by: Peer, at: Micros) {
         self.taken.push_front(Taken { number, by, at });
-        self.taken.truncate(MOST_TAKEN);
+        self.taken.truncate(MAX_ACCEPTED);
     }
 
     /// The outcomes of earlier changes, latest first.
@@ -206,7 +206,7 @@
     pub fn accepts(&self, text: &str) -> Result<(), String> {
         match &self.pending {
             Some(p) => Err(format!("policy {} is under way already", p.policy.number)),
-            None if text.len() > MOST_TEXT => Err(format!("longer than {MOST_TEXT} bytes")),
+            None if text.len() > MAX_TEXT_BYTES => Err(format!("longer than {MAX_TEXT_BYTES} bytes")),
             None => Ok(()),
         }
     }
--- a/crates/fleet/src/policy/part.rs
+++ b/crates/fleet/src/policy/part.rs
@@ -8,7 +8,7 @@
 use crate::{Holder, Micros, Peer};
 
 /// Interval at which a policy that the fleet has lost is proposed again.
-const AGAIN: Micros = 1_000_000;
+const RESTORE_INTERVAL: Micros = 1_000_000;
 
 /// Admission decision for an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -135,9 +135,9 @@
             None if current.number < self.known.number && self.again <= now => {
                 // The fleet was founded again without its state: the policy that was in force is proposed
                 // like any other change.
-                self.again = now + AGAIN;
+                self.again = now + RESTORE_INTERVAL;
                 let Policy { number: least, text, digest } = self.known.clone();
-                let limits = [3 * AGAIN, 3 * AGAIN];
+                let limits = [3 * RESTORE_INTERVAL, 3 * RESTORE_INTERVAL];
                 acts.push(Act::Say(Command::Propose { text, digest, by: me, at: now, limits, least }));
             }
             _ => {}
--- a/crates/fleet/src/policy/queue.rs
+++ b/crates/fleet/src/policy/queue.rs
@@ -5,14 +5,14 @@
 //! started. However many changes arrive in a burst, each is in force or superseded within the duration of two
 //! changes.
 
-use super::{ENDED, Ended, NOT_TIMED, Policies, Policy};
+use super::{DEADLINES_UNSET, Ended, MAX_OUTCOMES, Policies, Policy};
 use crate::{Micros, Peer};
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of queued changes.
-pub const MOST_WAITING: usize = 128;
+pub const MAX_QUEUED: usize = 128;
 /// Maximum total length of their texts in bytes.
-const MOST_WAITING_TEXT: usize = 1 << 20;
+const MAX_QUEUED_TEXT_BYTES: usize = 1 << 20;
 
 /// A proposed change while it is queued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -39,10 +39,10 @@
         let bytes: usize = self.waiting.iter().map(|w| w.policy.text.len()).sum();
         match &self.pending {
             None => self.accepts(text),
-            Some(_) if text.len() > super::MOST_TEXT => {
-                Err(format!("longer than {} bytes", super::MOST_TEXT))
+            Some(_) if text.len() > super::MAX_TEXT_BYTES => {
+                Err(format!("longer than {} bytes", super::MAX_TEXT_BYTES))
             }
-            Some(_) if self.waiting.len() >= MOST_WAITING || bytes + text.len() > MOST_WAITING_TEXT => {
+            Some(_) if self.waiting.len() >= MAX_QUEUED || bytes + text.len() > MAX_QUEUED_TEXT_BYTES => {
                 Err(format!("{} changes wait already", self.waiting.len()))
             }
             Some(_) => Ok(()),
@@ -69,7 +69,7 @@
     pub(super) fn begin_next(&mut self) {
         let Some(next) = self.waiting.pop_back() else { return };
         self.turn_limits = next.limits;
-        self.begin(next.policy, next.by, next.at, NOT_TIMED);
+        self.begin(next.policy, next.by, next.at, DEADLINES_UNSET);
     }
 
     /// Drops queued changes that are older than the policy in force.
@@ -82,13 +82,15 @@
         }
         // By number, highest first, regardless of the order in which they ended.
         self.ended.sort_by_key(|e| std::cmp::Reverse(e.number));
-        self.ended.truncate(ENDED);
+        self.ended.truncate(MAX_OUTCOMES);
     }
 
     /// Sets the deadlines of a change that has just left the queue. Returns whether they were still unset.
     pub(super) fn time_from(&mut self, now: Micros) -> bool {
         let [vote_limit, close_limit] = self.turn_limits;
-        let Some(proposal) = self.pending.as_mut().filter(|p| p.until == NOT_TIMED) else { return false };
+        let Some(proposal) = self.pending.as_mut().filter(|p| p.until == DEADLINES_UNSET) else {
+            return false;
+        };
         let vote = now.saturating_add(vote_limit);
         proposal.until = [vote, vote.saturating_add(close_limit)];
         true
--- a/crates/fleet/src/policy/revisions.rs
+++ b/crates/fleet/src/policy/revisions.rs
@@ -13,9 +13,9 @@
 pub type Revision = u64;
 
 /// Number of changes kept for followers that lag behind.
-pub const KEPT_CHANGES: usize = 128;
+pub const MAX_KEPT_CHANGES: usize = 128;
 /// Maximum total length of the policy texts in the kept changes, in bytes.
-pub const KEPT_TEXT: usize = 512 << 10;
+pub const MAX_KEPT_TEXT_BYTES: usize = 512 << 10;
 
 /// A change of the policy state as sent to followers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
             Change::InForce(_) | Change::GivenUp(_) => {}
         }
         self.kept.push_back(change);
-        while self.kept.len() > KEPT_CHANGES || self.kept_text() > KEPT_TEXT {
+        while self.kept.len() > MAX_KEPT_CHANGES || self.kept_text() > MAX_KEPT_TEXT_BYTES {
             self.kept.pop_front();
         }
     }
@@ -164,7 +164,7 @@
 
     fn remember(&mut self, ended: Ended) {
         self.ended.insert(0, ended);
-        self.ended.truncate(super::ENDED);
+        self.ended.truncate(super::MAX_OUTCOMES);
     }
 }
 
--- a/crates/fleet/src/schema/executors.rs
+++ b/crates/fleet/src/schema/executors.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of known executors.
-pub const MOST: usize = 4096;
+pub const MAX_EXECUTORS: usize = 4096;
 /// Maximum length of an executor id in bytes.
-pub const LONGEST_ID: usize = 128;
+pub const MAX_ID_BYTES: usize = 128;
 
 /// What is known about an executor's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -98,7 +98,7 @@
     /// Sets the configured version, from a list or a plan, of the process started at `started`.
     pub(super) fn tell(&mut self, id: String, version: Version, started: Micros) -> bool {
         let Some(m) = self.all.get_mut(&id) else {
-            let fits = self.all.len() < MOST && !id.is_empty() && id.len() <= LONGEST_ID;
+            let fits = self.all.len() < MAX_EXECUTORS && !id.is_empty() && id.len() <= MAX_ID_BYTES;
             return fits && self.all.insert(id, Executor { told: version, started, against: None }).is_none();
         };
         if started < m.started {
--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -23,13 +23,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use window::Window;
 
-/// A schema version, from 1 to [`MOST_VERSION`].
+/// A schema version, from 1 to [`MAX_VERSION`].
 pub type Version = u16;
 
 /// The highest version.
-pub const MOST_VERSION: Version = 9_999;
+pub const MAX_VERSION: Version = 9_999;
 /// Maximum `linger`.
-pub const MOST_LINGER: Micros = 600_000_000;
+pub const MAX_LINGER: Micros = 600_000_000;
 
 /// A command that moves the window or updates an executor's version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -111,14 +111,14 @@
             true => Ok(()),
             false => Err(format!("the window has moved since: it is at step {}, not {s}", self.step)),
         };
-        let known = |v: Version| match (1..=MOST_VERSION).contains(&v) {
+        let known = |v: Version| match (1..=MAX_VERSION).contains(&v) {
             true => Ok(()),
-            false => Err(format!("versions go from 1 to {MOST_VERSION}")),
+            false => Err(format!("versions go from 1 to {MAX_VERSION}")),
         };
         match (command, &self.window) {
             (Command::Found(v, linger), Window::Unset) => {
                 known(*v)?;
-                if *linger > MOST_LINGER { Err("linger is too long".into()) } else { Ok(()) }
+                if *linger > MAX_LINGER { Err("linger is too long".into()) } else { Ok(()) }
             }
             (Command::Found(..), _) => Err("the fleet has a version already".into()),
             (Command::Open(..) | Command::Close(_) | Command::Back(_), Window::Unset) => {
--- a/crates/fleet/src/schema/window.rs
+++ b/crates/fleet/src/schema/window.rs
@@ -7,7 +7,7 @@
 
 /// Maximum interval between sweeps that counts as waiting time: a longer one may be the clock difference
 /// between two leaders. A smaller clock difference shortens the wait by that amount when the leader changes.
-const MOST_SWEEP: Micros = 3_000_000;
+const MAX_SWEEP_INTERVAL: Micros = 3_000_000;
 
 /// What the end of a version waits for: a confirmation by each lease holder, and a minimum time for
 /// dispatchers without a lease.
@@ -49,7 +49,7 @@
     fn sweep(&mut self, now: Micros) -> bool {
         let last = self.swept.replace(now);
         let more = last.map_or(0, |last| now.saturating_sub(last));
-        self.waited = self.waited.saturating_add(if more <= MOST_SWEEP { more } else { 0 });
+        self.waited = self.waited.saturating_add(if more <= MAX_SWEEP_INTERVAL { more } else { 0 });
         last != Some(now)
     }
 
--- a/crates/fleet/tests/control_plane/main.rs
+++ b/crates/fleet/tests/control_plane/main.rs
@@ -94,8 +94,8 @@
     w.run(100 * MS, |_| ());
     let agreed = w.members[&2].fleet.agreed().unwrap();
     let waiting = agreed.policy().waiting().count();
-    assert!(waiting <= fleet::policy::MOST_WAITING, "{waiting}");
-    assert!(agreed.policy().queues("more").is_err() || waiting < fleet::policy::MOST_WAITING);
+    assert!(waiting <= fleet::policy::MAX_QUEUED, "{waiting}");
+    assert!(agreed.policy().queues("more").is_err() || waiting < fleet::policy::MAX_QUEUED);
     let policy = agreed.policy();
     let numbers = policy.waiting().map(|q| q.policy.number).chain(policy.pending().map(|p| p.policy.number));
     let last = numbers.max().unwrap();
--- a/crates/fleet/tests/control_plane/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_member_at_its_bound_names_the_others() {
     let mut w = World::new(3, 0, 25);
-    w.most_followers = 4;
+    w.max_followers = 4;
     (1..=3).for_each(|p| w.start_member(p));
     (0..12).for_each(|f| w.start_follower(f));
     w.until(60_000 * MS, "all have found room", World::all_admit);
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -2,7 +2,7 @@
 
 use super::world::*;
 use fleet::control_plane::member::MemberRecord;
-use fleet::control_plane::messages::{FRAMING, FollowerMessage, MOST_FOLLOWER_FRAME, MemberMessage, VERSION};
+use fleet::control_plane::messages::{FRAMING, FollowerMessage, MAX_FOLLOWER_FRAME, MemberMessage, VERSION};
 use fleet::control_plane::{FollowerId, Resume};
 use fleet::policy::{Change, Gate, Policies, Policy};
 use proptest::prelude::*;
@@ -68,7 +68,7 @@
     w.snapshots_seen = 0;
     (0..60).for_each(|f| w.start_follower(f));
     w.until(10_000 * MS, "all are back", World::all_admit);
-    assert!(w.snapshots_seen >= 1 && w.snapshots_seen <= w.most_snapshots, "{}", w.snapshots_seen);
+    assert!(w.snapshots_seen >= 1 && w.snapshots_seen <= w.max_snapshots, "{}", w.snapshots_seen);
 }
 
 fn subscribed(w: &mut World, session: u64, resume: Option<Resume>) {
@@ -114,9 +114,9 @@
         w.propose_anywhere(&format!("policy {n}"));
         w.run(300 * MS, |_| ());
     }
-    let bound = w.most_snapshots as u64;
+    let bound = w.max_snapshots as u64;
     (0..bound).for_each(|n| subscribed(&mut w, 900 + n, None));
-    assert_eq!(w.members[&1].member.snapshots_under_way(), w.most_snapshots);
+    assert_eq!(w.members[&1].member.snapshots_under_way(), w.max_snapshots);
     let behind = Resume { fleet, revision: 3 };
     subscribed(&mut w, 950, Some(behind));
     assert_eq!(renewed(&mut w, 950, Some(behind)), None);
@@ -145,8 +145,8 @@
     // Any input must decode to a message, a framing error, or an incomplete frame, without a panic.
     #[test]
     fn any_bytes_are_read_without_fail(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = FRAMING.next::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
-        let _ = FRAMING.next::<MemberMessage>(&bytes, MOST_FOLLOWER_FRAME);
+        let _ = FRAMING.next::<FollowerMessage>(&bytes, MAX_FOLLOWER_FRAME);
+        let _ = FRAMING.next::<MemberMessage>(&bytes, MAX_FOLLOWER_FRAME);
     }
 
     // Frames of the follower protocol must not decode as frames of the peer protocol.
@@ -154,7 +154,7 @@
     fn protocols_are_told_apart(asked in any::<u64>()) {
         let ours = FRAMING.frame(&FollowerMessage::Renew { at: None, asked });
         prop_assert!(fleet::wire::next(&ours, 1 << 20).is_err());
-        let read = FRAMING.next::<FollowerMessage>(&ours, MOST_FOLLOWER_FRAME).unwrap().unwrap();
+        let read = FRAMING.next::<FollowerMessage>(&ours, MAX_FOLLOWER_FRAME).unwrap().unwrap();
         prop_assert_eq!(read.1, FollowerMessage::Renew { at: None, asked });
     }
 
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -47,8 +47,8 @@
     pub admitted: u64,
     /// Numbers of requests admitted, held and refused.
     pub gates: [u64; 3],
-    pub most_followers: usize,
-    pub most_snapshots: usize,
+    pub max_followers: usize,
+    pub max_snapshots: usize,
     /// The highest number of unacknowledged snapshots seen at any member.
     pub snapshots_seen: usize,
     pub next_at: Micros,
@@ -74,8 +74,8 @@
             delay: MS,
             admitted: 0,
             gates: [0; 3],
-            most_followers: 1_000,
-            most_snapshots: 4,
+            max_followers: 1_000,
+            max_snapshots: 4,
             snapshots_seen: 0,
             next_at: 0,
         };
@@ -107,8 +107,8 @@
             me: peer,
             others: (1..=self.count).filter(|p| *p != peer).map(|p| format!("m{p}")).collect(),
             timing,
-            most_followers: self.most_followers,
-            most_snapshots: self.most_snapshots,
+            max_followers: self.max_followers,
+            max_snapshots: self.max_snapshots,
         });
         self.members.insert(peer, MemberNode { fleet, member });
     }
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -3,7 +3,7 @@
 
 use fleet::plan::{self, Budget, Plan};
 use fleet::schema::capacity::{Short, Use, may_leave};
-use fleet::schema::executors::{Held, MOST};
+use fleet::schema::executors::{Held, MAX_EXECUTORS};
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema};
 use fleet::{Holder, Machine, Micros, incarnation};
@@ -143,8 +143,8 @@
 #[test]
 fn the_executors_known_are_bounded() {
     let (mut s, alive) = (fleet(false, &BTreeSet::new()), BTreeSet::new());
-    let taken = (0..MOST).filter(|n| s.apply(tell(&format!("x{n}"), 7, 1), &alive)).count();
-    assert_eq!((taken, s.executors().len()), (MOST - 4, MOST));
+    let taken = (0..MAX_EXECUTORS).filter(|n| s.apply(tell(&format!("x{n}"), 7, 1), &alive)).count();
+    assert_eq!((taken, s.executors().len()), (MAX_EXECUTORS - 4, MAX_EXECUTORS));
     assert!(s.apply(Command::Gone("x0".into(), 1), &alive) && !s.apply(tell(&"y".repeat(200), 7, 1), &alive));
 }
 
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -9,7 +9,7 @@
 use crate::settings::hcl::{Fault, shown};
 use call::{call, proposal};
 use clap::{Args, Subcommand};
-use fleet::policy::MOST_TEXT;
+use fleet::policy::MAX_TEXT_BYTES;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -79,10 +79,10 @@
 fn read(path: &Path) -> io::Result<Result<Policy, Vec<Fault>>> {
     let name = path.display().to_string();
     let told = |e: io::Error| io::Error::other(format!("{name}: {e}"));
-    let (mut text, most) = (String::new(), MOST_TEXT as u64);
+    let (mut text, most) = (String::new(), MAX_TEXT_BYTES as u64);
     std::fs::File::open(path).map_err(told)?.take(most + 1).read_to_string(&mut text).map_err(told)?;
-    Ok(if text.len() > MOST_TEXT {
-        Err(vec![Fault::of_file(&name, format_args!("longer than {MOST_TEXT} bytes"))])
+    Ok(if text.len() > MAX_TEXT_BYTES {
+        Err(vec![Fault::of_file(&name, format_args!("longer than {MAX_TEXT_BYTES} bytes"))])
     } else if text.trim().is_empty() {
         Err(vec![Fault::of_file(&name, "empty; `policy back` returns to the policy before")])
     } else {
--- a/src/net/control_plane/link.rs
+++ b/src/net/control_plane/link.rs
@@ -6,7 +6,7 @@
 use crate::net::sockets::dial;
 use crate::settings::options::Control;
 use fleet::control_plane::follower::{FollowerEvent, Order};
-use fleet::control_plane::messages::{MOST_MEMBER_FRAME, MemberMessage};
+use fleet::control_plane::messages::{MAX_MEMBER_FRAME, MemberMessage};
 use fleet::control_plane::{Follower, FollowerConfig};
 use std::io;
 use std::net::SocketAddr;
@@ -115,7 +115,7 @@
         let Some((_, address)) = self.members.get(member) else { return Err(io::ErrorKind::NotFound.into()) };
         let stream = dial::dial(*address)?;
         let key = poll.add(&stream, true)?;
-        self.connection = Some(FrameStream::new(stream, key, MOST_MEMBER_FRAME, true));
+        self.connection = Some(FrameStream::new(stream, key, MAX_MEMBER_FRAME, true));
         self.up = false;
         Ok(())
     }
--- a/src/net/control_plane/server.rs
+++ b/src/net/control_plane/server.rs
@@ -5,7 +5,7 @@
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::sockets::listen;
 use fleet::control_plane::SessionId;
-use fleet::control_plane::messages::{FollowerMessage, MOST_FOLLOWER_FRAME, MemberMessage};
+use fleet::control_plane::messages::{FollowerMessage, MAX_FOLLOWER_FRAME, MemberMessage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -136,7 +136,7 @@
             let Ok(key) = stream.set_nonblocking(true).and_then(|()| poll.add(&stream, false)) else {
                 continue;
             };
-            let frames = FrameStream::new(stream, key, MOST_FOLLOWER_FRAME, false);
+            let frames = FrameStream::new(stream, key, MAX_FOLLOWER_FRAME, false);
             self.served.insert(key, Served { frames, blocked: false, ending: None, part_since: None });
             heard.push(Heard::Connected(key as SessionId));
         }
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -73,8 +73,8 @@
             me,
             others: others.iter().map(name_of).collect(),
             timing,
-            most_followers: settings.most_followers,
-            most_snapshots: settings.most_snapshots,
+            max_followers: settings.most_followers,
+            max_snapshots: settings.most_snapshots,
         });
         tracing::info!(name = settings.me, group = settings.group, "control member");
         tracing::info!("members' address {}", peers.address()?);
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -10,7 +10,7 @@
 use crate::settings::hcl::{Fault, shown};
 use crate::settings::options::PolicyTerms;
 use fleet::Peer;
-use fleet::policy::{Command, MOST_TEXT, Policies, Policy as Agreed, PolicyRecord, Waiting};
+use fleet::policy::{Command, MAX_TEXT_BYTES, Policies, Policy as Agreed, PolicyRecord, Waiting};
 use std::io::Read as _;
 
 /// A call is answered within a second, agreed or not.
@@ -60,9 +60,9 @@
         return Err(format!("{}: no file", shown(path)));
     }
     let mut text = String::new();
-    file.take(MOST_TEXT as u64 + 1).read_to_string(&mut text).map_err(told)?;
-    if text.len() > MOST_TEXT {
-        return Err(format!("{}: longer than {MOST_TEXT} bytes", shown(path)));
+    file.take(MAX_TEXT_BYTES as u64 + 1).read_to_string(&mut text).map_err(told)?;
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(format!("{}: longer than {MAX_TEXT_BYTES} bytes", shown(path)));
     }
     if text.trim().is_empty() {
         return Err(format!("{}: empty; POLICY BACK returns to the policy before", shown(path)));
--- a/src/net/rules.rs
+++ b/src/net/rules.rs
@@ -13,7 +13,7 @@
 
 /// Settings kept ready: those of the policy in force, of the ones before it that work in hand may be under, and of the
 /// one that is under way.
-const READY: usize = machine::PAST + 2;
+const READY: usize = machine::MAX_PAST + 2;
 
 /// A request that waits for a change to take hold or to be given up.
 pub(super) struct Held {
--- a/src/schema/claim.rs
+++ b/src/schema/claim.rs
@@ -1,6 +1,6 @@
 //! What a client says that it speaks: the field `schema` in its statement's comment, `schema=8` or `schema=7..8`.
 
-use fleet::schema::{MOST_VERSION, Version};
+use fleet::schema::{MAX_VERSION, Version};
 use std::fmt;
 
 /// The name of the field.
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::Form => write!(f, "the field schema takes a version, or two as in 7..8"),
-            Fault::Range => write!(f, "the field schema takes versions from 1 to {MOST_VERSION}"),
+            Fault::Range => write!(f, "the field schema takes versions from 1 to {MAX_VERSION}"),
             Fault::Reversed => write!(f, "the field schema ends before it begins"),
             Fault::Wide => write!(f, "the field schema takes {WIDEST} versions at most"),
         }
@@ -47,7 +47,7 @@
         return Err(Fault::Form);
     }
     // Digits alone fail to be a number only where they are too many.
-    text.parse().ok().filter(|v| (1..=MOST_VERSION).contains(v)).ok_or(Fault::Range)
+    text.parse().ok().filter(|v| (1..=MAX_VERSION).contains(v)).ok_or(Fault::Range)
 }
 
 impl Claim {
--- a/src/schema/market.rs
+++ b/src/schema/market.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher has to offer: the versions that may begin, and what the executors of each can take.
 
 use crate::api::Micros;
-use fleet::schema::executors::MOST;
+use fleet::schema::executors::MAX_EXECUTORS;
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema, Version};
 use std::collections::BTreeMap;
@@ -95,11 +95,11 @@
         if !schema.executors().is_new(id, version, started) {
             return;
         }
-        if self.said.len() >= MOST {
+        if self.said.len() >= MAX_EXECUTORS {
             self.forget(schema);
         }
         let late = self.said.get(id).is_some_and(|(_, at)| *at >= started);
-        if !late && (self.said.len() < MOST || self.said.contains_key(id)) {
+        if !late && (self.said.len() < MAX_EXECUTORS || self.said.contains_key(id)) {
             self.said.insert(id.into(), (version, started));
         }
     }
--- a/src/settings/options/control.rs
+++ b/src/settings/options/control.rs
@@ -4,7 +4,7 @@
 use super::policy::{self, PolicyTerms};
 use crate::settings::hcl::{self, Fault, Table};
 use fleet::control_plane::Timing;
-use fleet::control_plane::messages::MOST_NAME;
+use fleet::control_plane::messages::MAX_NAME_BYTES;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -91,8 +91,8 @@
         most_snapshots: t.get("max_snapshots", faults, hcl::whole(1..=1_000)).unwrap_or(16) as usize,
         policy: policy(t, timing, faults),
     };
-    if control.group.len() > MOST_NAME {
-        faults.push(t.fault("group", format!("longer than {MOST_NAME} bytes")));
+    if control.group.len() > MAX_NAME_BYTES {
+        faults.push(t.fault("group", format!("longer than {MAX_NAME_BYTES} bytes")));
     }
     check_role(&mut control, t, faults);
     control
@@ -105,7 +105,7 @@
     let micros = |d: Duration| d.as_micros() as u64;
     let derived = Timing::from_round_trip(micros(round_trip));
     let Some(lease) = t.get("lease", faults, hcl::duration(MS(200)..=MS(60_000))) else { return derived };
-    let least = Timing::least_lease(micros(round_trip));
+    let least = Timing::min_lease(micros(round_trip));
     if micros(lease) < least {
         let what = format!(
             "lease is too short for round_trip {}ms: at least {}ms, or it would end while a leader is being elected",
