--- a/crates/fleet/src/control_plane/follower/mod.rs
+++ b/crates/fleet/src/control_plane/follower/mod.rs
@@ -8,7 +8,7 @@
 
 use super::messages::{FollowerId, FollowerMessage, Rejection, Resume};
 use super::timing::Timing;
-use crate::policy::{Command, Gap, Policies, PolicyRecord, Revision};
+use crate::policy::{Command, Gap, Policies, PolicyLog, Revision};
 use crate::{Holder, Micros};
 use connection::Connection;
 use rand_core::{RngCore, SeedableRng};
@@ -202,7 +202,7 @@
     }
 }
 
-impl PolicyRecord for Follower {
+impl PolicyLog for Follower {
     fn holds(&self, now: Micros) -> Option<Holder> {
         let holder = Holder { incarnation: self.id.0, term: self.term };
         self.lease_until.filter(|until| now < *until).map(|_| holder)
--- a/crates/fleet/src/control_plane/member/consent.rs
+++ b/crates/fleet/src/control_plane/member/consent.rs
@@ -4,9 +4,9 @@
 //! said the same, or that lease has expired. A *no* from anyone is submitted immediately.
 
 use super::sessions::Session;
-use super::{Member, MemberRecord};
+use super::{Member, MemberLog};
 use crate::control_plane::messages::FollowerId;
-use crate::policy::{Command, Policies, Waiting};
+use crate::policy::{Command, Policies, QueuedChange};
 use crate::{Holder, Micros};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 
 impl Member {
     /// Submits a command to the log, or defers it until the followers consent.
-    pub(super) fn defer(&mut self, now: Micros, record: &mut impl MemberRecord, command: Command) {
+    pub(super) fn defer(&mut self, now: Micros, record: &mut impl MemberLog, command: Command) {
         match command {
             Command::Vote(h, number, faults) if faults.is_empty() => {
                 self.deferred = Some(Deferred::Yes(h, number));
@@ -39,7 +39,7 @@
     }
 
     /// Submits the deferred command once all followers have consented or one of them has objected.
-    pub(super) fn speak(&mut self, now: Micros, record: &mut impl MemberRecord) {
+    pub(super) fn speak(&mut self, now: Micros, record: &mut impl MemberLog) {
         self.speak_of_restored(now, record);
         let Some(deferred) = self.deferred else { return };
         let (Deferred::Yes(holder, number) | Deferred::Stopped(holder, number)) = deferred;
@@ -100,13 +100,13 @@
 
     /// Proposes a policy again that was in force before the group lost its state, unless a change is already
     /// pending.
-    fn speak_of_restored(&mut self, now: Micros, record: &mut impl MemberRecord) {
+    fn speak_of_restored(&mut self, now: Micros, record: &mut impl MemberLog) {
         let Some(policy) = self.restore.take() else { return };
         let Some(policies) = record.policies() else { return };
         if policies.pending().is_some() || policies.current().number >= policy.number {
             return;
         }
-        let waiting = Waiting { policy, by: self.config.me, at: now, limits: RESTORE_LIMITS };
+        let waiting = QueuedChange { policy, by: self.config.me, at: now, limits: RESTORE_LIMITS };
         record.say(now, Command::Queue(waiting));
     }
 }
--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -11,7 +11,7 @@
 
 use super::messages::{FollowerId, MemberMessage};
 use super::timing::Timing;
-use crate::policy::{Act, Part, Policies, Policy, PolicyRecord};
+use crate::policy::{Action, Participant, Policies, Policy, PolicyLog};
 use crate::{Holder, Micros, Peer};
 use consent::Deferred;
 use leases::Granted;
@@ -75,7 +75,7 @@
 /// closes the connections in [`Member::closing`].
 pub struct Member {
     config: MemberConfig,
-    part: Part,
+    part: Participant,
     sessions: BTreeMap<SessionId, Session>,
     granted: BTreeMap<FollowerId, Granted>,
     /// Sessions that wait for a snapshot slot, in order.
@@ -102,7 +102,7 @@
     pub fn new(config: MemberConfig) -> Member {
         Member {
             config,
-            part: Part::default(),
+            part: Participant::default(),
             sessions: BTreeMap::new(),
             granted: BTreeMap::new(),
             snapshot_queue: VecDeque::new(),
@@ -119,7 +119,7 @@
     }
 
     /// The member's own participant in policy changes.
-    pub fn part(&self) -> &Part {
+    pub fn part(&self) -> &Participant {
         &self.part
     }
 
@@ -145,9 +145,9 @@
     pub fn look(
         &mut self,
         now: Micros,
-        record: &mut impl MemberRecord,
+        record: &mut impl MemberLog,
         check: &mut dyn FnMut(&Policy) -> Vec<String>,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         if self.deferred.is_some() {
             self.forget_leases(now);
         }
@@ -156,7 +156,7 @@
         let mut told = Vec::new();
         for act in acts {
             match act {
-                Act::Say(command) => self.defer(now, record, command),
+                Action::Submit(command) => self.defer(now, record, command),
                 act => told.push(act),
             }
         }
@@ -180,12 +180,12 @@
 }
 
 /// The replicated log as seen by a member.
-pub trait MemberRecord: PolicyRecord {
+pub trait MemberLog: PolicyLog {
     /// The current agreed state; `None` if this member has not received it yet.
     fn view(&self, now: Micros) -> Option<MemberView<'_>>;
 }
 
-impl MemberRecord for crate::Fleet {
+impl MemberLog for crate::Fleet {
     fn view(&self, now: Micros) -> Option<MemberView<'_>> {
         let fleet = self.founding()?;
         Some(MemberView { fleet, policies: self.policies()?, lease: self.lease(now) })
--- a/crates/fleet/src/policy/apply.rs
+++ b/crates/fleet/src/policy/apply.rs
@@ -39,7 +39,7 @@
         let Some(p) = self.pending.take() else { return false };
         let faults = p.votes.iter().filter(|(_, f)| !f.is_empty());
         let faults = faults.map(|(h, f)| (peer_of(h.incarnation), f.clone())).collect();
-        let ended = Ended { number: p.policy.number, why: why.clone(), faults };
+        let ended = ChangeOutcome { number: p.policy.number, why: why.clone(), faults };
         self.history.record(match why {
             None => Change::InForce(ended.number),
             Some(_) => Change::GivenUp(ended.clone()),
--- a/crates/fleet/src/policy/record.rs
+++ b/crates/fleet/src/policy/log.rs
@@ -5,7 +5,7 @@
 use crate::{Fleet, Holder, Micros};
 
 /// The agreed policy as seen by one dispatcher, and the lease it admits under.
-pub trait PolicyRecord {
+pub trait PolicyLog {
     /// The lease, if it is valid now.
     fn holds(&self, now: Micros) -> Option<Holder>;
 
@@ -15,12 +15,12 @@
     /// Submits a command to the log. Returns false if that is not possible now.
     fn say(&mut self, now: Micros, command: Command) -> bool;
 
-    /// The host has applied all of [`PolicyRecord::policies`] and admits under the policy of this number from
+    /// The host has applied all of [`PolicyLog::policies`] and admits under the policy of this number from
     /// now on.
     fn heeded(&mut self, number: u64);
 }
 
-impl PolicyRecord for Fleet {
+impl PolicyLog for Fleet {
     fn holds(&self, now: Micros) -> Option<Holder> {
         Fleet::holds(self, now)
     }
--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -8,14 +8,14 @@
 //! during a change has to stop as well. The content of a policy is opaque here: a text and its digest.
 
 mod apply;
-pub mod part;
+mod log;
+pub mod participant;
 mod queue;
-mod record;
 mod revisions;
 
-pub use part::{Act, Gate, Part};
-pub use queue::{MAX_QUEUED, Waiting};
-pub use record::PolicyRecord;
+pub use log::PolicyLog;
+pub use participant::{Action, Gate, Participant};
+pub use queue::{MAX_QUEUED, QueuedChange};
 pub use revisions::{Change, Gap, History, MAX_KEPT_CHANGES, MAX_KEPT_TEXT_BYTES, Revision};
 
 use crate::{Holder, Micros, Peer};
@@ -77,7 +77,7 @@
 
 /// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ended {
+pub struct ChangeOutcome {
     /// The change's number.
     pub number: u64,
     /// Why it was given up; `None` if it came into force.
@@ -91,7 +91,7 @@
 
 /// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Taken {
+struct AcceptedChange {
     number: u64,
     by: Peer,
     at: Micros,
@@ -116,7 +116,7 @@
         least: u64,
     },
     /// Proposes a change; it is queued while another one is pending, within the queue's limits.
-    Queue(Waiting),
+    Queue(QueuedChange),
     /// Proposes the previous policy again: the proposing peer, the time, and the limits.
     Back(Peer, Micros, [Micros; 2]),
     /// A holder's vote on the change of this number, with the faults found; no faults means yes.
@@ -137,16 +137,16 @@
     past: Vec<Policy>,
     pending: Option<Proposal>,
     /// Changes that wait for the pending one to end, in order.
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<QueuedChange>,
     /// Time limits of the change that last left the queue.
     turn_limits: [Micros; 2],
     history: History,
     /// Latest first.
-    ended: Vec<Ended>,
+    ended: Vec<ChangeOutcome>,
     /// The highest number assigned so far.
     last: u64,
     /// The most recently accepted changes, latest first.
-    taken: VecDeque<Taken>,
+    taken: VecDeque<AcceptedChange>,
     /// The policy number in force in a previous fleet whose state is lost: nobody admits under a lower
     /// number.
     least: u64,
@@ -193,12 +193,12 @@
 
     /// Remembers a change that was just accepted.
     fn take(&mut self, number: u64, by: Peer, at: Micros) {
-        self.taken.push_front(Taken { number, by, at });
+        self.taken.push_front(AcceptedChange { number, by, at });
         self.taken.truncate(MAX_ACCEPTED);
     }
 
     /// The outcomes of earlier changes, latest first.
-    pub fn ended(&self) -> impl Iterator<Item = &Ended> {
+    pub fn ended(&self) -> impl Iterator<Item = &ChangeOutcome> {
         self.ended.iter()
     }
 
--- a/crates/fleet/src/policy/part.rs
+++ b/crates/fleet/src/policy/participant.rs
@@ -1,7 +1,7 @@
 //! A dispatcher's participation in policy changes: its checks, its votes, and the policy it admits under.
 //! Sans-I/O.
 //!
-//! The host calls [`Part::look`] whenever the log has advanced and before it admits further requests, so that
+//! The host calls [`Participant::look`] whenever the log has advanced and before it admits further requests, so that
 //! a vote or stop already holds when it is submitted.
 
 use super::{Command, Policies, Policy, Stage};
@@ -24,9 +24,9 @@
 
 /// An action for the host, in order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
-    /// Submit this command to the log; call [`Part::unsaid`] if that fails.
-    Say(Command),
+pub enum Action {
+    /// Submit this command to the log; call [`Participant::unsaid`] if that fails.
+    Submit(Command),
     /// Admit requests under this policy from now on.
     InForce(Policy),
     /// This dispatcher has voted on the change of this number, with these faults.
@@ -39,7 +39,7 @@
 
 /// A dispatcher's view of the policy and the votes it has submitted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct Participant {
     /// The highest-numbered policy it has ever admitted under.
     known: Policy,
     /// The fleet's state is known and not behind `known`.
@@ -52,7 +52,7 @@
     again: Micros,
 }
 
-impl Part {
+impl Participant {
     /// The number of the policy it admits under.
     pub fn number(&self) -> u64 {
         self.known.number
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A command could not be submitted: it is repeated on the next [`Part::look`].
+    /// A command could not be submitted: it is repeated on the next [`Participant::look`].
     pub fn unsaid(&mut self) {
         (self.voted, self.stopped, self.again) = (None, None, 0);
     }
@@ -86,7 +86,7 @@
         holder: Option<Holder>,
         agreed: Option<&Policies>,
         check: &mut dyn FnMut(&Policy) -> Vec<String>,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         let mut acts = Vec::new();
         let Some(agreed) = agreed else {
             (self.abreast, self.closing) = (false, false);
@@ -98,7 +98,7 @@
         let other = current.number == self.known.number && current.digest != self.known.digest;
         if current.number > self.known.number || other {
             self.known = current.clone();
-            acts.push(Act::InForce(current.clone()));
+            acts.push(Action::InForce(current.clone()));
         }
         self.abreast = current.number == self.known.number && agreed.abreast();
         let pending = agreed.pending();
@@ -106,13 +106,13 @@
         if let Some(was) = self.watched.filter(|was| number != Some(*was)) {
             let ended = agreed.ended().find(|e| e.number == was && e.why.is_some());
             acts.extend(
-                ended.map(|e| Act::GivenUp(was, e.why.clone().unwrap_or_default(), e.faults.clone())),
+                ended.map(|e| Action::GivenUp(was, e.why.clone().unwrap_or_default(), e.faults.clone())),
             );
         }
         self.watched = number;
         let closes = pending.is_some_and(|p| p.stage == Stage::Closing);
         if closes && !self.closing {
-            acts.extend(number.map(Act::Closing));
+            acts.extend(number.map(Action::Closing));
         }
         self.closing = closes;
         let Some(holder) = holder else { return acts };
@@ -120,14 +120,14 @@
             Some(p) if p.stage == Stage::Voting && self.voted != Some((holder, p.policy.number)) => {
                 self.voted = Some((holder, p.policy.number));
                 let faults = check(&p.policy);
-                acts.push(Act::Voted(p.policy.number, faults.clone()));
-                acts.push(Act::Say(Command::Vote(holder, p.policy.number, faults)));
+                acts.push(Action::Voted(p.policy.number, faults.clone()));
+                acts.push(Action::Submit(Command::Vote(holder, p.policy.number, faults)));
             }
             Some(p) if closes && self.stopped != Some((holder, p.policy.number)) => {
                 self.stopped = Some((holder, p.policy.number));
                 // A dispatcher that acquired its lease after the vote has not checked the policy yet.
                 let faults = check(&p.policy);
-                acts.push(Act::Say(match faults.is_empty() {
+                acts.push(Action::Submit(match faults.is_empty() {
                     true => Command::Stopped(holder, p.policy.number),
                     false => Command::Cannot(holder, p.policy.number, faults.join("; ")),
                 }));
@@ -138,7 +138,7 @@
                 self.again = now + RESTORE_INTERVAL;
                 let Policy { number: least, text, digest } = self.known.clone();
                 let limits = [3 * RESTORE_INTERVAL, 3 * RESTORE_INTERVAL];
-                acts.push(Act::Say(Command::Propose { text, digest, by: me, at: now, limits, least }));
+                acts.push(Action::Submit(Command::Propose { text, digest, by: me, at: now, limits, least }));
             }
             _ => {}
         }
--- a/crates/fleet/src/policy/queue.rs
+++ b/crates/fleet/src/policy/queue.rs
@@ -5,7 +5,7 @@
 //! started. However many changes arrive in a burst, each is in force or superseded within the duration of two
 //! changes.
 
-use super::{DEADLINES_UNSET, Ended, MAX_OUTCOMES, Policies, Policy};
+use super::{ChangeOutcome, DEADLINES_UNSET, MAX_OUTCOMES, Policies, Policy};
 use crate::{Micros, Peer};
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
 
 /// A proposed change while it is queued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct QueuedChange {
     /// The policy; its number is assigned when it joins the queue.
     pub policy: Policy,
     /// The proposing peer.
@@ -30,7 +30,7 @@
 
 impl Policies {
     /// The queued changes, in order.
-    pub fn waiting(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn waiting(&self) -> impl Iterator<Item = &QueuedChange> {
         self.waiting.iter()
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Starts a change, or queues it while another is pending.
-    pub(super) fn queue(&mut self, mut waiting: Waiting) -> bool {
+    pub(super) fn queue(&mut self, mut waiting: QueuedChange) -> bool {
         if self.queues(&waiting.policy.text).is_err() {
             return false;
         }
@@ -78,7 +78,7 @@
         let older = self.waiting.iter().take_while(|w| w.policy.number < number).count();
         for waiting in self.waiting.drain(..older) {
             let why = Some(format!("superseded by {number}"));
-            self.ended.insert(0, Ended { number: waiting.policy.number, why, faults: Vec::new() });
+            self.ended.insert(0, ChangeOutcome { number: waiting.policy.number, why, faults: Vec::new() });
         }
         // By number, highest first, regardless of the order in which they ended.
         self.ended.sort_by_key(|e| std::cmp::Reverse(e.number));
--- a/crates/fleet/src/policy/revisions.rs
+++ b/crates/fleet/src/policy/revisions.rs
@@ -4,7 +4,7 @@
 //! is still kept receives the changes since then, any other one a snapshot. Revisions are part of the
 //! replicated state, so that any member can continue where another one stopped.
 
-use super::{Ended, Policies, Policy, Proposal, Stage};
+use super::{ChangeOutcome, Policies, Policy, Proposal, Stage};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -27,7 +27,7 @@
     /// The policy of this number is in force.
     InForce(u64),
     /// A change was given up.
-    GivenUp(Ended),
+    GivenUp(ChangeOutcome),
 }
 
 impl Change {
@@ -149,7 +149,7 @@
                 if let Some(proposal) = self.pending.take() {
                     self.current = proposal.policy;
                 }
-                self.remember(Ended { number, why: None, faults: Vec::new() });
+                self.remember(ChangeOutcome { number, why: None, faults: Vec::new() });
             }
             Change::GivenUp(ended) => {
                 self.pending = None;
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    fn remember(&mut self, ended: Ended) {
+    fn remember(&mut self, ended: ChangeOutcome) {
         self.ended.insert(0, ended);
         self.ended.truncate(super::MAX_OUTCOMES);
     }
--- a/crates/fleet/tests/control_plane/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -1,7 +1,7 @@
 //! A follower process: its state machine, its participation in policy changes, and a clock of its own.
 
 use fleet::control_plane::{Follower, SessionId};
-use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
+use fleet::policy::{Action, Gate, Participant, Policy, PolicyLog};
 use fleet::{Micros, Peer};
 
 /// The time on a clock that is faster by `drift` thousandths.
@@ -12,7 +12,7 @@
 /// A follower process.
 pub struct FollowerNode {
     pub follower: Follower,
-    pub part: Part,
+    pub part: Participant,
     /// The member it is connected to, and the session id.
     pub connection: Option<(Peer, SessionId)>,
     /// How much faster than the world's clock its clock runs, in thousandths; `offset` is added to it.
@@ -23,7 +23,7 @@
     /// It does not read from its connection.
     pub deaf: bool,
     pub last_revision: Option<(u64, u64)>,
-    pub acts: Vec<Act>,
+    pub acts: Vec<Action>,
 }
 
 impl FollowerNode {
@@ -51,7 +51,7 @@
         self.follower.heeded(self.part.number());
         for act in acts {
             match act {
-                Act::Say(command) => {
+                Action::Submit(command) => {
                     if !self.follower.say(now, command) {
                         self.part.unsaid();
                     }
--- a/crates/fleet/tests/control_plane/main.rs
+++ b/crates/fleet/tests/control_plane/main.rs
@@ -10,7 +10,7 @@
 mod wires;
 mod world;
 
-use fleet::policy::{Act, Gate};
+use fleet::policy::{Action, Gate};
 use world::*;
 
 // Without failures, all followers admit under a change soon after it is proposed, and no request is refused.
@@ -36,7 +36,7 @@
     w.formed();
     assert!(w.propose(1, "an unknown class"));
     w.until(2_000 * MS, "given up", |w| {
-        let given_up = |a: &Act| matches!(a, Act::GivenUp(1, ..));
+        let given_up = |a: &Action| matches!(a, Action::GivenUp(1, ..));
         w.followers.values().all(|f| f.acts.iter().any(given_up))
     });
     assert!(w.all_at(0));
@@ -58,7 +58,7 @@
     }
     w.until(1_500 * MS, "the last is in force", |w| w.all_at(20));
     for f in w.followers.values() {
-        let in_force = |a: &Act| if let Act::InForce(p) = a { Some(p.number) } else { None };
+        let in_force = |a: &Action| if let Action::InForce(p) = a { Some(p.number) } else { None };
         let numbers: Vec<u64> = f.acts.iter().filter_map(in_force).collect();
         assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
         assert!(numbers.len() <= 4, "most were superseded: {numbers:?}");
--- a/crates/fleet/tests/control_plane/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -1,7 +1,7 @@
 //! Subscriptions that a member rejects, and protocol violations that end a connection.
 
 use super::world::*;
-use fleet::control_plane::member::{MemberRecord, Violation};
+use fleet::control_plane::member::{MemberLog, Violation};
 use fleet::control_plane::messages::{FollowerMessage, MemberMessage, VERSION};
 use fleet::control_plane::{FollowerId, Rejection, Resume};
 
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -1,7 +1,7 @@
 //! What followers receive: changes by revision, and a bounded number of snapshots.
 
 use super::world::*;
-use fleet::control_plane::member::MemberRecord;
+use fleet::control_plane::member::MemberLog;
 use fleet::control_plane::messages::{FRAMING, FollowerMessage, MAX_FOLLOWER_FRAME, MemberMessage, VERSION};
 use fleet::control_plane::{FollowerId, Resume};
 use fleet::policy::{Change, Gate, Policies, Policy};
--- a/crates/fleet/tests/control_plane/watch.rs
+++ b/crates/fleet/tests/control_plane/watch.rs
@@ -1,7 +1,7 @@
 //! Helpers with which tests advance the world, inspect it, and propose changes.
 
 use super::world::{LIMITS, MS, World};
-use fleet::policy::{self, Gate, Policy, PolicyRecord, Waiting};
+use fleet::policy::{self, Gate, Policy, PolicyLog, QueuedChange};
 use fleet::{Micros, Peer};
 
 impl World {
@@ -46,7 +46,7 @@
         let mut digest = [0; 32];
         digest.iter_mut().zip(text.bytes()).for_each(|(d, b)| *d = b);
         let policy = Policy { number: node.member.known_policy(), text: text.into(), digest };
-        let waiting = Waiting { policy, by: peer, at, limits: LIMITS };
+        let waiting = QueuedChange { policy, by: peer, at, limits: LIMITS };
         node.fleet.say(now, policy::Command::Queue(waiting))
     }
 
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -1,7 +1,7 @@
 //! Messages in transit between processes.
 
 use super::world::{MS, World};
-use fleet::control_plane::member::MemberRecord;
+use fleet::control_plane::member::MemberLog;
 use fleet::control_plane::messages::{FRAMING, MAX_FOLLOWER_FRAME, MAX_MEMBER_FRAME};
 use fleet::control_plane::{FollowerMessage, MemberMessage, SessionId};
 use fleet::wire::next;
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -6,7 +6,7 @@
 use super::wires::{Payload, Wire};
 use fleet::control_plane::{Follower, FollowerConfig, Member, MemberConfig, SessionId, Timing};
 use fleet::ledger::Limits;
-use fleet::policy::Part;
+use fleet::policy::Participant;
 use fleet::{Fleet, FleetConfig, Micros, Peer};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -137,7 +137,7 @@
         let clock = faster(self.now, drift) + offset;
         let node = FollowerNode {
             follower: Follower::new(config, self.rng.next_u64(), clock),
-            part: Part::default(),
+            part: Participant::default(),
             connection: None,
             drift,
             offset,
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::world::*;
 use fleet::agreed::Command;
-use fleet::policy::{self, Act, Gate, Policies};
+use fleet::policy::{self, Action, Gate, Policies};
 use fleet::{Fleet, FleetEvent, Micros, Peer};
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -62,7 +62,7 @@
     let told = policies(&w, 2);
     let ended = told.ended().next().unwrap();
     assert_eq!((ended.number, &ended.faults[..]), (1, &[(3, vec!["unknown class".to_string()])][..]));
-    assert!(w.acts.iter().filter(|(_, a)| matches!(a, Act::GivenUp(1, ..))).count() >= 3, "all log it");
+    assert!(w.acts.iter().filter(|(_, a)| matches!(a, Action::GivenUp(1, ..))).count() >= 3, "all log it");
     assert!(propose(&mut w, 1, "policy two"));
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([2]), "a number is never given twice");
@@ -172,8 +172,8 @@
     w.run(25_000 * MS, |_| ());
     let texts: BTreeSet<String> = (1..=3).map(|p| policies(&w, p).current().text.clone()).collect();
     assert_eq!((texts.len(), numbers(&w).len()), (1, 1), "{texts:?}");
-    let acts: Vec<&Act> = w.acts.iter().filter(|(p, _)| *p == 3).map(|(_, a)| a).collect();
-    assert!(acts.iter().any(|a| matches!(a, Act::InForce(p) if p.text == "policy another")), "{acts:?}");
+    let acts: Vec<&Action> = w.acts.iter().filter(|(p, _)| *p == 3).map(|(_, a)| a).collect();
+    assert!(acts.iter().any(|a| matches!(a, Action::InForce(p) if p.text == "policy another")), "{acts:?}");
 }
 
 /// Proposes changes under random faults, then heals all. Returns the hash of the trace.
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -2,7 +2,7 @@
 
 use fleet::agreed::Command;
 use fleet::ledger::{Limits, Record};
-use fleet::policy::{Act, Gate, Part, Policy};
+use fleet::policy::{Action, Gate, Participant, Policy};
 use fleet::wire::{frame, next};
 use fleet::{Fleet, FleetConfig, FleetEvent, Micros, Peer};
 use rand_core::{RngCore, SeedableRng};
@@ -57,12 +57,12 @@
     /// All that ever was told, for comparing runs.
     pub trace: DefaultHasher,
     /// Each one's part in changes of policy; its own file faults what it names here.
-    pub parts: BTreeMap<Peer, Part>,
+    pub parts: BTreeMap<Peer, Participant>,
     pub faulty: BTreeSet<Peer>,
     /// The highest number that a request was admitted by, and how many were, held and refused.
     pub admitted: u64,
     pub gates: [u64; 3],
-    pub acts: Vec<(Peer, Act)>,
+    pub acts: Vec<(Peer, Action)>,
     /// When those that are out are back.
     pub healed_at: BTreeMap<Peer, Micros>,
 }
@@ -82,7 +82,7 @@
             wires: VecDeque::new(),
             events: Vec::new(),
             trace: DefaultHasher::new(),
-            parts: (1..=n).map(|p| (p, Part::default())).collect(),
+            parts: (1..=n).map(|p| (p, Participant::default())).collect(),
             faulty: BTreeSet::new(),
             admitted: 0,
             gates: [0; 3],
@@ -146,7 +146,7 @@
         f.policy = part.number();
         let policies = f.agreed().map(|a| a.policy().clone());
         for act in part.look(now, p, f.holds(now), policies.as_ref(), &mut check) {
-            if let Act::Say(c) = &act
+            if let Action::Submit(c) = &act
                 && !f.agree(now, Command::Policy(c.clone()))
             {
                 part.unsaid();
@@ -195,7 +195,7 @@
     pub fn restart(&mut self, p: Peer) {
         let seed = self.rng.next_u64();
         self.fleets.insert(p, Fleet::new(fleet_config(p, self.n), seed, self.now));
-        self.parts.insert(p, Part::default());
+        self.parts.insert(p, Participant::default());
     }
 
     pub fn formed(&mut self) {
--- a/crates/fleet/tests/policy_model/dispatcher.rs
+++ b/crates/fleet/tests/policy_model/dispatcher.rs
@@ -3,7 +3,7 @@
 
 use crate::model::{Break, Checks};
 use crate::view::{Entry, View};
-use fleet::policy::{Act, Command, Gate, Part};
+use fleet::policy::{Action, Command, Gate, Participant};
 use fleet::{Holder, Incarnation, Peer, incarnation};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     pub asked: bool,
     /// Its lease, as far as it knows.
     pub holder: Option<Holder>,
-    pub part: Part,
+    pub part: Participant,
     /// Commands submitted and not yet in the log.
     pub out: Vec<Command>,
 }
@@ -29,7 +29,7 @@
 impl Dispatcher {
     /// A dispatcher that has requested its first lease.
     pub fn new(me: Peer) -> Dispatcher {
-        let (view, part) = (Arc::default(), Part::default());
+        let (view, part) = (Arc::default(), Participant::default());
         Dispatcher { me, start: 1, seen: 0, view, asks: 1, asked: true, holder: None, part, out: Vec::new() }
     }
 
@@ -44,7 +44,7 @@
     pub fn die(&mut self, lost: bool) {
         self.lose();
         self.start += 1;
-        (self.asks, self.part) = (0, Part::default());
+        (self.asks, self.part) = (0, Participant::default());
         if lost {
             self.out.clear();
         }
@@ -95,7 +95,7 @@
             false => Vec::new(),
         };
         for act in self.part.look(0, self.me, self.holder, Some(&self.view.policies), &mut check) {
-            if let Act::Say(command) = act {
+            if let Action::Submit(command) = act {
                 self.out.push(command);
             }
         }
--- a/crates/lab/src/scale/hollow_follower.rs
+++ b/crates/lab/src/scale/hollow_follower.rs
@@ -2,7 +2,7 @@
 
 use super::hollow::{Seen, now};
 use fleet::control_plane::follower::FollowerTally;
-use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
+use fleet::policy::{Action, Gate, Participant, Policy, PolicyLog};
 use ottercroft::api::{Micros, Settings};
 use ottercroft::net::control_plane::ControlLink;
 use ottercroft::net::event_loop::poll::{Key, Poll};
@@ -13,7 +13,7 @@
 /// A follower without clients.
 pub struct HollowFollower {
     link: ControlLink,
-    part: Part,
+    part: Participant,
 }
 
 impl HollowFollower {
@@ -22,7 +22,7 @@
         let seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         HollowFollower {
             link: ControlLink::new(settings, &format!("hollow-{seed:x}"), seed ^ now, now),
-            part: Part::default(),
+            part: Participant::default(),
         }
     }
 
@@ -53,17 +53,17 @@
         follower.heeded(self.part.number());
         for act in acts {
             match act {
-                Act::Say(command) => {
+                Action::Submit(command) => {
                     if !follower.say(at, command) {
                         self.part.unsaid();
                     }
                 }
-                Act::InForce(policy) => {
+                Action::InForce(policy) => {
                     // One that heard of several at once acts by the last of them.
                     let numbers = before + 1..=policy.number;
                     numbers.for_each(|n| seen.in_force.entry(n).or_default().push(now()));
                 }
-                Act::Voted(..) | Act::Closing(_) | Act::GivenUp(..) => {}
+                Action::Voted(..) | Action::Closing(_) | Action::GivenUp(..) => {}
             }
         }
     }
--- a/src/net/control_plane/calls.rs
+++ b/src/net/control_plane/calls.rs
@@ -5,7 +5,7 @@
 use crate::codec::operator::{self as ops, Call, Fault};
 use crate::net::event_loop::poll::Key;
 use crate::net::policy_calls::CallContext;
-use fleet::policy::PolicyRecord;
+use fleet::policy::PolicyLog;
 use std::fmt::Write as _;
 
 impl ControlMember {
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -14,8 +14,8 @@
 use crate::settings::Names;
 use crate::settings::options::PolicyTerms;
 use fleet::control_plane::Member;
-use fleet::control_plane::member::{MemberRecord, Violation};
-use fleet::policy::{Act, Policy};
+use fleet::control_plane::member::{MemberLog, Violation};
+use fleet::policy::{Action, Policy};
 use fleet::{Fleet, FleetEvent};
 use std::io;
 use std::time::Duration;
@@ -205,14 +205,14 @@
 }
 
 /// Tells of a step of a change.
-fn tell(act: &Act) {
+fn tell(act: &Action) {
     match act {
-        Act::Say(_) => {}
-        Act::Voted(number, faults) => {
+        Action::Submit(_) => {}
+        Action::Voted(number, faults) => {
             tracing::info!(number, yes = faults.is_empty(), faults = faults.join("; "), "policy: checked");
         }
-        Act::Closing(number) => tracing::info!(number, "policy: closing"),
-        Act::GivenUp(number, why, faults) => tracing::warn!(number, why, ?faults, "policy: given up"),
-        Act::InForce(policy) => tracing::info!(number = policy.number, "policy: in force"),
+        Action::Closing(number) => tracing::info!(number, "policy: closing"),
+        Action::GivenUp(number, why, faults) => tracing::warn!(number, why, ?faults, "policy: given up"),
+        Action::InForce(policy) => tracing::info!(number = policy.number, "policy: in force"),
     }
 }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::{Command, Request};
 use crate::settings::options::WithoutLease;
 use crate::takeover::{Gate, Reply};
-use fleet::policy::{Act, Gate as Door, Policies, PolicyRecord};
+use fleet::policy::{Action, Gate as Door, Policies, PolicyLog};
 
 impl DispatcherServer {
     /// A request whose client would wait longer than the policy allows is given up when that says.
@@ -20,9 +20,9 @@
     }
 
     /// Where the policy is learned from: the members of a control group, or the log of a fleet of peers.
-    fn policy_record(&self) -> Option<&dyn PolicyRecord> {
-        let control = self.control.as_ref().map(|c| &c.follower as &dyn PolicyRecord);
-        control.or_else(|| self.in_flight.as_ref().map(|h| &h.takeover.fleet as &dyn PolicyRecord))
+    fn policy_record(&self) -> Option<&dyn PolicyLog> {
+        let control = self.control.as_ref().map(|c| &c.follower as &dyn PolicyLog);
+        control.or_else(|| self.in_flight.as_ref().map(|h| &h.takeover.fleet as &dyn PolicyLog))
     }
 
     /// What is agreed on the policy, as far as it is known here.
@@ -105,8 +105,7 @@
     /// Looks at what the fleet holds alike, says what is to be said of it, and lets requests go that waited.
     pub(super) fn tick_policy(&mut self, now: Micros) {
         let Some(rules) = &mut self.rules else { return };
-        let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
-        {
+        let (changed, record): (bool, &mut dyn PolicyLog) = match (&mut self.control, &mut self.in_flight) {
             (Some(control), _) => (control.follower.take_changed(), &mut control.follower),
             (None, Some(h)) => (std::mem::take(&mut h.takeover.ruled), &mut h.takeover.fleet),
             (None, None) => return,
@@ -122,13 +121,13 @@
         let mut unsaid = false;
         for act in acts {
             match act {
-                Act::Say(command) => {
+                Action::Submit(command) => {
                     if !record.say(now, command) {
                         rules.part.unsaid();
                         unsaid = true;
                     }
                 }
-                Act::Voted(number, faults) => {
+                Action::Voted(number, faults) => {
                     tracing::info!(
                         number,
                         yes = faults.is_empty(),
@@ -136,11 +135,11 @@
                         "policy: voted"
                     );
                 }
-                Act::Closing(number) => tracing::info!(number, "policy: closing"),
-                Act::GivenUp(number, why, faults) => {
+                Action::Closing(number) => tracing::info!(number, "policy: closing"),
+                Action::GivenUp(number, why, faults) => {
                     tracing::warn!(number, why, ?faults, "policy: given up");
                 }
-                Act::InForce(policy) => {
+                Action::InForce(policy) => {
                     tracing::info!(number = policy.number, "policy: in force");
                     change = rules.under(policy.number).cloned();
                 }
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -10,7 +10,7 @@
 use crate::settings::hcl::{Fault, shown};
 use crate::settings::options::PolicyTerms;
 use fleet::Peer;
-use fleet::policy::{Command, MAX_TEXT_BYTES, Policies, Policy as Agreed, PolicyRecord, Waiting};
+use fleet::policy::{Command, MAX_TEXT_BYTES, Policies, Policy as Agreed, PolicyLog, QueuedChange};
 use std::io::Read as _;
 
 /// A call is answered within a second, agreed or not.
@@ -112,7 +112,7 @@
             Some(number) => {
                 self.policies.queues(&text).map_err(|e| format!("-ERR {e}"))?;
                 let policy = Agreed { number, text, digest };
-                Ok(Command::Queue(Waiting { policy, by, at, limits }))
+                Ok(Command::Queue(QueuedChange { policy, by, at, limits }))
             }
         }
     }
--- a/src/net/rules.rs
+++ b/src/net/rules.rs
@@ -7,7 +7,7 @@
 use crate::policies::{ready, stricter};
 use crate::settings::Names;
 use crate::settings::options::{PolicyTerms, WithoutLease};
-use fleet::policy::{self as machine, Act, Gate as Door, Part, Policies, Policy};
+use fleet::policy::{self as machine, Action, Gate as Door, Participant, Policies, Policy};
 use fleet::{Holder, Peer};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,7 +24,7 @@
 
 /// One dispatcher's share in the fleet's policy.
 pub struct Rules {
-    pub(super) part: Part,
+    pub(super) part: Participant,
     me: Peer,
     pub(super) terms: PolicyTerms,
     /// What a refusal for want of a lease tells a client to wait, in milliseconds.
@@ -46,7 +46,7 @@
     /// Acts by the settings until the fleet says something else.
     pub fn new(terms: PolicyTerms, me: Peer, backoff_ms: u64, base: Settings) -> Rules {
         Rules {
-            part: Part::default(),
+            part: Participant::default(),
             me,
             terms,
             backoff_ms,
@@ -84,13 +84,13 @@
         holder: Option<Holder>,
         agreed: Option<&Policies>,
         names: &Names,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         let Rules { part, ready: all, base, .. } = self;
         let acts = part.look(now, self.me, holder, agreed, &mut |p| make_ready(p, base, names, all));
         // One that took part in no vote, as it was away, makes it ready now. What it can't make sense of was checked by
         // all who had a lease then, and by no other build than they have.
         for act in &acts {
-            if let Act::InForce(p) = act
+            if let Action::InForce(p) = act
                 && !all.contains_key(&p.number)
             {
                 let faults = make_ready(p, base, names, all);
