--- a/crates/fleet/src/control_plane/follower/connection.rs
+++ b/crates/fleet/src/control_plane/follower/connection.rs
@@ -102,7 +102,7 @@
             follower: self.id,
             name: self.config.name.clone(),
             resume: self.revision(),
-            policy: self.number,
+            policy: self.policy_number,
         });
     }
 
--- a/crates/fleet/src/control_plane/follower/mod.rs
+++ b/crates/fleet/src/control_plane/follower/mod.rs
@@ -99,9 +99,9 @@
     /// Id of the log in which revisions count, and the agreed state.
     known: Option<(u64, Policies)>,
     /// The revision the host has applied.
-    heeded: Revision,
+    applied: Revision,
     /// The number of the policy the host admits requests under.
-    number: u64,
+    policy_number: u64,
     /// Incremented with each connection, so that votes sent to one member are repeated to the next.
     term: u32,
     lease_until: Option<Micros>,
@@ -131,8 +131,8 @@
             connection: Connection::Idle { member: 0, dial_at: now },
             failures: 0,
             known: None,
-            heeded: 0,
-            number: 0,
+            applied: 0,
+            policy_number: 0,
             term: 0,
             lease_until: None,
             renew_at: now,
@@ -189,7 +189,7 @@
     fn renew(&mut self, now: Micros) {
         self.renew_at = now + self.config.timing.renew_every;
         self.last_asked = now;
-        let at = self.known.as_ref().map(|(fleet, _)| Resume { fleet: *fleet, revision: self.heeded });
+        let at = self.known.as_ref().map(|(fleet, _)| Resume { fleet: *fleet, revision: self.applied });
         self.outgoing.push(FollowerMessage::Renew { at, asked: now });
     }
 
@@ -212,13 +212,13 @@
         self.known.as_ref().map(|(_, policies)| policies)
     }
 
-    fn say(&mut self, _now: Micros, command: Command) -> bool {
+    fn submit(&mut self, _now: Micros, command: Command) -> bool {
         let message = match command {
             Command::Vote(_, number, faults) => FollowerMessage::Vote(number, faults),
             Command::Stopped(_, number) => FollowerMessage::Stopped(number),
             Command::Cannot(_, number, why) => FollowerMessage::Cannot(number, why),
-            Command::Propose { text, digest, least, .. } => {
-                FollowerMessage::Restore { number: least, text, digest }
+            Command::Propose { text, digest, min_number, .. } => {
+                FollowerMessage::Restore { number: min_number, text, digest }
             }
             Command::Queue(_) | Command::Back(..) | Command::Abort(_) => return false,
         };
@@ -229,8 +229,8 @@
         connected
     }
 
-    fn heeded(&mut self, number: u64) {
-        self.number = number;
-        self.heeded = self.known.as_ref().map_or(0, |(_, policies)| policies.revision());
+    fn mark_applied(&mut self, number: u64) {
+        self.policy_number = number;
+        self.applied = self.known.as_ref().map_or(0, |(_, policies)| policies.revision());
     }
 }
--- a/crates/fleet/src/control_plane/follower/stream.rs
+++ b/crates/fleet/src/control_plane/follower/stream.rs
@@ -58,7 +58,7 @@
             return self.lose(now, Lost::Stale);
         }
         self.known = Some((fleet, policies));
-        self.heeded = 0;
+        self.applied = 0;
         self.tally.snapshots += 1;
         self.changed = true;
         // Renew at once: the acknowledgement frees the member's snapshot slot for another follower.
@@ -66,7 +66,7 @@
     }
 
     fn change(&mut self, now: Micros, revision: Revision, change: Change) {
-        let followed = self.known.as_mut().map(|(_, policies)| policies.follow(revision, change));
+        let followed = self.known.as_mut().map(|(_, policies)| policies.apply_change(revision, change));
         match followed {
             Some(Ok(())) => {
                 self.tally.changes += 1;
--- a/crates/fleet/src/control_plane/member/consent.rs
+++ b/crates/fleet/src/control_plane/member/consent.rs
@@ -31,8 +31,8 @@
             }
             Command::Stopped(h, number) => self.deferred = Some(Deferred::Stopped(h, number)),
             command => {
-                if !record.say(now, command) {
-                    self.part.unsaid();
+                if !record.submit(now, command) {
+                    self.part.submit_failed();
                 }
             }
         }
@@ -55,8 +55,8 @@
         };
         if let Some(command) = command {
             self.deferred = None;
-            if !record.say(now, command) {
-                self.part.unsaid();
+            if !record.submit(now, command) {
+                self.part.submit_failed();
             }
         }
     }
@@ -107,6 +107,6 @@
             return;
         }
         let waiting = QueuedChange { policy, by: self.config.me, at: now, limits: RESTORE_LIMITS };
-        record.say(now, Command::Queue(waiting));
+        record.submit(now, Command::Queue(waiting));
     }
 }
--- a/crates/fleet/src/control_plane/member/leases.rs
+++ b/crates/fleet/src/control_plane/member/leases.rs
@@ -25,7 +25,7 @@
         let (_, own_until) = view.lease?;
         let least = match session.leased {
             true => view.policies.barrier(),
-            false => view.policies.barrier().max(view.policies.includes_pending()),
+            false => view.policies.barrier().max(view.policies.pending_revision()),
         };
         if self.leaving || session.fleet != Some(view.fleet) || session.revision < least {
             return None;
--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -142,7 +142,7 @@
     /// Processes a change of the agreed state or the passage of time: sends new changes to followers and
     /// submits what the followers have consented to. `check` returns the faults of a policy on this
     /// dispatcher.
-    pub fn look(
+    pub fn poll(
         &mut self,
         now: Micros,
         record: &mut impl MemberLog,
@@ -152,7 +152,7 @@
             self.forget_leases(now);
         }
         let holder = record.holds(now);
-        let acts = self.part.look(now, self.config.me, holder, record.policies(), check);
+        let acts = self.part.poll(now, self.config.me, holder, record.policies(), check);
         let mut told = Vec::new();
         for act in acts {
             match act {
@@ -161,7 +161,7 @@
             }
         }
         self.speak(now, record);
-        record.heeded(self.known_policy());
+        record.mark_applied(self.known_policy());
         if let Some(view) = record.view(now) {
             self.send_changes(view);
         }
--- a/crates/fleet/src/control_plane/member/sessions.rs
+++ b/crates/fleet/src/control_plane/member/sessions.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// When [`Member::tick`] or [`Member::look`] has to be called next because of a timer.
+    /// When [`Member::tick`] or [`Member::poll`] has to be called next because of a timer.
     pub fn next_due(&self) -> Micros {
         let lease = self.deferred.and_then(|_| self.next_lease_end());
         lease.map_or(self.look_at, |end| end.min(self.look_at))
@@ -91,7 +91,7 @@
         subscribed.map_or("", |(_, name)| name)
     }
 
-    /// Handles a message from a follower. [`Member::look`] must be called before the event loop waits again.
+    /// Handles a message from a follower. [`Member::poll`] must be called before the event loop waits again.
     pub fn hear(
         &mut self,
         now: Micros,
--- a/crates/fleet/src/policy/log.rs
+++ b/crates/fleet/src/policy/log.rs
@@ -13,11 +13,11 @@
     fn policies(&self) -> Option<&Policies>;
 
     /// Submits a command to the log. Returns false if that is not possible now.
-    fn say(&mut self, now: Micros, command: Command) -> bool;
+    fn submit(&mut self, now: Micros, command: Command) -> bool;
 
     /// The host has applied all of [`PolicyLog::policies`] and admits under the policy of this number from
     /// now on.
-    fn heeded(&mut self, number: u64);
+    fn mark_applied(&mut self, number: u64);
 }
 
 impl PolicyLog for Fleet {
@@ -29,11 +29,11 @@
         self.agreed().map(Agreed::policy)
     }
 
-    fn say(&mut self, now: Micros, command: Command) -> bool {
+    fn submit(&mut self, now: Micros, command: Command) -> bool {
         self.agree(now, agreed::Command::Policy(command))
     }
 
-    fn heeded(&mut self, number: u64) {
+    fn mark_applied(&mut self, number: u64) {
         self.policy = number;
     }
 }
--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -69,7 +69,7 @@
     /// Holders that have stopped admission until the change is over.
     pub stopped: BTreeSet<Holder>,
     /// Deadlines of the vote and of the whole change.
-    until: [Micros; 2],
+    deadlines: [Micros; 2],
 }
 
 /// Deadlines of a change that has just left the queue: they are set at the next sweep.
@@ -113,7 +113,7 @@
         /// Time limits of the vote and, after it, of stopping admission.
         limits: [Micros; 2],
         /// Minimum number for the policy, from a proposer that knows it from a fleet that has lost its state.
-        least: u64,
+        min_number: u64,
     },
     /// Proposes a change; it is queued while another one is pending, within the queue's limits.
     Queue(QueuedChange),
@@ -137,32 +137,32 @@
     past: Vec<Policy>,
     pending: Option<Proposal>,
     /// Changes that wait for the pending one to end, in order.
-    waiting: VecDeque<QueuedChange>,
+    queued: VecDeque<QueuedChange>,
     /// Time limits of the change that last left the queue.
-    turn_limits: [Micros; 2],
+    next_limits: [Micros; 2],
     history: History,
     /// Latest first.
-    ended: Vec<ChangeOutcome>,
+    outcomes: Vec<ChangeOutcome>,
     /// The highest number assigned so far.
     last: u64,
     /// The most recently accepted changes, latest first.
-    taken: VecDeque<AcceptedChange>,
+    accepted: VecDeque<AcceptedChange>,
     /// The policy number in force in a previous fleet whose state is lost: nobody admits under a lower
     /// number.
-    least: u64,
+    min_number: u64,
 }
 
 impl Policies {
     /// The initial state of a fleet that succeeds one in which this policy number was in force.
-    pub fn after(least: u64) -> Policies {
-        Policies { last: least, least, ..Policies::default() }
+    pub fn after(min_number: u64) -> Policies {
+        Policies { last: min_number, min_number, ..Policies::default() }
     }
 
     /// Whether requests may be admitted under the policy in force. In a fleet that succeeds one whose state
     /// is lost, they may not until the policy in force there, or one that an operator proposes instead, is in
     /// force again.
-    pub fn abreast(&self) -> bool {
-        self.current.number >= self.least
+    pub fn caught_up(&self) -> bool {
+        self.current.number >= self.min_number
     }
 
     /// The policy in force.
@@ -171,12 +171,12 @@
     }
 
     /// The policy with this number, if it is in force or was recently.
-    pub fn numbered(&self, number: u64) -> Option<&Policy> {
+    pub fn by_number(&self, number: u64) -> Option<&Policy> {
         std::iter::once(&self.current).chain(&self.past).find(|p| p.number == number)
     }
 
     /// The policy in force before the current one.
-    pub fn before(&self) -> Option<&Policy> {
+    pub fn previous(&self) -> Option<&Policy> {
         self.past.first()
     }
 
@@ -187,23 +187,23 @@
 
     /// The number of a recently accepted change, identified by the proposing peer and the time of the
     /// proposal.
-    pub fn taken(&self, by: Peer, at: Micros) -> Option<u64> {
-        self.taken.iter().find(|t| t.by == by && t.at == at).map(|t| t.number)
+    pub fn accepted_number(&self, by: Peer, at: Micros) -> Option<u64> {
+        self.accepted.iter().find(|t| t.by == by && t.at == at).map(|t| t.number)
     }
 
     /// Remembers a change that was just accepted.
-    fn take(&mut self, number: u64, by: Peer, at: Micros) {
-        self.taken.push_front(AcceptedChange { number, by, at });
-        self.taken.truncate(MAX_ACCEPTED);
+    fn remember_accepted(&mut self, number: u64, by: Peer, at: Micros) {
+        self.accepted.push_front(AcceptedChange { number, by, at });
+        self.accepted.truncate(MAX_ACCEPTED);
     }
 
     /// The outcomes of earlier changes, latest first.
-    pub fn ended(&self) -> impl Iterator<Item = &ChangeOutcome> {
-        self.ended.iter()
+    pub fn outcomes(&self) -> impl Iterator<Item = &ChangeOutcome> {
+        self.outcomes.iter()
     }
 
     /// Checks whether a change can be proposed now; the error says why not.
-    pub fn accepts(&self, text: &str) -> Result<(), String> {
+    pub fn can_propose(&self, text: &str) -> Result<(), String> {
         match &self.pending {
             Some(p) => Err(format!("policy {} is under way already", p.policy.number)),
             None if text.len() > MAX_TEXT_BYTES => Err(format!("longer than {MAX_TEXT_BYTES} bytes")),
--- a/crates/fleet/src/policy/participant.rs
+++ b/crates/fleet/src/policy/participant.rs
@@ -1,7 +1,7 @@
 //! A dispatcher's participation in policy changes: its checks, its votes, and the policy it admits under.
 //! Sans-I/O.
 //!
-//! The host calls [`Participant::look`] whenever the log has advanced and before it admits further requests, so that
+//! The host calls [`Participant::poll`] whenever the log has advanced and before it admits further requests, so that
 //! a vote or stop already holds when it is submitted.
 
 use super::{Command, Policies, Policy, Stage};
@@ -25,7 +25,7 @@
 /// An action for the host, in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Submit this command to the log; call [`Participant::unsaid`] if that fails.
+    /// Submit this command to the log; call [`Participant::submit_failed`] if that fails.
     Submit(Command),
     /// Admit requests under this policy from now on.
     InForce(Policy),
@@ -41,45 +41,45 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Participant {
     /// The highest-numbered policy it has ever admitted under.
-    known: Policy,
-    /// The fleet's state is known and not behind `known`.
-    abreast: bool,
+    applied: Policy,
+    /// The fleet's state is known and not behind `applied`.
+    caught_up: bool,
     closing: bool,
     voted: Option<(Holder, u64)>,
     stopped: Option<(Holder, u64)>,
     /// Number of the pending change seen last.
-    watched: Option<u64>,
-    again: Micros,
+    last_pending: Option<u64>,
+    next_proposal_at: Micros,
 }
 
 impl Participant {
     /// The number of the policy it admits under.
     pub fn number(&self) -> u64 {
-        self.known.number
+        self.applied.number
     }
 
     /// Whether the fleet's state is known and its policy may be admitted under.
-    pub fn abreast(&self) -> bool {
-        self.abreast
+    pub fn caught_up(&self) -> bool {
+        self.caught_up
     }
 
     /// Admission decision for a request that arrives now, given the lease that is valid at this moment.
     pub fn gate(&self, holder: Option<Holder>) -> Gate {
         match holder {
-            Some(_) if self.abreast && self.closing => Gate::Hold,
-            Some(_) if self.abreast => Gate::Admit(self.known.number),
+            Some(_) if self.caught_up && self.closing => Gate::Hold,
+            Some(_) if self.caught_up => Gate::Admit(self.applied.number),
             _ => Gate::Refuse,
         }
     }
 
-    /// A command could not be submitted: it is repeated on the next [`Participant::look`].
-    pub fn unsaid(&mut self) {
-        (self.voted, self.stopped, self.again) = (None, None, 0);
+    /// A command could not be submitted: it is repeated on the next [`Participant::poll`].
+    pub fn submit_failed(&mut self) {
+        (self.voted, self.stopped, self.next_proposal_at) = (None, None, 0);
     }
 
     /// Processes the fleet's state. `check` returns the faults of a policy on this dispatcher and prepares
     /// it: applying a policy without faults must not fail later.
-    pub fn look(
+    pub fn poll(
         &mut self,
         now: Micros,
         me: Peer,
@@ -89,27 +89,27 @@
     ) -> Vec<Action> {
         let mut acts = Vec::new();
         let Some(agreed) = agreed else {
-            (self.abreast, self.closing) = (false, false);
+            (self.caught_up, self.closing) = (false, false);
             return acts;
         };
         let current = agreed.current();
         // Separately founded fleets may use the same numbers: of two policies with one number, the fleet's
         // own applies.
-        let other = current.number == self.known.number && current.digest != self.known.digest;
-        if current.number > self.known.number || other {
-            self.known = current.clone();
+        let other = current.number == self.applied.number && current.digest != self.applied.digest;
+        if current.number > self.applied.number || other {
+            self.applied = current.clone();
             acts.push(Action::InForce(current.clone()));
         }
-        self.abreast = current.number == self.known.number && agreed.abreast();
+        self.caught_up = current.number == self.applied.number && agreed.caught_up();
         let pending = agreed.pending();
         let number = pending.map(|p| p.policy.number);
-        if let Some(was) = self.watched.filter(|was| number != Some(*was)) {
-            let ended = agreed.ended().find(|e| e.number == was && e.why.is_some());
+        if let Some(was) = self.last_pending.filter(|was| number != Some(*was)) {
+            let outcome = agreed.outcomes().find(|e| e.number == was && e.why.is_some());
             acts.extend(
-                ended.map(|e| Action::GivenUp(was, e.why.clone().unwrap_or_default(), e.faults.clone())),
+                outcome.map(|e| Action::GivenUp(was, e.why.clone().unwrap_or_default(), e.faults.clone())),
             );
         }
-        self.watched = number;
+        self.last_pending = number;
         let closes = pending.is_some_and(|p| p.stage == Stage::Closing);
         if closes && !self.closing {
             acts.extend(number.map(Action::Closing));
@@ -132,13 +132,20 @@
                     false => Command::Cannot(holder, p.policy.number, faults.join("; ")),
                 }));
             }
-            None if current.number < self.known.number && self.again <= now => {
+            None if current.number < self.applied.number && self.next_proposal_at <= now => {
                 // The fleet was founded again without its state: the policy that was in force is proposed
                 // like any other change.
-                self.again = now + RESTORE_INTERVAL;
-                let Policy { number: least, text, digest } = self.known.clone();
+                self.next_proposal_at = now + RESTORE_INTERVAL;
+                let Policy { number: min_number, text, digest } = self.applied.clone();
                 let limits = [3 * RESTORE_INTERVAL, 3 * RESTORE_INTERVAL];
-                acts.push(Action::Submit(Command::Propose { text, digest, by: me, at: now, limits, least }));
+                acts.push(Action::Submit(Command::Propose {
+                    text,
+                    digest,
+                    by: me,
+                    at: now,
+                    limits,
+                    min_number,
+                }));
             }
             _ => {}
         }
--- a/crates/fleet/src/policy/queue.rs
+++ b/crates/fleet/src/policy/queue.rs
@@ -30,20 +30,20 @@
 
 impl Policies {
     /// The queued changes, in order.
-    pub fn waiting(&self) -> impl Iterator<Item = &QueuedChange> {
-        self.waiting.iter()
+    pub fn queued(&self) -> impl Iterator<Item = &QueuedChange> {
+        self.queued.iter()
     }
 
     /// Checks whether a change can be queued now; the error says why not.
-    pub fn queues(&self, text: &str) -> Result<(), String> {
-        let bytes: usize = self.waiting.iter().map(|w| w.policy.text.len()).sum();
+    pub fn can_queue(&self, text: &str) -> Result<(), String> {
+        let bytes: usize = self.queued.iter().map(|w| w.policy.text.len()).sum();
         match &self.pending {
-            None => self.accepts(text),
+            None => self.can_propose(text),
             Some(_) if text.len() > super::MAX_TEXT_BYTES => {
                 Err(format!("longer than {} bytes", super::MAX_TEXT_BYTES))
             }
-            Some(_) if self.waiting.len() >= MAX_QUEUED || bytes + text.len() > MAX_QUEUED_TEXT_BYTES => {
-                Err(format!("{} changes wait already", self.waiting.len()))
+            Some(_) if self.queued.len() >= MAX_QUEUED || bytes + text.len() > MAX_QUEUED_TEXT_BYTES => {
+                Err(format!("{} changes wait already", self.queued.len()))
             }
             Some(_) => Ok(()),
         }
@@ -51,48 +51,48 @@
 
     /// Starts a change, or queues it while another is pending.
     pub(super) fn queue(&mut self, mut waiting: QueuedChange) -> bool {
-        if self.queues(&waiting.policy.text).is_err() {
+        if self.can_queue(&waiting.policy.text).is_err() {
             return false;
         }
         // A proposer that knows a higher number passes it in the policy's number.
         self.last = self.last.saturating_add(1).max(waiting.policy.number);
-        self.take(self.last, waiting.by, waiting.at);
+        self.remember_accepted(self.last, waiting.by, waiting.at);
         waiting.policy.number = self.last;
-        self.waiting.push_back(waiting);
+        self.queued.push_back(waiting);
         if self.pending.is_none() {
-            self.begin_next();
+            self.start_next();
         }
         true
     }
 
     /// Starts the latest queued change.
-    pub(super) fn begin_next(&mut self) {
-        let Some(next) = self.waiting.pop_back() else { return };
-        self.turn_limits = next.limits;
-        self.begin(next.policy, next.by, next.at, DEADLINES_UNSET);
+    pub(super) fn start_next(&mut self) {
+        let Some(next) = self.queued.pop_back() else { return };
+        self.next_limits = next.limits;
+        self.start_vote(next.policy, next.by, next.at, DEADLINES_UNSET);
     }
 
     /// Drops queued changes that are older than the policy in force.
     pub(super) fn drop_superseded(&mut self) {
         let number = self.current.number;
-        let older = self.waiting.iter().take_while(|w| w.policy.number < number).count();
-        for waiting in self.waiting.drain(..older) {
+        let older = self.queued.iter().take_while(|w| w.policy.number < number).count();
+        for waiting in self.queued.drain(..older) {
             let why = Some(format!("superseded by {number}"));
-            self.ended.insert(0, ChangeOutcome { number: waiting.policy.number, why, faults: Vec::new() });
+            self.outcomes.insert(0, ChangeOutcome { number: waiting.policy.number, why, faults: Vec::new() });
         }
         // By number, highest first, regardless of the order in which they ended.
-        self.ended.sort_by_key(|e| std::cmp::Reverse(e.number));
-        self.ended.truncate(MAX_OUTCOMES);
+        self.outcomes.sort_by_key(|e| std::cmp::Reverse(e.number));
+        self.outcomes.truncate(MAX_OUTCOMES);
     }
 
     /// Sets the deadlines of a change that has just left the queue. Returns whether they were still unset.
-    pub(super) fn time_from(&mut self, now: Micros) -> bool {
-        let [vote_limit, close_limit] = self.turn_limits;
-        let Some(proposal) = self.pending.as_mut().filter(|p| p.until == DEADLINES_UNSET) else {
+    pub(super) fn start_timer(&mut self, now: Micros) -> bool {
+        let [vote_limit, close_limit] = self.next_limits;
+        let Some(proposal) = self.pending.as_mut().filter(|p| p.deadlines == DEADLINES_UNSET) else {
             return false;
         };
         let vote = now.saturating_add(vote_limit);
-        proposal.until = [vote, vote.saturating_add(close_limit)];
+        proposal.deadlines = [vote, vote.saturating_add(close_limit)];
         true
     }
 }
--- a/crates/fleet/src/policy/revisions.rs
+++ b/crates/fleet/src/policy/revisions.rs
@@ -77,12 +77,12 @@
     /// The known revision.
     pub known: Revision,
     /// The received revision.
-    pub came: Revision,
+    pub received: Revision,
 }
 
 impl std::fmt::Display for Gap {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "revision {} came after {}", self.came, self.known)
+        write!(f, "revision {} received after {}", self.received, self.known)
     }
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// The lowest revision that includes the pending change; 0 if none is pending.
-    pub fn includes_pending(&self) -> Revision {
+    pub fn pending_revision(&self) -> Revision {
         self.pending.as_ref().map_or(0, |_| self.history.proposed)
     }
 
@@ -121,9 +121,9 @@
     pub fn snapshot(&self) -> Policies {
         let mut snapshot = Policies {
             current: self.current.clone(),
-            ended: self.ended.first().cloned().into_iter().collect(),
+            outcomes: self.outcomes.first().cloned().into_iter().collect(),
             last: self.last,
-            least: self.least,
+            min_number: self.min_number,
             ..Policies::default()
         };
         snapshot.history.revision = self.history.revision;
@@ -134,10 +134,10 @@
     }
 
     /// Applies a change on a follower; its revision must directly follow the known one.
-    pub fn follow(&mut self, revision: Revision, change: Change) -> Result<(), Gap> {
+    pub fn apply_change(&mut self, revision: Revision, change: Change) -> Result<(), Gap> {
         let known = self.history.revision;
         if revision != known + 1 {
-            return Err(Gap { known, came: revision });
+            return Err(Gap { known, received: revision });
         }
         match change.clone() {
             Change::Proposed(policy) => {
@@ -149,11 +149,11 @@
                 if let Some(proposal) = self.pending.take() {
                     self.current = proposal.policy;
                 }
-                self.remember(ChangeOutcome { number, why: None, faults: Vec::new() });
+                self.add_outcome(ChangeOutcome { number, why: None, faults: Vec::new() });
             }
             Change::GivenUp(ended) => {
                 self.pending = None;
-                self.remember(ended);
+                self.add_outcome(ended);
             }
         }
         self.history.record(change);
@@ -162,9 +162,9 @@
         Ok(())
     }
 
-    fn remember(&mut self, ended: ChangeOutcome) {
-        self.ended.insert(0, ended);
-        self.ended.truncate(super::MAX_OUTCOMES);
+    fn add_outcome(&mut self, outcome: ChangeOutcome) {
+        self.outcomes.insert(0, outcome);
+        self.outcomes.truncate(super::MAX_OUTCOMES);
     }
 }
 
@@ -179,7 +179,7 @@
             stage,
             votes: Default::default(),
             stopped: Default::default(),
-            until: never,
+            deadlines: never,
         }
     }
 }
--- a/crates/fleet/tests/control_plane/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -38,7 +38,7 @@
 
     pub fn look(&mut self, now: Micros) {
         let now = self.clock(now);
-        if !self.follower.take_changed() && self.part.abreast() {
+        if !self.follower.take_changed() && self.part.caught_up() {
             return;
         }
         let holder = self.follower.holds(now);
@@ -47,13 +47,13 @@
             let bad = faulty && policy.text.contains("unknown");
             if bad { vec!["unknown class".to_string()] } else { Vec::new() }
         };
-        let acts = self.part.look(now, 0, holder, self.follower.policies(), &mut check);
-        self.follower.heeded(self.part.number());
+        let acts = self.part.poll(now, 0, holder, self.follower.policies(), &mut check);
+        self.follower.mark_applied(self.part.number());
         for act in acts {
             match act {
                 Action::Submit(command) => {
-                    if !self.follower.say(now, command) {
-                        self.part.unsaid();
+                    if !self.follower.submit(now, command) {
+                        self.part.submit_failed();
                     }
                 }
                 act => self.acts.push(act),
--- a/crates/fleet/tests/control_plane/main.rs
+++ b/crates/fleet/tests/control_plane/main.rs
@@ -41,7 +41,7 @@
     });
     assert!(w.all_at(0));
     let agreed = w.members[&1].fleet.agreed().unwrap();
-    let ended = agreed.policy().ended().next().unwrap();
+    let ended = agreed.policy().outcomes().next().unwrap();
     assert!(ended.faults.iter().any(|(_, f)| f[0] == "d7: unknown class"), "{ended:?}");
     assert!(w.propose(1, "two"));
     w.until(1_000 * MS, "the next is in force", |w| w.all_at(2));
@@ -64,7 +64,7 @@
         assert!(numbers.len() <= 4, "most were superseded: {numbers:?}");
     }
     let agreed = w.members[&2].fleet.agreed().unwrap();
-    let ended: Vec<_> = agreed.policy().ended().take(2).map(|e| (e.number, e.why.clone())).collect();
+    let ended: Vec<_> = agreed.policy().outcomes().take(2).map(|e| (e.number, e.why.clone())).collect();
     assert_eq!(ended, [(20, None), (19, Some("superseded by 20".to_string()))]);
 }
 
@@ -79,8 +79,8 @@
     }
     w.until(2_000 * MS, "the last that can be done is in force", |w| w.all_at(3));
     let agreed = w.members[&2].fleet.agreed().unwrap();
-    assert_eq!(agreed.policy().waiting().count(), 0);
-    assert!(agreed.policy().ended().any(|e| e.number == 4 && e.why.is_some()));
+    assert_eq!(agreed.policy().queued().count(), 0);
+    assert!(agreed.policy().outcomes().any(|e| e.number == 4 && e.why.is_some()));
 }
 
 // The queue is bounded: proposals beyond the limit are rejected, and no accepted one is lost.
@@ -93,11 +93,11 @@
     }
     w.run(100 * MS, |_| ());
     let agreed = w.members[&2].fleet.agreed().unwrap();
-    let waiting = agreed.policy().waiting().count();
+    let waiting = agreed.policy().queued().count();
     assert!(waiting <= fleet::policy::MAX_QUEUED, "{waiting}");
-    assert!(agreed.policy().queues("more").is_err() || waiting < fleet::policy::MAX_QUEUED);
+    assert!(agreed.policy().can_queue("more").is_err() || waiting < fleet::policy::MAX_QUEUED);
     let policy = agreed.policy();
-    let numbers = policy.waiting().map(|q| q.policy.number).chain(policy.pending().map(|p| p.policy.number));
+    let numbers = policy.queued().map(|q| q.policy.number).chain(policy.pending().map(|p| p.policy.number));
     let last = numbers.max().unwrap();
     assert!(last > 100, "as many were taken as the bound allows: {last}");
     w.until(3_000 * MS, "the last that was taken is in force", |w| w.all_at(last));
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -85,7 +85,7 @@
         policy: 0,
     };
     node.member.hear(now, session, message, view).unwrap();
-    node.member.look(now, &mut node.fleet, &mut |_| Vec::new());
+    node.member.poll(now, &mut node.fleet, &mut |_| Vec::new());
 }
 
 /// The lease granted for a renewal at this revision.
@@ -162,9 +162,9 @@
     #[test]
     fn revisions_follow_on_each_other(revision in 0_u64..10) {
         let mut policies = Policies::default();
-        policies.follow(1, Change::Proposed(Policy { number: 1, ..Policy::default() })).unwrap();
+        policies.apply_change(1, Change::Proposed(Policy { number: 1, ..Policy::default() })).unwrap();
         let before = policies.clone();
-        let took = policies.follow(revision, Change::InForce(1));
+        let took = policies.apply_change(revision, Change::InForce(1));
         prop_assert_eq!(took.is_ok(), revision == 2);
         prop_assert_eq!(policies == before, revision != 2);
     }
--- a/crates/fleet/tests/control_plane/turns.rs
+++ b/crates/fleet/tests/control_plane/turns.rs
@@ -15,7 +15,7 @@
         node.fleet.tick(now);
         node.fleet.flush(now);
         node.member.tick(now);
-        node.member.look(now, &mut node.fleet, &mut |_| Vec::new());
+        node.member.poll(now, &mut node.fleet, &mut |_| Vec::new());
         node.fleet.flush(now);
         let messages = std::mem::take(&mut node.fleet.messages);
         node.fleet.events.clear();
--- a/crates/fleet/tests/control_plane/watch.rs
+++ b/crates/fleet/tests/control_plane/watch.rs
@@ -47,7 +47,7 @@
         digest.iter_mut().zip(text.bytes()).for_each(|(d, b)| *d = b);
         let policy = Policy { number: node.member.known_policy(), text: text.into(), digest };
         let waiting = QueuedChange { policy, by: peer, at, limits: LIMITS };
-        node.fleet.say(now, policy::Command::Queue(waiting))
+        node.fleet.submit(now, policy::Command::Queue(waiting))
     }
 
     /// Proposes a policy at any member that can submit it; panics if none can for 4,000 steps.
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -14,7 +14,7 @@
     let mut digest = [0; 32];
     digest.iter_mut().zip(text.bytes()).for_each(|(d, b)| *d = b);
     let text = text.to_string();
-    let command = policy::Command::Propose { text, digest, by: p, at: now, limits: LIMITS, least: 0 };
+    let command = policy::Command::Propose { text, digest, by: p, at: now, limits: LIMITS, min_number: 0 };
     w.fleets.get_mut(&p).is_some_and(|f| f.agree(now, Command::Policy(command)))
 }
 
@@ -60,7 +60,7 @@
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([0]));
     let told = policies(&w, 2);
-    let ended = told.ended().next().unwrap();
+    let ended = told.outcomes().next().unwrap();
     assert_eq!((ended.number, &ended.faults[..]), (1, &[(3, vec!["unknown class".to_string()])][..]));
     assert!(w.acts.iter().filter(|(_, a)| matches!(a, Action::GivenUp(1, ..))).count() >= 3, "all log it");
     assert!(propose(&mut w, 1, "policy two"));
@@ -107,7 +107,7 @@
     assert!(say(&mut w, 2, policy::Command::Abort(2)));
     w.run(2_000 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([1]));
-    assert!(policies(&w, 3).ended().next().unwrap().why.as_deref().unwrap().contains("called off"));
+    assert!(policies(&w, 3).outcomes().next().unwrap().why.as_deref().unwrap().contains("called off"));
 }
 
 // A majority restarts and the fleet's state is lost. The new fleet learns the policy number that was in force
@@ -125,7 +125,7 @@
         if !survives {
             // The peer has told its policy number to the others, and dies before it can propose the policy
             // again.
-            while w.fleets[&1].agreed().is_none_or(|a| a.policy().abreast()) {
+            while w.fleets[&1].agreed().is_none_or(|a| a.policy().caught_up()) {
                 w.run(5 * MS, |_| ());
             }
             w.fleets.remove(&3);
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -145,11 +145,11 @@
         };
         f.policy = part.number();
         let policies = f.agreed().map(|a| a.policy().clone());
-        for act in part.look(now, p, f.holds(now), policies.as_ref(), &mut check) {
+        for act in part.poll(now, p, f.holds(now), policies.as_ref(), &mut check) {
             if let Action::Submit(c) = &act
                 && !f.agree(now, Command::Policy(c.clone()))
             {
-                part.unsaid();
+                part.submit_failed();
             }
             format!("{now} {p} {act:?}").hash(&mut self.trace);
             self.acts.push((p, act));
--- a/crates/fleet/tests/policy_model/dispatcher.rs
+++ b/crates/fleet/tests/policy_model/dispatcher.rs
@@ -94,7 +94,7 @@
             true => vec!["unknown".to_string()],
             false => Vec::new(),
         };
-        for act in self.part.look(0, self.me, self.holder, Some(&self.view.policies), &mut check) {
+        for act in self.part.poll(0, self.me, self.holder, Some(&self.view.policies), &mut check) {
             if let Action::Submit(command) = act {
                 self.out.push(command);
             }
--- a/crates/fleet/tests/policy_model/properties.rs
+++ b/crates/fleet/tests/policy_model/properties.rs
@@ -32,7 +32,7 @@
         }),
         // What any prefix of the log has given up, the full log has given up, too.
         holds(GIVEN_UP, |_, w| {
-            let given_up = |n| w.end.policies.ended().any(|e| e.number == n && e.why.is_some());
+            let given_up = |n| w.end.policies.outcomes().any(|e| e.number == n && e.why.is_some());
             let views = w.each.iter().map(|d| d.view.policies.current().number);
             let acted = w.each.iter().map(|d| d.part.number());
             !views.chain(acted).chain([w.end.policies.current().number]).any(given_up)
@@ -53,10 +53,10 @@
         reached("its time ends the vote", |_, w| w.end.ended("not all have voted")),
         reached("its time ends the stop", |_, w| w.end.ended("not all have stopped")),
         reached("a second change is admitted by after one that took hold", |_, w| {
-            w.highest == 2 && w.end.policies.before().is_some_and(|p| p.number == 1)
+            w.highest == 2 && w.end.policies.previous().is_some_and(|p| p.number == 1)
         }),
         reached("a second change is admitted by after one that was given up", |_, w| {
-            w.highest == 2 && w.end.policies.before().is_some_and(|p| p.number == 0)
+            w.highest == 2 && w.end.policies.previous().is_some_and(|p| p.number == 0)
         }),
     ]
 }
--- a/crates/fleet/tests/policy_model/view.rs
+++ b/crates/fleet/tests/policy_model/view.rs
@@ -82,6 +82,6 @@
 
     /// Whether some change was given up for a reason that contains this text.
     pub fn ended(&self, how: &str) -> bool {
-        self.policies.ended().any(|e| e.why.as_ref().is_some_and(|why| why.contains(how)))
+        self.policies.outcomes().any(|e| e.why.as_ref().is_some_and(|why| why.contains(how)))
     }
 }
--- a/crates/fleet/tests/policy_model/world.rs
+++ b/crates/fleet/tests/policy_model/world.rs
@@ -66,7 +66,7 @@
             Action::Propose => {
                 self.left.proposals -= 1;
                 let (text, digest, limits) = (String::new(), [0; 32], [1, 1]);
-                let propose = Command::Propose { text, digest, by: 1, at: 0, limits, least: 0 };
+                let propose = Command::Propose { text, digest, by: 1, at: 0, limits, min_number: 0 };
                 self.append(Entry::Policy(propose), checks);
             }
             Action::Abort => {
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -52,7 +52,7 @@
         by: 1,
         at: 300,
         limits: [1_000, 2_000],
-        least: 4,
+        min_number: 4,
     };
     let terms = lend::Terms { total: 8, term: 1_000, longest: 5_000 };
     vec![
--- a/crates/lab/src/scale/hollow_follower.rs
+++ b/crates/lab/src/scale/hollow_follower.rs
@@ -43,19 +43,19 @@
 
     fn look(&mut self, at: Micros, base: &Settings, names: &Names, seen: &mut Seen) {
         let follower = &mut self.link.follower;
-        if !follower.take_changed() && self.part.abreast() {
+        if !follower.take_changed() && self.part.caught_up() {
             return;
         }
         let holder = follower.holds(at);
         let before = self.part.number();
         let mut check = |p: &Policy| ready(p, base, names).err().unwrap_or_default();
-        let acts = self.part.look(at, 0, holder, follower.policies(), &mut check);
-        follower.heeded(self.part.number());
+        let acts = self.part.poll(at, 0, holder, follower.policies(), &mut check);
+        follower.mark_applied(self.part.number());
         for act in acts {
             match act {
                 Action::Submit(command) => {
-                    if !follower.say(at, command) {
-                        self.part.unsaid();
+                    if !follower.submit(at, command) {
+                        self.part.submit_failed();
                     }
                 }
                 Action::InForce(policy) => {
--- a/src/net/control_plane/calls.rs
+++ b/src/net/control_plane/calls.rs
@@ -25,7 +25,7 @@
                 match command {
                     Err(answer) => Some(answer),
                     Ok((command, what)) => {
-                        let said = self.fleet.say(now, command);
+                        let said = self.fleet.submit(now, command);
                         if said {
                             self.policy.calls.wait(caller, what, now);
                         }
@@ -73,7 +73,7 @@
             ("leads", u64::from(self.fleet.leads())),
             ("lease_held", u64::from(self.fleet.holds(now).is_some())),
             ("revision", self.fleet.policies().map_or(0, |p| p.revision())),
-            ("changes_waiting", self.fleet.policies().map_or(0, |p| p.waiting().count() as u64)),
+            ("changes_waiting", self.fleet.policies().map_or(0, |p| p.queued().count() as u64)),
             ("subscriptions_total", tally.subscribed),
             ("subscriptions_rejected_total", tally.rejected),
             ("subscriptions_resumed_total", tally.resumed),
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -173,7 +173,7 @@
         }
         let MemberPolicy { base, names, .. } = &self.policy;
         let mut check = |policy: &Policy| ready(policy, base, names).err().unwrap_or_default();
-        for act in self.member.look(now, &mut self.fleet, &mut check) {
+        for act in self.member.poll(now, &mut self.fleet, &mut check) {
             tell(&act);
         }
         if self.fleet.next_due() <= now {
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -110,20 +110,20 @@
             (None, Some(h)) => (std::mem::take(&mut h.takeover.ruled), &mut h.takeover.fleet),
             (None, None) => return,
         };
-        let restless = !rules.calls.is_empty() || !rules.part.abreast();
+        let restless = !rules.calls.is_empty() || !rules.part.caught_up();
         if !changed && !restless {
             return;
         }
         let holder = record.holds(now);
         let acts = rules.look(now, holder, record.policies(), &self.names);
-        record.heeded(rules.part.number());
+        record.mark_applied(rules.part.number());
         let mut change = None;
         let mut unsaid = false;
         for act in acts {
             match act {
                 Action::Submit(command) => {
-                    if !record.say(now, command) {
-                        rules.part.unsaid();
+                    if !record.submit(now, command) {
+                        rules.part.submit_failed();
                         unsaid = true;
                     }
                 }
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -83,8 +83,8 @@
                 Ok((command, if queued { For::Queued(now) } else { For::Proposed(now) }))
             }
             Ask::Back => {
-                policies.accepts("").map_err(|e| format!("-ERR {e}"))?;
-                policies.before().ok_or("-ERR no policy was in force before this one")?;
+                policies.can_propose("").map_err(|e| format!("-ERR {e}"))?;
+                policies.previous().ok_or("-ERR no policy was in force before this one")?;
                 Ok((Command::Back(self.me, now, limits), For::Proposed(now)))
             }
             Ask::Abort => {
@@ -106,11 +106,11 @@
         let (digest, by) = (digest(&text), self.me);
         match self.queue_from {
             None => {
-                self.policies.accepts(&text).map_err(|e| format!("-ERR {e}"))?;
-                Ok(Command::Propose { text, digest, by, at, limits, least: 0 })
+                self.policies.can_propose(&text).map_err(|e| format!("-ERR {e}"))?;
+                Ok(Command::Propose { text, digest, by, at, limits, min_number: 0 })
             }
             Some(number) => {
-                self.policies.queues(&text).map_err(|e| format!("-ERR {e}"))?;
+                self.policies.can_queue(&text).map_err(|e| format!("-ERR {e}"))?;
                 let policy = Agreed { number, text, digest };
                 Ok(Command::Queue(QueuedChange { policy, by, at, limits }))
             }
@@ -145,17 +145,17 @@
 /// What came of what a call waits for, if anything did.
 fn outcome(what: &For, policies: &Policies, me: Peer) -> Option<String> {
     match *what {
-        For::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
+        For::Proposed(at) => match (policies.accepted_number(me, at), policies.pending()) {
             (Some(number), _) => Some(format!("+OK proposed {number}")),
             (None, Some(p)) => Some(format!("-ERR policy {} is under way already", p.policy.number)),
             (None, None) => None,
         },
-        For::Queued(at) => policies.taken(me, at).map(|number| queued(number, policies)),
+        For::Queued(at) => policies.accepted_number(me, at).map(|number| queued(number, policies)),
         For::Over(number) if policies.current().number == number => {
             Some(format!("-ERR policy {number} is in force already"))
         }
         For::Over(number) => policies
-            .ended()
+            .outcomes()
             .find(|e| e.number == number)
             .map(|e| format!("+OK given up: {}", e.why.as_deref().unwrap_or(""))),
     }
@@ -163,7 +163,7 @@
 
 /// A change that was taken: whether it is put to the vote or waits.
 fn queued(number: u64, policies: &Policies) -> String {
-    let waits = policies.waiting().any(|w| w.policy.number == number);
+    let waits = policies.queued().any(|w| w.policy.number == number);
     if waits { format!("+OK proposed {number}, waiting") } else { format!("+OK proposed {number}") }
 }
 
@@ -177,7 +177,7 @@
             Err(answer) => Some(answer),
             Ok((command, what)) => {
                 let Some(in_flight) = &mut self.in_flight else { return Some("-ERR no fleet".into()) };
-                if !in_flight.takeover.fleet.say(now, command) {
+                if !in_flight.takeover.fleet.submit(now, command) {
                     return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
                 }
                 self.rules.as_mut()?.calls.wait(caller, what, now);
--- a/src/net/policy_status.rs
+++ b/src/net/policy_status.rs
@@ -15,7 +15,7 @@
         let _ = write!(text, ", {here} here");
     }
     text.push('\n');
-    if !p.abreast() {
+    if !p.caught_up() {
         text.push_str(
             "the fleet has lost its record: nothing is admitted until a policy is in force again\n",
         );
@@ -32,7 +32,7 @@
             faults_of(&mut text, q.policy.number, fleet::peer_of(h.incarnation), faults);
         }
     }
-    for e in p.ended() {
+    for e in p.outcomes() {
         match &e.why {
             None => drop(writeln!(text, "{} in force", e.number)),
             Some(why) => drop(writeln!(text, "{} given up: {}", e.number, shown(why))),
--- a/src/net/rules.rs
+++ b/src/net/rules.rs
@@ -86,7 +86,7 @@
         names: &Names,
     ) -> Vec<Action> {
         let Rules { part, ready: all, base, .. } = self;
-        let acts = part.look(now, self.me, holder, agreed, &mut |p| make_ready(p, base, names, all));
+        let acts = part.poll(now, self.me, holder, agreed, &mut |p| make_ready(p, base, names, all));
         // One that took part in no vote, as it was away, makes it ready now. What it can't make sense of was checked by
         // all who had a lease then, and by no other build than they have.
         for act in &acts {
