--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -1,165 +1,168 @@
-//! What all dispatchers admit requests by: one numbered policy, changed everywhere or nowhere.
+//! Admission policy: one numbered policy for all dispatchers, changed at all of them or at none.
 //!
-//! A change is proposed, and each holder of a lease votes on it. Once all have said yes, each stops admitting and says
-//! so; once all have stopped, the change is in force, and whoever sees that admits by it. So between the last request
-//! that was admitted by the old one and the first by the new there is a moment at which nobody admitted any. Who is
-//! cut off holds the switch up until its lease is over, which it knows before the others do; who begins a lease in
-//! the middle of a switch has to stop, too. What the policy says is not looked at here: it is a text with its digest.
+//! A change is proposed, and every lease holder votes on it. Once all have voted yes, each stops admitting
+//! requests and reports that. Once all have stopped, the change is in force, and each dispatcher that learns
+//! of it admits under the new policy. Between the last request admitted under the old policy and the first
+//! under the new one there is thus a moment at which nobody admits any. A disconnected dispatcher delays the
+//! change until its lease expires, which it notices before the others do. A dispatcher that acquires a lease
+//! during a change has to stop as well. The content of a policy is opaque here: a text and its digest.
 
 mod apply;
-pub mod part;
+mod log;
+pub mod participant;
 mod queue;
-mod record;
 mod revisions;
 
-pub use part::{Act, Gate, Part};
-pub use queue::{MOST_WAITING, Waiting};
-pub use record::PolicyRecord;
-pub use revisions::{Change, Gap, History, KEPT_CHANGES, KEPT_TEXT, Revision};
+pub use log::PolicyLog;
+pub use participant::{Action, Gate, Participant};
+pub use queue::{MAX_QUEUED, QueuedChange};
+pub use revisions::{Change, Gap, History, MAX_KEPT_CHANGES, MAX_KEPT_TEXT_BYTES, Revision};
 
 use crate::{Holder, Micros, Peer};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The longest text of a policy, in bytes.
-pub const MOST_TEXT: usize = 32 << 10;
-/// Policies kept besides the one in force: work in hand ends under the one that admitted it.
-pub const PAST: usize = 3;
-/// Ends of proposals that are remembered.
-pub const ENDED: usize = 8;
-/// Faults kept of one vote, and the length of each, in bytes.
-pub const FAULTS: usize = 16;
-/// See [`FAULTS`].
-pub const FAULT: usize = 240;
-
-/// A policy: its number, its text as its file had it, and that text's SHA-256.
+/// Maximum length of a policy's text in bytes.
+pub const MAX_TEXT_BYTES: usize = 32 << 10;
+/// Number of past policies kept, because requests in flight finish under the policy that admitted them.
+pub const MAX_PAST: usize = 3;
+/// Number of outcomes of past changes that are kept.
+pub const MAX_OUTCOMES: usize = 8;
+/// Maximum number of faults kept per vote.
+pub const MAX_FAULTS: usize = 16;
+/// Maximum length of a fault in bytes.
+pub const MAX_FAULT_BYTES: usize = 240;
+
+/// A policy: its number, the text of its file, and the SHA-256 of that text.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
-    /// Grows with each proposal; 0 is what the settings say, which has no text.
+    /// Increases with each proposal; 0 is the policy from the settings, which has no text.
     pub number: u64,
     /// The text.
     pub text: String,
-    /// Its digest.
+    /// SHA-256 of the text.
     pub digest: [u8; 32],
 }
 
-/// How far a change is.
+/// Stage of a pending change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Those with a lease check it and vote.
+    /// Lease holders check the policy and vote.
     Voting,
-    /// All have said yes; they stop admitting by the old one.
+    /// All have voted yes; lease holders stop admitting under the old policy.
     Closing,
 }
 
-/// A change under way.
+/// A pending change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// What is proposed.
+    /// The proposed policy.
     pub policy: Policy,
-    /// Through whom, and when by that one's clock.
+    /// The peer through which it was proposed.
     pub by: Peer,
-    /// See `by`.
+    /// When it was proposed, by that peer's clock.
     pub at: Micros,
-    /// How far it is.
+    /// The stage it has reached.
     pub stage: Stage,
-    /// Who has voted: what is wrong with it there; nothing is a yes.
+    /// The votes: faults found by each holder; no faults means yes.
     pub votes: BTreeMap<Holder, Vec<String>>,
-    /// Who admits nothing until this is over.
+    /// Holders that have stopped admission until the change is over.
     pub stopped: BTreeSet<Holder>,
-    /// When voting, and when the whole is given up.
-    until: [Micros; 2],
+    /// Deadlines of the vote and of the whole change.
+    deadlines: [Micros; 2],
 }
 
-/// The time limits of a change that has just come out of the queue: its time runs from the next sweep.
-const NOT_TIMED: [Micros; 2] = [Micros::MAX; 2];
+/// Deadlines of a change that has just left the queue: they are set at the next sweep.
+const DEADLINES_UNSET: [Micros; 2] = [Micros::MAX; 2];
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ended {
-    /// Its number.
+pub struct ChangeOutcome {
+    /// The change's number.
     pub number: u64,
-    /// Why it did not take hold; `None` if it did.
+    /// Why it was given up; `None` if it came into force.
     pub why: Option<String>,
-    /// What was wrong with it, by peer.
+    /// Faults found, by peer.
     pub faults: Vec<(Peer, Vec<String>)>,
 }
 
-/// Changes whose taking is remembered: so many may be called within one look at the log.
-const MOST_TAKEN: usize = 16;
+/// Number of accepted changes that are remembered: as many may be proposed between two reads of the log.
+const MAX_ACCEPTED: usize = 16;
 
-/// A change that was taken.
+/// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Taken {
+struct AcceptedChange {
     number: u64,
     by: Peer,
     at: Micros,
 }
 
-/// Moves the policy.
+/// A command that changes the policy state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A change is proposed. It changes nothing while another is under way.
+    /// Proposes a change. It has no effect while another change is pending.
     Propose {
-        /// Its text; empty for what the settings say.
+        /// The policy's text; empty for the policy from the settings.
         text: String,
-        /// The text's digest.
+        /// SHA-256 of the text.
         digest: [u8; 32],
-        /// Through whom.
+        /// The proposing peer.
         by: Peer,
-        /// When, by that one's Unix clock.
+        /// Time of the proposal by that peer's Unix clock.
         at: Micros,
-        /// How long votes are waited for, and after that how long all may take to stop.
+        /// Time limits of the vote and, after it, of stopping admission.
         limits: [Micros; 2],
-        /// The least number it gets: what one knows who was in a fleet that has lost its record.
-        least: u64,
+        /// Minimum number for the policy, from a proposer that knows it from a fleet that has lost its state.
+        min_number: u64,
     },
-    /// A change is proposed; while another is under way it waits for its turn, as far as the queue's bound allows.
-    Queue(Waiting),
-    /// The one before the one in force, proposed anew: through whom, when, and the limits.
+    /// Proposes a change; it is queued while another one is pending, within the queue's limits.
+    Queue(QueuedChange),
+    /// Proposes the previous policy again: the proposing peer, the time, and the limits.
     Back(Peer, Micros, [Micros; 2]),
-    /// A holder has checked the change of this number; what is wrong with it.
+    /// A holder's vote on the change of this number, with the faults found; no faults means yes.
     Vote(Holder, u64, Vec<String>),
-    /// A holder admits nothing until the change of this number is over.
+    /// A holder has stopped admission until the change of this number is over.
     Stopped(Holder, u64),
-    /// A holder can't do what it voted for.
+    /// A holder cannot apply the change of this number although it voted yes.
     Cannot(Holder, u64, String),
-    /// An operator calls the change of this number off.
+    /// An operator aborts the change of this number.
     Abort(u64),
 }
 
-/// The policy in force, the change under way, and what came of earlier ones.
+/// The policy in force, the pending and queued changes, and the outcomes of earlier ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policies {
     current: Policy,
-    /// Those in force before, the latest first.
+    /// Policies in force before, latest first.
     past: Vec<Policy>,
     pending: Option<Proposal>,
-    /// Changes that wait for the one under way to end, in order.
-    waiting: VecDeque<Waiting>,
-    /// The time limits of the change that left the queue last.
-    turn_limits: [Micros; 2],
+    /// Changes that wait for the pending one to end, in order.
+    queued: VecDeque<QueuedChange>,
+    /// Time limits of the change that last left the queue.
+    next_limits: [Micros; 2],
     history: History,
-    /// The latest first.
-    ended: Vec<Ended>,
-    /// The highest number ever given.
+    /// Latest first.
+    outcomes: Vec<ChangeOutcome>,
+    /// The highest number assigned so far.
     last: u64,
-    /// The changes that were taken last, the latest first.
-    taken: VecDeque<Taken>,
-    /// The number that was in force in a fleet before, whose record is lost: nobody admits by less.
-    least: u64,
+    /// The most recently accepted changes, latest first.
+    accepted: VecDeque<AcceptedChange>,
+    /// The policy number in force in a previous fleet whose state is lost: nobody admits under a lower
+    /// number.
+    min_number: u64,
 }
 
 impl Policies {
-    /// Those of a fleet that follows one in which this number was in force.
-    pub fn after(least: u64) -> Policies {
-        Policies { last: least, least, ..Policies::default() }
+    /// The initial state of a fleet that succeeds one in which this policy number was in force.
+    pub fn after(min_number: u64) -> Policies {
+        Policies { last: min_number, min_number, ..Policies::default() }
     }
 
-    /// Whether the policy in force may be admitted by: in a fleet that follows one whose record is lost, nothing is
-    /// until what was in force there, or what an operator proposes instead, has taken hold.
-    pub fn abreast(&self) -> bool {
-        self.current.number >= self.least
+    /// Whether requests may be admitted under the policy in force. In a fleet that succeeds one whose state
+    /// is lost, they may not until the policy in force there, or one that an operator proposes instead, is in
+    /// force again.
+    pub fn caught_up(&self) -> bool {
+        self.current.number >= self.min_number
     }
 
     /// The policy in force.
@@ -167,42 +170,43 @@
         &self.current
     }
 
-    /// The one of this number, if it is in force or was lately.
-    pub fn numbered(&self, number: u64) -> Option<&Policy> {
+    /// The policy with this number, if it is in force or was recently.
+    pub fn by_number(&self, number: u64) -> Option<&Policy> {
         std::iter::once(&self.current).chain(&self.past).find(|p| p.number == number)
     }
 
-    /// The one that was in force before, if any.
-    pub fn before(&self) -> Option<&Policy> {
+    /// The policy in force before the current one.
+    pub fn previous(&self) -> Option<&Policy> {
         self.past.first()
     }
 
-    /// The change under way.
+    /// The pending change.
     pub fn pending(&self) -> Option<&Proposal> {
         self.pending.as_ref()
     }
 
-    /// The number of a change that was taken lately, by the peer that it came through and that one's clock.
-    pub fn taken(&self, by: Peer, at: Micros) -> Option<u64> {
-        self.taken.iter().find(|t| t.by == by && t.at == at).map(|t| t.number)
+    /// The number of a recently accepted change, identified by the proposing peer and the time of the
+    /// proposal.
+    pub fn accepted_number(&self, by: Peer, at: Micros) -> Option<u64> {
+        self.accepted.iter().find(|t| t.by == by && t.at == at).map(|t| t.number)
     }
 
-    /// Remembers a change that is taken just now.
-    fn take(&mut self, number: u64, by: Peer, at: Micros) {
-        self.taken.push_front(Taken { number, by, at });
-        self.taken.truncate(MOST_TAKEN);
+    /// Remembers a change that was just accepted.
+    fn remember_accepted(&mut self, number: u64, by: Peer, at: Micros) {
+        self.accepted.push_front(AcceptedChange { number, by, at });
+        self.accepted.truncate(MAX_ACCEPTED);
     }
 
-    /// What came of earlier changes, the latest first.
-    pub fn ended(&self) -> impl Iterator<Item = &Ended> {
-        self.ended.iter()
+    /// The outcomes of earlier changes, latest first.
+    pub fn outcomes(&self) -> impl Iterator<Item = &ChangeOutcome> {
+        self.outcomes.iter()
     }
 
-    /// Whether a change could be proposed now; else why not.
-    pub fn accepts(&self, text: &str) -> Result<(), String> {
+    /// Checks whether a change can be proposed now; the error says why not.
+    pub fn can_propose(&self, text: &str) -> Result<(), String> {
         match &self.pending {
             Some(p) => Err(format!("policy {} is under way already", p.policy.number)),
-            None if text.len() > MOST_TEXT => Err(format!("longer than {MOST_TEXT} bytes")),
+            None if text.len() > MAX_TEXT_BYTES => Err(format!("longer than {MAX_TEXT_BYTES} bytes")),
             None => Ok(()),
         }
     }
--- a/crates/fleet/src/policy/queue.rs
+++ b/crates/fleet/src/policy/queue.rs
@@ -1,94 +1,98 @@
-//! Changes that wait while another one is under way.
+//! Queue of changes proposed while another change is pending.
 //!
-//! A policy is whole: the latest that waits says all that matters, whatever those before it say. So it has its turn
-//! next, and once it is in force those before it are superseded; if it is given up, the one before it has its turn.
-//! However many come in a burst, each is in force or superseded within the time of two changes.
+//! A policy is complete, so the latest queued one supersedes all before it. It is therefore started next.
+//! Once it is in force, the earlier ones are dropped as superseded; if it is given up, the one before it is
+//! started. However many changes arrive in a burst, each is in force or superseded within the duration of two
+//! changes.
 
-use super::{ENDED, Ended, NOT_TIMED, Policies, Policy};
+use super::{ChangeOutcome, DEADLINES_UNSET, MAX_OUTCOMES, Policies, Policy};
 use crate::{Micros, Peer};
 use serde::{Deserialize, Serialize};
 
-/// Changes that wait at most.
-pub const MOST_WAITING: usize = 128;
-/// Bytes of their texts at most.
-const MOST_WAITING_TEXT: usize = 1 << 20;
+/// Maximum number of queued changes.
+pub const MAX_QUEUED: usize = 128;
+/// Maximum total length of their texts in bytes.
+const MAX_QUEUED_TEXT_BYTES: usize = 1 << 20;
 
-/// A change that is proposed, and what is known of it while it waits.
+/// A proposed change while it is queued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Waiting {
-    /// The policy; its number is given as it joins the queue.
+pub struct QueuedChange {
+    /// The policy; its number is assigned when it joins the queue.
     pub policy: Policy,
-    /// Through whom it came.
+    /// The proposing peer.
     pub by: Peer,
-    /// When, by that one's Unix clock.
+    /// Time of the proposal by that peer's Unix clock.
     pub at: Micros,
-    /// How long votes are waited for, and after that how long all may take to stop; from when its turn comes.
+    /// Time limits of the vote and, after it, of stopping admission, counted from when the change leaves the
+    /// queue.
     pub limits: [Micros; 2],
 }
 
 impl Policies {
-    /// The changes that wait, in order.
-    pub fn waiting(&self) -> impl Iterator<Item = &Waiting> {
-        self.waiting.iter()
+    /// The queued changes, in order.
+    pub fn queued(&self) -> impl Iterator<Item = &QueuedChange> {
+        self.queued.iter()
     }
 
-    /// Whether a change could join the queue now; else why not.
-    pub fn queues(&self, text: &str) -> Result<(), String> {
-        let bytes: usize = self.waiting.iter().map(|w| w.policy.text.len()).sum();
+    /// Checks whether a change can be queued now; the error says why not.
+    pub fn can_queue(&self, text: &str) -> Result<(), String> {
+        let bytes: usize = self.queued.iter().map(|w| w.policy.text.len()).sum();
         match &self.pending {
-            None => self.accepts(text),
-            Some(_) if text.len() > super::MOST_TEXT => {
-                Err(format!("longer than {} bytes", super::MOST_TEXT))
+            None => self.can_propose(text),
+            Some(_) if text.len() > super::MAX_TEXT_BYTES => {
+                Err(format!("longer than {} bytes", super::MAX_TEXT_BYTES))
             }
-            Some(_) if self.waiting.len() >= MOST_WAITING || bytes + text.len() > MOST_WAITING_TEXT => {
-                Err(format!("{} changes wait already", self.waiting.len()))
+            Some(_) if self.queued.len() >= MAX_QUEUED || bytes + text.len() > MAX_QUEUED_TEXT_BYTES => {
+                Err(format!("{} changes wait already", self.queued.len()))
             }
             Some(_) => Ok(()),
         }
     }
 
-    /// Begins a change, or has it wait for its turn.
-    pub(super) fn queue(&mut self, mut waiting: Waiting) -> bool {
-        if self.queues(&waiting.policy.text).is_err() {
+    /// Starts a change, or queues it while another is pending.
+    pub(super) fn queue(&mut self, mut waiting: QueuedChange) -> bool {
+        if self.can_queue(&waiting.policy.text).is_err() {
             return false;
         }
-        // Who knows of a higher number says so in the policy's own.
+        // A proposer that knows a higher number passes it in the policy's number.
         self.last = self.last.saturating_add(1).max(waiting.policy.number);
-        self.take(self.last, waiting.by, waiting.at);
+        self.remember_accepted(self.last, waiting.by, waiting.at);
         waiting.policy.number = self.last;
-        self.waiting.push_back(waiting);
+        self.queued.push_back(waiting);
         if self.pending.is_none() {
-            self.begin_next();
+            self.start_next();
         }
         true
     }
 
-    /// The latest that waits has its turn.
-    pub(super) fn begin_next(&mut self) {
-        let Some(next) = self.waiting.pop_back() else { return };
-        self.turn_limits = next.limits;
-        self.begin(next.policy, next.by, next.at, NOT_TIMED);
+    /// Starts the latest queued change.
+    pub(super) fn start_next(&mut self) {
+        let Some(next) = self.queued.pop_back() else { return };
+        self.next_limits = next.limits;
+        self.start_vote(next.policy, next.by, next.at, DEADLINES_UNSET);
     }
 
-    /// Those that wait and are older than the policy in force never take hold.
+    /// Drops queued changes that are older than the policy in force.
     pub(super) fn drop_superseded(&mut self) {
         let number = self.current.number;
-        let older = self.waiting.iter().take_while(|w| w.policy.number < number).count();
-        for waiting in self.waiting.drain(..older) {
+        let older = self.queued.iter().take_while(|w| w.policy.number < number).count();
+        for waiting in self.queued.drain(..older) {
             let why = Some(format!("superseded by {number}"));
-            self.ended.insert(0, Ended { number: waiting.policy.number, why, faults: Vec::new() });
+            self.outcomes.insert(0, ChangeOutcome { number: waiting.policy.number, why, faults: Vec::new() });
         }
-        // The newest number first, whatever ended when.
-        self.ended.sort_by_key(|e| std::cmp::Reverse(e.number));
-        self.ended.truncate(ENDED);
+        // By number, highest first, regardless of the order in which they ended.
+        self.outcomes.sort_by_key(|e| std::cmp::Reverse(e.number));
+        self.outcomes.truncate(MAX_OUTCOMES);
     }
 
-    /// The time of a change that came out of the queue runs from now on; whether it did not yet.
-    pub(super) fn time_from(&mut self, now: Micros) -> bool {
-        let [vote_limit, close_limit] = self.turn_limits;
-        let Some(proposal) = self.pending.as_mut().filter(|p| p.until == NOT_TIMED) else { return false };
+    /// Sets the deadlines of a change that has just left the queue. Returns whether they were still unset.
+    pub(super) fn start_timer(&mut self, now: Micros) -> bool {
+        let [vote_limit, close_limit] = self.next_limits;
+        let Some(proposal) = self.pending.as_mut().filter(|p| p.deadlines == DEADLINES_UNSET) else {
+            return false;
+        };
         let vote = now.saturating_add(vote_limit);
-        proposal.until = [vote, vote.saturating_add(close_limit)];
+        proposal.deadlines = [vote, vote.saturating_add(close_limit)];
         true
     }
 }
--- a/crates/fleet/src/policy/revisions.rs
+++ b/crates/fleet/src/policy/revisions.rs
@@ -1,33 +1,33 @@
-//! The policy as a sequence of revisions, so that others than the log's members can follow it.
+//! The policy state as a sequence of revisions, for followers that do not take part in the log.
 //!
-//! Each change that a follower has to know of raises the revision by one and is kept for a while: whoever has a
-//! revision that is still kept gets what came since, anyone else a snapshot. Revisions are part of the agreed state,
-//! so that any member can go on where another one stopped.
+//! Each change that followers need increments the revision and is kept for a while. A follower whose revision
+//! is still kept receives the changes since then, any other one a snapshot. Revisions are part of the
+//! replicated state, so that any member can continue where another one stopped.
 
-use super::{Ended, Policies, Policy, Proposal, Stage};
+use super::{ChangeOutcome, Policies, Policy, Proposal, Stage};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Counts the changes of one fleet's policy.
+/// Counts the changes of a fleet's policy state.
 pub type Revision = u64;
 
-/// Changes kept for followers that are a little behind.
-pub const KEPT_CHANGES: usize = 128;
-/// Bytes of policy texts kept in those, at most.
-pub const KEPT_TEXT: usize = 512 << 10;
+/// Number of changes kept for followers that lag behind.
+pub const MAX_KEPT_CHANGES: usize = 128;
+/// Maximum total length of the policy texts in the kept changes, in bytes.
+pub const MAX_KEPT_TEXT_BYTES: usize = 512 << 10;
 
-/// A change that followers have to know of.
+/// A change of the policy state as sent to followers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// A policy is proposed: voting begins.
+    /// A policy was proposed; the vote starts.
     Proposed(Policy),
-    /// All have said yes to the policy of this number: admission by the old one stops.
+    /// All have voted yes to the policy of this number; admission under the old one stops.
     Closing(u64),
     /// The policy of this number is in force.
     InForce(u64),
-    /// A change did not take hold.
-    GivenUp(Ended),
+    /// A change was given up.
+    GivenUp(ChangeOutcome),
 }
 
 impl Change {
@@ -42,17 +42,17 @@
 /// The latest changes, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct History {
-    /// The number of the latest change.
+    /// Revision of the latest change.
     revision: Revision,
-    /// The revision at which admission was last told to stop.
+    /// Revision at which admission was last closed.
     barrier: Revision,
-    /// The revision at which the latest policy was proposed.
+    /// Revision at which the latest policy was proposed.
     proposed: Revision,
     kept: VecDeque<Change>,
 }
 
 impl History {
-    /// Appends a change, and forgets the oldest beyond the bounds.
+    /// Appends a change and drops the oldest ones beyond the limits.
     pub(super) fn record(&mut self, change: Change) {
         self.revision += 1;
         match change {
@@ -61,7 +61,7 @@
             Change::InForce(_) | Change::GivenUp(_) => {}
         }
         self.kept.push_back(change);
-        while self.kept.len() > KEPT_CHANGES || self.kept_text() > KEPT_TEXT {
+        while self.kept.len() > MAX_KEPT_CHANGES || self.kept_text() > MAX_KEPT_TEXT_BYTES {
             self.kept.pop_front();
         }
     }
@@ -71,41 +71,42 @@
     }
 }
 
-/// A change that does not follow on what is known.
+/// A received change that does not follow the known revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gap {
-    /// The revision that is known.
+    /// The known revision.
     pub known: Revision,
-    /// The one that came.
-    pub came: Revision,
+    /// The received revision.
+    pub received: Revision,
 }
 
 impl std::fmt::Display for Gap {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "revision {} came after {}", self.came, self.known)
+        write!(f, "revision {} received after {}", self.received, self.known)
     }
 }
 
 impl std::error::Error for Gap {}
 
 impl Policies {
-    /// The number of the latest change.
+    /// Revision of the latest change.
     pub fn revision(&self) -> Revision {
         self.history.revision
     }
 
-    /// The revision at which admission was last told to stop: who admits by a lease has to know it.
+    /// Revision at which admission was last closed; a dispatcher must know it to admit requests under a
+    /// lease.
     pub fn barrier(&self) -> Revision {
         self.history.barrier
     }
 
-    /// The least revision that includes the change under way, if there is one.
-    pub fn includes_pending(&self) -> Revision {
+    /// The lowest revision that includes the pending change; 0 if none is pending.
+    pub fn pending_revision(&self) -> Revision {
         self.pending.as_ref().map_or(0, |_| self.history.proposed)
     }
 
-    /// The changes after a revision, with their numbers; `None` if they are no longer kept, or if that revision is
-    /// not known here yet.
+    /// The changes after a revision, with their revisions; `None` if they are no longer kept or if that
+    /// revision is not known here yet.
     pub fn changes_since(
         &self,
         revision: Revision,
@@ -116,13 +117,13 @@
         Some((revision + 1..).zip(changes))
     }
 
-    /// What a follower has to know: without votes, and without what only members need.
+    /// The part of the state that followers need: without votes and other data used only by members.
     pub fn snapshot(&self) -> Policies {
         let mut snapshot = Policies {
             current: self.current.clone(),
-            ended: self.ended.first().cloned().into_iter().collect(),
+            outcomes: self.outcomes.first().cloned().into_iter().collect(),
             last: self.last,
-            least: self.least,
+            min_number: self.min_number,
             ..Policies::default()
         };
         snapshot.history.revision = self.history.revision;
@@ -132,11 +133,11 @@
         snapshot
     }
 
-    /// Takes a change as a follower, which has to be the one after the revision that is known.
-    pub fn follow(&mut self, revision: Revision, change: Change) -> Result<(), Gap> {
+    /// Applies a change on a follower; its revision must directly follow the known one.
+    pub fn apply_change(&mut self, revision: Revision, change: Change) -> Result<(), Gap> {
         let known = self.history.revision;
         if revision != known + 1 {
-            return Err(Gap { known, came: revision });
+            return Err(Gap { known, received: revision });
         }
         match change.clone() {
             Change::Proposed(policy) => {
@@ -148,27 +149,27 @@
                 if let Some(proposal) = self.pending.take() {
                     self.current = proposal.policy;
                 }
-                self.remember(Ended { number, why: None, faults: Vec::new() });
+                self.add_outcome(ChangeOutcome { number, why: None, faults: Vec::new() });
             }
             Change::GivenUp(ended) => {
                 self.pending = None;
-                self.remember(ended);
+                self.add_outcome(ended);
             }
         }
         self.history.record(change);
-        // A follower hands nothing on.
+        // A follower does not serve other followers.
         self.history.kept.clear();
         Ok(())
     }
 
-    fn remember(&mut self, ended: Ended) {
-        self.ended.insert(0, ended);
-        self.ended.truncate(super::ENDED);
+    fn add_outcome(&mut self, outcome: ChangeOutcome) {
+        self.outcomes.insert(0, outcome);
+        self.outcomes.truncate(super::MAX_OUTCOMES);
     }
 }
 
 impl Proposal {
-    /// A change under way as a follower knows it.
+    /// A pending change as a follower sees it.
     fn followed(policy: Policy, stage: Stage) -> Proposal {
         let never: [Micros; 2] = [Micros::MAX; 2];
         Proposal {
@@ -178,7 +179,7 @@
             stage,
             votes: Default::default(),
             stopped: Default::default(),
-            until: never,
+            deadlines: never,
         }
     }
 }
--- a/crates/fleet/tests/control_plane/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -1,29 +1,29 @@
-//! One follower's process: its decisions, its part in changes, and a clock of its own.
+//! A follower process: its state machine, its participation in policy changes, and a clock of its own.
 
 use fleet::control_plane::{Follower, SessionId};
-use fleet::policy::{Act, Gate, Part, Policy, PolicyRecord};
+use fleet::policy::{Action, Gate, Participant, Policy, PolicyLog};
 use fleet::{Micros, Peer};
 
-/// A time by a clock that runs so many thousandths faster.
+/// The time on a clock that is faster by `drift` thousandths.
 pub fn faster(now: Micros, drift: i64) -> Micros {
     now.saturating_add_signed(now as i64 * drift / 1_000)
 }
 
-/// A follower's process.
+/// A follower process.
 pub struct FollowerNode {
     pub follower: Follower,
-    pub part: Part,
-    /// Its connection: to whom, and its number.
+    pub part: Participant,
+    /// The member it is connected to, and the session id.
     pub connection: Option<(Peer, SessionId)>,
-    /// Its clock runs so many thousandths faster than the world's, from another start.
+    /// How much faster than the world's clock its clock runs, in thousandths; `offset` is added to it.
     pub drift: i64,
     pub offset: Micros,
-    /// The policies that it can't do.
+    /// It finds a fault in policies that contain an unknown class.
     pub faulty: bool,
-    /// It takes nothing from its connection.
+    /// It does not read from its connection.
     pub deaf: bool,
     pub last_revision: Option<(u64, u64)>,
-    pub acts: Vec<Act>,
+    pub acts: Vec<Action>,
 }
 
 impl FollowerNode {
@@ -31,14 +31,14 @@
         faster(now, self.drift) + self.offset
     }
 
-    /// What a request that arrives meets.
+    /// Admission decision for an arriving request.
     pub fn gate(&self, now: Micros) -> Gate {
         self.part.gate(self.follower.holds(self.clock(now)))
     }
 
     pub fn look(&mut self, now: Micros) {
         let now = self.clock(now);
-        if !self.follower.take_changed() && self.part.abreast() {
+        if !self.follower.take_changed() && self.part.caught_up() {
             return;
         }
         let holder = self.follower.holds(now);
@@ -47,13 +47,13 @@
             let bad = faulty && policy.text.contains("unknown");
             if bad { vec!["unknown class".to_string()] } else { Vec::new() }
         };
-        let acts = self.part.look(now, 0, holder, self.follower.policies(), &mut check);
-        self.follower.heeded(self.part.number());
+        let acts = self.part.poll(now, 0, holder, self.follower.policies(), &mut check);
+        self.follower.mark_applied(self.part.number());
         for act in acts {
             match act {
-                Act::Say(command) => {
-                    if !self.follower.say(now, command) {
-                        self.part.unsaid();
+                Action::Submit(command) => {
+                    if !self.follower.submit(now, command) {
+                        self.part.submit_failed();
                     }
                 }
                 act => self.acts.push(act),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Revisions of one founding follow on each other, or a snapshot jumps ahead.
+    /// Asserts that revisions of one log increase by one, except after a snapshot.
     pub fn check_revision(&mut self, snapshots: u64) {
         let Some(at) = self.follower.revision() else { return };
         if let Some((fleet, revision)) = self.last_revision
--- a/crates/fleet/tests/control_plane/main.rs
+++ b/crates/fleet/tests/control_plane/main.rs
@@ -1,4 +1,4 @@
-//! Followers of a control group: what holds of changes, leases and moves, in virtual time.
+//! Followers of a control group: policy changes, leases and failover in virtual time.
 
 mod faults;
 mod follower_node;
@@ -10,10 +10,10 @@
 mod wires;
 mod world;
 
-use fleet::policy::{Act, Gate};
+use fleet::policy::{Action, Gate};
 use world::*;
 
-// Nobody is down: all followers admit by the change soon, and no request is refused for it.
+// Without failures, all followers admit under a change soon after it is proposed, and no request is refused.
 #[test]
 fn a_change_is_in_force_at_all_followers_and_refuses_nothing() {
     let mut w = World::new(3, 20, 1);
@@ -27,7 +27,8 @@
     assert_eq!(entries, 9, "three members have leases in the log, and no follower");
 }
 
-// One follower that can't do a policy is enough for it to take hold nowhere, and its name and reason are told.
+// If one follower cannot apply a policy, the change must be given up everywhere, and the outcome names the
+// follower and its fault.
 #[test]
 fn a_policy_that_one_follower_cannot_do_takes_hold_nowhere() {
     let mut w = World::new(3, 12, 2);
@@ -35,19 +36,19 @@
     w.formed();
     assert!(w.propose(1, "an unknown class"));
     w.until(2_000 * MS, "given up", |w| {
-        let given_up = |a: &Act| matches!(a, Act::GivenUp(1, ..));
+        let given_up = |a: &Action| matches!(a, Action::GivenUp(1, ..));
         w.followers.values().all(|f| f.acts.iter().any(given_up))
     });
     assert!(w.all_at(0));
     let agreed = w.members[&1].fleet.state().unwrap();
-    let ended = agreed.policy().ended().next().unwrap();
+    let ended = agreed.policy().outcomes().next().unwrap();
     assert!(ended.faults.iter().any(|(_, f)| f[0] == "d7: unknown class"), "{ended:?}");
     assert!(w.propose(1, "two"));
     w.until(1_000 * MS, "the next is in force", |w| w.all_at(2));
 }
 
-// Of the changes that come while one is under way the latest has its turn next: an operator's word is in force or
-// superseded by a later one within the time of two changes, however many come.
+// Of the queued changes the latest is started next, so that any proposed policy is in force or superseded
+// within the duration of two changes.
 #[test]
 fn of_changes_that_wait_the_latest_is_next() {
     let mut w = World::new(3, 6, 3);
@@ -57,17 +58,17 @@
     }
     w.until(1_500 * MS, "the last is in force", |w| w.all_at(20));
     for f in w.followers.values() {
-        let in_force = |a: &Act| if let Act::InForce(p) = a { Some(p.number) } else { None };
+        let in_force = |a: &Action| if let Action::InForce(p) = a { Some(p.number) } else { None };
         let numbers: Vec<u64> = f.acts.iter().filter_map(in_force).collect();
         assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
         assert!(numbers.len() <= 4, "most were superseded: {numbers:?}");
     }
     let agreed = w.members[&2].fleet.state().unwrap();
-    let ended: Vec<_> = agreed.policy().ended().take(2).map(|e| (e.number, e.why.clone())).collect();
+    let ended: Vec<_> = agreed.policy().outcomes().take(2).map(|e| (e.number, e.why.clone())).collect();
     assert_eq!(ended, [(20, None), (19, Some("superseded by 20".to_string()))]);
 }
 
-// The latest that waits can't be done by one: the one before it has its turn, and is not lost with it.
+// If the latest queued change is given up, the one before it must be started instead of being lost.
 #[test]
 fn a_change_that_waits_is_not_lost_with_a_later_one() {
     let mut w = World::new(3, 6, 6);
@@ -78,11 +79,11 @@
     }
     w.until(2_000 * MS, "the last that can be done is in force", |w| w.all_at(3));
     let agreed = w.members[&2].fleet.state().unwrap();
-    assert_eq!(agreed.policy().waiting().count(), 0);
-    assert!(agreed.policy().ended().any(|e| e.number == 4 && e.why.is_some()));
+    assert_eq!(agreed.policy().queued().count(), 0);
+    assert!(agreed.policy().outcomes().any(|e| e.number == 4 && e.why.is_some()));
 }
 
-// The queue has a bound: what is beyond it is turned away and told so, and nothing that was taken is lost.
+// The queue is bounded: proposals beyond the limit are rejected, and no accepted one is lost.
 #[test]
 fn the_queue_of_changes_is_bounded() {
     let mut w = World::new(3, 1, 4);
@@ -92,17 +93,17 @@
     }
     w.run(100 * MS, |_| ());
     let agreed = w.members[&2].fleet.state().unwrap();
-    let waiting = agreed.policy().waiting().count();
-    assert!(waiting <= fleet::policy::MOST_WAITING, "{waiting}");
-    assert!(agreed.policy().queues("more").is_err() || waiting < fleet::policy::MOST_WAITING);
+    let waiting = agreed.policy().queued().count();
+    assert!(waiting <= fleet::policy::MAX_QUEUED, "{waiting}");
+    assert!(agreed.policy().can_queue("more").is_err() || waiting < fleet::policy::MAX_QUEUED);
     let policy = agreed.policy();
-    let numbers = policy.waiting().map(|q| q.policy.number).chain(policy.pending().map(|p| p.policy.number));
+    let numbers = policy.queued().map(|q| q.policy.number).chain(policy.pending().map(|p| p.policy.number));
     let last = numbers.max().unwrap();
     assert!(last > 100, "as many were taken as the bound allows: {last}");
     w.until(3_000 * MS, "the last that was taken is in force", |w| w.all_at(last));
 }
 
-// Who has no lease refuses, and is not waited for once its lease is over.
+// A follower without a lease refuses requests, and changes stop waiting for it once its lease has expired.
 #[test]
 fn a_follower_that_is_cut_off_refuses_before_the_others_go_on() {
     let mut w = World::new(3, 9, 5);
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -1,8 +1,8 @@
-//! What is under way between processes.
+//! Messages in transit between processes.
 
 use super::world::{MS, World};
-use fleet::control_plane::member::MemberRecord;
-use fleet::control_plane::messages::{FRAMING, MOST_FOLLOWER_FRAME, MOST_MEMBER_FRAME};
+use fleet::control_plane::member::MemberLog;
+use fleet::control_plane::messages::{FRAMING, MAX_FOLLOWER_FRAME, MAX_MEMBER_FRAME};
 use fleet::control_plane::{FollowerMessage, MemberMessage, SessionId};
 use fleet::wire::next;
 use fleet::{Micros, Peer};
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Bytes of one connection come in their order; those of one that is silent wait.
+    /// Delivers messages in order per connection and direction; those on stalled connections are kept back.
     pub fn deliver_to_followers_and_members(&mut self) {
         let now = self.now;
         let wires = std::mem::take(&mut self.wires);
@@ -68,7 +68,7 @@
         match wire.payload {
             Payload::ToMember(bytes) => {
                 let Some(node) = self.members.get_mut(&peer) else { return };
-                let read = FRAMING.next::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
+                let read = FRAMING.next::<FollowerMessage>(&bytes, MAX_FOLLOWER_FRAME);
                 let (_, message) = read.unwrap().unwrap();
                 let view = node.fleet.view(now);
                 if node.member.hear(now, session, message, view).is_err() {
@@ -83,7 +83,7 @@
                 }
                 let clock = f.clock(now);
                 let snapshots = f.follower.tally.snapshots;
-                let read = FRAMING.next::<MemberMessage>(&bytes, MOST_MEMBER_FRAME);
+                let read = FRAMING.next::<MemberMessage>(&bytes, MAX_MEMBER_FRAME);
                 let (_, message) = read.unwrap().unwrap();
                 f.follower.hear(clock, message);
                 f.check_revision(snapshots);
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet in virtual time, with cut links, late and lost messages, and peers that pause, die and restart.
 
 use fleet::ledger::{Limits, Record};
-use fleet::policy::{Act, Gate, Part, Policy};
+use fleet::policy::{Action, Gate, Participant, Policy};
 use fleet::state::Command;
 use fleet::wire::{frame, next};
 use fleet::{Fleet, FleetConfig, FleetEvent, Micros, Peer};
@@ -57,14 +57,14 @@
     /// Hash of all events, to compare runs.
     pub trace: DefaultHasher,
     /// Each peer's state in changes of policy.
-    pub parts: BTreeMap<Peer, Part>,
+    pub parts: BTreeMap<Peer, Participant>,
     /// Peers whose own check rejects policies that contain "unknown".
     pub faulty: BTreeSet<Peer>,
     /// The highest policy number that a request was admitted under.
     pub admitted: u64,
     /// The number of requests that were admitted, held and refused.
     pub gates: [u64; 3],
-    pub acts: Vec<(Peer, Act)>,
+    pub acts: Vec<(Peer, Action)>,
     /// When the outages of killed or disconnected peers end.
     pub healed_at: BTreeMap<Peer, Micros>,
 }
@@ -84,7 +84,7 @@
             wires: VecDeque::new(),
             events: Vec::new(),
             trace: DefaultHasher::new(),
-            parts: (1..=n).map(|p| (p, Part::default())).collect(),
+            parts: (1..=n).map(|p| (p, Participant::default())).collect(),
             faulty: BTreeSet::new(),
             admitted: 0,
             gates: [0; 3],
@@ -147,11 +147,11 @@
         };
         f.policy = part.number();
         let policies = f.state().map(|a| a.policy().clone());
-        for act in part.look(now, p, f.holds(now), policies.as_ref(), &mut check) {
-            if let Act::Say(c) = &act
+        for act in part.poll(now, p, f.holds(now), policies.as_ref(), &mut check) {
+            if let Action::Submit(c) = &act
                 && !f.agree(now, Command::Policy(c.clone()))
             {
-                part.unsaid();
+                part.submit_failed();
             }
             format!("{now} {p} {act:?}").hash(&mut self.trace);
             self.acts.push((p, act));
@@ -197,7 +197,7 @@
     pub fn restart(&mut self, p: Peer) {
         let seed = self.rng.next_u64();
         self.fleets.insert(p, Fleet::new(fleet_config(p, self.n), seed, self.now));
-        self.parts.insert(p, Part::default());
+        self.parts.insert(p, Participant::default());
     }
 
     pub fn formed(&mut self) {
--- a/crates/fleet/tests/policy_model/properties.rs
+++ b/crates/fleet/tests/policy_model/properties.rs
@@ -1,4 +1,4 @@
-//! What holds always, and what has to be reached so that it says anything.
+//! Safety properties, and the states that must be reachable for the check to be meaningful.
 
 use crate::model::Checks;
 use crate::world::World;
@@ -30,9 +30,9 @@
             let mut all = gates(c, w);
             all.next().is_none_or(|first| all.all(|n| n == first))
         }),
-        // What any place of the log knows as given up, its end knows, too.
+        // What any prefix of the log has given up, the full log has given up, too.
         holds(GIVEN_UP, |_, w| {
-            let given_up = |n| w.end.policies.ended().any(|e| e.number == n && e.why.is_some());
+            let given_up = |n| w.end.policies.outcomes().any(|e| e.number == n && e.why.is_some());
             let views = w.each.iter().map(|d| d.view.policies.current().number);
             let acted = w.each.iter().map(|d| d.part.number());
             !views.chain(acted).chain([w.end.policies.current().number]).any(given_up)
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Reached where nobody has a fault to find.
+/// Must be reachable if no dispatcher finds a fault.
 pub fn reached_by_the_fit() -> Vec<Property<Checks>> {
     vec![
         reached("a change takes hold and is admitted by", |_, w| w.highest == 1),
@@ -53,15 +53,15 @@
         reached("its time ends the vote", |_, w| w.end.ended("not all have voted")),
         reached("its time ends the stop", |_, w| w.end.ended("not all have stopped")),
         reached("a second change is admitted by after one that took hold", |_, w| {
-            w.highest == 2 && w.end.policies.before().is_some_and(|p| p.number == 1)
+            w.highest == 2 && w.end.policies.previous().is_some_and(|p| p.number == 1)
         }),
         reached("a second change is admitted by after one that was given up", |_, w| {
-            w.highest == 2 && w.end.policies.before().is_some_and(|p| p.number == 0)
+            w.highest == 2 && w.end.policies.previous().is_some_and(|p| p.number == 0)
         }),
     ]
 }
 
-/// Reached where one can't do the first that is proposed.
+/// Must be reachable if one dispatcher cannot apply the first proposal.
 pub fn reached_by_the_faulty() -> Vec<Property<Checks>> {
     vec![
         reached("a vote against ends it", |_, w| w.end.ended("voted against")),
--- a/src/net/fleet_policy.rs
+++ b/src/net/fleet_policy.rs
@@ -7,13 +7,13 @@
 use crate::policies::{ready, stricter};
 use crate::settings::Names;
 use crate::settings::options::{PolicyTerms, WithoutLease};
-use fleet::policy::{self as machine, Act, Gate as PolicyGate, Part, Policies, Policy};
+use fleet::policy::{self as machine, Action, Gate as PolicyGate, Participant, Policies, Policy};
 use fleet::{Holder, Peer};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Number of prepared settings to keep: those of the policy in force, of earlier policies that in-flight
 /// requests may be under, and of the pending policy.
-const MAX_PREPARED: usize = machine::PAST + 2;
+const MAX_PREPARED: usize = machine::MAX_PAST + 2;
 
 /// A request held until a policy change takes effect or is given up.
 pub(super) struct Held {
@@ -24,7 +24,7 @@
 
 /// A dispatcher's view of the fleet-wide policy.
 pub struct FleetPolicy {
-    pub(super) part: Part,
+    pub(super) part: Participant,
     me: Peer,
     pub(super) terms: PolicyTerms,
     /// Backoff sent to clients when a request is rejected for lack of a lease, in milliseconds.
@@ -48,7 +48,7 @@
     /// Starts with the configured settings, until the fleet agrees on a policy.
     pub fn new(terms: PolicyTerms, me: Peer, backoff_ms: u64, base: Settings) -> FleetPolicy {
         FleetPolicy {
-            part: Part::default(),
+            part: Participant::default(),
             me,
             terms,
             backoff_ms,
@@ -89,14 +89,14 @@
         holder: Option<Holder>,
         agreed: Option<&Policies>,
         names: &Names,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         let FleetPolicy { part, prepared, base, .. } = self;
         let acts =
-            part.look(now, self.me, holder, agreed, &mut |p| prepare_settings(p, base, names, prepared));
+            part.poll(now, self.me, holder, agreed, &mut |p| prepare_settings(p, base, names, prepared));
         // A dispatcher that missed the vote prepares the settings now. Faults are not expected: every
         // dispatcher that had a lease at the time, running the same build, has checked the policy.
         for act in &acts {
-            if let Act::InForce(p) = act
+            if let Action::InForce(p) = act
                 && !prepared.contains_key(&p.number)
             {
                 let faults = prepare_settings(p, base, names, prepared);
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -9,7 +9,7 @@
 use crate::dispatch::{Command, Request};
 use crate::settings::options::WithoutLease;
 use crate::takeover::{Gate, Reply};
-use fleet::policy::{Act, Gate as PolicyGate, Policies, PolicyRecord};
+use fleet::policy::{Action, Gate as PolicyGate, Policies, PolicyLog};
 
 impl DispatcherServer {
     /// Limits a request's budget to the client timeout of its class under the policy.
@@ -24,9 +24,9 @@
     }
 
     /// The source of the policy: a control group, or the replicated log of the peers.
-    fn policy_record(&self) -> Option<&dyn PolicyRecord> {
-        let control = self.control.as_ref().map(|c| &c.follower as &dyn PolicyRecord);
-        control.or_else(|| self.in_flight.as_ref().map(|h| &h.takeover.fleet as &dyn PolicyRecord))
+    fn policy_record(&self) -> Option<&dyn PolicyLog> {
+        let control = self.control.as_ref().map(|c| &c.follower as &dyn PolicyLog);
+        control.or_else(|| self.in_flight.as_ref().map(|h| &h.takeover.fleet as &dyn PolicyLog))
     }
 
     /// The agreed policy state, as far as it is known here.
@@ -110,30 +110,29 @@
     /// Applies the fleet's policy state, sends votes and other commands, and releases held requests.
     pub(super) fn tick_policy(&mut self, now: Micros) {
         let Some(fleet_policy) = &mut self.fleet_policy else { return };
-        let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
-        {
+        let (changed, record): (bool, &mut dyn PolicyLog) = match (&mut self.control, &mut self.in_flight) {
             (Some(control), _) => (control.follower.take_changed(), &mut control.follower),
             (None, Some(h)) => (std::mem::take(&mut h.takeover.ruled), &mut h.takeover.fleet),
             (None, None) => return,
         };
-        let has_pending_work = !fleet_policy.calls.is_empty() || !fleet_policy.part.abreast();
+        let has_pending_work = !fleet_policy.calls.is_empty() || !fleet_policy.part.caught_up();
         if !changed && !has_pending_work {
             return;
         }
         let holder = record.holds(now);
         let acts = fleet_policy.reconcile(now, holder, record.policies(), &self.names);
-        record.heeded(fleet_policy.part.number());
+        record.mark_applied(fleet_policy.part.number());
         let mut change = None;
         let mut send_failed = false;
         for act in acts {
             match act {
-                Act::Say(command) => {
-                    if !record.say(now, command) {
-                        fleet_policy.part.unsaid();
+                Action::Submit(command) => {
+                    if !record.submit(now, command) {
+                        fleet_policy.part.submit_failed();
                         send_failed = true;
                     }
                 }
-                Act::Voted(number, faults) => {
+                Action::Voted(number, faults) => {
                     tracing::info!(
                         number,
                         yes = faults.is_empty(),
@@ -141,11 +140,11 @@
                         "policy: voted"
                     );
                 }
-                Act::Closing(number) => tracing::info!(number, "policy: closing"),
-                Act::GivenUp(number, why, faults) => {
+                Action::Closing(number) => tracing::info!(number, "policy: closing"),
+                Action::GivenUp(number, why, faults) => {
                     tracing::warn!(number, why, ?faults, "policy: given up");
                 }
-                Act::InForce(policy) => {
+                Action::InForce(policy) => {
                     tracing::info!(number = policy.number, "policy: in force");
                     change = fleet_policy.settings_under(policy.number).cloned();
                 }
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -10,7 +10,7 @@
 use crate::settings::hcl::{Fault, shown};
 use crate::settings::options::PolicyTerms;
 use fleet::Peer;
-use fleet::policy::{Command, MOST_TEXT, Policies, Policy as Agreed, PolicyRecord, Waiting};
+use fleet::policy::{Command, MAX_TEXT_BYTES, Policies, Policy as Agreed, PolicyLog, QueuedChange};
 use std::io::Read as _;
 
 /// Time limit for agreement, in microseconds; a call must be answered within a second in any case.
@@ -60,9 +60,9 @@
         return Err(format!("{}: no file", shown(path)));
     }
     let mut text = String::new();
-    file.take(MOST_TEXT as u64 + 1).read_to_string(&mut text).map_err(with_path)?;
-    if text.len() > MOST_TEXT {
-        return Err(format!("{}: longer than {MOST_TEXT} bytes", shown(path)));
+    file.take(MAX_TEXT_BYTES as u64 + 1).read_to_string(&mut text).map_err(with_path)?;
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(format!("{}: longer than {MAX_TEXT_BYTES} bytes", shown(path)));
     }
     if text.trim().is_empty() {
         return Err(format!("{}: empty; POLICY BACK returns to the policy before", shown(path)));
@@ -84,8 +84,8 @@
                 Ok((command, if queued { WaitCondition::Queued(now) } else { WaitCondition::Proposed(now) }))
             }
             Ask::Back => {
-                policies.accepts("").map_err(|e| format!("-ERR {e}"))?;
-                policies.before().ok_or("-ERR no policy was in force before this one")?;
+                policies.can_propose("").map_err(|e| format!("-ERR {e}"))?;
+                policies.previous().ok_or("-ERR no policy was in force before this one")?;
                 Ok((Command::Back(self.me, now, limits), WaitCondition::Proposed(now)))
             }
             Ask::Abort => {
@@ -107,13 +107,13 @@
         let (digest, by) = (digest(&text), self.me);
         match self.queue_from {
             None => {
-                self.policies.accepts(&text).map_err(|e| format!("-ERR {e}"))?;
-                Ok(Command::Propose { text, digest, by, at, limits, least: 0 })
+                self.policies.can_propose(&text).map_err(|e| format!("-ERR {e}"))?;
+                Ok(Command::Propose { text, digest, by, at, limits, min_number: 0 })
             }
             Some(number) => {
-                self.policies.queues(&text).map_err(|e| format!("-ERR {e}"))?;
+                self.policies.can_queue(&text).map_err(|e| format!("-ERR {e}"))?;
                 let policy = Agreed { number, text, digest };
-                Ok(Command::Queue(Waiting { policy, by, at, limits }))
+                Ok(Command::Queue(QueuedChange { policy, by, at, limits }))
             }
         }
     }
@@ -146,17 +146,19 @@
 /// The answer to a call, once its condition is decided.
 fn answer_for(condition: &WaitCondition, policies: &Policies, me: Peer) -> Option<String> {
     match *condition {
-        WaitCondition::Proposed(at) => match (policies.taken(me, at), policies.pending()) {
+        WaitCondition::Proposed(at) => match (policies.accepted_number(me, at), policies.pending()) {
             (Some(number), _) => Some(format!("+OK proposed {number}")),
             (None, Some(p)) => Some(format!("-ERR policy {} is under way already", p.policy.number)),
             (None, None) => None,
         },
-        WaitCondition::Queued(at) => policies.taken(me, at).map(|number| queued_answer(number, policies)),
+        WaitCondition::Queued(at) => {
+            policies.accepted_number(me, at).map(|number| queued_answer(number, policies))
+        }
         WaitCondition::Over(number) if policies.current().number == number => {
             Some(format!("-ERR policy {number} is in force already"))
         }
         WaitCondition::Over(number) => policies
-            .ended()
+            .outcomes()
             .find(|e| e.number == number)
             .map(|e| format!("+OK given up: {}", e.why.as_deref().unwrap_or(""))),
     }
@@ -164,7 +166,7 @@
 
 /// The answer for an accepted change, which is either voted on or queued.
 fn queued_answer(number: u64, policies: &Policies) -> String {
-    let waits = policies.waiting().any(|w| w.policy.number == number);
+    let waits = policies.queued().any(|w| w.policy.number == number);
     if waits { format!("+OK proposed {number}, waiting") } else { format!("+OK proposed {number}") }
 }
 
@@ -179,7 +181,7 @@
             Err(answer) => Some(answer),
             Ok((command, condition)) => {
                 let Some(in_flight) = &mut self.in_flight else { return Some("-ERR no fleet".into()) };
-                if !in_flight.takeover.fleet.say(now, command) {
+                if !in_flight.takeover.fleet.submit(now, command) {
                     return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
                 }
                 self.fleet_policy.as_mut()?.calls.wait(caller, condition, now);
--- a/src/net/policy_status.rs
+++ b/src/net/policy_status.rs
@@ -15,7 +15,7 @@
         let _ = write!(text, ", {applied} here");
     }
     text.push('\n');
-    if !policies.abreast() {
+    if !policies.caught_up() {
         text.push_str(
             "the fleet has lost its record: nothing is admitted until a policy is in force again\n",
         );
@@ -35,7 +35,7 @@
             write_faults(&mut text, pending.policy.number, fleet::peer_of(holder.incarnation), faults);
         }
     }
-    for ended in policies.ended() {
+    for ended in policies.outcomes() {
         match &ended.why {
             None => drop(writeln!(text, "{} in force", ended.number)),
             Some(why) => drop(writeln!(text, "{} given up: {}", ended.number, shown(why))),
