--- a/src/arrivals/key_spacing.rs
+++ b/src/arrivals/key_spacing.rs
@@ -41,14 +41,14 @@
     pub since_previous: Option<Micros>,
     /// Earliest time at which the client may have issued the request: its arrival time, unless it may have
     /// been delayed.
-    pub wanted_at: Micros,
+    pub issued_at: Micros,
 }
 
 impl RequestSpacing {
     /// Upper bound of the client-side delay, in microseconds.
-    pub fn held_back(&self, arrived: Occurrence, budget: Micros) -> Micros {
+    pub fn client_delay(&self, arrived: Occurrence, budget: Micros) -> Micros {
         let most = budget - budget / MIN_BUDGET_DIVISOR;
-        arrived.earliest.saturating_sub(self.wanted_at).min(most)
+        arrived.earliest.saturating_sub(self.issued_at).min(most)
     }
 }
 
@@ -65,12 +65,12 @@
     /// Records a request and returns its timing relative to the previous request for the key.
     pub fn record(&mut self, key: u64, arrived: Occurrence, on_new_connection: bool) -> RequestSpacing {
         let previous = self.0.get(&key).copied();
-        let held_back = previous.filter(|last| last.may_hold_back(arrived));
-        let run_began_at = held_back.map_or(arrived.earliest, |last| last.run_began_at.min(arrived.earliest));
+        let delaying = previous.filter(|last| last.may_have_delayed(arrived));
+        let run_began_at = delaying.map_or(arrived.earliest, |last| last.run_began_at.min(arrived.earliest));
         self.0.put(key, LastRequest { arrived, on_new_connection, run_began_at });
         RequestSpacing {
             since_previous: previous.map(|last| arrived.shortest_since(last.arrived)),
-            wanted_at: run_began_at,
+            issued_at: run_began_at,
         }
     }
 }
@@ -79,7 +79,7 @@
     /// Whether the next request followed closely enough that its client may have waited for the minimum
     /// spacing. A request that certainly arrived sooner comes from clients that do not space their requests
     /// and so delay nothing.
-    fn may_hold_back(&self, next: Occurrence) -> bool {
+    fn may_have_delayed(&self, next: Occurrence) -> bool {
         let spacing = if self.on_new_connection { MIN_SPACING_AFTER_NEW_CONNECTION } else { MIN_SPACING };
         let is_spaced = next.longest_since(self.arrived) >= MIN_SPACING - SPACING_TOLERANCE;
         is_spaced && next.shortest_since(self.arrived) <= spacing + SPACING_TOLERANCE
--- a/src/arrivals/key_spacing/tests.rs
+++ b/src/arrivals/key_spacing/tests.rs
@@ -10,27 +10,27 @@
 
 /// Earliest issue time of each request, in milliseconds from `START`. Each input is the arrival time in
 /// milliseconds and whether the request opened a new connection.
-fn wanted(requests: &[(Micros, bool)]) -> Vec<Micros> {
+fn issued(requests: &[(Micros, bool)]) -> Vec<Micros> {
     let mut spacing = KeySpacing::default();
     let spaced = requests.iter().map(|(ms, new)| spacing.record(KEY, at(*ms), *new));
-    spaced.map(|s| (s.wanted_at - START) / MS).collect()
+    spaced.map(|s| (s.issued_at - START) / MS).collect()
 }
 
 #[test]
 fn a_run_at_just_the_spacing_may_have_been_wanted_when_it_began() {
-    assert_eq!(wanted(&[(0, true), (250, true), (500, false), (560, false)]), [0, 0, 0, 0]);
-    assert_eq!(wanted(&[(0, false), (60, false), (120, false)]), [0, 0, 0]);
+    assert_eq!(issued(&[(0, true), (250, true), (500, false), (560, false)]), [0, 0, 0, 0]);
+    assert_eq!(issued(&[(0, false), (60, false), (120, false)]), [0, 0, 0]);
 }
 
 #[test]
 fn whoever_came_later_than_the_spacing_was_not_held_back() {
-    assert_eq!(wanted(&[(0, true), (301, true), (400, false)]), [0, 301, 301]);
-    assert_eq!(wanted(&[(0, false), (111, false), (222, true)]), [0, 111, 222]);
+    assert_eq!(issued(&[(0, true), (301, true), (400, false)]), [0, 301, 301]);
+    assert_eq!(issued(&[(0, false), (111, false), (222, true)]), [0, 111, 222]);
 }
 
 #[test]
 fn the_slack_of_the_protocol_counts_as_held_back() {
-    assert_eq!(wanted(&[(0, true), (300, false), (410, false)]), [0, 0, 0]);
+    assert_eq!(issued(&[(0, true), (300, false), (410, false)]), [0, 0, 0]);
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let mut spacing = KeySpacing::default();
     spacing.record(KEY, at(0), true);
     let other = spacing.record(KEY + 1, at(100), true);
-    assert_eq!(other, RequestSpacing { since_previous: None, wanted_at: START + 100 * MS });
+    assert_eq!(other, RequestSpacing { since_previous: None, issued_at: START + 100 * MS });
 }
 
 // A request that was read late may have arrived closer to the previous one, so it counts as possibly delayed.
@@ -48,23 +48,23 @@
     spacing.record(KEY, at(0), false);
     let late = Occurrence::between(START + 90 * MS, START + 900 * MS);
     let spaced = spacing.record(KEY, late, false);
-    assert_eq!(spaced, RequestSpacing { since_previous: Some(90 * MS), wanted_at: START });
+    assert_eq!(spaced, RequestSpacing { since_previous: Some(90 * MS), issued_at: START });
 }
 
 // At least a quarter of the budget is kept, however long the run.
 #[test]
 fn something_is_always_left_of_a_budget() {
     let mut spacing = KeySpacing::default();
-    let held_back = (0..100).map(|n| {
-        let came = at(n * 250);
-        spacing.record(KEY, came, true).held_back(came, 4_000 * MS) / MS
+    let delays = (0..100).map(|n| {
+        let arrived = at(n * 250);
+        spacing.record(KEY, arrived, true).client_delay(arrived, 4_000 * MS) / MS
     });
     let expected = (0..100).map(|n| (n * 250).min(3_000));
-    assert!(held_back.eq(expected));
+    assert!(delays.eq(expected));
 }
 
 // Independent clients may request the same key at the same time.
 #[test]
 fn clients_that_keep_no_spacing_hold_nothing_back() {
-    assert_eq!(wanted(&[(0, false), (5, false), (9, true), (12, false)]), [0, 5, 9, 12]);
+    assert_eq!(issued(&[(0, false), (5, false), (9, true), (12, false)]), [0, 5, 9, 12]);
 }
--- a/src/net/clients/arrival.rs
+++ b/src/net/clients/arrival.rs
@@ -17,13 +17,13 @@
 impl Arrival {
     /// Remaining time of a budget that started when the client issued the request, in microseconds.
     pub(super) fn remaining_budget(&self, budget: Micros, now: Micros) -> Micros {
-        let here = now.saturating_sub(self.arrived.earliest);
-        budget.saturating_sub(here).saturating_sub(self.held_back(budget))
+        let since_arrival = now.saturating_sub(self.arrived.earliest);
+        budget.saturating_sub(since_arrival).saturating_sub(self.client_delay(budget))
     }
 
     /// Upper bound of the client-side delay, in microseconds.
-    pub(super) fn held_back(&self, budget: Micros) -> Micros {
-        self.spacing.map_or(0, |s| s.held_back(self.arrived, budget))
+    pub(super) fn client_delay(&self, budget: Micros) -> Micros {
+        self.spacing.map_or(0, |s| s.client_delay(self.arrived, budget))
     }
 
     /// Upper bound of the time between the arrival of the last byte and the read, in milliseconds.
@@ -37,7 +37,7 @@
     }
 
     /// Upper bound of the client-side delay, not limited by the budget, in milliseconds.
-    pub(super) fn maybe_held_back_ms(&self) -> Option<u64> {
-        self.spacing.map(|s| (self.arrived.earliest - s.wanted_at) / 1_000)
+    pub(super) fn max_client_delay_ms(&self) -> Option<u64> {
+        self.spacing.map(|s| (self.arrived.earliest - s.issued_at) / 1_000)
     }
 }
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -56,7 +56,7 @@
                         return self.reject_second_request(key, now);
                     }
                     if self.requests.open.contains_key(&id) {
-                        session.reject_mistake(ClientError::DuplicateRequestId, now);
+                        session.reject_and_pause(ClientError::DuplicateRequestId, now);
                         continue;
                     }
                     session.open = Some(id);
@@ -79,7 +79,7 @@
         }
         while let Some(ArrivedRequest { client, mut request, arrival }) = self.requests.arrived.pop_front() {
             let now = self.clock.now();
-            request.held_back = arrival.held_back(request.budget) > 0;
+            request.held_back = arrival.client_delay(request.budget) > 0;
             request.budget = arrival.remaining_budget(request.budget, now);
             if let Some(job) = self.job_if_client_waits(client, request.id) {
                 self.begin_request(client, request, job, now);
@@ -163,7 +163,7 @@
     fn report_client_error(&mut self, key: Key, why: impl Display, now: Micros) {
         if let Some(session) = self.sessions.by_key.get_mut(&key) {
             session.open = None;
-            session.reject_mistake(ClientError::NotAccepted(why.to_string()), now);
+            session.reject_and_pause(ClientError::NotAccepted(why.to_string()), now);
         }
     }
 
@@ -188,7 +188,7 @@
             late_ms = arrival.late_ms(),
             new_connection = on_new_connection,
             after_previous_ms = arrival.after_previous_ms(),
-            maybe_held_back_ms = arrival.maybe_held_back_ms(),
+            maybe_held_back_ms = arrival.max_client_delay_ms(),
             "request read"
         );
         self.requests.open.insert(request.id, OpenRequest { client, job, arrival: Some(arrival) });
@@ -210,7 +210,7 @@
             late_ms = arrival.map(Arrival::late_ms),
             new_connection = arrival.map(|a| a.on_new_connection),
             after_previous_ms = arrival.and_then(Arrival::after_previous_ms),
-            maybe_held_back_ms = arrival.and_then(Arrival::maybe_held_back_ms),
+            maybe_held_back_ms = arrival.and_then(Arrival::max_client_delay_ms),
             "client left"
         );
     }
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -32,7 +32,7 @@
 
     /// Queues the final answer of the open request.
     pub fn answer(&mut self, answer: &Answer<Vec<Block>>) {
-        (self.open, self.mistakes_in_a_row) = (None, 0);
+        (self.open, self.consecutive_errors) = (None, 0);
         match answer {
             Answer::Refused(ms) => self.answer_error(ClientError::Refused { backoff_ms: *ms }),
             Answer::Failed => self.answer_error(ClientError::Failed),
--- a/src/net/clients/session/lifecycle.rs
+++ b/src/net/clients/session/lifecycle.rs
@@ -47,9 +47,9 @@
     /// Whether the connection may be closed after `LEAVE`: no request is open or partially received, and the
     /// client has sent a command or had `grace` to send one.
     pub fn may_close(&self, now: Micros, grace: Micros) -> bool {
-        let rests =
+        let is_idle =
             self.open.is_none() && self.closing_since.is_none() && self.read_buffer.bytes().is_empty();
-        rests && (self.sent_command || now > self.connected_at + grace)
+        is_idle && (self.sent_command || now > self.connected_at + grace)
     }
 
     /// Stops accepting input; the connection closes once all queued output is written.
@@ -59,7 +59,7 @@
 
     /// Whether the write side was closed long enough ago that anything the client sent before it saw the
     /// close has arrived.
-    pub fn end_has_settled(&self, now: Micros) -> bool {
+    pub fn close_has_settled(&self, now: Micros) -> bool {
         self.write_side_closed && self.closing_since.is_some_and(|t| now > t + 2 * MAX_TRANSIT_TIME)
     }
 
@@ -88,11 +88,11 @@
     /// longest idle comes first. A connection with an open request, unwritten output or a partial packet is
     /// never evicted; the caller must also check for [unread data](Session::has_unread).
     pub fn eviction_rank(&self, now: Micros, grace: Micros) -> Option<(u8, Micros)> {
-        let rests = self.open.is_none() && self.is_flushed();
-        if let Some(since) = self.closing_since.filter(|t| rests && now > *t + grace) {
+        let is_idle = self.open.is_none() && self.is_flushed();
+        if let Some(since) = self.closing_since.filter(|t| is_idle && now > *t + grace) {
             return Some((0, since));
         }
-        let quiet = rests && self.read_buffer.bytes().is_empty() && self.paused_until.is_none();
+        let quiet = is_idle && self.read_buffer.bytes().is_empty() && self.paused_until.is_none();
         let silent = !self.sent_command && now > self.connected_at + grace;
         let spare = quiet && self.closing_since.is_none() && (self.sent_command || silent);
         spare.then_some((1 + u8::from(self.sent_command), self.active_at))
--- a/src/net/clients/session/mod.rs
+++ b/src/net/clients/session/mod.rs
@@ -27,8 +27,7 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Base duration of the read pause after a client error, in microseconds; it doubles with each consecutive
-/// error.
+/// The read pause after the n-th consecutive client error is 2^n times this, in microseconds.
 const ERROR_PAUSE: Micros = 10_000;
 /// The connection closes after this many consecutive client errors.
 const MAX_CONSECUTIVE_ERRORS: u32 = 8;
@@ -72,7 +71,7 @@
     /// Whether the client has sent a request.
     sent_request: bool,
     /// Number of consecutive client errors.
-    mistakes_in_a_row: u32,
+    consecutive_errors: u32,
     /// End of the read pause after a client error.
     paused_until: Option<Micros>,
     /// When the connection began to close. It closes once all output is written and the data that the client
@@ -94,7 +93,7 @@
         pool: &Pool,
         id: u32,
         scramble: &[u8; 20],
-        came: Occurrence,
+        connected: Occurrence,
     ) -> io::Result<Session> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -112,14 +111,14 @@
             read_buffer,
             write_buffer,
             open: None,
-            active_at: came.latest,
-            connected_at: came.latest,
-            unread_since: Some(came.earliest),
-            received: came,
+            active_at: connected.latest,
+            connected_at: connected.latest,
+            unread_since: Some(connected.earliest),
+            received: connected,
             partial_since: None,
             sent_command: false,
             sent_request: false,
-            mistakes_in_a_row: 0,
+            consecutive_errors: 0,
             paused_until: None,
             closing_since: None,
             discarded_bytes: 0,
@@ -175,7 +174,7 @@
                 Ok(Interpretation::Ok) => self.answer_ok(),
                 Ok(Interpretation::Values(values)) => self.answer_values(&values),
                 Ok(Interpretation::Command(command)) => return Some(command),
-                Err(e) => self.reject_mistake(e, now),
+                Err(e) => self.reject_and_pause(e, now),
             }
         }
         None
@@ -183,13 +182,13 @@
 
     /// Answers a client error immediately and then pauses reading, because some clients repeat the same error
     /// forever.
-    pub fn reject_mistake(&mut self, error: impl Into<Error>, now: Micros) {
-        self.mistakes_in_a_row += 1;
-        if self.mistakes_in_a_row >= MAX_CONSECUTIVE_ERRORS {
+    pub fn reject_and_pause(&mut self, error: impl Into<Error>, now: Micros) {
+        self.consecutive_errors += 1;
+        if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
             return self.close_with_error(error, now);
         }
         self.answer_error(error);
-        self.paused_until = Some(now + (ERROR_PAUSE << self.mistakes_in_a_row));
+        self.paused_until = Some(now + (ERROR_PAUSE << self.consecutive_errors));
         self.unread_since = Some(self.received.earliest);
     }
 
--- a/src/net/clients/session/tests.rs
+++ b/src/net/clients/session/tests.rs
@@ -59,7 +59,7 @@
         s.read(Occurrence::at(3)) && s.next_command(&names(), 3).is_none(),
         "it is read, and nothing comes of it"
     );
-    assert!(!s.has_unread() && !s.end_has_settled(2) && s.end_has_settled(200_000));
+    assert!(!s.has_unread() && !s.close_has_settled(2) && s.close_has_settled(200_000));
     s.close(&poll);
     assert_eq!(client.read(&mut [0]).unwrap(), 0, "no reset");
 }
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -94,14 +94,14 @@
 
 impl DispatcherServer {
     /// Starts the shutdown after SIGTERM; further signals have no effect.
-    pub(in crate::net) fn begin_shutdown(&mut self, came: Occurrence) {
+    pub(in crate::net) fn begin_shutdown(&mut self, arrived: Occurrence) {
         if self.shutdown.is_requested() {
             return;
         }
-        let late_ms = (came.latest - came.earliest) / 1_000;
+        let late_ms = (arrived.latest - arrived.earliest) / 1_000;
         tracing::info!(open = self.dispatch.open_requests(), late_ms, "SIGTERM");
-        self.shutdown.requested = Some(came);
-        self.dispatch.set_shutdown_time(came.earliest + self.shutdown.deadlines.give_up_after);
+        self.shutdown.requested = Some(arrived);
+        self.dispatch.set_shutdown_time(arrived.earliest + self.shutdown.deadlines.give_up_after);
     }
 
     /// Carries out the shutdown steps that are due. Returns whether the event loop should end.
@@ -151,7 +151,7 @@
         for key in idle {
             let Some(session) = self.sessions.by_key.get(&key) else { continue };
             if session.is_closing() {
-                if session.end_has_settled(now) && !session.has_unread() {
+                if session.close_has_settled(now) && !session.has_unread() {
                     self.close_client(key, now);
                 }
             } else if session.has_unread() && !session.is_paused() {
