--- a/src/arrivals/key_spacing/tests.rs
+++ b/src/arrivals/key_spacing/tests.rs
@@ -17,24 +17,24 @@
 }
 
 #[test]
-fn a_run_at_just_the_spacing_may_have_been_wanted_when_it_began() {
+fn minimally_spaced_requests_may_have_been_issued_at_the_start_of_the_run() {
     assert_eq!(issued(&[(0, true), (250, true), (500, false), (560, false)]), [0, 0, 0, 0]);
     assert_eq!(issued(&[(0, false), (60, false), (120, false)]), [0, 0, 0]);
 }
 
 #[test]
-fn whoever_came_later_than_the_spacing_was_not_held_back() {
+fn requests_beyond_the_spacing_are_not_delayed() {
     assert_eq!(issued(&[(0, true), (301, true), (400, false)]), [0, 301, 301]);
     assert_eq!(issued(&[(0, false), (111, false), (222, true)]), [0, 111, 222]);
 }
 
 #[test]
-fn the_slack_of_the_protocol_counts_as_held_back() {
+fn the_protocol_tolerance_counts_as_delay() {
     assert_eq!(issued(&[(0, true), (300, false), (410, false)]), [0, 0, 0]);
 }
 
 #[test]
-fn other_keys_hold_nothing_back() {
+fn keys_are_independent() {
     let mut spacing = KeySpacing::default();
     spacing.record(KEY, at(0), true);
     let other = spacing.record(KEY + 1, at(100), true);
@@ -43,7 +43,7 @@
 
 // A request that was read late may have arrived closer to the previous one, so it counts as possibly delayed.
 #[test]
-fn a_late_look_counts_at_its_worst() {
+fn a_late_read_uses_the_worst_case() {
     let mut spacing = KeySpacing::default();
     spacing.record(KEY, at(0), false);
     let late = Occurrence::between(START + 90 * MS, START + 900 * MS);
@@ -53,7 +53,7 @@
 
 // At least a quarter of the budget is kept, however long the run.
 #[test]
-fn something_is_always_left_of_a_budget() {
+fn part_of_the_budget_is_always_kept() {
     let mut spacing = KeySpacing::default();
     let delays = (0..100).map(|n| {
         let arrived = at(n * 250);
@@ -65,6 +65,6 @@
 
 // Independent clients may request the same key at the same time.
 #[test]
-fn clients_that_keep_no_spacing_hold_nothing_back() {
+fn requests_closer_than_the_spacing_are_not_delayed() {
     assert_eq!(issued(&[(0, false), (5, false), (9, true), (12, false)]), [0, 5, 9, 12]);
 }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_start_is_the_same_moment_on_both_sides_of_a_step() {
+fn start_times_convert_alike_before_and_after_a_step() {
     let (now, started) = (10_000 * SECOND as Micros, 9_997 * SECOND as Micros);
     for step in STEPS {
         let mut wall = WallClock::default();
@@ -61,20 +61,20 @@
         wall.observe(after, after.saturating_add_signed(step));
         // Reported by a machine that read its clock before the step, then by one that read it after.
         assert_eq!(wall.to_monotonic(after, started), started, "before a step of {step}");
-        let told = started.saturating_add_signed(step);
-        assert_eq!(wall.to_monotonic(after, told), started, "after a step of {step}");
+        let reported = started.saturating_add_signed(step);
+        assert_eq!(wall.to_monotonic(after, reported), started, "after a step of {step}");
     }
 }
 
 #[test]
-fn a_start_in_the_future_counts_as_one_just_now() {
+fn a_future_start_time_is_clamped_to_now() {
     let mut wall = WallClock::default();
     wall.observe(1_000, 5_000);
     assert_eq!(wall.to_monotonic(2_000, 6_000 + 3_600_000_000), 2_000);
 }
 
 #[test]
-fn a_start_told_again_after_a_step_is_no_new_start() {
+fn a_start_time_reported_again_after_a_step_is_unchanged() {
     let (mut starts, mut wall) = (ExecutorStartTimes::default(), WallClock::default());
     let now = 10_000_000_000;
     wall.observe(now, now);
--- a/src/net/clients/session/tests.rs
+++ b/src/net/clients/session/tests.rs
@@ -18,7 +18,7 @@
 // Tenant shares depend on the `acct` field. It was not parsed once, so that on a site with shares every
 // request was counted without a tenant.
 #[test]
-fn the_tenant_a_request_names_is_passed_on() {
+fn the_tenant_field_is_parsed() {
     assert_eq!(tenant(",acct=cafe"), Some(1));
     assert_eq!(tenant(",acct=mart"), Some(0));
     assert_eq!(tenant(",acct=nobody"), None);
@@ -42,7 +42,7 @@
 // send buffer. The session instead shuts down its write side first, and reads and discards what arrives in
 // the meantime without starting it.
 #[test]
-fn what_crosses_the_end_of_a_connection_resets_nothing_and_is_not_taken() {
+fn input_on_a_closing_connection_is_discarded_without_a_reset() {
     use std::io::Write;
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let (mut s, mut client) = connected(&poll, &pool);
@@ -67,7 +67,7 @@
 // After a stall, a client's request and its end of stream are both pending: a single read shows only the
 // request.
 #[test]
-fn reading_on_finds_the_end_behind_a_request() {
+fn read_to_end_detects_a_disconnect_after_a_request() {
     use std::io::Write;
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let (mut s, mut client) = connected(&poll, &pool);
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -40,7 +40,7 @@
     /// Signals that a test raises without a real signal: the flag for SIGTERM, and the stream that wakes the
     /// event loop.
     #[cfg(test)]
-    pub(super) fn raised_by_hand() -> io::Result<(Signals, Arc<AtomicBool>, UnixStream)> {
+    pub(super) fn for_test() -> io::Result<(Signals, Arc<AtomicBool>, UnixStream)> {
         let (stream, write) = UnixStream::pair()?;
         stream.set_nonblocking(true)?;
         let signals = Signals { stream, terminate: Arc::default(), reload: Arc::default() };
--- a/src/net/sockets/buffers/tests.rs
+++ b/src/net/sockets/buffers/tests.rs
@@ -2,7 +2,7 @@
 
 // A buffer that does not return to the pool is a leak that grows with every connection.
 #[test]
-fn buffers_go_round() {
+fn buffers_return_to_the_pool() {
     let pool = Pool::new(4 * BLOCK_SIZE);
     let mut out = WriteBuffer::new(&pool);
     out.append(&vec![7; 3 * BLOCK_SIZE]);
--- a/src/net/sockets/system_calls/tests.rs
+++ b/src/net/sockets/system_calls/tests.rs
@@ -37,9 +37,9 @@
             return None;
         }
         *calls += 1;
-        let strikes = calls.is_multiple_of(plan.one_in);
-        *failed += u32::from(strikes);
-        strikes.then_some(*plan)
+        let fails = calls.is_multiple_of(plan.one_in);
+        *failed += u32::from(fails);
+        fails.then_some(*plan)
     })
 }
 
--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -9,7 +9,7 @@
 use std::net::TcpListener;
 
 /// Sends six requests and returns their answers; asserts that each gets exactly one answer.
-fn ask_all(dispatcher: &RunningDispatcher, client: u64, without_descriptors: bool) -> Vec<(u64, Got)> {
+fn send_requests(dispatcher: &RunningDispatcher, client: u64, without_descriptors: bool) -> Vec<(u64, Got)> {
     let mut all = Vec::new();
     for n in 0..6 {
         let rid = 0x1000 * (client + 1) + n;
@@ -34,7 +34,7 @@
     let answers: Vec<(u64, Got)> = std::thread::scope(|scope| {
         let dispatcher = &dispatcher;
         let without_descriptors = matches!(error, Some(libc::EMFILE | libc::ENFILE));
-        let asks = move |c| scope.spawn(move || ask_all(dispatcher, c, without_descriptors));
+        let asks = move |c| scope.spawn(move || send_requests(dispatcher, c, without_descriptors));
         let clients: Vec<_> = (0..4).map(asks).collect();
         clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
     });
@@ -109,7 +109,7 @@
 
 // A connect that failed locally used to be attributed to the executor, which was then taken out of service.
 #[test]
-fn a_dial_that_fails_on_our_side_says_nothing_of_the_executor() {
+fn local_connect_failures_are_not_attributed_to_the_executor() {
     for error in [libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENETUNREACH, libc::EAGAIN, libc::ENOMEM] {
         assert!(system_calls::is_local_failure(&io::Error::from_raw_os_error(error)), "{error}");
     }
@@ -120,7 +120,7 @@
 
 // A broken executor connection can report any of these errors: idempotent requests are retried, others fail.
 #[test]
-fn executors_connections_that_break() {
+fn broken_executor_connections() {
     for error in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET] {
         let plan = FaultPlan { call: Call::Read, error: Some(error), one_in: 7 };
         let mut dispatcher =
@@ -130,8 +130,8 @@
             let mut c = Client::says(dispatcher.address, &request(class, rid, 10_000));
             let answers = [c.got(), c.got()];
             // A client whose own connection broke gets no answer; a load runs at most once in any case.
-            let told = answers.iter().filter(|a| matches!(a, Got::Rows(_) | Got::Error(..))).count();
-            assert!(told <= 1, "{error}: {answers:?}");
+            let answered = answers.iter().filter(|a| matches!(a, Got::Rows(_) | Got::Error(..))).count();
+            assert!(answered <= 1, "{error}: {answers:?}");
             assert!(class != "load" || dispatcher.run_count(rid) <= 1);
         }
         dispatcher.terminate();
@@ -142,7 +142,7 @@
 // An interrupted connect continues in the background. It used to be treated as failed: the request went to
 // another executor, and the failure was attributed to this one.
 #[test]
-fn an_interrupted_connect_goes_on() {
+fn an_interrupted_connect_continues() {
     install(FaultPlan { call: Call::Connect, error: Some(libc::EINTR), one_in: 1 });
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = dial::connect(listener.local_addr().unwrap()).expect("a connection that is coming up");
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -44,7 +44,7 @@
         let mut launch = Launch::new("", std::env::temp_dir());
         launch.settings = settings.json();
         let config = launch.config_of(feed.address, &targets);
-        let (signals, stop, wake) = Signals::raised_by_hand().unwrap();
+        let (signals, stop, wake) = Signals::for_test().unwrap();
         let (tell, told) = channel();
         let thread = std::thread::spawn(move || {
             let load = || Config::parse("");
--- a/src/net/tests/stepped_clock.rs
+++ b/src/net/tests/stepped_clock.rs
@@ -12,7 +12,7 @@
 // A step forward used to expire every open request, and a step back extended hanging requests by the same
 // time.
 #[test]
-fn requests_keep_their_time() {
+fn request_deadlines_ignore_wall_clock_steps() {
     let wall = SteppedWall::new();
     for (rid, step) in (1..).zip(STEPS) {
         let mut dispatcher = RunningDispatcher::start(Duration::from_millis(400), &Quiet::default(), || ());
@@ -35,7 +35,7 @@
 // The time limits of the shutdown used to follow the wall clock: a step forward ended a load that had time
 // left, and a step back kept the process running longer than the platform waits.
 #[test]
-fn a_drain_takes_its_time() {
+fn the_shutdown_ignores_wall_clock_steps() {
     let wall = SteppedWall::new();
     for (rid, step) in (1..).zip(STEPS) {
         let mut dispatcher = RunningDispatcher::start(Duration::from_millis(900), &Quiet::default(), || ());
--- a/tests/clients/crowds.rs
+++ b/tests/clients/crowds.rs
@@ -7,7 +7,7 @@
 // Idle clients used to take all descriptors while discovery was down. Once it is back, the dispatcher must
 // follow the list again and serve a request on an executor that only the new list names.
 #[test]
-fn a_crowd_of_idle_clients_keeps_neither_discovery_nor_requests_out() {
+fn idle_clients_block_neither_discovery_nor_requests() {
     let executor = Executor::new();
     for limit in [64, 40] {
         // With fewer descriptors than the shares need, the newest idle client is closed for the coordinator
@@ -45,7 +45,7 @@
 // A silent connection used to be probed even if the settings do not permit probes. The command after the PULL
 // of an unanswered request must be its KILL, sent at the dispatcher's own deadline.
 #[test]
-fn nothing_is_probed_where_probes_are_not_permitted() {
+fn no_probes_are_sent_where_not_permitted() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = quiet(&[("e1", executor.address)]);
     let mut client =
@@ -59,7 +59,7 @@
 // All client slots are taken by running requests, and more clients connect than may linger, each with its
 // request already written. A request that was read must be answered, also on a new connection.
 #[test]
-fn a_request_on_a_connection_too_many_is_refused_and_not_only_closed() {
+fn a_request_beyond_the_client_limit_gets_a_rejection() {
     let executor = Executor::new();
     let mut launch = launch();
     launch.settings = Quiet::default().json();
--- a/tests/clients/keyed.rs
+++ b/tests/clients/keyed.rs
@@ -9,7 +9,7 @@
 // one. The token used to be dropped, so such a class was never served. Every attempt must carry the token
 // unchanged.
 #[test]
-fn a_keyed_request_takes_its_token_along_on_every_attempt() {
+fn every_attempt_carries_the_idempotency_token() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
     let mut client =
@@ -27,7 +27,7 @@
 // The token is part of a line of words: one that could be parsed as more of the line must be rejected and
 // never forwarded.
 #[test]
-fn a_token_that_is_no_word_is_an_error() {
+fn an_invalid_token_is_an_error() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
     let long = "x".repeat(73);
--- a/tests/clients/leaving.rs
+++ b/tests/clients/leaving.rs
@@ -5,17 +5,17 @@
 use std::net::Shutdown;
 
 /// How a client abandons its request.
-enum Goes {
-    Kills,
-    Closes,
-    Resets,
-    Shuts,
-    Quits,
+enum Departure {
+    Kill,
+    Close,
+    Reset,
+    ShutdownWrite,
+    Quit,
 }
 
 /// The client abandons a request that waits for an executor connection being established. Once the connection
 /// is up, the first request sent on it must be the next client's.
-fn goes_while_its_connection_comes_up(class: &str, how: &Goes, cancel: bool) {
+fn client_leaves_during_connect(class: &str, how: &Departure, cancel: bool) {
     let executor = Executor::new();
     let mut launch = launch();
     launch.settings = Quiet::default().json().replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
@@ -24,15 +24,15 @@
     let mut client = Client::asks(dispatcher.address, &request(class, "c1"));
     dialed(executor.address, 1);
     match how {
-        Goes::Kills => {
+        Departure::Kill => {
             let mut killer = Client::asks(dispatcher.address, &format!("KILL QUERY {}", client.id));
             assert_eq!(killer.got(), Got::Ok);
             assert!(matches!(client.got(), Got::Error(1317, _)));
         }
-        Goes::Closes => drop(client),
-        Goes::Resets => resets(client.stream),
-        Goes::Shuts => client.stream.shutdown(Shutdown::Write).unwrap(),
-        Goes::Quits => client.stream.write_all(&[1, 0, 0, 0, 1]).unwrap(),
+        Departure::Close => drop(client),
+        Departure::Reset => resets(client.stream),
+        Departure::ShutdownWrite => client.stream.shutdown(Shutdown::Write).unwrap(),
+        Departure::Quit => client.stream.write_all(&[1, 0, 0, 0, 1]).unwrap(),
     }
     dispatcher.logs("client left");
     executor.widens(filler);
@@ -48,25 +48,27 @@
 // still waiting for its connection used to be sent once that was up, as late as the dial timeout after the
 // client had left.
 #[test]
-fn what_may_not_run_twice_is_not_begun_for_a_client_that_has_gone() {
-    for how in [Goes::Kills, Goes::Closes, Goes::Resets, Goes::Shuts, Goes::Quits] {
-        goes_while_its_connection_comes_up("load", &how, true);
+fn a_non_idempotent_request_does_not_start_after_its_client_left() {
+    for how in
+        [Departure::Kill, Departure::Close, Departure::Reset, Departure::ShutdownWrite, Departure::Quit]
+    {
+        client_leaves_during_connect("load", &how, true);
     }
 }
 
 // If the settings do not permit cancellation, nothing is cancelled, and even idempotent requests used to
 // start.
 #[test]
-fn nothing_is_begun_for_a_client_that_has_gone_where_nothing_may_be_cancelled() {
+fn no_request_starts_after_its_client_left_without_cancellation() {
     for class in ["read", "keyed", "load"] {
-        goes_while_its_connection_comes_up(class, &Goes::Kills, false);
+        client_leaves_during_connect(class, &Departure::Kill, false);
     }
 }
 
 // A request still waiting for its connection at shutdown used to be answered as failed, as if it might have
 // run. It never ran, so the client must be told that a retry is safe.
 #[test]
-fn what_was_never_sent_is_refused_at_the_end() {
+fn an_unsent_request_is_rejected_at_shutdown() {
     let executor = Executor::new();
     let (mut dispatcher, _coordinator) = quiet(&[("e1", executor.address)]);
     let _filler = executor.narrows();
--- a/tests/clients/standstill.rs
+++ b/tests/clients/standstill.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// Longer than an attempt may start after its client has left.
-const STILL: Duration = Duration::from_millis(400);
+const SUSPENSION: Duration = Duration::from_millis(400);
 
-/// Suspends the process, runs `what`, and resumes the process after [`STILL`].
-fn while_still(dispatcher: &Dispatcher, what: impl FnOnce()) {
+/// Suspends the process, runs `what`, and resumes the process after [`SUSPENSION`].
+fn while_suspended(dispatcher: &Dispatcher, what: impl FnOnce()) {
     dispatcher.stands_still();
     what();
-    std::thread::sleep(STILL);
+    std::thread::sleep(SUSPENSION);
     dispatcher.goes_on();
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// Sends another request and asserts that it is the first one to reach the executor.
-fn next_is_first(dispatcher: &Dispatcher, peer: &mut Peer) {
+fn assert_next_request_is_first(dispatcher: &Dispatcher, peer: &mut Peer) {
     let mut next = Client::asks(dispatcher.address, &request("read", "af"));
     let pull = peer.command().unwrap();
     assert_eq!(pull[1], "00000000000000af", "{pull:?}");
@@ -47,12 +47,12 @@
 // A request and the client's end of stream were both pending in a socket. Only the request used to be read,
 // and it started for a client that had left.
 #[test]
-fn a_request_whose_client_closed_behind_it_does_not_begin() {
+fn a_request_followed_by_a_disconnect_does_not_start() {
     let executor = Executor::new();
     let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
     let (mut closes, mut shuts, mut quits) =
         (logged_in_client(&dispatcher), logged_in_client(&dispatcher), logged_in_client(&dispatcher));
-    while_still(&dispatcher, || {
+    while_suspended(&dispatcher, || {
         closes.ask(&request("load", "a1"));
         drop(closes);
         shuts.ask(&request("read", "a2"));
@@ -61,13 +61,13 @@
         quits.stream.write_all(&[1, 0, 0, 0, 1]).unwrap();
         quits.stream.shutdown(Shutdown::Write).unwrap();
     });
-    next_is_first(&dispatcher, &mut peer);
+    assert_next_request_is_first(&dispatcher, &mut peer);
 }
 
 // A KILL arrives on its own connection, which may not even be accepted when the killed request is read. The
 // request used to start and to be cancelled immediately afterwards.
 #[test]
-fn a_request_that_was_killed_before_it_was_read_does_not_begin() {
+fn a_request_killed_before_it_was_read_does_not_start() {
     let executor = Executor::new();
     let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
     let mut client = logged_in_client(&dispatcher);
@@ -75,13 +75,13 @@
     let mut waits = Vec::new();
     let id = client.id;
     let mut killer = None;
-    while_still(&dispatcher, || {
+    while_suspended(&dispatcher, || {
         client.ask(&request("load", "a1"));
         waits.extend((0..100).map(|_| std::net::TcpStream::connect(dispatcher.address).unwrap()));
         killer = Some(Client::writes(dispatcher.address, &format!("KILL QUERY {id}")));
     });
     assert!(matches!(client.got(), Got::Error(1317, _)));
-    next_is_first(&dispatcher, &mut peer);
+    assert_next_request_is_first(&dispatcher, &mut peer);
     drop((waits, killer));
 }
 
@@ -89,11 +89,11 @@
 // and failed, as it might have run. The close must be processed first, and the load sent on an open
 // connection.
 #[test]
-fn nothing_is_written_to_a_connection_whose_end_is_here_already() {
+fn nothing_is_written_to_a_connection_with_a_pending_close() {
     let executor = Executor::new();
     let (dispatcher, _coordinator, peer) = with_idle_connection(&executor);
     let mut client = logged_in_client(&dispatcher);
-    while_still(&dispatcher, || {
+    while_suspended(&dispatcher, || {
         client.ask(&request("load", "a1"));
         drop(peer);
     });
@@ -108,7 +108,7 @@
 // This also held before the order of processing within a turn was fixed, because unwritten requests were
 // taken back.
 #[test]
-fn who_drains_is_known_before_anything_begins() {
+fn pending_drains_are_processed_before_requests_start() {
     let (executor, other, old) = (Executor::new(), Executor::new(), Executor::new());
     let (mut dispatcher, coordinator) = quiet(&[("e0", old.address)]);
     let (mut feed, _) = coordinator.accept();
@@ -125,7 +125,7 @@
     dispatcher.logs("executor listed anew");
     let mut clients: Vec<Client> = (0..8).map(|_| logged_in_client(&dispatcher)).collect();
     let drains = event(4, false, &[target("e1", executor.address, "draining")]);
-    while_still(&dispatcher, || {
+    while_suspended(&dispatcher, || {
         for (n, client) in clients.iter_mut().enumerate() {
             client.ask(&request("read", &format!("b{n}")).replace("sales_7", &format!("sales_{n}")));
         }
@@ -147,7 +147,7 @@
 // A client is not read for a while after errors. Its next request and its end of stream were both pending in
 // the socket, and only the request used to be read after the pause, long after the client had left.
 #[test]
-fn a_request_whose_client_closed_during_its_pause_does_not_begin() {
+fn a_request_whose_client_closed_during_a_pause_does_not_start() {
     let executor = Executor::new();
     let (dispatcher, _coordinator, mut peer) = with_idle_connection(&executor);
     let mut client = logged_in_client(&dispatcher);
@@ -158,15 +158,15 @@
     client.ask(&request("load", "a1"));
     drop(client);
     // Longer than the pause after the sixth error.
-    std::thread::sleep(3 * STILL);
-    next_is_first(&dispatcher, &mut peer);
+    std::thread::sleep(3 * SUSPENSION);
+    assert_next_request_is_first(&dispatcher, &mut peer);
 }
 
 // Found by the soak (seed 39): a load on an idle connection is followed by one with the same key on a new
 // connection, while the process is suspended and another connection waits to be accepted. Accepting used to
 // read all pending connections, and with them the later load before the earlier one.
 #[test]
-fn the_order_of_a_key_holds_across_resting_and_new_connections() {
+fn key_order_holds_across_idle_and_new_connections() {
     let executor = Executor::new();
     let keeps_order = (r#""effect":"non_idempotent""#, r#""effect":"non_idempotent","keepOrder":true"#);
     let mut launch = launch();
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -7,7 +7,7 @@
 // waiting for as long as they stayed. The newest idle client must be closed, with a log line, and the new
 // client served.
 #[test]
-fn out_of_descriptors_the_newest_idle_client_makes_room() {
+fn the_newest_idle_client_is_closed_when_descriptors_run_out() {
     let program = env!("CARGO_BIN_EXE_ottercroft");
     let launch = Launch::new("sh", env!("CARGO_TARGET_TMPDIR"))
         .with(&["-c", &format!("ulimit -n 40 && exec {program}")]);
--- a/tests/endings/backlog.rs
+++ b/tests/endings/backlog.rs
@@ -9,7 +9,7 @@
 // time while the process was suspended. Each must be answered or closed in order, and none reset with its
 // request unread.
 #[test]
-fn a_backlog_larger_than_a_turn_is_answered_as_accepting_ends() {
+fn a_backlog_larger_than_a_turn_is_answered_at_shutdown() {
     let mut launch = launch(&Quiet::default());
     launch.sockets = 2048;
     let (mut dispatcher, _coordinator) = launch.dispatcher(&[]);
@@ -31,7 +31,7 @@
             Client { stream, id: 0 }
         })
         .collect();
-    std::thread::sleep(shutdown::TAKEN_ON);
+    std::thread::sleep(shutdown::ACCEPTING_ENDED);
     dispatcher.goes_on();
     let answered = clients.iter_mut().filter_map(|client| {
         let mut all = Vec::new();
--- a/tests/endings/late.rs
+++ b/tests/endings/late.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 /// Whether the executor receives a PULL before the client has its answer.
-fn comes(executor: &Executor, client: &Client) -> bool {
+fn receives_pull(executor: &Executor, client: &Client) -> bool {
     let (mut peers, mut came) = (Vec::new(), false);
     awaited("an answer or a pull", || {
         peers.extend(executor.accepts());
@@ -20,20 +20,20 @@
 // A keyed request is repeated within its deduplication window, but its connection is established only
 // afterwards. By then executors no longer drop repeats, so sending it would run it twice.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
+fn a_retry_is_not_sent_after_the_deduplication_window() {
     let executor = Executor::new();
     let settings = Quiet { dedup_window: 0.9, ..Quiet::default() };
     let (dispatcher, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
-    let mut client = Client::asks(dispatcher.address, &long("keyed", 1));
+    let mut client = Client::asks(dispatcher.address, &long_request("keyed", 1));
     let mut peer = executor.accept();
-    pulled(&mut peer, 1);
+    expect_pull(&mut peer, 1);
     let read = Instant::now();
     let filler = executor.narrows();
     peer.resets();
     dialed(executor.address, 1);
     executor.widens(filler);
     // The kernel retransmits SYN after one second at the earliest.
-    let came = comes(&executor, &client);
+    let came = receives_pull(&executor, &client);
     assert!(!came, "sent again {:?} after it was read, in a window of 0.9 s", read.elapsed());
     assert!(matches!(client.got(), Got::Error(..)));
 }
@@ -41,19 +41,19 @@
 // A further attempt was within the retry budget when it was decided, because of a request that has left the
 // budget's time span by the time the connection is established. Sending it then would exceed the budget.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_span_is_not_sent() {
+fn a_retry_is_not_sent_beyond_the_retry_budget() {
     let executor = Executor::new();
     let settings = Quiet { free_resends: 0.0, further_ratio: 1.0, ratio_span: 0.9, ..Quiet::default() };
     let (dispatcher, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
-    let mut client = Client::asks(dispatcher.address, &long("read", 1));
+    let mut client = Client::asks(dispatcher.address, &long_request("read", 1));
     let mut peer = executor.accept();
-    let pull = pulled(&mut peer, 1);
+    let pull = expect_pull(&mut peer, 1);
     let read = Instant::now();
     let filler = executor.narrows();
     peer.page(&pull, "ERR -", "");
     dialed(executor.address, 1);
     executor.widens(filler);
-    let came = comes(&executor, &client);
+    let came = receives_pull(&executor, &client);
     assert!(!came, "sent again {:?} after the only request, in a span of 0.9 s", read.elapsed());
     assert!(matches!(client.got(), Got::Error(..)));
 }
@@ -61,7 +61,7 @@
 // A load whose connection is not established before its deadline was never written: the client must be told
 // that a retry is safe, not that the load may have run. The same applies at shutdown.
 #[test]
-fn a_load_that_was_never_written_is_refused_not_failed() {
+fn an_unwritten_load_is_rejected_not_failed() {
     for sigterm in [false, true] {
         let executor = Executor::new();
         let _filler = executor.narrows();
--- a/tests/endings/lists.rs
+++ b/tests/endings/lists.rs
@@ -6,24 +6,24 @@
 use std::time::Duration;
 
 /// A dispatcher with two executors: e1 is up, and e2 is draining until an event changes that.
-fn two(launch: &Launch, coordinator: &Coordinator, at: &[Executor; 2]) -> Dispatcher {
+fn two_executors(launch: &Launch, coordinator: &Coordinator, at: &[Executor; 2]) -> Dispatcher {
     let targets = [target("e1", at[0].address, "up"), target("e2", at[1].address, "draining")];
     launch.serving(&launch.config_of(coordinator.address, &targets))
 }
 
 /// The event that swaps their states: e2 is up, e1 draining.
-fn swapped(index: u64, at: &[Executor; 2]) -> String {
+fn swap_event(index: u64, at: &[Executor; 2]) -> String {
     event(index, false, &[target("e2", at[1].address, "up"), target("e1", at[0].address, "draining")])
 }
 
 /// Asserts that requests of each effect go only to executor `to`.
-fn goes_only_to(d: &Dispatcher, to: &Executor, other: &Executor, from: u64) {
+fn assert_only_target(d: &Dispatcher, to: &Executor, other: &Executor, from: u64) {
     for (rid, class) in (from..).zip(CLASSES) {
-        let mut client = Client::asks(d.address, &long(class, rid));
+        let mut client = Client::asks(d.address, &long_request(class, rid));
         let mut peer = to.accept();
-        let pull = pulled(&mut peer, rid);
+        let pull = expect_pull(&mut peer, rid);
         peer.page(&pull, "OK pages=1", ROW);
-        served(&mut client, ROW);
+        assert_served(&mut client, ROW);
         // Forces a new connection for the next request.
         peer.resets();
     }
@@ -33,43 +33,43 @@
 // The watch goes silent without closing, and an executor starts to drain right after. The watch must be
 // reopened from the last event, and no new request may go to that executor.
 #[test]
-fn a_silent_watch_is_opened_anew_and_the_drain_heeded() {
+fn a_silent_watch_is_reopened_and_the_drain_applied() {
     for heard in [true, false] {
         let at = [0; 2].map(|_| Executor::new());
         let coordinator = Coordinator::new();
-        let mut d = two(&launch(&Quiet::default()), &coordinator, &at);
+        let mut d = two_executors(&launch(&Quiet::default()), &coordinator, &at);
         let (mut silent, line) = coordinator.accept();
         assert_eq!(line, "follow 1\n");
         if heard {
             writeln!(silent, "1").unwrap();
         }
-        goes_only_to(&d, &at[0], &at[1], 1);
+        assert_only_target(&d, &at[0], &at[1], 1);
         let (mut feed, line) = coordinator.accept();
         assert_eq!(line, "follow 1\n");
-        writeln!(feed, "{}", swapped(2, &at)).unwrap();
+        writeln!(feed, "{}", swap_event(2, &at)).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Draining");
         assert_eq!(silent.read(&mut [0; 9]).unwrap(), 0, "the silent one is closed");
-        goes_only_to(&d, &at[1], &at[0], 11);
+        assert_only_target(&d, &at[1], &at[0], 11);
     }
 }
 
 // A request waiting for a connection to an executor that starts to drain must be moved, not sent once the
 // connection is up.
 #[test]
-fn what_waits_for_a_draining_executor_is_moved_not_sent() {
+fn a_request_waiting_for_a_draining_executor_is_moved() {
     let at = [0; 2].map(|_| Executor::new());
     let filler = at[0].narrows();
     let coordinator = Coordinator::new();
-    let mut d = two(&launch(&Quiet::default()), &coordinator, &at);
-    let mut feed = watch(&coordinator);
-    let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long(CLASSES[n - 1], n as u64)));
+    let mut d = two_executors(&launch(&Quiet::default()), &coordinator, &at);
+    let mut feed = accept_watch(&coordinator);
+    let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long_request(CLASSES[n - 1], n as u64)));
     dialed(at[0].address, 3);
-    writeln!(feed, "{}", swapped(2, &at)).unwrap();
+    writeln!(feed, "{}", swap_event(2, &at)).unwrap();
     d.logs("executor listed anew executor=\"e1\" state=Draining");
     // Connections established from now on must carry nothing, even more than a second later.
     at[0].widens(filler);
-    let _peers = answered(&at[1], 3);
-    clients.iter_mut().for_each(|client| served(client, ROW));
+    let _peers = answer_requests(&at[1], 3);
+    clients.iter_mut().for_each(|client| assert_served(client, ROW));
     std::thread::sleep(Duration::from_millis(1200));
     assert!(at[0].came().is_empty());
 }
@@ -77,16 +77,16 @@
 // A connection is established and the drain announced at the same time. While nothing of the request has been
 // written, it is taken back, and goes to one executor only.
 #[test]
-fn a_connection_that_comes_up_as_its_executor_drains() {
+fn a_connection_established_as_its_executor_drains() {
     let at = [0; 2].map(|_| Executor::new());
     let filler = at[0].narrows();
     let coordinator = Coordinator::new();
-    let d = two(&launch(&Quiet::default()), &coordinator, &at);
-    let mut feed = watch(&coordinator);
-    let mut client = Client::asks(d.address, &long("load", 1));
+    let d = two_executors(&launch(&Quiet::default()), &coordinator, &at);
+    let mut feed = accept_watch(&coordinator);
+    let mut client = Client::asks(d.address, &long_request("load", 1));
     dialed(at[0].address, 1);
     d.stands_still();
-    feed.write_all(format!("{}\n", swapped(2, &at)).as_bytes()).unwrap();
+    feed.write_all(format!("{}\n", swap_event(2, &at)).as_bytes()).unwrap();
     arrived(&feed);
     at[0].widens(filler);
     // The kernel, not the process, completes the connection.
@@ -95,13 +95,13 @@
     let (mut peer, pull) = next_pull(&at[1]);
     assert_eq!(pull[1], format!("{:016x}", 1));
     peer.page(&pull[1], "OK pages=1", ROW);
-    served(&mut client, ROW);
+    assert_served(&mut client, ROW);
     assert!(late.came().is_empty());
 }
 
 // Discovery refuses connections for seconds, and announces a drain in its first line after returning.
 #[test]
-fn a_drain_at_once_with_the_return_of_discovery() {
+fn a_drain_announced_as_discovery_returns() {
     let at = [0; 2].map(|_| Executor::new());
     let (away, launch) = (Refusing::new(), launch(&Quiet::default()));
     let targets = [target("e1", at[0].address, "up"), target("e2", at[1].address, "draining")];
@@ -109,26 +109,27 @@
     for _ in 0..4 {
         d.logs("feed: lost");
     }
-    goes_only_to(&d, &at[0], &at[1], 1);
+    assert_only_target(&d, &at[0], &at[1], 1);
     let coordinator = away.coordinator();
     let (mut feed, line) = coordinator.accept();
     assert_eq!(line, "follow 1\n");
-    writeln!(feed, "{}", swapped(2, &at)).unwrap();
+    writeln!(feed, "{}", swap_event(2, &at)).unwrap();
     d.logs("executor listed anew executor=\"e1\" state=Draining");
-    goes_only_to(&d, &at[1], &at[0], 11);
+    assert_only_target(&d, &at[1], &at[0], 11);
 }
 
 // A connection that breaks in the middle of an event, also by a reset, leaves a partial line. It must be
 // ignored, and the complete event applied once from the next watch, although it and its predecessor arrive
 // twice.
 #[test]
-fn half_an_event_is_none_and_a_second_copy_changes_nothing() {
+fn partial_and_duplicate_events_are_ignored() {
     for reset in [false, true] {
         let at = [0; 2].map(|_| Executor::new());
         let coordinator = Coordinator::new();
-        let mut d = two(&launch(&Quiet::default()), &coordinator, &at);
+        let mut d = two_executors(&launch(&Quiet::default()), &coordinator, &at);
         let (mut broken, _) = coordinator.accept();
-        let (first, second) = (swapped(2, &at), event(3, false, &[target("e1", at[0].address, "removed")]));
+        let (first, second) =
+            (swap_event(2, &at), event(3, false, &[target("e1", at[0].address, "removed")]));
         let half = &second[..second.len() / 2];
         broken.write_all(format!("{first}\n{half}").as_bytes()).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Draining");
@@ -142,7 +143,7 @@
         // Applying event 2 after event 3 would restore e1.
         feed.write_all(format!("{second}\n{second}\n{first}\n3\n").as_bytes()).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Removed");
-        goes_only_to(&d, &at[1], &at[0], 1);
+        assert_only_target(&d, &at[1], &at[0], 1);
         feed.write_all(
             format!("{}\n", event(4, false, &[target("e2", at[1].address, "draining")])).as_bytes(),
         )
@@ -151,7 +152,7 @@
     }
 }
 
-fn moved(d: &Dispatcher, from: &Coordinator, to: &Coordinator) {
+fn change_coordinator(d: &Dispatcher, from: &Coordinator, to: &Coordinator) {
     let config = d.config.replace(&format!("\"{}\"", from.address), &format!("\"{}\"", to.address));
     std::fs::write(&d.file, config).unwrap();
     d.signal("HUP");
@@ -161,13 +162,13 @@
 // together with the signal. The new watch must continue from the last complete event, without joining the
 // halves.
 #[test]
-fn sighup_moves_a_watch_that_holds_half_a_line() {
+fn sighup_during_a_partial_line() {
     for (whole, held) in [(false, 1), (true, 2)] {
         let at = [0; 2].map(|_| Executor::new());
         let [old, new] = [0; 2].map(|_| Coordinator::new());
-        let mut d = two(&launch(&Quiet::default()), &old, &at);
+        let mut d = two_executors(&launch(&Quiet::default()), &old, &at);
         let (mut watch, _) = old.accept();
-        let line = format!("{}\n", swapped(2, &at));
+        let line = format!("{}\n", swap_event(2, &at));
         let (half, rest) = line.split_at(line.len() / 2);
         watch.write_all(half.as_bytes()).unwrap();
         arrived(&watch);
@@ -176,29 +177,29 @@
             watch.write_all(rest.as_bytes()).unwrap();
             arrived(&watch);
         }
-        moved(&d, &old, &new);
+        change_coordinator(&d, &old, &new);
         d.goes_on();
         let (mut feed, asked): (TcpStream, String) = new.accept();
         // The signal may be read before the other half: then the event is requested again.
         assert!(asked == format!("follow {held}\n") || asked == "follow 1\n", "{asked}");
         feed.write_all(line.as_bytes()).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Draining");
-        goes_only_to(&d, &at[1], &at[0], 1);
+        assert_only_target(&d, &at[1], &at[0], 1);
     }
 }
 
 // An address is reassigned to a new executor while an answer of the old one arrives. A request still waiting
 // for a connection to the old one must be moved to the new one, not lost.
 #[test]
-fn an_address_goes_on_while_an_answer_comes() {
+fn an_address_is_reassigned_while_an_answer_arrives() {
     let executor = Executor::new();
     let (d, coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
-    let mut feed = watch(&coordinator);
-    let mut answered = Client::asks(d.address, &long("load", 1));
+    let mut feed = accept_watch(&coordinator);
+    let mut answered = Client::asks(d.address, &long_request("load", 1));
     let mut old = executor.accept();
-    let pull = pulled(&mut old, 1);
+    let pull = expect_pull(&mut old, 1);
     let filler = executor.narrows();
-    let mut waits = Client::asks(d.address, &long("load", 2));
+    let mut waits = Client::asks(d.address, &long_request("load", 2));
     dialed(executor.address, 1);
     d.stands_still();
     old.page(&pull, "OK pages=1", ROW);
@@ -207,41 +208,41 @@
     feed.write_all(format!("{}\n", event(2, false, &news)).as_bytes()).unwrap();
     arrived(&feed);
     d.goes_on();
-    served(&mut answered, ROW);
+    assert_served(&mut answered, ROW);
     executor.widens(filler);
     let (mut peer, pull) = next_pull(&executor);
     assert_eq!(pull[1], format!("{:016x}", 2));
     peer.page(&pull[1], "OK pages=1", ROW);
-    served(&mut waits, ROW);
+    assert_served(&mut waits, ROW);
     assert!(executor.came().is_empty());
 }
 
 // A full list omits an executor while a request arrives: requests waiting for that executor are moved, the
 // new request goes elsewhere, and outstanding requests are still answered.
 #[test]
-fn a_whole_list_that_leaves_an_executor_out() {
+fn a_full_list_that_omits_an_executor() {
     let at = [0; 2].map(|_| Executor::new());
     let coordinator = Coordinator::new();
-    let d = two(&launch(&Quiet::default()), &coordinator, &at);
-    let mut feed = watch(&coordinator);
-    let mut out = Client::asks(d.address, &long("load", 1));
+    let d = two_executors(&launch(&Quiet::default()), &coordinator, &at);
+    let mut feed = accept_watch(&coordinator);
+    let mut out = Client::asks(d.address, &long_request("load", 1));
     let mut old = at[0].accept();
-    let pull = pulled(&mut old, 1);
+    let pull = expect_pull(&mut old, 1);
     let filler = at[0].narrows();
-    let mut waits = Client::asks(d.address, &long("load", 2));
+    let mut waits = Client::asks(d.address, &long_request("load", 2));
     let mut next = Client::asks(d.address, "SET NAMES utf8mb4");
     assert_eq!(next.got(), Got::Ok);
     dialed(at[0].address, 1);
     d.stands_still();
     feed.write_all(format!("{}\n", event(2, true, &[target("e2", at[1].address, "up")])).as_bytes()).unwrap();
     arrived(&feed);
-    asks(&mut next, &long("load", 3));
+    send_and_wait(&mut next, &long_request("load", 3));
     d.goes_on();
-    let _peers = answered(&at[1], 2);
-    served(&mut waits, ROW);
-    served(&mut next, ROW);
+    let _peers = answer_requests(&at[1], 2);
+    assert_served(&mut waits, ROW);
+    assert_served(&mut next, ROW);
     old.page(&pull, "OK pages=1", ROW);
-    served(&mut out, ROW);
+    assert_served(&mut out, ROW);
     assert!(old.command().is_none(), "its connection goes once nothing is out there");
     at[0].widens(filler);
     assert!(at[0].came().is_empty() && at[1].came().is_empty());
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -30,7 +30,7 @@
 }
 
 /// A request with an estimate of several seconds, so that it is not retried merely because it is slow.
-fn long(class: &str, rid: u64) -> String {
+fn long_request(class: &str, rid: u64) -> String {
     request(class, rid, 15_000, 4_000)
 }
 
@@ -39,40 +39,40 @@
 }
 
 /// Sends a statement and waits until it has arrived.
-fn asks(client: &mut Client, sql: &str) {
+fn send_and_wait(client: &mut Client, sql: &str) {
     client.ask(sql);
     arrived(&client.stream);
 }
 
 /// Asserts that the client gets these rows as its only answer.
-fn served(client: &mut Client, rows: &str) {
+fn assert_served(client: &mut Client, rows: &str) {
     let rows = rows.lines().map(|r| r.split('\t').map(String::from).collect()).collect();
     assert_eq!(client.got(), Got::Rows(rows));
-    alone(client);
+    assert_no_further_answer(client);
 }
 
 /// Asserts that the client gets an error with this number as its only answer.
-fn ended(client: &mut Client, number: u16) {
+fn assert_error(client: &mut Client, number: u16) {
     let got = client.got();
     assert!(matches!(got, Got::Error(n, _) if n == number), "{got:?} instead of {number}");
-    alone(client);
+    assert_no_further_answer(client);
 }
 
 /// Asserts that no second answer arrives: the next packet answers the next statement.
-fn alone(client: &mut Client) {
+fn assert_no_further_answer(client: &mut Client) {
     client.ask("SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
 }
 
 /// Asserts that the next command is a PULL of this request, and returns its id.
-fn pulled(peer: &mut Peer, rid: u64) -> String {
+fn expect_pull(peer: &mut Peer, rid: u64) -> String {
     let pull = peer.command().expect("a pull");
     assert_eq!((pull[0].as_str(), &pull[1]), ("PULL", &format!("{rid:016x}")));
     pull[1].clone()
 }
 
 /// Accepts the watch of a dispatcher that has event 1, and keeps it alive by repeating that number.
-fn watch(coordinator: &Coordinator) -> TcpStream {
+fn accept_watch(coordinator: &Coordinator) -> TcpStream {
     let (stream, line) = coordinator.accept();
     assert_eq!(line, "follow 1\n");
     let mut beat = stream.try_clone().unwrap();
@@ -95,7 +95,7 @@
 }
 
 /// Waits for this many requests, each on its own connection, and then answers all of them.
-fn answered(executor: &Executor, requests: usize) -> Vec<Peer> {
+fn answer_requests(executor: &Executor, requests: usize) -> Vec<Peer> {
     let mut out: Vec<_> = (0..requests).map(|_| next_pull(executor)).collect();
     for (peer, pull) in &mut out {
         assert_eq!(pull[0], "PULL");
--- a/tests/endings/moves.rs
+++ b/tests/endings/moves.rs
@@ -7,7 +7,7 @@
 // connection used to be dropped on the signal, leaving the dispatcher without updates until the new one was
 // up. It must be followed until then.
 #[test]
-fn the_old_coordinator_is_followed_until_the_new_one_has_told_anything() {
+fn the_old_coordinator_is_followed_until_the_new_one_sends_an_event() {
     let executors = [0; 2].map(|_| Executor::new());
     let (old, new) = (Coordinator::new(), Refusing::new());
     let known = [("e1", executors[0].address), ("e2", executors[1].address)];
@@ -20,11 +20,11 @@
     d.logs("configuration reloaded");
     writeln!(watch, "{}", event(2, false, &[target("e1", executors[0].address, "draining")])).unwrap();
     d.logs("executor listed anew executor=\"e1\" state=Draining");
-    let mut client = Client::asks(d.address, &long("load", 1));
+    let mut client = Client::asks(d.address, &long_request("load", 1));
     let mut peer = executors[1].accept();
-    let pull = pulled(&mut peer, 1);
+    let pull = expect_pull(&mut peer, 1);
     peer.page(&pull, "OK pages=1", ROW);
-    served(&mut client, ROW);
+    assert_served(&mut client, ROW);
     let new = new.coordinator();
     let (mut feed, asked) = new.accept();
     assert_eq!(asked, "follow 2\n", "what the old one told is held");
--- a/tests/endings/ration.rs
+++ b/tests/endings/ration.rs
@@ -5,10 +5,15 @@
 
 /// Sends requests one after another to an executor that fails each attempt, and returns the number of
 /// attempts of each.
-fn failed(d: &Dispatcher, executor: &Executor, class: &str, rids: std::ops::Range<u64>) -> Vec<usize> {
+fn count_attempts(
+    d: &Dispatcher,
+    executor: &Executor,
+    class: &str,
+    rids: std::ops::Range<u64>,
+) -> Vec<usize> {
     let (mut each, mut peers) = (Vec::new(), Vec::new());
     for rid in rids {
-        let mut client = Client::asks(d.address, &long(class, rid));
+        let mut client = Client::asks(d.address, &long_request(class, rid));
         let mut came = 0;
         awaited("an answer", || {
             peers.extend(executor.accepts());
@@ -25,7 +30,7 @@
             answered
         });
         assert!(matches!(client.got(), Got::Error(..)));
-        alone(&mut client);
+        assert_no_further_answer(&mut client);
         each.push(came);
     }
     // Idle connections are not reused.
@@ -36,30 +41,30 @@
 // Over a long span, attempts beyond each request's first must stay within the budget earned by the requests
 // so far. A failed load is never sent again.
 #[test]
-fn further_attempts_stay_within_a_small_ration() {
+fn further_attempts_stay_within_the_retry_budget() {
     let executor = Executor::new();
     let settings = Quiet { free_resends: 1.0, further_ratio: 0.25, ratio_span: 60.0, ..Quiet::default() };
     let (d, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
     let mut further = 0;
-    let each = failed(&d, &executor, "read", 1..13);
+    let each = count_attempts(&d, &executor, "read", 1..13);
     for (n, attempts) in (1..).zip(&each) {
         further += attempts - 1;
         assert!(further as f64 <= 1.0 + 0.25 * f64::from(n), "{each:?}");
     }
     assert_eq!(further, 4, "the ration is used: {each:?}");
-    assert_eq!(failed(&d, &executor, "load", 13..17), [1; 4]);
+    assert_eq!(count_attempts(&d, &executor, "load", 13..17), [1; 4]);
 }
 
 // Over a short span the budget is replenished, but no more than once per span. Each attempt is counted no
 // later than it is read here, so the dispatcher's span is never longer than the one measured here.
 #[test]
-fn the_ration_of_a_short_span_comes_back_once() {
+fn the_retry_budget_is_replenished_once_per_span() {
     let executor = Executor::new();
     let settings = Quiet { free_resends: 2.0, further_ratio: 0.0, ratio_span: 0.6, ..Quiet::default() };
     let (d, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
     for round in 0..3 {
         let begun = Instant::now();
-        let each = failed(&d, &executor, "read", 1 + round * 4..5 + round * 4);
+        let each = count_attempts(&d, &executor, "read", 1 + round * 4..5 + round * 4);
         let further: usize = each.iter().map(|n| n - 1).sum();
         assert!(further >= 2, "{each:?}");
         let spans = begun.elapsed().as_secs_f64() / 0.6;
@@ -71,13 +76,13 @@
 // An attempt that was never sent, because its connection failed or was refused, is not a run, but retries of
 // it count against the budget too: the request must end instead of being retried forever.
 #[test]
-fn refused_connections_are_tried_no_more_often_than_allowed() {
+fn refused_connections_count_against_the_retry_budget() {
     let refusing = Refusing::new();
     let settings = Quiet { free_resends: 1.0, further_ratio: 0.0, ratio_span: 60.0, ..Quiet::default() };
     let (mut d, _coordinator) = launch(&settings).dispatcher(&[("e1", refusing.address)]);
     for (n, class) in (1..).zip(CLASSES) {
-        let mut client = Client::asks(d.address, &long(class, n));
-        ended(&mut client, 1203);
+        let mut client = Client::asks(d.address, &long_request(class, n));
+        assert_error(&mut client, 1203);
     }
     d.signal("TERM");
     let line = d.logs("counters taken=3");
--- a/tests/endings/resets.rs
+++ b/tests/endings/resets.rs
@@ -6,7 +6,7 @@
 
 /// When the connection of a request is reset.
 #[derive(Debug, Clone, Copy)]
-enum At {
+enum ResetPoint {
     Unread,
     HalfRead,
     Read,
@@ -14,16 +14,16 @@
     LongAfter,
 }
 
-fn reset(mut peer: Peer, at: At, rid: u64) {
+fn reset_connection(mut peer: Peer, at: ResetPoint, rid: u64) {
     match at {
-        At::Unread => peer.unread(),
-        At::HalfRead => {
+        ResetPoint::Unread => peer.unread(),
+        ResetPoint::HalfRead => {
             peer.unread();
             peer.bytes(9);
         }
-        At::Read => drop(pulled(&mut peer, rid)),
-        At::LongAfter => {
-            let id = pulled(&mut peer, rid);
+        ResetPoint::Read => drop(expect_pull(&mut peer, rid)),
+        ResetPoint::LongAfter => {
+            let id = expect_pull(&mut peer, rid);
             peer.say(&format!("{id} NOTE res=done,v=0.2 0\r\n\r\n"));
             std::thread::sleep(Duration::from_millis(1300));
         }
@@ -34,28 +34,28 @@
 // A request that was written may have run, whenever its connection is reset: idempotent requests are sent
 // again, a load never is, and each client gets one answer.
 #[test]
-fn a_reset_at_any_point_costs_no_second_run() {
-    let stories: Vec<_> = [At::Unread, At::HalfRead, At::Read, At::LongAfter]
+fn a_reset_at_any_point_causes_no_second_run() {
+    let runs: Vec<_> = [ResetPoint::Unread, ResetPoint::HalfRead, ResetPoint::Read, ResetPoint::LongAfter]
         .map(|at| std::thread::spawn(move || reset_at(at)))
         .into();
-    stories.into_iter().for_each(|s| s.join().unwrap());
+    runs.into_iter().for_each(|s| s.join().unwrap());
 }
 
-fn reset_at(at: At) {
+fn reset_at(at: ResetPoint) {
     for (n, class) in (1..).zip(CLASSES) {
         let executor = Executor::new();
         let (d, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
-        let mut client = Client::asks(d.address, &long(class, n));
-        reset(executor.accept(), at, n);
+        let mut client = Client::asks(d.address, &long_request(class, n));
+        reset_connection(executor.accept(), at, n);
         if class == "load" {
-            ended(&mut client, 1105);
+            assert_error(&mut client, 1105);
         } else {
             // Two resets in a row, which the attempt limit allows.
-            reset(executor.accept(), at, n);
+            reset_connection(executor.accept(), at, n);
             let mut peer = executor.accept();
-            let pull = pulled(&mut peer, n);
+            let pull = expect_pull(&mut peer, n);
             peer.page(&pull, "OK pages=1", ROW);
-            served(&mut client, ROW);
+            assert_served(&mut client, ROW);
         }
         assert!(executor.came().is_empty(), "{class} {at:?}");
     }
@@ -64,23 +64,23 @@
 // An idle connection is reset, not closed, before a request that was just read is written: no byte was sent,
 // so even a load is sent again.
 #[test]
-fn a_request_that_could_not_be_written_never_ran() {
+fn an_unwritten_request_is_sent_again() {
     for (n, class) in (1..).zip(CLASSES) {
         let executor = Executor::new();
         let (d, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
-        let mut client = Client::asks(d.address, &long("read", n));
+        let mut client = Client::asks(d.address, &long_request("read", n));
         let mut peer = executor.accept();
-        let pull = pulled(&mut peer, n);
+        let pull = expect_pull(&mut peer, n);
         peer.page(&pull, "OK pages=1", ROW);
-        served(&mut client, ROW);
+        assert_served(&mut client, ROW);
         d.stands_still();
-        asks(&mut client, &long(class, n + 10));
+        send_and_wait(&mut client, &long_request(class, n + 10));
         peer.resets();
         d.goes_on();
         let mut peer = executor.accept();
-        let pull = pulled(&mut peer, n + 10);
+        let pull = expect_pull(&mut peer, n + 10);
         peer.page(&pull, "OK pages=1", ROW);
-        served(&mut client, ROW);
+        assert_served(&mut client, ROW);
         assert!(executor.came().is_empty());
     }
 }
@@ -98,15 +98,15 @@
     });
     let d = launch.serving(&launch.config_of(coordinator.address, &targets));
     for rid in 1..=6 {
-        let mut client = Client::asks(d.address, &long("keyed", rid));
+        let mut client = Client::asks(d.address, &long_request("keyed", rid));
         let (first, mut peer) = Executor::any(&[&executors[0], &executors[1]]);
-        pulled(&mut peer, rid);
+        expect_pull(&mut peer, rid);
         peer.resets();
         let (second, mut peer) = Executor::any(&[&executors[0], &executors[1]]);
         assert_eq!(second, first, "the other cell would run it again");
-        let pull = pulled(&mut peer, rid);
+        let pull = expect_pull(&mut peer, rid);
         peer.page(&pull, "OK pages=1", ROW);
-        served(&mut client, ROW);
+        assert_served(&mut client, ROW);
         // The next request must not reuse this idle connection.
         peer.resets();
     }
@@ -119,52 +119,52 @@
     let executor = Executor::new();
     let settings = Quiet { dedup_window: 0.4, ..Quiet::default() };
     let (d, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
-    let mut client = Client::asks(d.address, &long("keyed", 1));
+    let mut client = Client::asks(d.address, &long_request("keyed", 1));
     let mut peer = executor.accept();
-    pulled(&mut peer, 1);
+    expect_pull(&mut peer, 1);
     std::thread::sleep(Duration::from_millis(500));
     peer.resets();
     assert!(matches!(client.got(), Got::Error(..)));
-    alone(&mut client);
+    assert_no_further_answer(&mut client);
     assert!(executor.came().is_empty());
 }
 
 // A connection is reset or closed as soon as it is established, before a byte is written: nothing has run,
 // whatever the effect, and the request is sent on another connection.
 #[test]
-fn a_connection_that_ends_as_it_comes_up() {
+fn a_connection_that_closes_as_it_is_established() {
     for reset in [true, false] {
         let executor = Executor::new();
         let filler = executor.narrows();
         let (d, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
-        let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long(CLASSES[n - 1], n as u64)));
+        let mut clients = [1, 2, 3].map(|n| Client::asks(d.address, &long_request(CLASSES[n - 1], n as u64)));
         dialed(executor.address, 3);
         d.stands_still();
         executor.widens(filler);
         let peers = [0; 3].map(|_| executor.accept());
         peers.into_iter().for_each(|peer| if reset { peer.resets() } else { peer.closes() });
         d.goes_on();
-        let _peers = answered(&executor, 3);
-        clients.iter_mut().for_each(|client| served(client, ROW));
+        let _peers = answer_requests(&executor, 3);
+        clients.iter_mut().for_each(|client| assert_served(client, ROW));
         assert!(executor.came().is_empty());
     }
 }
 
 // A complete answer counts even if its connection is reset right after it.
 #[test]
-fn a_whole_answer_before_a_reset_counts() {
+fn a_complete_answer_before_a_reset_is_delivered() {
     let executor = Executor::new();
     let (d, _coordinator) = launch(&Quiet::default()).dispatcher(&[("e1", executor.address)]);
     for (n, class) in (1..).zip(CLASSES) {
-        let mut client = Client::asks(d.address, &long(class, n));
+        let mut client = Client::asks(d.address, &long_request(class, n));
         let mut peer = executor.accept();
-        let pull = pulled(&mut peer, n);
+        let pull = expect_pull(&mut peer, n);
         d.stands_still();
         peer.page(&pull, "OK pages=1", ROW);
         arrived(peer.stream());
         peer.resets();
         d.goes_on();
-        served(&mut client, ROW);
+        assert_served(&mut client, ROW);
         assert!(executor.came().is_empty());
     }
 }
@@ -173,7 +173,7 @@
 // request of such a class that may have run must be failed, not rejected, whether its attempts are lost,
 // hang, or SIGTERM arrives.
 #[test]
-fn a_keyed_request_of_a_group_that_may_have_run_is_failed() {
+fn a_keyed_request_that_may_have_run_in_its_group_fails() {
     for ends_by in ["resets", "its deadline", "SIGTERM"] {
         let executor = Executor::new();
         let launch = launch(&Quiet { group: "cell", ..Quiet::default() });
@@ -181,13 +181,13 @@
         let budget = if ends_by == "its deadline" { 1_000 } else { 15_000 };
         let mut client = Client::asks(d.address, &request("keyed", 1, budget, 4_000));
         let mut peers = vec![executor.accept()];
-        pulled(&mut peers[0], 1);
+        expect_pull(&mut peers[0], 1);
         match ends_by {
             "resets" => {
                 for _ in 0..2 {
                     peers.pop().unwrap().resets();
                     peers.push(executor.accept());
-                    pulled(&mut peers[0], 1);
+                    expect_pull(&mut peers[0], 1);
                 }
                 peers.pop().unwrap().resets();
             }
@@ -204,7 +204,7 @@
 // The entry of a removed executor may contain nothing but its uid and state. The cell in which its requests
 // may have run is the one it was last listed in, and repeats must stay there.
 #[test]
-fn the_group_of_an_executor_that_is_gone_is_the_one_it_was_in() {
+fn a_removed_executor_keeps_its_last_group() {
     let executors = [0; 2].map(|_| Executor::new());
     let launch = launch(&Quiet { group: "cell", ..Quiet::default() });
     let coordinator = Coordinator::new();
@@ -214,10 +214,10 @@
     };
     let config = launch.config_of(coordinator.address, &[in_cell(0, "draining"), in_cell(1, "up")]);
     let mut d = launch.serving(&config);
-    let mut feed = watch(&coordinator);
+    let mut feed = accept_watch(&coordinator);
     let mut client = Client::asks(d.address, &request("keyed", 1, 3_000, 1_000));
     let mut peer = executors[1].accept();
-    pulled(&mut peer, 1);
+    expect_pull(&mut peer, 1);
     let gone = String::from(r#"{"uid":"e1","state":"removed"}"#);
     writeln!(feed, "{}", event(2, false, &[in_cell(0, "up"), gone])).unwrap();
     d.logs("executor listed anew executor=\"e1\" state=Removed");
--- a/tests/endings/shutdown.rs
+++ b/tests/endings/shutdown.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// Time after SIGTERM by which accepting has ended.
-pub(super) const TAKEN_ON: Duration = Duration::from_millis(900);
+pub(super) const ACCEPTING_ENDED: Duration = Duration::from_millis(900);
 
-fn short(class: &str, rid: u64) -> String {
+fn short_request(class: &str, rid: u64) -> String {
     request(class, rid, 15_000, 10)
 }
 
@@ -18,18 +18,18 @@
     [&length[..3], &[0, 3], sql.as_bytes()].concat()
 }
 
-fn one() -> (Executor, Dispatcher, Coordinator) {
-    one_of(&Quiet::default())
+fn start() -> (Executor, Dispatcher, Coordinator) {
+    start_with(&Quiet::default())
 }
 
-fn one_of(settings: &Quiet) -> (Executor, Dispatcher, Coordinator) {
+fn start_with(settings: &Quiet) -> (Executor, Dispatcher, Coordinator) {
     let executor = Executor::new();
     let (dispatcher, coordinator) = launch(settings).dispatcher(&[("e1", executor.address)]);
     (executor, dispatcher, coordinator)
 }
 
 /// The only answer of a client whose dispatcher shuts down; its connection must be closed after it.
-fn last(client: &mut Client) -> Got {
+fn final_answer(client: &mut Client) -> Got {
     let got = client.got();
     assert_ne!(got, Got::Closed, "no answer");
     let rest = client.stream.read(&mut [0; 64]);
@@ -37,24 +37,24 @@
     got
 }
 
-fn last_served(client: &mut Client) {
-    assert_eq!(last(client), Got::Rows(vec![["1", "x", "y"].map(String::from).to_vec()]));
+fn assert_final_rows(client: &mut Client) {
+    assert_eq!(final_answer(client), Got::Rows(vec![["1", "x", "y"].map(String::from).to_vec()]));
 }
 
-fn last_ended(client: &mut Client, number: u16) {
-    let got = last(client);
+fn assert_final_error(client: &mut Client, number: u16) {
+    let got = final_answer(client);
     assert!(matches!(got, Got::Error(n, _) if n == number), "{got:?} instead of {number}");
 }
 
 // The second half of a request arrives together with SIGTERM, or after it but before accepting ends, while
 // the process is suspended beyond that time: the request arrived in time in both cases.
 #[test]
-fn a_request_whose_end_comes_with_sigterm_or_after_it() {
+fn a_request_completed_with_or_after_sigterm() {
     for after in [false, true] {
-        let (executor, mut dispatcher, _coordinator) = one();
+        let (executor, mut dispatcher, _coordinator) = start();
         let mut clients = CLASSES.map(|_| Client::asks(dispatcher.address, "SET NAMES utf8mb4"));
         clients.iter_mut().for_each(|client| assert_eq!(client.got(), Got::Ok));
-        let requests = [1, 2, 3].map(|n| packet(&short(CLASSES[n - 1], n as u64)));
+        let requests = [1, 2, 3].map(|n| packet(&short_request(CLASSES[n - 1], n as u64)));
         for (client, request) in clients.iter_mut().zip(&requests) {
             client.stream.write_all(&request[..40]).unwrap();
         }
@@ -68,13 +68,13 @@
             arrived(&client.stream);
         }
         if after {
-            std::thread::sleep(TAKEN_ON);
+            std::thread::sleep(ACCEPTING_ENDED);
         } else {
             dispatcher.signal("TERM");
         }
         dispatcher.goes_on();
-        let _peers = answered(&executor, 3);
-        clients.iter_mut().for_each(last_served);
+        let _peers = answer_requests(&executor, 3);
+        clients.iter_mut().for_each(assert_final_rows);
         assert!(dispatcher.ends());
     }
 }
@@ -82,11 +82,11 @@
 // A partially received request is not accepted: its connection is closed, and the shutdown does not wait for
 // it.
 #[test]
-fn half_a_request_holds_nothing_up() {
-    let (_executor, mut dispatcher, _coordinator) = one();
+fn a_partial_request_does_not_delay_the_shutdown() {
+    let (_executor, mut dispatcher, _coordinator) = start();
     let mut client = Client::asks(dispatcher.address, "SET NAMES utf8mb4");
     assert_eq!(client.got(), Got::Ok);
-    client.stream.write_all(&packet(&short("load", 1))[..40]).unwrap();
+    client.stream.write_all(&packet(&short_request("load", 1))[..40]).unwrap();
     dispatcher.signal("TERM");
     assert!(dispatcher.ends());
 }
@@ -96,20 +96,20 @@
 #[test]
 fn sigterm_while_requests_wait_for_a_connection() {
     for comes_up in [true, false] {
-        let (executor, mut dispatcher, _coordinator) = one();
+        let (executor, mut dispatcher, _coordinator) = start();
         let filler = executor.narrows();
         let mut clients =
-            [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long(CLASSES[n - 1], n as u64)));
+            [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long_request(CLASSES[n - 1], n as u64)));
         dialed(executor.address, 3);
         dispatcher.signal("TERM");
         dispatcher.logs("SIGTERM");
         if comes_up {
             executor.widens(filler);
-            let _peers = answered(&executor, 3);
-            clients.iter_mut().for_each(last_served);
+            let _peers = answer_requests(&executor, 3);
+            clients.iter_mut().for_each(assert_final_rows);
         } else {
             for client in &mut clients {
-                let got = last(client);
+                let got = final_answer(client);
                 assert!(matches!(got, Got::Error(1203 | 1105, _)), "{got:?}");
             }
         }
@@ -123,9 +123,9 @@
 #[test]
 fn sigterm_while_requests_are_out() {
     for hangs in [false, true] {
-        let (executor, mut dispatcher, _coordinator) = one();
+        let (executor, mut dispatcher, _coordinator) = start();
         let mut clients =
-            [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long(CLASSES[n - 1], n as u64)));
+            [1, 2, 3].map(|n| Client::asks(dispatcher.address, &long_request(CLASSES[n - 1], n as u64)));
         let mut peers: Vec<_> = (0..3).map(|_| executor.accept()).collect();
         let ids: Vec<_> = peers.iter_mut().map(|peer| peer.command().unwrap()[1].clone()).collect();
         // The first has one page, the second half a page, the third nothing.
@@ -140,7 +140,7 @@
             dispatcher.goes_on();
             dispatcher.logs("SIGTERM");
             for (client, number) in clients.iter_mut().zip([1203, 1105, 1203]) {
-                last_ended(client, number);
+                assert_final_error(client, number);
             }
         } else {
             peers[0].page(&ids[0], "ROWS page=1", "2\tx\ty\n");
@@ -149,8 +149,8 @@
             dispatcher.goes_on();
             dispatcher.logs("SIGTERM");
             peers[2].page(&ids[2], "OK pages=1", ROW);
-            assert!(matches!(last(&mut clients[0]), Got::Rows(rows) if rows.len() == 2));
-            clients[1..].iter_mut().for_each(last_served);
+            assert!(matches!(final_answer(&mut clients[0]), Got::Rows(rows) if rows.len() == 2));
+            clients[1..].iter_mut().for_each(assert_final_rows);
         }
         assert!(dispatcher.ends());
         assert!(executor.came().is_empty());
@@ -161,18 +161,19 @@
 // served, a load fails.
 #[test]
 fn sigterm_while_requests_are_repeated() {
-    let (executor, mut dispatcher, _coordinator) = one();
-    let mut clients = [1, 2, 3].map(|n| Client::asks(dispatcher.address, &short(CLASSES[n - 1], n as u64)));
+    let (executor, mut dispatcher, _coordinator) = start();
+    let mut clients =
+        [1, 2, 3].map(|n| Client::asks(dispatcher.address, &short_request(CLASSES[n - 1], n as u64)));
     let mut peers: Vec<_> = (0..3).map(|_| executor.accept()).collect();
     peers.iter_mut().for_each(|peer| assert_eq!(peer.command().unwrap()[0], "PULL"));
     dispatcher.stands_still();
     dispatcher.signal("TERM");
     peers.into_iter().for_each(Peer::resets);
     dispatcher.goes_on();
-    let _peers = answered(&executor, 2);
-    last_served(&mut clients[0]);
-    last_ended(&mut clients[1], 1105);
-    last_served(&mut clients[2]);
+    let _peers = answer_requests(&executor, 2);
+    assert_final_rows(&mut clients[0]);
+    assert_final_error(&mut clients[1], 1105);
+    assert_final_rows(&mut clients[2]);
     assert!(dispatcher.ends());
     assert!(executor.came().is_empty());
 }
@@ -181,10 +182,10 @@
 // it.
 #[test]
 fn more_signals_during_the_shutdown() {
-    let (executor, mut dispatcher, _coordinator) = one();
-    let mut client = Client::asks(dispatcher.address, &short("load", 1));
+    let (executor, mut dispatcher, _coordinator) = start();
+    let mut client = Client::asks(dispatcher.address, &short_request("load", 1));
     let mut peer = executor.accept();
-    let pull = pulled(&mut peer, 1);
+    let pull = expect_pull(&mut peer, 1);
     dispatcher.signal("TERM");
     dispatcher.logs("SIGTERM");
     dispatcher.signal("TERM");
@@ -197,7 +198,7 @@
     dispatcher.goes_on();
     dispatcher.logs("configuration reload rejected");
     peer.page(&pull, "OK pages=1", ROW);
-    last_served(&mut client);
+    assert_final_rows(&mut client);
     assert!(dispatcher.ends());
 }
 
@@ -206,15 +207,15 @@
 #[test]
 fn sigterm_right_after_the_start() {
     for both in [false, true] {
-        let (executor, mut dispatcher, _coordinator) = one();
+        let (executor, mut dispatcher, _coordinator) = start();
         dispatcher.signal("TERM");
         if both {
             dispatcher.signal("HUP");
         }
         dispatcher.logs("SIGTERM");
-        let mut client = Client::asks(dispatcher.address, &short("load", 1));
-        let _peers = answered(&executor, 1);
-        last_served(&mut client);
+        let mut client = Client::asks(dispatcher.address, &short_request("load", 1));
+        let _peers = answer_requests(&executor, 1);
+        assert_final_rows(&mut client);
         assert!(dispatcher.ends());
     }
 }
--- a/tests/endings/start.rs
+++ b/tests/endings/start.rs
@@ -23,15 +23,15 @@
 // A restart while discovery refuses connections, or accepts them but sends nothing, and no executors are
 // known: logins are answered, and requests are rejected instead of kept waiting.
 #[test]
-fn ready_with_discovery_away_and_nothing_known() {
+fn ready_without_discovery_and_known_executors() {
     let launch = launch(&Quiet::default());
     let (refusing, silent) = (Refusing::new(), Coordinator::new());
     for coordinator in [refusing.address, silent.address] {
         let dispatcher = launch.serving(&without_known(&launch.config(coordinator, &[])));
         let mut client = ready(&dispatcher);
         for (n, class) in (1..).zip(CLASSES) {
-            client.ask(&long(class, n));
-            ended(&mut client, 1203);
+            client.ask(&long_request(class, n));
+            assert_error(&mut client, 1203);
         }
         // It also shuts down.
         let mut dispatcher = dispatcher;
@@ -42,7 +42,7 @@
 
 // A dispatcher without known executors gets the full list by the first event once discovery returns.
 #[test]
-fn the_first_event_after_nothing_was_known() {
+fn the_first_event_without_known_executors() {
     let (launch, away, executor) = (launch(&Quiet::default()), Refusing::new(), Executor::new());
     let mut dispatcher = launch.serving(&without_known(&launch.config(away.address, &[])));
     dispatcher.logs("feed: lost");
@@ -56,7 +56,7 @@
     // The first listing is not logged, so requests with new ids are sent until the executor is used.
     let (mut rid, mut found) = (1, None);
     awaited("an executor", || {
-        client.ask(&long("load", rid));
+        client.ask(&long_request("load", rid));
         awaited("an answer or a pull", || {
             found = executor.accepts();
             client.stream.set_nonblocking(true).unwrap();
@@ -65,15 +65,15 @@
             found.is_some() || answered
         });
         if found.is_none() {
-            ended(&mut client, 1203);
+            assert_error(&mut client, 1203);
             rid += 1;
         }
         found.is_some()
     });
     let mut peer = found.unwrap();
-    let pull = pulled(&mut peer, rid);
+    let pull = expect_pull(&mut peer, rid);
     peer.page(&pull, "OK pages=1", ROW);
-    served(&mut client, ROW);
+    assert_served(&mut client, ROW);
 }
 
 // All executors hang at startup: connections are not established, or carry nothing. Logins are answered at
--- a/tests/slow_turns/deadlines.rs
+++ b/tests/slow_turns/deadlines.rs
@@ -8,7 +8,7 @@
 const SLACK_MS: u128 = 150;
 
 /// Asserts that the time limit in a PULL is at most what is left of a request sent at `asked`.
-fn within_what_is_left(pull: &[String], asked: Instant) {
+fn assert_within_remaining_time(pull: &[String], asked: Instant) {
     let passed_on = pull[2].split(',').find_map(|f| f.strip_prefix("ms=")).expect("a time");
     let passed_on: u128 = passed_on.parse().expect("milliseconds");
     let left = BUDGET_MS - asked.elapsed().as_millis();
@@ -18,7 +18,7 @@
 // A request is read at the beginning of a long turn and sent at its end. The forwarded time limit used to be
 // too long by the duration of that turn.
 #[test]
-fn counts_the_turn_that_it_was_read_in() {
+fn deducts_the_turn_that_read_the_request() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut peer = with_idle_connection(&dispatcher, &executor);
@@ -31,7 +31,7 @@
     });
     turn.end_after(Duration::from_millis(900));
     let pull = peer.command().expect("a pull");
-    within_what_is_left(&pull, asked.expect("asked"));
+    assert_within_remaining_time(&pull, asked.expect("asked"));
     answer(&mut peer, &pull);
     assert_eq!(client.got(), row());
 }
@@ -39,7 +39,7 @@
 // A client is not read for a while after errors. A request that it sends during the pause must have the pause
 // deducted from its budget.
 #[test]
-fn counts_the_pause_after_a_mistake() {
+fn deducts_the_pause_after_an_error() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut peer = with_idle_connection(&dispatcher, &executor);
@@ -51,7 +51,7 @@
     let asked = Instant::now();
     client.ask(&request("read", 0xa1, ""));
     let pull = peer.command().expect("a pull");
-    within_what_is_left(&pull, asked);
+    assert_within_remaining_time(&pull, asked);
     answer(&mut peer, &pull);
     assert_eq!(client.got(), row());
 }
@@ -59,37 +59,37 @@
 // A request arrives during one turn, and the next turn spends a long time on other work before reading it:
 // that time must be deducted too.
 #[test]
-fn counts_what_the_turn_did_before_it_was_read() {
+fn deducts_work_done_before_the_read() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut peer = with_idle_connection(&dispatcher, &executor);
     let mut client = logged_in_client(&dispatcher);
     let turn = LongTurn::begin(&dispatcher, || ());
-    let next = turn.holds_up_the_next(&dispatcher);
+    let next = turn.block_next(&dispatcher);
     let asked = Instant::now();
     client.ask(&request("read", 0xa1, ""));
     arrived(&client.stream);
     turn.end_after(Duration::from_millis(50));
     next.end_after(Duration::from_millis(1_100));
     let pull = peer.command().expect("a pull");
-    within_what_is_left(&pull, asked);
+    assert_within_remaining_time(&pull, asked);
     answer(&mut peer, &pull);
     assert_eq!(client.got(), row());
 }
 
 // The same on a connection that is not accepted yet, with its login ahead of the request.
 #[test]
-fn counts_what_the_turn_did_before_it_was_accepted() {
+fn deducts_work_done_before_the_accept() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut peer = with_idle_connection(&dispatcher, &executor);
     let turn = LongTurn::begin(&dispatcher, || ());
-    let next = turn.holds_up_the_next(&dispatcher);
+    let next = turn.block_next(&dispatcher);
     let asked = Instant::now();
     let client = Client::writes(dispatcher.address, &request("read", 0xa1, ""));
     arrived(&client.stream);
     turn.end_after(Duration::from_millis(50));
     next.end_after(Duration::from_millis(1_100));
     let pull = peer.command().expect("a pull");
-    within_what_is_left(&pull, asked);
+    assert_within_remaining_time(&pull, asked);
 }
--- a/tests/slow_turns/departed.rs
+++ b/tests/slow_turns/departed.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 /// Longer than an attempt may start after its client has left.
-const OVERDUE: Duration = Duration::from_millis(250);
+const LONGER_THAN_ALLOWED: Duration = Duration::from_millis(250);
 
 /// Asserts that the next request to reach the executor is another client's.
-fn nothing_began(dispatcher: &Dispatcher, peer: &mut Peer) {
+fn assert_nothing_started(dispatcher: &Dispatcher, peer: &mut Peer) {
     let mut next = Client::asks(dispatcher.address, &request("read", 0xaf, ""));
     let pull = peer.command().expect("a pull");
     assert_eq!(pull[1], format!("{:016x}", 0xaf), "began for a client that had left: {pull:?}");
@@ -18,7 +18,7 @@
 // A turn reads two requests and then takes long. Meanwhile one client disconnects and the other is killed:
 // neither request may start when the turn continues.
 #[test]
-fn as_it_arrived() {
+fn after_the_request_was_read() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut peer = with_idle_connection(&dispatcher, &executor);
@@ -32,8 +32,8 @@
     });
     drop(closes);
     killer.ask(&format!("KILL QUERY {}", killed.id));
-    turn.end_after(OVERDUE);
-    nothing_began(&dispatcher, &mut peer);
+    turn.end_after(LONGER_THAN_ALLOWED);
+    assert_nothing_started(&dispatcher, &mut peer);
     assert!(matches!(killed.got(), Got::Error(1317, _)));
     assert_eq!(killer.got(), Got::Ok);
 }
@@ -41,7 +41,7 @@
 // A request is read in a long turn. Its KILL arrives on a connection in the backlog, behind a hundred others:
 // that connection must be accepted and read before the request may start.
 #[test]
-fn killed_from_the_backlog() {
+fn killed_by_a_connection_in_the_backlog() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut peer = with_idle_connection(&dispatcher, &executor);
@@ -53,8 +53,8 @@
     let crowd: Vec<_> =
         (0..100).map(|_| std::net::TcpStream::connect(dispatcher.address).expect("a backlog")).collect();
     let _killer = Client::writes(dispatcher.address, &format!("KILL QUERY {}", killed.id));
-    turn.end_after(OVERDUE);
-    nothing_began(&dispatcher, &mut peer);
+    turn.end_after(LONGER_THAN_ALLOWED);
+    assert_nothing_started(&dispatcher, &mut peer);
     assert!(matches!(killed.got(), Got::Error(1317, _)));
     drop(crowd);
 }
@@ -62,7 +62,7 @@
 // A load may have run, so the next one for its key waits for a quiet period. The period ends in a long turn
 // in which the next load's client leaves: the timer must not start it.
 #[test]
-fn due_by_a_timer() {
+fn before_a_timer_starts_the_request() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(1.5, &[&executor]);
     let mut first = Client::asks(dispatcher.address, &request("load", 0xa1, ",obj=00000000000000ee"));
@@ -77,13 +77,13 @@
     let turn = LongTurn::begin(&dispatcher, || ());
     drop(second);
     turn.end_after(Duration::from_millis(2_000));
-    nothing_began(&dispatcher, &mut peer);
+    assert_nothing_started(&dispatcher, &mut peer);
 }
 
 // Two loads for a key: the second waits for the first. The first is answered in a long turn in which the
 // second's client leaves: the second must not start.
 #[test]
-fn next_of_its_key() {
+fn before_the_previous_request_of_the_key_ends() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut spare = with_idle_connection(&dispatcher, &executor);
@@ -97,15 +97,15 @@
         arrived(spare.stream());
     });
     drop(second);
-    turn.end_after(OVERDUE);
+    turn.end_after(LONGER_THAN_ALLOWED);
     assert_eq!(first.got(), row());
-    nothing_began(&dispatcher, &mut spare);
+    assert_nothing_started(&dispatcher, &mut spare);
 }
 
 // A request waits for its connection, which is established in a long turn. Its client leaves in that turn:
 // nothing may be written.
 #[test]
-fn waits_for_its_connection() {
+fn while_waiting_for_a_connection() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let filler = executor.narrows();
@@ -117,14 +117,14 @@
         peer = Some(executor.accept());
     });
     drop(client);
-    turn.end_after(OVERDUE);
-    nothing_began(&dispatcher, &mut peer.expect("its connection"));
+    turn.end_after(LONGER_THAN_ALLOWED);
+    assert_nothing_started(&dispatcher, &mut peer.expect("its connection"));
 }
 
 // A request's first attempt is lost in a long turn, and another executor could take a second one. Its client
 // leaves in that turn: there must be no second attempt.
 #[test]
-fn sent_again_elsewhere() {
+fn before_a_second_attempt() {
     let executors = [Executor::new(), Executor::new()];
     let both = [&executors[0], &executors[1]];
     let (dispatcher, _coordinator) = dispatcher(0.1, &both);
@@ -135,7 +135,7 @@
     let busy = peers.swap_remove(at);
     let turn = LongTurn::begin(&dispatcher, || busy.resets());
     drop(client);
-    turn.end_after(OVERDUE);
+    turn.end_after(LONGER_THAN_ALLOWED);
     let mut next = Client::asks(dispatcher.address, &request("read", 0xaf, ""));
     let (at, pull) = next_pull(&mut peers);
     assert_eq!(pull[1], format!("{:016x}", 0xaf), "began for a client that had left: {pull:?}");
--- a/tests/slow_turns/long_turn.rs
+++ b/tests/slow_turns/long_turn.rs
@@ -22,7 +22,7 @@
 }
 
 /// Replaces the configuration file with a pipe; a pipe that is already open stays open.
-fn pipe_instead_of(file: &Path) {
+fn replace_with_pipe(file: &Path) {
     let path = PathBuf::from(format!("{}.pipe", file.display()));
     let _ = std::fs::remove_file(&path);
     assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo").success());
@@ -30,24 +30,24 @@
 }
 
 /// Opens a pipe for writing, which waits until the program has opened it for reading.
-fn opened(file: &Path) -> File {
+fn open_pipe(file: &Path) -> File {
     OpenOptions::new().write(true).open(file).expect("a pipe that is read")
 }
 
 impl LongTurn {
     /// Suspends the program, runs `before` to create the input of the turn, and blocks the turn.
     pub fn begin(dispatcher: &Dispatcher, before: impl FnOnce()) -> LongTurn {
-        pipe_instead_of(&dispatcher.file);
+        replace_with_pipe(&dispatcher.file);
         dispatcher.stands_still();
         before();
         dispatcher.signal("HUP");
         dispatcher.goes_on();
-        LongTurn { pipe: opened(&dispatcher.file), config: dispatcher.config.clone() }
+        LongTurn { pipe: open_pipe(&dispatcher.file), config: dispatcher.config.clone() }
     }
 
     /// Makes the next turn start with a SIGHUP that blocks it too, before any event that arrives from now on.
-    pub fn holds_up_the_next(&self, dispatcher: &Dispatcher) -> NextTurn {
-        pipe_instead_of(&dispatcher.file);
+    pub fn block_next(&self, dispatcher: &Dispatcher) -> NextTurn {
+        replace_with_pipe(&dispatcher.file);
         dispatcher.signal("HUP");
         NextTurn { file: dispatcher.file.clone(), config: dispatcher.config.clone() }
     }
@@ -62,6 +62,6 @@
 impl NextTurn {
     /// Blocks this turn for `span` once the previous one has ended, then unblocks it.
     pub fn end_after(self, span: Duration) {
-        LongTurn { pipe: opened(&self.file), config: self.config }.end_after(span);
+        LongTurn { pipe: open_pipe(&self.file), config: self.config }.end_after(span);
     }
 }
--- a/tests/slow_turns/shutdown.rs
+++ b/tests/slow_turns/shutdown.rs
@@ -6,7 +6,7 @@
 // Requests are read in a turn that lasts past the dispatcher's own time limit. They never started, and only
 // their clients' sessions knew of them.
 #[test]
-fn what_was_read_and_never_began_is_refused_at_the_end() {
+fn unstarted_requests_are_rejected_at_shutdown() {
     let executor = Executor::new();
     let (mut dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut clients: Vec<Client> = (0..40).map(|_| logged_in_client(&dispatcher)).collect();
@@ -30,11 +30,11 @@
 
 /// The platform kills the process no sooner than this after SIGTERM: the longest deadline counts as 3 s, plus
 /// 0.7 s.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+const PLATFORM_KILL_DELAY: Duration = Duration::from_millis(3_700);
 
 // The platform counts from the arrival of the signal, however late it is processed.
 #[test]
-fn a_signal_in_a_long_turn_counts_from_when_it_came() {
+fn the_shutdown_starts_when_the_signal_arrived() {
     let executor = Executor::new();
     let (mut dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut client = logged_in_client(&dispatcher);
@@ -42,17 +42,17 @@
     let mut hangs = executor.accept();
     assert_eq!(hangs.command().expect("a pull")[1], format!("{:016x}", 0xa1));
     let turn = LongTurn::begin(&dispatcher, || ());
-    let told = Instant::now();
+    let signalled = Instant::now();
     dispatcher.signal("TERM");
     turn.end_after(Duration::from_millis(800));
     assert!(matches!(client.got(), Got::Error(1105, _)));
-    assert!(told.elapsed() < KILLED_AFTER, "answered {:?} after the signal", told.elapsed());
+    assert!(signalled.elapsed() < PLATFORM_KILL_DELAY, "answered {:?} after the signal", signalled.elapsed());
     assert!(dispatcher.ends());
 }
 
 // While new requests are accepted, each is answered, however late the signal is processed.
 #[test]
-fn a_signal_in_a_long_turn_leaves_the_time_for_what_still_comes() {
+fn requests_after_a_late_signal_are_answered() {
     let executor = Executor::new();
     let (mut dispatcher, _coordinator) = dispatcher(0.1, &[&executor]);
     let mut early = logged_in_client(&dispatcher);
