--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -43,10 +43,10 @@
     let wall = SteppedWall::new();
     let mut clock = Clock::default();
     for step in STEPS {
-        let (before, begun) = (clock.now(), Instant::now());
+        let (before, start) = (clock.now(), Instant::now());
         wall.step(step);
         std::thread::sleep(std::time::Duration::from_millis(20));
-        let (spent, real) = (clock.now() - before, begun.elapsed().as_micros() as Micros);
+        let (spent, real) = (clock.now() - before, start.elapsed().as_micros() as Micros);
         assert!(spent >= 20_000 && spent <= real + 1_000, "{spent} us counted of {real}, step {step}");
     }
 }
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -116,9 +116,9 @@
     /// Closes the newest idle client to free a descriptor. Only a client without an open request and without
     /// unwritten or unread data qualifies; returns false if there is none.
     pub(in crate::net) fn shed_idle_client(&mut self, now: Micros) -> bool {
-        let spare = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_GRACE).map(|_| *k);
+        let evictable = |(k, s): (&Key, &Session)| s.eviction_rank(now, CONNECT_GRACE).map(|_| *k);
         let all = self.sessions.by_key.iter().rev();
-        let Some(key) = all.filter_map(spare).find(|k| self.sessions.has_nothing_unread(*k)) else {
+        let Some(key) = all.filter_map(evictable).find(|k| self.sessions.has_nothing_unread(*k)) else {
             return false;
         };
         self.client_counters.shed += 1;
--- a/src/net/clients/session/statements.rs
+++ b/src/net/clients/session/statements.rs
@@ -57,9 +57,9 @@
 fn constants(list: &str) -> Option<Vec<(String, String)>> {
     let value = |item: &str| {
         let words: Vec<&str> = item.split_whitespace().collect();
-        let (name, shown) = match words[..] {
+        let (name, label) = match words[..] {
             [name] => (name, name),
-            [name, word, shown] if word.eq_ignore_ascii_case("as") => (name, shown),
+            [name, word, label] if word.eq_ignore_ascii_case("as") => (name, label),
             _ => return None,
         };
         let variable =
@@ -75,7 +75,7 @@
             Some(v) if v.starts_with("collation") => "utf8mb4_general_ci".into(),
             Some(_) => String::new(),
         };
-        Some((shown.to_string(), value))
+        Some((label.to_string(), value))
     };
     let limit = list.to_ascii_lowercase().find(" limit ");
     let list = limit.map_or(list, |n| &list[..n]);
--- a/src/net/clients/session/tests.rs
+++ b/src/net/clients/session/tests.rs
@@ -51,13 +51,13 @@
     assert!(s.flush(&poll));
     let mut answer = [0; 11];
     client.read_exact(&mut answer).unwrap();
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "its end comes right behind the answer");
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "end of stream follows the answer");
     let crossing = b"\x2e\0\0\0\x03/* method=lookup,rid=9b1f03aa5c7e2d41,budget=1 */";
     client.write_all(crossing).unwrap();
     while !s.has_unread() {}
     assert!(
         s.read(Occurrence::at(3)) && s.next_command(&names(), 3).is_none(),
-        "it is read, and nothing comes of it"
+        "the input is read and discarded"
     );
     assert!(!s.has_unread() && !s.close_has_settled(2) && s.close_has_settled(200_000));
     s.close(&poll);
@@ -73,9 +73,9 @@
     let (mut s, mut client) = connected(&poll, &pool);
     client.write_all(b"\x05\0\0").unwrap();
     while !s.has_unread() {}
-    assert!(s.read(Occurrence::at(2)) && s.read_to_end(), "still there");
+    assert!(s.read(Occurrence::at(2)) && s.read_to_end(), "the client is connected");
     client.write_all(b"\0\x03SET").unwrap();
     client.shutdown(std::net::Shutdown::Write).unwrap();
     while !s.has_unread() {}
-    assert!(s.read(Occurrence::at(3)) && !s.read_to_end(), "gone");
+    assert!(s.read(Occurrence::at(3)) && !s.read_to_end(), "the disconnect is detected");
 }
--- a/src/net/endpoint_updates.rs
+++ b/src/net/endpoint_updates.rs
@@ -28,13 +28,13 @@
         action: impl FnOnce(&mut EndpointLists, &Executors),
     ) {
         let Some(lists) = &mut self.endpoint_lists else { return };
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         action(lists, &self.executors);
         let next = lists.take(endpoint_lists::SLICE);
         if !next.is_empty() {
             self.apply_endpoint_list(now, WatchEvent::Changed, &next);
         }
-        let took = begun.elapsed().as_micros() as Micros;
+        let took = started.elapsed().as_micros() as Micros;
         if let Some(lists) = &mut self.endpoint_lists {
             lists.tally.slowest = lists.tally.slowest.max(took);
         }
--- a/src/net/event_loop/poll.rs
+++ b/src/net/event_loop/poll.rs
@@ -69,7 +69,7 @@
             return;
         }
         if let Err(e) = self.poller.delete(socket) {
-            tracing::warn!(error = %e, "poller: can't remove a socket");
+            tracing::warn!(error = %e, "poller: failed to deregister a socket");
         }
     }
 
@@ -102,7 +102,7 @@
         let pending = std::mem::take(&mut *self.pending.borrow_mut());
         for (fd, (change, event)) in pending {
             if let Err(e) = self.change(fd, change, event) {
-                tracing::error!(error = %e, "poller: a socket can't be watched");
+                tracing::error!(error = %e, "poller: failed to register a socket");
             }
         }
     }
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -86,7 +86,7 @@
                 tracing::warn!(
                     request = format_args!("{:016x}", record.rid),
                     error = %e,
-                    "fleet: not taken over"
+                    "fleet: request takeover failed"
                 );
                 self.requests.open.remove(&record.rid);
                 self.end_unsubmitted_in_flight(now, record.rid);
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -24,7 +24,7 @@
                     tracing::warn!(
                         number,
                         reason = "an agreed policy is in force",
-                        "settings of the file ignored"
+                        "changed settings in the file ignored"
                     );
                 }
                 if let Some(feed) = &mut self.coordinator_watch {
--- a/src/net/sockets/system_calls.rs
+++ b/src/net/sockets/system_calls.rs
@@ -69,10 +69,10 @@
 
 /// Starts a non-blocking connect. An interrupted call continues in the background like one that would block.
 pub(in crate::net) fn connect(socket: &Socket, to: &SockAddr) -> io::Result<()> {
-    let begun = socket.connect(to);
-    match inject_fault(Call::Connect).and(begun) {
+    let result = socket.connect(to);
+    match inject_fault(Call::Connect).and(result) {
         Err(e) if matches!(e.raw_os_error(), Some(libc::EINPROGRESS | libc::EINTR)) => Ok(()),
-        begun => begun,
+        result => result,
     }
 }
 
--- a/src/net/tests/failing_calls.rs
+++ b/src/net/tests/failing_calls.rs
@@ -40,7 +40,7 @@
     });
     dispatcher.terminate();
     let failed = dispatcher.join();
-    assert!(failed > 0, "{plan:?} never struck");
+    assert!(failed > 0, "{plan:?} caused no failure");
     for (rid, got) in answers {
         let refused = matches!(&got, Got::Error(1203, text) if text.contains("backoff="));
         assert!(!refused || error != Some(libc::EINTR), "{plan:?}: {rid:x} refused for an interrupted call");
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -67,7 +67,7 @@
 
     /// Waits for the dispatcher to exit. Returns how many of its system calls failed.
     fn join(&mut self) -> u32 {
-        self.thread.take().unwrap().join().expect("it ends in order")
+        self.thread.take().unwrap().join().expect("an orderly exit")
     }
 
     /// Number of times a request was sent to an executor.
--- a/src/net/tests/stepped_clock.rs
+++ b/src/net/tests/stepped_clock.rs
@@ -24,9 +24,9 @@
         assert!(is_result(&client.got(), rid), "step of {step}");
         // A request that cannot be served in time is still answered by its deadline.
         let mut hangs = Client::asks(dispatcher.address, &request("read", rid + 100, 300));
-        let begun = Instant::now();
+        let start = Instant::now();
         assert!(matches!(hangs.got(), Got::Error(1203, _)));
-        assert!(begun.elapsed() < SOON, "{:?} after a step of {step}", begun.elapsed());
+        assert!(start.elapsed() < SOON, "{:?} after a step of {step}", start.elapsed());
         dispatcher.terminate();
         dispatcher.join();
     }
@@ -43,12 +43,12 @@
         while dispatcher.run_count(rid) == 0 {
             std::thread::yield_now();
         }
-        let begun = Instant::now();
+        let start = Instant::now();
         dispatcher.terminate();
         wall.step(step);
         assert!(is_result(&client.got(), rid), "step of {step}");
         drop(client);
         dispatcher.join();
-        assert!(begun.elapsed() < SOON, "{:?} after a step of {step}", begun.elapsed());
+        assert!(start.elapsed() < SOON, "{:?} after a step of {step}", start.elapsed());
     }
 }
--- a/tests/clients/crowds.rs
+++ b/tests/clients/crowds.rs
@@ -26,7 +26,7 @@
             (0..70).filter_map(|_| TcpStream::connect(dispatcher.address).ok()).collect();
         let within =
             crowd.iter_mut().filter_map(|c| (c.got() == Got::Ok && c.got() == Got::Ok).then_some(())).count();
-        assert!(within > 8, "{within} were let in");
+        assert!(within > 8, "{within} clients accepted");
         let coordinator = refusing.coordinator();
         let (mut feed, line) = coordinator.accept();
         assert_eq!(line, "follow 1\n");
--- a/tests/clients/keyed.rs
+++ b/tests/clients/keyed.rs
@@ -16,7 +16,8 @@
         Client::asks(dispatcher.address, &request("read", "c1").replace("rid=", "token=7f-A_9.z,rid="));
     let mut first = executor.accept();
     assert!(first.command().unwrap()[2].contains("token=7f-A_9.z,"));
-    first.say("x what is this\r\n"); // spoilt: it may have run, and is tried again where repeats are known
+    // A malformed answer: the request may have run, and is retried because repeats are recognized.
+    first.say("x what is this\r\n");
     let mut second = executor.accept();
     let pull = second.command().unwrap();
     assert!(pull[2].contains("token=7f-A_9.z,"), "{pull:?}");
--- a/tests/clients/standstill.rs
+++ b/tests/clients/standstill.rs
@@ -141,7 +141,7 @@
             });
         }
     });
-    assert!(clients.iter_mut().all(|c| c.got() == row()), "none went to the one that drains");
+    assert!(clients.iter_mut().all(|c| c.got() == row()), "no request goes to the draining executor");
 }
 
 // A client is not read for a while after errors. Its next request and its end of stream were both pending in
--- a/tests/endings/answers.rs
+++ b/tests/endings/answers.rs
@@ -22,7 +22,7 @@
     let (read, load) = (number(&read_ids[0]) - 1, number(&load_ids[0]) - 11);
     peers[0].say(&format!("{} OK pages=1 6\r\n1\t", read_ids[0]));
     assert_error(&mut loads[load], 1105);
-    assert!(peers[0].command().is_none(), "its connection is over");
+    assert!(peers[0].command().is_none(), "its connection is closed");
     let mut again = executor.accept();
     let pull = expect_pull(&mut again, read as u64 + 1);
     again.page(&pull, "OK pages=1", ROW);
@@ -169,7 +169,7 @@
         assert_eq!(peer.command().unwrap(), ["SCROLL", pull.as_str(), "1"]);
         let from = std::time::Instant::now();
         assert_error(&mut client, number);
-        assert!(from.elapsed() < Duration::from_secs(10), "the client's patience");
+        assert!(from.elapsed() < Duration::from_secs(10), "answered before the client's deadline");
         let rest: Vec<_> = std::iter::from_fn(|| peer.command()).take(2).collect();
         assert!(rest.iter().all(|c| c[0] == "SCROLL" || c[0] == "DISCARD"), "{rest:?}");
         peer.resets();
--- a/tests/endings/executors.rs
+++ b/tests/endings/executors.rs
@@ -187,7 +187,7 @@
         came.contains(&format!("{:016x}", 4))
     });
     assert_served(&mut next, ROW);
-    assert_eq!(came, [format!("{:016x}", 4)], "nothing of those given up");
+    assert_eq!(came, [format!("{:016x}", 4)], "abandoned requests are not sent");
     assert!(peers.iter_mut().all(|peer| peer.came().is_empty()) && executor.came().is_empty());
 }
 
--- a/tests/endings/lists.rs
+++ b/tests/endings/lists.rs
@@ -27,7 +27,7 @@
         // Forces a new connection for the next request.
         peer.resets();
     }
-    assert!(other.came().is_empty(), "nothing goes where the list forbids it");
+    assert!(other.came().is_empty(), "no request goes to an executor that the list excludes");
 }
 
 // The watch goes silent without closing, and an executor starts to drain right after. The watch must be
@@ -48,7 +48,7 @@
         assert_eq!(line, "follow 1\n");
         writeln!(feed, "{}", swap_event(2, &at)).unwrap();
         d.logs("executor listed anew executor=\"e1\" state=Draining");
-        assert_eq!(silent.read(&mut [0; 9]).unwrap(), 0, "the silent one is closed");
+        assert_eq!(silent.read(&mut [0; 9]).unwrap(), 0, "the silent watch is closed");
         assert_only_target(&d, &at[1], &at[0], 11);
     }
 }
@@ -148,7 +148,7 @@
             format!("{}\n", event(4, false, &[target("e2", at[1].address, "draining")])).as_bytes(),
         )
         .unwrap();
-        assert!(d.logs("executor listed anew").contains("e2"), "nothing was listed meanwhile");
+        assert!(d.logs("executor listed anew").contains("e2"), "the duplicate events changed nothing");
     }
 }
 
@@ -243,7 +243,7 @@
     assert_served(&mut next, ROW);
     old.page(&pull, "OK pages=1", ROW);
     assert_served(&mut out, ROW);
-    assert!(old.command().is_none(), "its connection goes once nothing is out there");
+    assert!(old.command().is_none(), "its connection is closed once nothing is outstanding");
     at[0].widens(filler);
     assert!(at[0].came().is_empty() && at[1].came().is_empty());
 }
--- a/tests/endings/moves.rs
+++ b/tests/endings/moves.rs
@@ -27,7 +27,7 @@
     assert_served(&mut client, ROW);
     let new = new.coordinator();
     let (mut feed, asked) = new.accept();
-    assert_eq!(asked, "follow 2\n", "what the old one told is held");
+    assert_eq!(asked, "follow 2\n", "events of the old coordinator are kept");
     writeln!(feed, "2").unwrap();
-    assert_eq!(watch.read(&mut [0]).unwrap(), 0, "then the old one is closed");
+    assert_eq!(watch.read(&mut [0]).unwrap(), 0, "the old watch is closed then");
 }
--- a/tests/endings/ration.rs
+++ b/tests/endings/ration.rs
@@ -51,7 +51,7 @@
         further += attempts - 1;
         assert!(further as f64 <= 1.0 + 0.25 * f64::from(n), "{each:?}");
     }
-    assert_eq!(further, 4, "the ration is used: {each:?}");
+    assert_eq!(further, 4, "the retry budget is used up: {each:?}");
     assert_eq!(count_attempts(&d, &executor, "load", 13..17), [1; 4]);
 }
 
@@ -63,11 +63,11 @@
     let settings = Quiet { free_resends: 2.0, further_ratio: 0.0, ratio_span: 0.6, ..Quiet::default() };
     let (d, _coordinator) = launch(&settings).dispatcher(&[("e1", executor.address)]);
     for round in 0..3 {
-        let begun = Instant::now();
+        let round_start = Instant::now();
         let each = count_attempts(&d, &executor, "read", 1 + round * 4..5 + round * 4);
         let further: usize = each.iter().map(|n| n - 1).sum();
         assert!(further >= 2, "{each:?}");
-        let spans = begun.elapsed().as_secs_f64() / 0.6;
+        let spans = round_start.elapsed().as_secs_f64() / 0.6;
         assert!(further <= 2 * (1 + spans as usize), "{each:?} in {spans} spans");
         std::thread::sleep(Duration::from_millis(700));
     }
--- a/tests/slow_turns/shutdown.rs
+++ b/tests/slow_turns/shutdown.rs
@@ -22,7 +22,7 @@
     for client in &mut clients {
         match client.got() {
             Got::Error(1203, text) => assert!(text.contains("backoff="), "{text}"),
-            got => panic!("no refusal but {got:?}"),
+            got => panic!("expected a rejection, got {got:?}"),
         }
     }
     assert!(dispatcher.ends());
@@ -63,7 +63,7 @@
     early.ask(&request("load", 0xa1, ""));
     let mut late = Client::asks(dispatcher.address, &request("load", 0xa2, ""));
     for client in [&mut early, &mut late] {
-        assert!(matches!(client.got(), Got::Error(1203, _)), "refused, as it never ran");
+        assert!(matches!(client.got(), Got::Error(1203, _)), "rejected, as it never ran");
     }
     assert!(dispatcher.ends());
 }
