--- a/src/net/fleet_policy.rs
+++ b/src/net/fleet_policy.rs
@@ -34,8 +34,9 @@
     /// Prepared settings by policy number.
     prepared: BTreeMap<u64, Settings>,
     pub(super) held: VecDeque<Held>,
-    /// Whether the fallback without a lease is in effect: the combination of the last two known policies.
-    pub(super) uses_fallback: bool,
+    /// Whether no lease was held at the last update. The settings that both of the last two known policies
+    /// allow apply then, if `without_lease` says so.
+    pub(super) lacks_lease: bool,
     /// Operators' calls that wait for agreement.
     pub(super) calls: PolicyCalls,
     /// Number of requests held since the start.
@@ -55,7 +56,7 @@
             prepared: BTreeMap::from([(0, base.clone())]),
             base,
             held: VecDeque::new(),
-            uses_fallback: false,
+            lacks_lease: false,
             calls: PolicyCalls::default(),
             held_total: 0,
             rejected_total: 0,
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -26,7 +26,9 @@
     /// The source of the policy: a control group, or the replicated log of the peers.
     fn policy_record(&self) -> Option<&dyn PolicyRecord> {
         let control = self.control.as_ref().map(|c| &c.follower as &dyn PolicyRecord);
-        control.or_else(|| self.in_flight.as_ref().map(|h| &h.takeover.fleet as &dyn PolicyRecord))
+        control.or_else(|| {
+            self.in_flight.as_ref().map(|in_flight| &in_flight.takeover.fleet as &dyn PolicyRecord)
+        })
     }
 
     /// The agreed policy state, as far as it is known here.
@@ -113,7 +115,9 @@
         let (changed, record): (bool, &mut dyn PolicyRecord) = match (&mut self.control, &mut self.in_flight)
         {
             (Some(control), _) => (control.follower.take_changed(), &mut control.follower),
-            (None, Some(h)) => (std::mem::take(&mut h.takeover.ruled), &mut h.takeover.fleet),
+            (None, Some(in_flight)) => {
+                (std::mem::take(&mut in_flight.takeover.ruled), &mut in_flight.takeover.fleet)
+            }
             (None, None) => return,
         };
         let has_pending_work = !fleet_policy.calls.is_empty() || !fleet_policy.part.abreast();
@@ -151,10 +155,10 @@
                 }
             }
         }
-        if holder.is_some() == fleet_policy.uses_fallback {
+        if holder.is_some() == fleet_policy.lacks_lease {
             // A lease was acquired or lost, and with it the right to act under the agreed policy.
             let stricter = fleet_policy.terms.without_lease == WithoutLease::Stricter;
-            fleet_policy.uses_fallback = holder.is_none();
+            fleet_policy.lacks_lease = holder.is_none();
             if stricter {
                 change = if holder.is_some() {
                     fleet_policy.settings_under(fleet_policy.part.number()).cloned()
--- a/src/net/shutdown/mod.rs
+++ b/src/net/shutdown/mod.rs
@@ -24,8 +24,8 @@
 const GIVE_UP_BEFORE_KILL: Micros = 600_000;
 /// The process exits this long before the kill, in microseconds.
 const END_BEFORE_KILL: Micros = 300_000;
-/// New requests are accepted for this long after SIGTERM, in microseconds: the platform lets connections
-/// arrive for 0.4 s and requests on open connections for 0.2 s more, and loses nothing that arrives after 0.7
+/// New requests are accepted for this long after SIGTERM, in microseconds. The platform lets connections
+/// arrive for 0.4 s and requests on open connections for 0.2 s more; it loses nothing that arrives after 0.7
 /// s.
 const ACCEPT_REQUESTS_FOR: Micros = 700_000;
 /// Maximum sleep of the event loop during the shutdown, whose time limits have no timers of their own; in
