--- a/src/net/clients/session/tests.rs
+++ b/src/net/clients/session/tests.rs
@@ -18,7 +18,7 @@
 // Tenant shares depend on the `acct` field. It was not parsed once, so that on a site with shares every
 // request was counted without a tenant.
 #[test]
-fn the_tenant_a_request_names_is_passed_on() {
+fn the_tenant_field_is_parsed() {
     assert_eq!(tenant(",acct=cafe"), Some(1));
     assert_eq!(tenant(",acct=mart"), Some(0));
     assert_eq!(tenant(",acct=nobody"), None);
@@ -42,7 +42,7 @@
 // send buffer. The session instead shuts down its write side first, and reads and discards what arrives in
 // the meantime without starting it.
 #[test]
-fn what_crosses_the_end_of_a_connection_resets_nothing_and_is_not_taken() {
+fn input_on_a_closing_connection_is_discarded_without_a_reset() {
     use std::io::Write;
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let (mut s, mut client) = connected(&poll, &pool);
@@ -51,15 +51,15 @@
     assert!(s.flush(&poll));
     let mut answer = [0; 11];
     client.read_exact(&mut answer).unwrap();
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "its end comes right behind the answer");
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "end of stream follows the answer");
     let crossing = b"\x2e\0\0\0\x03/* method=lookup,rid=9b1f03aa5c7e2d41,budget=1 */";
     client.write_all(crossing).unwrap();
     while !s.has_unread() {}
     assert!(
         s.read(Occurrence::at(3)) && s.next_command(&names(), 3).is_none(),
-        "it is read, and nothing comes of it"
+        "the input is read and discarded"
     );
-    assert!(!s.has_unread() && !s.end_has_settled(2) && s.end_has_settled(200_000));
+    assert!(!s.has_unread() && !s.close_has_settled(2) && s.close_has_settled(200_000));
     s.close(&poll);
     assert_eq!(client.read(&mut [0]).unwrap(), 0, "no reset");
 }
@@ -67,15 +67,15 @@
 // After a stall, a client's request and its end of stream are both pending: a single read shows only the
 // request.
 #[test]
-fn reading_on_finds_the_end_behind_a_request() {
+fn read_to_end_detects_a_disconnect_after_a_request() {
     use std::io::Write;
     let (poll, pool) = (Poll::new().unwrap(), Pool::new(0));
     let (mut s, mut client) = connected(&poll, &pool);
     client.write_all(b"\x05\0\0").unwrap();
     while !s.has_unread() {}
-    assert!(s.read(Occurrence::at(2)) && s.read_to_end(), "still there");
+    assert!(s.read(Occurrence::at(2)) && s.read_to_end(), "the client is connected");
     client.write_all(b"\0\x03SET").unwrap();
     client.shutdown(std::net::Shutdown::Write).unwrap();
     while !s.has_unread() {}
-    assert!(s.read(Occurrence::at(3)) && !s.read_to_end(), "gone");
+    assert!(s.read(Occurrence::at(3)) && !s.read_to_end(), "the disconnect is detected");
 }
--- a/src/net/tests/mod.rs
+++ b/src/net/tests/mod.rs
@@ -44,7 +44,7 @@
         let mut launch = Launch::new("", std::env::temp_dir());
         launch.settings = settings.json();
         let config = launch.config_of(feed.address, &targets);
-        let (signals, stop, wake) = Signals::raised_by_hand().unwrap();
+        let (signals, stop, wake) = Signals::for_test().unwrap();
         let (tell, told) = channel();
         let thread = std::thread::spawn(move || {
             let load = || Config::parse("");
@@ -67,7 +67,7 @@
 
     /// Waits for the dispatcher to exit. Returns how many of its system calls failed.
     fn join(&mut self) -> u32 {
-        self.thread.take().unwrap().join().expect("it ends in order")
+        self.thread.take().unwrap().join().expect("an orderly exit")
     }
 
     /// Number of times a request was sent to an executor.
--- a/src/net/tests/stepped_clock.rs
+++ b/src/net/tests/stepped_clock.rs
@@ -12,7 +12,7 @@
 // A step forward used to expire every open request, and a step back extended hanging requests by the same
 // time.
 #[test]
-fn requests_keep_their_time() {
+fn request_deadlines_ignore_wall_clock_steps() {
     let wall = SteppedWall::new();
     for (rid, step) in (1..).zip(STEPS) {
         let mut dispatcher = RunningDispatcher::start(Duration::from_millis(400), &Quiet::default(), || ());
@@ -24,9 +24,9 @@
         assert!(is_result(&client.got(), rid), "step of {step}");
         // A request that cannot be served in time is still answered by its deadline.
         let mut hangs = Client::asks(dispatcher.address, &request("read", rid + 100, 300));
-        let begun = Instant::now();
+        let start = Instant::now();
         assert!(matches!(hangs.got(), Got::Error(1203, _)));
-        assert!(begun.elapsed() < SOON, "{:?} after a step of {step}", begun.elapsed());
+        assert!(start.elapsed() < SOON, "{:?} after a step of {step}", start.elapsed());
         dispatcher.terminate();
         dispatcher.join();
     }
@@ -35,7 +35,7 @@
 // The time limits of the shutdown used to follow the wall clock: a step forward ended a load that had time
 // left, and a step back kept the process running longer than the platform waits.
 #[test]
-fn a_drain_takes_its_time() {
+fn the_shutdown_ignores_wall_clock_steps() {
     let wall = SteppedWall::new();
     for (rid, step) in (1..).zip(STEPS) {
         let mut dispatcher = RunningDispatcher::start(Duration::from_millis(900), &Quiet::default(), || ());
@@ -43,12 +43,12 @@
         while dispatcher.run_count(rid) == 0 {
             std::thread::yield_now();
         }
-        let begun = Instant::now();
+        let start = Instant::now();
         dispatcher.terminate();
         wall.step(step);
         assert!(is_result(&client.got(), rid), "step of {step}");
         drop(client);
         dispatcher.join();
-        assert!(begun.elapsed() < SOON, "{:?} after a step of {step}", begun.elapsed());
+        assert!(start.elapsed() < SOON, "{:?} after a step of {step}", start.elapsed());
     }
 }
--- a/tests/clients/keyed.rs
+++ b/tests/clients/keyed.rs
@@ -9,14 +9,15 @@
 // one. The token used to be dropped, so such a class was never served. Every attempt must carry the token
 // unchanged.
 #[test]
-fn a_keyed_request_takes_its_token_along_on_every_attempt() {
+fn every_attempt_carries_the_idempotency_token() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
     let mut client =
         Client::asks(dispatcher.address, &request("read", "c1").replace("rid=", "token=7f-A_9.z,rid="));
     let mut first = executor.accept();
     assert!(first.command().unwrap()[2].contains("token=7f-A_9.z,"));
-    first.say("x what is this\r\n"); // spoilt: it may have run, and is tried again where repeats are known
+    // A malformed answer: the request may have run, and is retried because repeats are recognized.
+    first.say("x what is this\r\n");
     let mut second = executor.accept();
     let pull = second.command().unwrap();
     assert!(pull[2].contains("token=7f-A_9.z,"), "{pull:?}");
@@ -27,7 +28,7 @@
 // The token is part of a line of words: one that could be parsed as more of the line must be rejected and
 // never forwarded.
 #[test]
-fn a_token_that_is_no_word_is_an_error() {
+fn an_invalid_token_is_an_error() {
     let executor = Executor::new();
     let (dispatcher, _coordinator) = dispatcher(&[KEYED], &[("e1", executor.address)]);
     let long = "x".repeat(73);
