--- a/src/balancer/admission/mod.rs
+++ b/src/balancer/admission/mod.rs
@@ -21,9 +21,9 @@
 /// counts.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 /// Lower bound of a class's mean cost as a divisor, in thread-seconds.
-const LEAST_MEAN_COST: f64 = 1e-9;
+const MIN_MEAN_COST: f64 = 1e-9;
 /// Lower bound of a bucket's rate when a Retry-After is computed from it, in tokens per second.
-const LEAST_RATE: f64 = 1e-3;
+const MIN_RATE: f64 = 1e-3;
 
 /// The admission rules and the request counts per tenant.
 pub(crate) struct AdmissionRules {
@@ -80,7 +80,7 @@
         let share = self.load.traffic_share;
         let is_over_quota = |tenant| self.admission.is_over_quota(tenant, &self.settings, share);
         let over_quota = arrival.tenant.is_some_and(is_over_quota);
-        let cost_multiple = cost / mean_cost.max(LEAST_MEAN_COST);
+        let cost_multiple = cost / mean_cost.max(MIN_MEAN_COST);
         let Some(position) = self.admission.matching_rule(arrival, cost_multiple, over_quota) else {
             return Ok(());
         };
--- a/src/balancer/admission/rates.rs
+++ b/src/balancer/admission/rates.rs
@@ -15,9 +15,9 @@
 /// Maximum factor on the pressure at which a class closes, for classes with a high priority weight.
 const MAX_DELAY: f64 = 2.0;
 /// Lower bound of a class's mean cost as a divisor, in thread-seconds.
-const LEAST_MEAN_COST: f64 = 1e-6;
+const MIN_MEAN_COST: f64 = 1e-6;
 /// Lower bound of a weight density as a divisor.
-const LEAST_DENSITY: f64 = 1e-9;
+const MIN_DENSITY: f64 = 1e-9;
 
 impl Rule {
     /// Sets how far the rule is open at a pressure; `delay` is the factor by which it closes later than
@@ -60,13 +60,13 @@
 
     /// Priority weight of a class per thread-second.
     fn weight_density(&self, class: ClassId) -> f64 {
-        self.settings.classes[class].priority_weight / self.class_mean(class).max(LEAST_MEAN_COST)
+        self.settings.classes[class].priority_weight / self.class_mean(class).max(MIN_MEAN_COST)
     }
 
     /// Factor by which a class closes later, because it has more weight per thread-second than the lowest
     /// class.
     fn closing_delay(&self, class: ClassId, least_density: f64) -> f64 {
-        let ratio = self.weight_density(class) / least_density.max(LEAST_DENSITY);
+        let ratio = self.weight_density(class) / least_density.max(MIN_DENSITY);
         ratio.sqrt().clamp(1.0, MAX_DELAY)
     }
 
--- a/src/balancer/admission/rule.rs
+++ b/src/balancer/admission/rule.rs
@@ -1,6 +1,6 @@
 //! Admission rules: which requests a rule matches, and how its token bucket admits or rejects them.
 
-use super::LEAST_RATE;
+use super::MIN_RATE;
 use crate::api::{Arrival, ClassId, Micros, Settings, TenantId};
 use crate::state::TokenBucket;
 
@@ -100,7 +100,7 @@
         bucket.refill(now, bucket.burst.max(unit * self.open_fraction));
         let needed = tokens.min(bucket.burst.max(unit)) * chance;
         if self.open_fraction < 1.0 && bucket.level < needed {
-            return Err(((needed - bucket.level) / bucket.rate.max(LEAST_RATE) * 1e6) as Micros);
+            return Err(((needed - bucket.level) / bucket.rate.max(MIN_RATE) * 1e6) as Micros);
         }
         bucket.level -= tokens;
         Ok(())
--- a/src/balancer/cost_model.rs
+++ b/src/balancer/cost_model.rs
@@ -39,9 +39,9 @@
 /// Initial memory correction. Executors without a grant allocate a quarter more than the estimate.
 const FIRST_MEMORY_CORRECTION: f64 = 0.25;
 /// Lower bound of costs and ratios as divisors.
-const LEAST_COST: f64 = 1e-6;
+const MIN_COST: f64 = 1e-6;
 /// Lower bound of a mean estimate as a divisor.
-const LEAST_ESTIMATE: f64 = 1e-9;
+const MIN_ESTIMATE: f64 = 1e-9;
 
 /// Learned costs of requests.
 pub(crate) struct CostModel {
@@ -100,7 +100,7 @@
 
     /// Correction factor for estimates of the class.
     fn estimate_correction(&self) -> f64 {
-        self.observed_mean.value_or(1.0) / self.estimate_mean.value_or(1.0).max(LEAST_ESTIMATE)
+        self.observed_mean.value_or(1.0) / self.estimate_mean.value_or(1.0).max(MIN_ESTIMATE)
     }
 
     /// Moves the memory bias towards the quantile of needs that a grant should cover. A spill that the
@@ -160,7 +160,7 @@
         let cost = reported.map_or(capped, |reported| reported.thread_seconds);
         let class = &mut self.classes[request.class];
         class.cost.add(cost, LEARNING_RATE);
-        let ratio = (spent / request.predicted_cost.max(LEAST_COST)).min(MAX_LATENCY_RATIO);
+        let ratio = (spent / request.predicted_cost.max(MIN_COST)).min(MAX_LATENCY_RATIO);
         class.latency_ratio.add(ratio, LATENCY_RATIO_WEIGHT);
         if let Some(estimate) = request.estimated_cost {
             class.record_estimate_error(estimate, cost.min(MAX_CORRECTION_MULTIPLE * request.predicted_cost));
@@ -207,8 +207,8 @@
             let class = &mut self.cost_model.classes[request.class];
             class.learn_memory(estimate_mb, reported, attempt.spilled);
         }
-        let ratio = spent / request.predicted_cost.max(LEAST_COST);
-        let relative = ratio / class_ratio.max(LEAST_COST);
+        let ratio = spent / request.predicted_cost.max(MIN_COST);
+        let relative = ratio / class_ratio.max(MIN_COST);
         let relative = relative.clamp(1.0 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
         self.executors[index].relative_latency.add(relative, RELATIVE_LATENCY_WEIGHT);
         self.record_latency_ratio(index, ratio);
--- a/src/balancer/load/fleet.rs
+++ b/src/balancer/load/fleet.rs
@@ -17,7 +17,7 @@
 /// Weight of a tick in the traffic share, which averages over about ten seconds.
 const TRAFFIC_SHARE_WEIGHT: f64 = 0.01;
 /// Load, in threads per core, below which the traffic share cannot be estimated from own threads.
-const LEAST_LOAD: f64 = 0.05;
+const MIN_LOAD: f64 = 0.05;
 /// Utilization above which a report no longer indicates how many threads an executor runs.
 const SATURATED_UTILIZATION: f64 = 0.85;
 /// Minimum confidence in a report for a saturated executor to count.
@@ -93,7 +93,7 @@
 impl LoadModel {
     /// Moves the traffic share towards own threads over all threads, if reports state the load.
     fn update_traffic_share(&mut self, fleet: &FleetLoad) {
-        let is_known = self.mean_load > LEAST_LOAD && self.reports_state_load == Some(true);
+        let is_known = self.mean_load > MIN_LOAD && self.reports_state_load == Some(true);
         if !is_known || fleet.has_saturated_report {
             return;
         }
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -17,7 +17,7 @@
 /// healthy.
 const WIDER_SAMPLE_FACTOR: usize = 4;
 /// Ejections are ignored if less than this fraction of the permitted cores would remain.
-const LEAST_HEALTHY_CORES: f64 = 0.4;
+const MIN_HEALTHY_CORES: f64 = 0.4;
 
 impl Balancer {
     /// The permitted and healthy executors; only those that the request has not tried, if there are any. If
@@ -30,7 +30,7 @@
             let permitted = self.permitted_of(id, candidates);
             usable = self.healthy_of(id, &permitted);
             if !permitted.is_empty()
-                && self.cores_of(&usable) >= LEAST_HEALTHY_CORES * self.cores_of(&permitted)
+                && self.cores_of(&usable) >= MIN_HEALTHY_CORES * self.cores_of(&permitted)
             {
                 break;
             }
--- a/src/balancer/selection/weight.rs
+++ b/src/balancer/selection/weight.rs
@@ -13,7 +13,7 @@
 /// Growth of the connection factor per service point of the price of a new connection.
 const HANDSHAKE_WEIGHT: f64 = 4000.0;
 /// Lower bound of an executor's relative latency.
-const LEAST_RELATIVE_LATENCY: f64 = 0.5;
+const MIN_RELATIVE_LATENCY: f64 = 0.5;
 /// Exponent of an executor's success rate in its weight.
 const SUCCESS_POWER: i32 = 2;
 /// Exponent of the success rate for non-idempotent requests, which fail on their first error.
@@ -24,7 +24,7 @@
 /// Weight factor of an unhealthy executor, used if too few healthy ones remain.
 const UNHEALTHY_WEIGHT: f64 = 0.05;
 /// Lower bound of the capacity as a divisor of the load, in cores.
-const LEAST_CAPACITY: f64 = 1e-9;
+const MIN_CAPACITY: f64 = 1e-9;
 
 impl Balancer {
     /// Weights of executors in a draw for a request.
@@ -37,7 +37,7 @@
     fn weight(&self, request: &Request, executor: &Executor) -> f64 {
         let capacity =
             executor.cores * self.capacity_fraction(executor) * executor.endpoint.weight.unwrap_or(1.0);
-        let load = self.executor_load(executor) * executor.cores / capacity.max(LEAST_CAPACITY);
+        let load = self.executor_load(executor) * executor.cores / capacity.max(MIN_CAPACITY);
         let affinity = self.affinity_factor(request, executor);
         let reserved = self.reserved_capacity_factor(request.class, executor);
         let load_factor = (LOAD_FLOOR + load).powi(LOAD_POWER);
@@ -48,7 +48,7 @@
 
     /// Price of an attempt relative to an executor in the same zone, with a connection and the usual latency.
     fn relative_price(&self, executor: &Executor) -> f64 {
-        let latency = executor.relative_latency.value_or(1.0).max(LEAST_RELATIVE_LATENCY);
+        let latency = executor.relative_latency.value_or(1.0).max(MIN_RELATIVE_LATENCY);
         latency * self.zone_distance(executor) * self.connection_factor(executor)
     }
 
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -16,9 +16,9 @@
 /// Maximum size of a request, as a fraction of the budget of a window.
 const LARGEST_REQUEST: f64 = 0.3;
 /// Lower bound of a request's work as a fraction of its class's mean, because estimates are imprecise.
-const LEAST_OF_CLASS_MEAN: f64 = 0.5;
+const MIN_OF_CLASS_MEAN: f64 = 0.5;
 /// Lower bound of a capacity fraction as a divisor.
-const LEAST_CAPACITY_FRACTION: f64 = 1e-9;
+const MIN_CAPACITY_FRACTION: f64 = 1e-9;
 
 /// Work that may be sent to one executor in slow start, in thread-seconds.
 #[derive(Debug, Clone, Default)]
@@ -113,7 +113,7 @@
 
     fn admission(&self, request: &Request, executor: &Executor, rate: f64) -> Admission {
         let slow_start = &self.settings.slow_start;
-        let capacity_fraction = self.capacity_fraction(executor).max(LEAST_CAPACITY_FRACTION);
+        let capacity_fraction = self.capacity_fraction(executor).max(MIN_CAPACITY_FRACTION);
         let work = self.slow_start_work(request);
         Admission {
             work,
@@ -128,7 +128,7 @@
 
     /// Work of a request as counted for an executor in slow start, in thread-seconds.
     fn slow_start_work(&self, request: &Request) -> f64 {
-        request.predicted_cost.max(LEAST_OF_CLASS_MEAN * self.class_mean(request.class))
+        request.predicted_cost.max(MIN_OF_CLASS_MEAN * self.class_mean(request.class))
     }
 
     /// Whether a request is small enough for an executor: in slow start, a single request must not use a
