--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -29,7 +29,7 @@
             Action::Cancel { request, attempt } => return self.cancel(now, AttemptId { request, attempt }),
             Action::Reject { request, retry_after, reason } => {
                 let backoff_ms = retry_after.map_or(BACKOFF_MS, |backoff| backoff.div_ceil(1000));
-                self.end_request(now, request, Answer::Refused(backoff_ms), reason);
+                self.end_request(now, request, Answer::Rejected(backoff_ms), reason);
             }
             Action::Fail { request, reason } => self.end_request(now, request, Answer::Failed, reason),
             Action::Probe { executor } => {
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -90,7 +90,7 @@
         };
         let retry_is_harmless = pending.idempotent || pending.never_ran();
         self.held_requests.remove(&id);
-        let answer = if retry_is_harmless { Answer::Refused(BACKOFF_MS) } else { Answer::Failed };
+        let answer = if retry_is_harmless { Answer::Rejected(BACKOFF_MS) } else { Answer::Failed };
         self.answer(now, id, answer, reason);
         let commands = self.run(now, Event::ClientDisconnected { request: id });
         self.forget(id);
@@ -141,7 +141,7 @@
         self.counters.ends.add(reason);
         match &answer {
             Answer::Served(_) => self.counters.served += 1,
-            Answer::Refused(_) => self.counters.refused += 1,
+            Answer::Rejected(_) => self.counters.refused += 1,
             Answer::Failed => self.counters.failed += 1,
         }
         self.withdraw(id);
--- a/src/dispatch/interface.rs
+++ b/src/dispatch/interface.rs
@@ -59,7 +59,7 @@
     /// The result.
     Served(R),
     /// Rejected: a retry is harmless after this many milliseconds.
-    Refused(u64),
+    Rejected(u64),
     /// Failed: the request may have run.
     Failed,
 }
--- a/src/dispatch/pending_request.rs
+++ b/src/dispatch/pending_request.rs
@@ -95,7 +95,7 @@
             Answer::Failed => {
                 tracing::info!(request, %reason, waited_ms, left_ms, attempts, outstanding, "request failed");
             }
-            Answer::Refused(backoff_ms) => {
+            Answer::Rejected(backoff_ms) => {
                 tracing::debug!(
                     request, %reason, waited_ms, left_ms, attempts, outstanding, backoff_ms, "request refused"
                 );
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -195,7 +195,7 @@
         self.deadlines.insert((pending.deadline, request.id));
         self.pending.insert(request.id, pending);
         if too_many {
-            self.answer(now, request.id, Answer::Refused(BACKOFF_MS), EndReason::TooManyOpen);
+            self.answer(now, request.id, Answer::Rejected(BACKOFF_MS), EndReason::TooManyOpen);
             self.forget(request.id);
         }
         Ok(too_many)
--- a/src/dispatch/tests/completion.rs
+++ b/src/dispatch/tests/completion.rs
@@ -5,7 +5,7 @@
 // attempt that has begun may have run, so the request fails; otherwise it is rejected, and the client may retry.
 #[test]
 fn a_request_is_answered_once_well_before_its_client_gives_up() {
-    for (begun, answer) in [(true, Answer::Failed), (false, Answer::Refused(BACKOFF_MS))] {
+    for (begun, answer) in [(true, Answer::Failed), (false, Answer::Rejected(BACKOFF_MS))] {
         let mut d = dispatch();
         let attempt_id = AttemptId { request: 1, attempt: 0 };
         let commands = submit(&mut d, 2_000, 1);
@@ -36,6 +36,6 @@
     let deadline = d.pending[&1].deadline;
     assert!(due < deadline && d.end_expired(deadline - 1).is_empty());
     let commands = d.end_expired(deadline);
-    assert_eq!(answers(&commands), [&Answer::Refused(BACKOFF_MS)], "no byte of it was written");
+    assert_eq!(answers(&commands), [&Answer::Rejected(BACKOFF_MS)], "no byte of it was written");
     assert_eq!(d.next_due(), Some(due), "its timers still wait");
 }
--- a/src/dispatch/tests/held_requests.rs
+++ b/src/dispatch/tests/held_requests.rs
@@ -15,7 +15,7 @@
     let mut d = dispatch();
     let due = hold(&mut d, 2_000, 1);
     assert!(answers(&d.tick(due - 1)).is_empty() && d.open_requests() == 1);
-    assert_eq!(answers(&d.tick(due)), [&Answer::Refused(BACKOFF_MS)]);
+    assert_eq!(answers(&d.tick(due)), [&Answer::Rejected(BACKOFF_MS)]);
     assert!(d.admit(due, 1).is_empty() && d.answer_held(due, 1, Answer::Served(())).is_empty());
     assert!(answers(&d.tick(due + BUDGET)).is_empty());
     let Counters { taken, refused, served, attempts, .. } = d.counters;
@@ -30,7 +30,7 @@
     let mut d = dispatch();
     let due = hold(&mut d, 2_000, 1);
     assert!(d.admit(due, 1).is_empty());
-    assert_eq!(answers(&d.tick(due)), [&Answer::Refused(BACKOFF_MS)]);
+    assert_eq!(answers(&d.tick(due)), [&Answer::Rejected(BACKOFF_MS)]);
     let due = hold(&mut d, due, 2);
     let commands = d.admit(due - 1, 2);
     assert!(matches!(commands[..], [Command::StartAttempt { terms, .. }] if terms.deadline <= due));
--- a/src/dispatch/tests/submission.rs
+++ b/src/dispatch/tests/submission.rs
@@ -7,7 +7,7 @@
     let mut d = dispatch();
     submit(&mut d, 2_000, 1);
     submit(&mut d, 2_000, 2);
-    assert_eq!(answers(&submit(&mut d, 2_000, 3)), [&Answer::Refused(BACKOFF_MS)]);
+    assert_eq!(answers(&submit(&mut d, 2_000, 3)), [&Answer::Rejected(BACKOFF_MS)]);
     let again = request(1, 1);
     assert!(d.submit(2_000, &again).is_err());
     // A client that disconnected gets no answer, even if a result arrives later.
@@ -32,7 +32,7 @@
     submit(&mut d, 6_000, 4);
     let given = d.end_all(7_000);
     let withdrawn = |o: &Command<()>| matches!(o, Command::WithdrawAttempt(t) if t.request == 4);
-    assert!(given.iter().any(withdrawn) && answers(&given) == [&Answer::Refused(BACKOFF_MS)]);
+    assert!(given.iter().any(withdrawn) && answers(&given) == [&Answer::Rejected(BACKOFF_MS)]);
 }
 
 // Two loads with the same key must not run concurrently: the second waits until the KILL of the first has had time to
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -121,7 +121,7 @@
             Ok(()) => {
                 self.figures.ended(&job.kind, Disposition::Declined);
                 if let Some(session) = self.sessions.by_key.get_mut(&key) {
-                    session.answer(&Answer::Refused(wait.div_ceil(1_000)));
+                    session.answer(&Answer::Rejected(wait.div_ceil(1_000)));
                 }
             }
             Err(e) => self.report_client_error(key, e.text(), now),
--- a/src/net/clients/session/answers.rs
+++ b/src/net/clients/session/answers.rs
@@ -34,7 +34,7 @@
     pub fn answer(&mut self, answer: &Answer<Vec<Block>>) {
         (self.open, self.mistakes_in_a_row) = (None, 0);
         match answer {
-            Answer::Refused(ms) => self.answer_error(ClientError::Refused { backoff_ms: *ms }),
+            Answer::Rejected(ms) => self.answer_error(ClientError::Refused { backoff_ms: *ms }),
             Answer::Failed => self.answer_error(ClientError::Failed),
             Answer::Served(pages) => self.answer_rows(pages),
         }
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -74,14 +74,14 @@
         let disposition = match answer {
             Answer::Served(_) => Disposition::Succeeded,
             Answer::Failed => Disposition::Aborted,
-            Answer::Refused(_) => Disposition::Declined,
+            Answer::Rejected(_) => Disposition::Declined,
         };
         self.figures.ended(&job.kind, disposition);
         if let Some(storm) = &mut self.storm {
             match &mut answer {
                 Answer::Served(_) => storm.served(),
                 Answer::Failed => storm.failed(),
-                Answer::Refused(retry_after_ms) => {
+                Answer::Rejected(retry_after_ms) => {
                     let wait = storm.refused(now, request_fingerprint(&job), *retry_after_ms * 1_000);
                     *retry_after_ms = wait.div_ceil(1_000);
                 }
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -82,7 +82,7 @@
         let reply = match answer {
             Answer::Served(rows) if in_flight.takeover.keeps_result(request) => Reply::Served(pages(rows)),
             Answer::Served(_) => Reply::Served(Vec::new()),
-            Answer::Refused(ms) => Reply::Refused(*ms),
+            Answer::Rejected(ms) => Reply::Refused(*ms),
             Answer::Failed => Reply::Failed,
         };
         in_flight.takeover.answered(now, request, reply);
@@ -92,7 +92,7 @@
     pub(in crate::net) fn answer_of(&self, reply: Reply) -> Answer<Rows> {
         match reply {
             Reply::Served(pages) => Answer::Served(rows(&pages, &self.pool)),
-            Reply::Refused(ms) => Answer::Refused(ms),
+            Reply::Refused(ms) => Answer::Rejected(ms),
             Reply::Failed => Answer::Failed,
         }
     }
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -64,7 +64,7 @@
                     assert_eq!(by, id, "another's result");
                     self.world.referee.serve(now, id);
                 }
-                Command::Answer(id, Answer::Refused(_)) => self.world.referee.refuse(now, id),
+                Command::Answer(id, Answer::Rejected(_)) => self.world.referee.refuse(now, id),
                 Command::Answer(id, Answer::Failed) => self.world.referee.fail(now, id),
                 Command::ReportAbandoned { .. } => panic!("reported what nobody asked for"),
             }
