--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -86,7 +86,7 @@
         let reply = match answer {
             Answer::Served(rows) if in_flight.takeover.keeps_result(request) => Reply::Served(pages(rows)),
             Answer::Served(_) => Reply::Served(Vec::new()),
-            Answer::Refused(ms) => Reply::Refused(*ms),
+            Answer::Rejected(ms) => Reply::Refused(*ms),
             Answer::Failed => Reply::Failed,
         };
         in_flight.takeover.answered(now, request, reply);
@@ -96,7 +96,7 @@
     pub(in crate::net) fn to_answer(&self, reply: Reply) -> Answer<Rows> {
         match reply {
             Reply::Served(pages) => Answer::Served(rows(&pages, &self.pool)),
-            Reply::Refused(ms) => Answer::Refused(ms),
+            Reply::Refused(ms) => Answer::Rejected(ms),
             Reply::Failed => Answer::Failed,
         }
     }
