--- a/crates/lab/src/motor_lists/large.rs
+++ b/crates/lab/src/motor_lists/large.rs
@@ -6,7 +6,7 @@
 use ottercroft::membership::check::{self, Catalog, Terms};
 use ottercroft::membership::files::{self, ReadLimits};
 use ottercroft::membership::list::{Digest, List, ListFile};
-use ottercroft::membership::{Guard, Members, Sources};
+use ottercroft::membership::{Guard, Members, MembersSettings};
 use standins::scripted::Launch;
 use std::fmt::Write as _;
 use std::io::{Seek, Write as _};
@@ -80,7 +80,7 @@
     if let Some(f) = faults.first() {
         return Err(format!("the large list has a fault: {f}").into());
     }
-    let sources = Sources {
+    let sources = MembersSettings {
         precedence: vec!["l".into()],
         guard: Guard::default(),
         drain_limit: Duration::from_secs(60),
@@ -88,10 +88,10 @@
         without: Default::default(),
     };
     let mut members = Members::new(sources);
-    members.list(1, "l", list);
+    members.update_list(1, "l", list);
     let list = parsed(&two);
     let begun = Instant::now();
-    members.list(2, "l", list);
+    members.update_list(2, "l", list);
     let merge_ms = ms(begun);
 
     let _ = std::fs::remove_dir_all(dir);
--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -3,7 +3,7 @@
 use super::{read, state};
 use crate::cli::{Verdict, catalog};
 use crate::membership::list::{Executor, List};
-use crate::membership::{Effect, Guard, Members, Sources};
+use crate::membership::{Effect, Guard, Members, MembersSettings};
 use crate::settings::hcl::shown;
 use crate::settings::options::Lists;
 use serde_json::json;
@@ -50,17 +50,17 @@
         .filter(|(_, c)| !c.is_empty())
         .collect();
     let guard = lists.map_or_else(Guard::default, |l| l.guard);
-    let terms = Sources {
+    let settings = MembersSettings {
         precedence: vec!["list".into()],
         guard,
         drain_limit: Duration::from_secs(1),
         cores,
         without: BTreeSet::new(),
     };
-    let mut members = Members::new(terms);
+    let mut members = Members::new(settings);
     members.restore(0, "list", old);
     let (mut held, mut refused) = (Vec::new(), None);
-    for effect in members.list(1, "list", new) {
+    for effect in members.update_list(1, "list", new) {
         match effect {
             Effect::HeldBack { losses, .. } => held = losses,
             Effect::Rejected(_, _, why) => refused = Some(why),
--- a/src/membership/files/tests.rs
+++ b/src/membership/files/tests.rs
@@ -26,8 +26,8 @@
     assert!(error_of(&large).contains("65536 are allowed"));
     std::fs::write(&large, [0xff, 0xfe]).unwrap();
     assert!(error_of(&large).contains("no UTF-8"));
-    symlink(dir.join("nowhere"), dir.join("gone.hcl")).unwrap();
-    assert!(error_of(&dir).contains("gone.hcl"));
+    symlink(dir.join("nowhere"), dir.join("dangling.hcl")).unwrap();
+    assert!(error_of(&dir).contains("dangling.hcl"));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
--- a/src/membership/members/active.rs
+++ b/src/membership/members/active.rs
@@ -1,6 +1,6 @@
 //! The list in force: merges the latest versions of the sources and computes the changes.
 
-use super::{ActiveEntry, Change, Effect, Entry, Members, Merged, RoomLosses, Shadow};
+use super::{ActiveEntry, Change, Effect, Entry, Members, Merged, RoomLosses, ShadowedEntry};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::membership::list::List;
@@ -19,15 +19,15 @@
         now: Micros,
         rank: usize,
         list: Arc<List>,
-        next: (Merged, Vec<Shadow>),
+        next: (Merged, Vec<ShadowedEntry>),
         lost: RoomLosses,
         effects: &mut Vec<Effect>,
     ) {
         if self.files.get(&rank).is_some_and(|f| f.list.is_some()) {
             let lost = lost.into_iter().filter(|(_, (_, lost))| *lost > 0.0);
-            self.lost.extend(lost.map(|(room, (_, lost))| (now, room, lost)));
-            let excess = self.lost.len().saturating_sub(MAX_RECORDED_LOSSES);
-            self.lost.drain(..excess);
+            self.recent_losses.extend(lost.map(|(room, (_, lost))| (now, room, lost)));
+            let excess = self.recent_losses.len().saturating_sub(MAX_RECORDED_LOSSES);
+            self.recent_losses.drain(..excess);
         }
         let Some(file) = self.files.get_mut(&rank) else { return };
         (file.list, file.held) = (Some(list.clone()), None);
@@ -41,7 +41,7 @@
 
     /// Merges the latest versions: each uid belongs to the first source that lists it, each address to the first executor
     /// that has it. Also returns the entries left out for that. `instead` replaces the list of one source.
-    pub(super) fn merged(&self, instead: Option<(usize, &Arc<List>)>) -> (Merged, Vec<Shadow>) {
+    pub(super) fn merge(&self, instead: Option<(usize, &Arc<List>)>) -> (Merged, Vec<ShadowedEntry>) {
         let mut merged = Merged::new();
         let mut addresses: HashMap<SocketAddr, Arc<str>> = HashMap::new();
         let mut shadowed = Vec::new();
@@ -87,7 +87,7 @@
     pub(super) fn activate(
         &mut self,
         now: Micros,
-        (next, shadowed): (Merged, Vec<Shadow>),
+        (next, shadowed): (Merged, Vec<ShadowedEntry>),
         effects: &mut Vec<Effect>,
     ) -> Change {
         let (mut change, mut less, mut more) = (Change::default(), Vec::new(), Vec::new());
@@ -103,7 +103,7 @@
             if fed {
                 less.push(p.entry.with_state(State::Removed));
                 removed.push(uid.clone());
-            } else if self.terms.without.contains(&Safeguard::Drain) {
+            } else if self.settings.without.contains(&Safeguard::Drain) {
                 p.draining_since = Some(now);
                 kept += 1;
             } else {
--- a/src/membership/members/guard.rs
+++ b/src/membership/members/guard.rs
@@ -18,8 +18,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let first = self.files.get(&rank).is_none_or(|f| f.list.is_none());
-        let guarded = !self.terms.without.contains(&Safeguard::Guard);
-        let next = self.merged(Some((rank, &list)));
+        let guarded = !self.settings.without.contains(&Safeguard::Guard);
+        let next = self.merge(Some((rank, &list)));
         let lost = self.losses_by_room(&next.0);
         if guarded && !first && !self.accepted(now, rank, &list) {
             let losses = self.excessive_losses(now, &lost);
@@ -32,7 +32,7 @@
                     since: now,
                     again: false,
                 });
-                let remind_at = now + micros(self.terms.guard.remind);
+                let remind_at = now + micros(self.settings.guard.remind);
                 if let Some(file) = self.files.get_mut(&rank) {
                     file.held = Some(HeldList { list, losses, since: now, remind_at });
                 }
@@ -46,7 +46,7 @@
     pub(super) fn accepted(&self, now: Micros, rank: usize, list: &List) -> bool {
         let Some(file) = self.files.get(&rank) else { return false };
         let fresh = |a: &Acceptance| {
-            a.at.saturating_mul(1_000_000).saturating_add(micros(self.terms.guard.accepted_for)) > now
+            a.at.saturating_mul(1_000_000).saturating_add(micros(self.settings.guard.accepted_for)) > now
         };
         let old = file.list.iter().flat_map(|l| &l.files);
         let known: BTreeSet<(&str, Digest)> = old.map(|f| (&*f.name, f.digest)).collect();
@@ -57,17 +57,17 @@
 
     /// Rooms that would lose too much capacity, counting what lists removed within the window.
     fn excessive_losses(&mut self, now: Micros, lost: &RoomLosses) -> Vec<Loss> {
-        let window = micros(self.terms.guard.window);
-        self.lost.retain(|(at, ..)| now < at + window);
+        let window = micros(self.settings.guard.window);
+        self.recent_losses.retain(|(at, ..)| now < at + window);
         let mut rooms = lost.clone();
-        for (_, room, before) in &self.lost {
+        for (_, room, before) in &self.recent_losses {
             if let Some((all, lost)) = rooms.get_mut(room).filter(|(_, lost)| *lost > 0.0) {
                 (*all, *lost) = (*all + before, *lost + before);
             }
         }
         let over = |(room, (all, lost)): (Arc<str>, (f64, f64))| {
             let share = if all > 0.0 { lost / all } else { 0.0 };
-            (share > self.terms.guard.most_loss + 1e-9).then_some(Loss { room, share })
+            (share > self.settings.guard.most_loss + 1e-9).then_some(Loss { room, share })
         };
         rooms.into_iter().filter_map(over).collect()
     }
@@ -81,7 +81,7 @@
         let old_max_weight =
             max_weight(&mut self.active.values().filter(|p| p.draining_since.is_none()).map(|p| &p.entry));
         let new_max_weight = max_weight(&mut next.values().map(|(_, e)| e));
-        let cores = |e: &Entry| self.terms.cores.get(e.kind()).copied().unwrap_or(1.0);
+        let cores = |e: &Entry| self.settings.cores.get(e.kind()).copied().unwrap_or(1.0);
         let part =
             |e: &Entry, most: f64| if e.accepts_requests() { cores(e) * e.weight() / most } else { 0.0 };
         let mut rooms = RoomLosses::new();
--- a/src/membership/members/mod.rs
+++ b/src/membership/members/mod.rs
@@ -36,7 +36,7 @@
 
 /// Settings of the list in force.
 #[derive(Debug, Clone)]
-pub struct Sources {
+pub struct MembersSettings {
     /// Names of the sources, highest precedence first; `feed` is the coordinator's.
     pub precedence: Vec<String>,
     /// Limits beyond which a list is held back.
@@ -70,14 +70,14 @@
 /// By room: its capacity, and how much of it is removed.
 type RoomLosses = BTreeMap<Arc<str>, (f64, f64)>;
 /// An entry left out for its address: the executor, the rank of its source, and the executor that has the address.
-type Shadow = (Arc<str>, usize, Arc<str>);
+type ShadowedEntry = (Arc<str>, usize, Arc<str>);
 /// The feed's rank and its targets.
 type FeedTargets = (usize, BTreeMap<Arc<str>, Arc<Target>>);
 
 /// The list in force and its sources.
 #[derive(Debug, Clone)]
 pub struct Members {
-    terms: Sources,
+    settings: MembersSettings,
     names: Vec<Arc<str>>,
     files: BTreeMap<usize, FileSource>,
     feed: Option<FeedTargets>,
@@ -85,22 +85,22 @@
     /// Entries left out because another has their address, so that each is reported once.
     shadowed: BTreeSet<Arc<str>>,
     /// Capacity that lists removed recently: when, from which room, how much.
-    lost: VecDeque<(Micros, Arc<str>, f64)>,
+    recent_losses: VecDeque<(Micros, Arc<str>, f64)>,
 }
 
 impl Members {
     /// Creates an empty list.
-    pub fn new(terms: Sources) -> Members {
-        let names: Vec<Arc<str>> = terms.precedence.iter().map(|n| n.as_str().into()).collect();
+    pub fn new(settings: MembersSettings) -> Members {
+        let names: Vec<Arc<str>> = settings.precedence.iter().map(|n| n.as_str().into()).collect();
         let files = (0..names.len()).filter(|i| &*names[*i] != FEED).map(|i| (i, FileSource::default()));
         Members {
             files: files.collect(),
             feed: names.iter().position(|n| &**n == FEED).map(|rank| (rank, BTreeMap::new())),
             names,
-            terms,
+            settings,
             active: BTreeMap::new(),
             shadowed: BTreeSet::new(),
-            lost: VecDeque::new(),
+            recent_losses: VecDeque::new(),
         }
     }
 
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -9,8 +9,8 @@
 
 const S: Micros = 1_000_000;
 
-fn sources(precedence: &[&str]) -> Sources {
-    Sources {
+fn settings(precedence: &[&str]) -> MembersSettings {
+    MembersSettings {
         precedence: precedence.iter().map(|n| (*n).to_string()).collect(),
         guard: Guard { most_loss: 1.0, ..Guard::default() },
         drain_limit: Duration::from_secs(60),
--- a/src/membership/members/tests/sequences.rs
+++ b/src/membership/members/tests/sequences.rs
@@ -33,10 +33,10 @@
 
 fn play(m: &mut Members, now: Micros, step: &Step, busy: &dyn Fn(&str) -> bool) -> Vec<Effect> {
     match step {
-        Step::List(s, lines) => m.list(now, NAMES[*s], list(None, lines)),
+        Step::List(s, lines) => m.update_list(now, NAMES[*s], list(None, lines)),
         Step::Feed(whole, t) => {
             let targets: Vec<Target> = t.iter().map(|(u, p, s)| fed(*u, *p, *s)).collect();
-            m.feed(now, *whole, &targets)
+            m.update_feed(now, *whole, &targets)
         }
         Step::Tick(_) => m.tick(now, busy),
     }
@@ -47,7 +47,7 @@
     // reported changes add up to that list.
     #[test]
     fn the_list_in_force_follows_from_the_latest_versions(steps in prop::collection::vec(step(), 1..60)) {
-        let mut m = Members::new(sources(&NAMES));
+        let mut m = Members::new(settings(&NAMES));
         let (mut now, mut followed) = (S, BTreeMap::new());
         let (mut last, mut feed) = ([None, None], BTreeMap::new());
         let follow = |followed: &mut BTreeMap<String, Target>, effects: &[Effect]| {
@@ -75,11 +75,11 @@
         }
         // All drains end; after that only the latest versions count.
         follow(&mut followed, &m.tick(now, &|_| false));
-        let mut alone = Members::new(sources(&NAMES));
+        let mut alone = Members::new(settings(&NAMES));
         let reported: Vec<Target> = feed.iter().map(|(u, (p, s))| fed(*u, *p, *s)).collect();
-        alone.feed(now, true, &reported);
+        alone.update_feed(now, true, &reported);
         for (i, l) in last.iter().enumerate() {
-            if let Some(l) = l { alone.list(now, NAMES[i], list(None, l)); }
+            if let Some(l) = l { alone.update_list(now, NAMES[i], list(None, l)); }
         }
         alone.tick(now, &|_| false);
         prop_assert_eq!(m.in_force(), alone.in_force());
@@ -90,7 +90,7 @@
     // reported in the same call, so that none gets new work two seconds later.
     #[test]
     fn drains_are_reported_at_once_and_addresses_are_unique(steps in prop::collection::vec(step(), 1..60)) {
-        let mut m = Members::new(sources(&NAMES));
+        let mut m = Members::new(settings(&NAMES));
         let (mut now, mut reported) = (S, BTreeMap::new());
         for s in &steps {
             now += if let Step::Tick(t) = s { *t } else { 1 };
@@ -115,13 +115,13 @@
     fn a_version_that_is_not_activated_changes_nothing(
         first in lines(), second in lines(), generations in (2u64..5, 0u64..3), most in 0.0f64..0.9,
     ) {
-        let mut settings = sources(&["f", "feed"]);
+        let mut settings = settings(&["f", "feed"]);
         settings.guard.most_loss = most;
         let mut m = Members::new(settings);
-        m.feed(S, true, &[fed(11, 30, State::Up)]);
-        m.list(S, "f", list(Some(generations.0), &first));
+        m.update_feed(S, true, &[fed(11, 30, State::Up)]);
+        m.update_list(S, "f", list(Some(generations.0), &first));
         let (before, digest) = (m.in_force(), m.digest("f"));
-        let effects = m.list(2 * S, "f", list(Some(generations.0 + generations.1), &second));
+        let effects = m.update_list(2 * S, "f", list(Some(generations.0 + generations.1), &second));
         if !effects.iter().any(|a| matches!(a, Effect::Activated { .. })) {
             prop_assert_eq!(m.in_force(), before);
             prop_assert_eq!(m.digest("f"), digest);
--- a/src/membership/members/versions.rs
+++ b/src/membership/members/versions.rs
@@ -11,9 +11,9 @@
 impl Members {
     /// Applies an update of the coordinator's feed. An executor that it removes is removed at once, as its process has
     /// ended.
-    pub fn feed(&mut self, now: Micros, whole: bool, targets: &[Target]) -> Vec<Effect> {
+    pub fn update_feed(&mut self, now: Micros, complete: bool, targets: &[Target]) -> Vec<Effect> {
         let Some((_, fed)) = &mut self.feed else { return Vec::new() };
-        if whole {
+        if complete {
             fed.clear();
         }
         for t in targets {
@@ -24,13 +24,13 @@
             };
         }
         let mut effects = Vec::new();
-        let next = self.merged(None);
+        let next = self.merge(None);
         self.activate(now, next, &mut effects);
         effects
     }
 
     /// Applies a list from files that was read completely and validated.
-    pub fn list(&mut self, now: Micros, source: &str, list: List) -> Vec<Effect> {
+    pub fn update_list(&mut self, now: Micros, source: &str, list: List) -> Vec<Effect> {
         let Some(rank) = self.rank(source) else { return Vec::new() };
         let Some(file) = self.files.get_mut(&rank) else { return Vec::new() };
         let (mut effects, name, list) = (Vec::new(), self.names[rank].clone(), Arc::new(list));
@@ -70,7 +70,7 @@
         let mut effects = Vec::new();
         if let Some(rank) = self.rank(source).filter(|r| self.files.contains_key(r)) {
             let list = Arc::new(list);
-            let next = self.merged(Some((rank, &list)));
+            let next = self.merge(Some((rank, &list)));
             self.apply(now, rank, list, next, RoomLosses::new(), &mut effects);
         }
         effects
@@ -80,7 +80,7 @@
     /// `busy` returns whether an executor has outstanding work.
     pub fn tick(&mut self, now: Micros, busy: &dyn Fn(&str) -> bool) -> Vec<Effect> {
         let (mut effects, mut removed) = (Vec::new(), Vec::new());
-        let limit = micros(self.terms.drain_limit);
+        let limit = micros(self.settings.drain_limit);
         for (uid, p) in &self.active {
             let Some(since) = p.draining_since else { continue };
             let (is_busy, limit_reached) = (busy(uid), now >= since + limit);
@@ -98,7 +98,7 @@
             effects.push(Effect::Update(vec![target]));
             effects.push(Effect::Drained { uid, after, timed_out });
         }
-        let remind = micros(self.terms.guard.remind);
+        let remind = micros(self.settings.guard.remind);
         for (rank, file) in &mut self.files {
             let Some(held) = file.held.as_mut().filter(|h| h.remind_at <= now) else { continue };
             held.remind_at = now + remind;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -20,4 +20,4 @@
 pub mod watcher;
 
 pub use crate::settings::options::FEED;
-pub use members::{Effect, Guard, Members, Sources};
+pub use members::{Effect, Guard, Members, MembersSettings};
--- a/src/membership/settling/tests.rs
+++ b/src/membership/settling/tests.rs
@@ -60,7 +60,7 @@
     #[test]
     fn no_partially_written_text_is_validated(
         pieces in prop::collection::vec((1u64..SETTLE - 1, any::<bool>()), 1..40),
-        looks in prop::collection::vec(1u64..200_000, 1..200),
+        check_intervals in prop::collection::vec(1u64..200_000, 1..200),
     ) {
         // Each piece is a write; `true` ends a text, after which the writer pauses for twice the settling time.
         let (mut at, mut writes) = (1_000_000, Vec::new());
@@ -71,7 +71,7 @@
         let last = writes.len() - 1;
         writes[last].2 = true;
         let (mut s, mut now, mut validated) = (SettleTracker::new(SETTLE), 1_000_000, Vec::new());
-        let mut looks = looks.into_iter().cycle();
+        let mut check_intervals = check_intervals.into_iter().cycle();
         while now < at + 20 * SETTLE {
             if let Some((t, n, _)) = writes.iter().rev().find(|w| w.0 <= now) {
                 let (st, text) = (stamp(*n, *t), n.to_le_bytes());
@@ -79,7 +79,7 @@
                     validated.push(*n);
                 }
             }
-            now += looks.next().unwrap_or(1);
+            now += check_intervals.next().unwrap_or(1);
         }
         for n in &validated {
             prop_assert!(writes[*n as usize].2, "validated {n} of {writes:?}");
--- a/src/membership/watcher/tests.rs
+++ b/src/membership/watcher/tests.rs
@@ -30,11 +30,11 @@
     let whole = renew_seal("f", TWO_EXECUTORS, false, false).unwrap();
     std::fs::write(&at.path, &whole[..whole.len() / 2]).unwrap();
     let mut f = WatchedList::new(&at, &rules);
-    let begun = now();
-    assert!(f.check(begun, &rules).is_none());
-    assert!(f.check(begun + 29_000, &rules).is_none());
-    assert!(matches!(f.check(begun + 31_000, &rules), Some(ListReport::Invalid { .. })));
-    assert!(f.check(begun + 32_000, &rules).is_none());
+    let started = now();
+    assert!(f.check(started, &rules).is_none());
+    assert!(f.check(started + 29_000, &rules).is_none());
+    assert!(matches!(f.check(started + 31_000, &rules), Some(ListReport::Invalid { .. })));
+    assert!(f.check(started + 32_000, &rules).is_none());
     std::fs::write(&at.path, &whole).unwrap();
     assert!(matches!(f.check(now(), &rules), Some(ListReport::List(l)) if l.len() == 2));
     std::fs::remove_file(&at.path).unwrap();
--- a/src/membership/watcher/worker.rs
+++ b/src/membership/watcher/worker.rs
@@ -135,8 +135,8 @@
     fn refresh(&mut self) {
         let Some(notify) = &mut self.notify else { return };
         let wanted: BTreeSet<PathBuf> = self.lists.iter().flat_map(WatchedList::directories).collect();
-        for gone in self.directories.difference(&wanted) {
-            let _ = notify.unwatch(gone);
+        for stale in self.directories.difference(&wanted) {
+            let _ = notify.unwatch(stale);
         }
         // A directory that can't be watched is retried at the next check, and polled meanwhile.
         let watched = |p: &PathBuf| {
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -85,7 +85,7 @@
                 self.begin_request(client, request, job, now);
             }
             self.expire_due_requests();
-            if !self.executors.may_begin() {
+            if !self.executors.may_start_attempt() {
                 return;
             }
         }
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -7,7 +7,7 @@
 use crate::codec::coordinator::Target;
 use crate::membership::check::Catalog;
 use crate::membership::watcher::{ListReport, Rules, SourceReport, WatchedList, Watcher};
-use crate::membership::{Effect, Members, Sources, storage};
+use crate::membership::{Effect, Members, MembersSettings, storage};
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::settings::options::{self, Empty, Source, accept_path};
 use std::collections::{BTreeMap, VecDeque};
@@ -61,13 +61,14 @@
         if !o.without.is_empty() {
             tracing::error!(without = ?o.without, "motor lists: safeguards are disabled; use this in tests only");
         }
-        let mut members = Members::new(Sources { precedence, guard, drain_limit, cores, without: o.without });
-        let mut effects = members.feed(now, true, known);
+        let mut members =
+            Members::new(MembersSettings { precedence, guard, drain_limit, cores, without: o.without });
+        let mut effects = members.update_feed(now, true, known);
         let (mut watched, mut reports, mut empty) = (Vec::new(), Vec::new(), Vec::new());
         for source in &o.sources {
             let name: Arc<str> = source.name.as_str().into();
-            let kept = o.last_good.as_ref().map(|folder| storage::path(folder, &source.name));
-            match kept.map(|at| storage::load(&at, o.most_bytes).map_err(|e| (at, e))) {
+            let last_good = o.last_good.as_ref().map(|folder| storage::path(folder, &source.name));
+            match last_good.map(|at| storage::load(&at, o.most_bytes).map_err(|e| (at, e))) {
                 Some(Ok(list)) => {
                     let back = members.restore(now, &source.name, list);
                     // The list is already saved: only the updates are of use.
@@ -75,7 +76,7 @@
                 }
                 Some(Err((at, error))) => {
                     let (source, file) = (&*name, at.display());
-                    tracing::warn!(source, %file, error, "motor list: no last good copy");
+                    tracing::warn!(source, %file, error, "motor list: last good copy not available");
                 }
                 None => {}
             }
@@ -101,14 +102,12 @@
         lists.apply_effects(now, effects);
         reports.into_iter().for_each(|report| lists.process(now, report));
         if let (Some(name), Empty::Exit) = (empty.first(), o.empty) {
-            return Err(io::Error::other(format!(
-                "motor list {name}: none can be used, and no last good copy"
-            )));
+            return Err(io::Error::other(format!("motor list {name}: no usable list and no last good copy")));
         }
         for name in empty {
             tracing::error!(
                 source = &*name,
-                "motor list: none can be used, and no last good copy; serving without"
+                "motor list: no usable list and no last good copy; serving without it"
             );
         }
         Ok(lists)
@@ -138,7 +137,7 @@
 
     /// Applies an update of the coordinator's feed.
     pub fn feed(&mut self, now: Micros, whole: bool, targets: &[Target]) {
-        let effects = self.members.feed(now, whole, targets);
+        let effects = self.members.update_feed(now, whole, targets);
         self.apply_effects(now, effects);
     }
 
--- a/src/net/endpoint_lists/outcomes.rs
+++ b/src/net/endpoint_lists/outcomes.rs
@@ -15,7 +15,7 @@
         let name = &*source;
         match report {
             ListReport::List(list) => {
-                let effects = self.members.list(now, name, list);
+                let effects = self.members.update_list(now, name, list);
                 if effects.iter().any(|a| matches!(a, Effect::Activated { .. })) {
                     let waited_us = now.saturating_sub(checked_at);
                     tracing::debug!(source = name, waited_us, "motor list received from the watcher thread");
@@ -30,20 +30,20 @@
                     faults = all,
                     bytes = bytes.short(),
                     in_force,
-                    "motor list refused; what was in force stays"
+                    "motor list rejected; the list in force stays"
                 );
                 faults.iter().take(LOGGED_FAULTS).for_each(|f| self.fault(name, f));
             }
             ListReport::Unreadable(reason) => {
                 self.counters.unreadable += 1;
-                tracing::error!(source = name, reason, "motor list can't be read; what was in force stays");
+                tracing::error!(source = name, reason, "motor list can't be read; the list in force stays");
             }
             ListReport::Accepted(accepted) => {
                 let effects = self.members.accept(now, name, accepted);
                 self.apply_effects(now, effects);
             }
             ListReport::LastGoodNotSaved(error) => {
-                tracing::error!(source = name, error, "motor list: no last good copy kept")
+                tracing::error!(source = name, error, "motor list: can't save the last good copy; retrying")
             }
             ListReport::NotifyUnavailable(error) => {
                 tracing::warn!(error, "motor lists: no file system notifications; polling continues")
@@ -79,13 +79,13 @@
                     let list = self.accept_arguments.get(&source).map_or("", String::as_str);
                     let loss =
                         |l: &crate::membership::members::Loss| format!("{} {:.0}%", l.room, l.share * 100.0);
-                    let takes: Vec<String> = losses.iter().map(loss).collect();
+                    let losses: Vec<String> = losses.iter().map(loss).collect();
                     tracing::error!(
                         source = &*source,
                         %digest,
-                        takes_away = takes.join(", "),
+                        removes = losses.join(", "),
                         for_s = now.saturating_sub(since) / 1_000_000,
-                        "motor list held back; if it is meant: ottercroft lists accept {} {list}",
+                        "motor list held back; to accept it: ottercroft lists accept {} {list}",
                         digest.short()
                     );
                 }
@@ -94,7 +94,7 @@
                 }
                 Effect::Rejected(source, digest, why) => {
                     self.counters.refused += 1;
-                    tracing::error!(source = &*source, %digest, why, "motor list refused; what was in force stays");
+                    tracing::error!(source = &*source, %digest, why, "motor list rejected; the list in force stays");
                 }
                 Effect::Shadowed { uid, source, by } => {
                     tracing::warn!(
@@ -109,7 +109,7 @@
                         executor = &*uid,
                         after_ms = after / 1_000,
                         timed_out,
-                        "executor drained and gone"
+                        "executor drained and removed"
                     );
                 }
             }
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -87,7 +87,7 @@
         known.into_iter().chain(new).for_each(|event| self.process_event(event));
         self.executors.clients_polled(before);
         // At once: with little processor time the other events would take so long that the look were too old again.
-        self.executors.begin_after_poll(&self.poll);
+        self.executors.start_waiting_attempts(&self.poll);
         others.into_iter().for_each(|event| self.process_event(event));
         self.poll_times.processed_until = before;
     }
--- a/src/net/executors/client_poll.rs
+++ b/src/net/executors/client_poll.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ClientPoll {
     /// The time up to which all client events have been processed; `None` if clients are not polled.
-    at: Option<Micros>,
+    polled_until: Option<Micros>,
     /// Connections on which an attempt waits for the next poll.
     waiting: BTreeSet<Key>,
     /// Whether one attempt may start however old the poll is. Set after a poll for which an attempt waited: with very
@@ -26,7 +26,7 @@
 impl ClientPoll {
     /// Whether the last poll is recent enough for an attempt to start now.
     pub(super) fn is_fresh(&self, now: Micros) -> bool {
-        self.at.is_none_or(|at| self.allow_stale || now <= at + CLIENT_POLL_VALID)
+        self.polled_until.is_none_or(|at| self.allow_stale || now <= at + CLIENT_POLL_VALID)
     }
 
     /// Records that an attempt started.
@@ -43,7 +43,7 @@
 impl Executors {
     /// Records that all client events up to `at` have been processed.
     pub fn clients_polled(&mut self, at: Micros) {
-        self.client_poll.at = Some(at);
+        self.client_poll.polled_until = Some(at);
         self.client_poll.allow_stale = !self.client_poll.waiting.is_empty();
     }
 
@@ -53,13 +53,13 @@
     }
 
     /// Whether an attempt may start now.
-    pub fn may_begin(&mut self) -> bool {
+    pub fn may_start_attempt(&mut self) -> bool {
         let now = self.clock.now();
         self.client_poll.is_fresh(now)
     }
 
     /// Starts the attempts that waited for the poll that has just finished.
-    pub fn begin_after_poll(&mut self, poll: &Poll) {
+    pub fn start_waiting_attempts(&mut self, poll: &Poll) {
         let now = self.clock.now();
         for key in std::mem::take(&mut self.client_poll.waiting) {
             self.write(key, now, poll);
--- a/src/net/executors/endpoint_updates.rs
+++ b/src/net/executors/endpoint_updates.rs
@@ -18,9 +18,9 @@
         if whole {
             let names: BTreeSet<&str> = targets.iter().map(|t| t.uid.as_str()).collect();
             let named = |e: &Executor| names.contains(e.uid.as_str());
-            let gone: Vec<ExecutorId> =
+            let removed: Vec<ExecutorId> =
                 self.executors.iter().filter(|(_, e)| !named(e)).map(|(i, _)| *i).collect();
-            gone.into_iter().for_each(|id| self.drain_connections(id, State::Removed, poll));
+            removed.into_iter().for_each(|id| self.drain_connections(id, State::Removed, poll));
         }
     }
 
--- a/tests/large_lists/work.rs
+++ b/tests/large_lists/work.rs
@@ -28,10 +28,10 @@
 fn the_cost_of_a_decision_does_not_grow_with_the_list() {
     for cold_percent in [0, 50, 95] {
         let each = SIZES.map(|size| examined_per_arrival(&mut dispatcher(size, cold_percent)));
-        println!("{cold_percent}% cold: {each:?} looked at for an arrival, of {SIZES:?}");
-        assert!(each.iter().all(|n| *n <= MAX_PER_ARRIVAL), "{cold_percent}% cold: {each:?}");
+        println!("{cold_percent}% in slow start: {each:?} executors examined per arrival, of {SIZES:?}");
+        assert!(each.iter().all(|n| *n <= MAX_PER_ARRIVAL), "{cold_percent}% in slow start: {each:?}");
         // A list thirteen times as long may cost only as much more as fuller samples do.
-        assert!(each[3] <= each[1] * 2, "{cold_percent}% cold: {each:?}");
+        assert!(each[3] <= each[1] * 2, "{cold_percent}% in slow start: {each:?}");
     }
 }
 
@@ -59,9 +59,9 @@
     rig.arrive(0, 0.2);
     let before = rig.dispatcher.examined();
     for n in 0..1_600 {
-        let gone = Endpoint { readiness: Readiness::Removed, ..endpoint(n + 1) };
+        let removed = Endpoint { readiness: Readiness::Removed, ..endpoint(n + 1) };
         let new = Endpoint { started: Some(rig.now), ..endpoint(10_000 + n) };
-        rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: vec![gone, new] });
+        rig.event(Event::EndpointList { kind: EndpointListKind::Update, endpoints: vec![removed, new] });
     }
     assert_eq!(rig.dispatcher.examined(), before, "the list changes without a decision");
     assert!(examined_per_arrival(&mut rig) <= MAX_PER_ARRIVAL);
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -83,13 +83,13 @@
 
     /// Waits until the status at a dispatcher shows this step of an executor.
     fn wait_for(&self, at: usize, executor: usize, word: &str) -> String {
-        let (begun, line) = (Instant::now(), format!("{} {word}", uid(executor)));
+        let (started, line) = (Instant::now(), format!("{} {word}", uid(executor)));
         loop {
             let status = self.call(at, "DRAIN STATUS");
             if status.lines().any(|l| l.starts_with(&line)) {
                 return status;
             }
-            assert!(begun.elapsed() < TIMEOUT, "no {line:?} in time: {status}");
+            assert!(started.elapsed() < TIMEOUT, "no {line:?} in time: {status}");
             thread::sleep(Duration::from_millis(10));
         }
     }
@@ -222,7 +222,7 @@
 }
 
 // An executor that does not come back stops the plan with a reason, and the budget keeps the others in service. An
-// operator's DRAIN MEND lets the plan continue; an abort leaves steps that have not begun as they were.
+// operator's DRAIN MEND lets the plan continue; an abort leaves steps that have not started as they were.
 #[test]
 fn an_executor_that_does_not_come_back_stops_the_plan() {
     let mut fleet = Fleet::start("    min_motores = 3\n    out_limit   = \"500ms\"\n");
--- a/tests/motor_lists/executors.rs
+++ b/tests/motor_lists/executors.rs
@@ -23,7 +23,7 @@
     assert_eq!(client.got(), rows());
     peer.page(&load[1], "OK pages=1", ROW);
     assert_eq!(loader.got(), rows());
-    d.logs("executor drained and gone executor=\"e1\"");
+    d.logs("executor drained and removed executor=\"e1\"");
     fixture.write_sealed(&list(&[("e1", e1.address, ""), ("e2", e2.address, "state = \"draining\"")]));
     d.logs("executor listed anew executor=\"e2\" state=Draining");
     wait_until_warm();
--- a/tests/motor_lists/unusable_lists.rs
+++ b/tests/motor_lists/unusable_lists.rs
@@ -11,11 +11,11 @@
     let whole = std::fs::read_to_string(&fixture.list).unwrap();
     // Each change is atomic: a file that is written in place is empty for a moment, which a busy machine may observe.
     fixture.write_unsealed(&whole[..whole.len() * 2 / 3]);
-    d.logs("motor list refused; what was in force stays");
+    d.logs("motor list rejected; the list in force stays");
     fixture.write_unsealed("");
-    d.logs("motor list refused; what was in force stays");
+    d.logs("motor list rejected; the list in force stays");
     std::fs::remove_file(&fixture.list).unwrap();
-    d.logs("motor list can't be read; what was in force stays");
+    d.logs("motor list can't be read; the list in force stays");
     std::fs::create_dir(&fixture.list).unwrap();
     d.logs("a directory without a file");
     let mut client = Client::asks(d.address, &read(1));
@@ -53,15 +53,15 @@
 #[test]
 fn a_last_good_list_is_saved_once_its_directory_exists() {
     let (e1, mut fixture) = (Executor::new(), fixture());
-    let kept = fixture.dir.join("kept");
-    std::fs::write(&kept, "a file in place of the directory").unwrap();
-    fixture.list_options = format!(" precedence = [\"salas\"]\n last_good = {kept:?}");
+    let last_good = fixture.dir.join("last_good");
+    std::fs::write(&last_good, "a file in place of the directory").unwrap();
+    fixture.list_options = format!(" precedence = [\"salas\"]\n last_good = {last_good:?}");
     fixture.write_sealed(&list(&[("e1", e1.address, "")]));
     let (mut d, _coordinator) = fixture.launch().dispatcher(&[]);
-    d.logs("no last good copy kept");
-    std::fs::remove_file(&kept).unwrap();
-    std::fs::create_dir(&kept).unwrap();
-    awaited("the saved list", || kept.join("salas.last-good").exists());
+    d.logs("can't save the last good copy");
+    std::fs::remove_file(&last_good).unwrap();
+    std::fs::create_dir(&last_good).unwrap();
+    awaited("the saved list", || last_good.join("salas.last-good").exists());
     drop(d);
     std::fs::write(&fixture.list, "room \"a\" {").unwrap();
     let (d, _coordinator) = fixture.launch().dispatcher(&[]);
@@ -77,11 +77,11 @@
 #[test]
 fn a_start_with_a_broken_file_uses_the_last_good_list() {
     let (e1, mut fixture) = (Executor::new(), fixture());
-    let kept = fixture.dir.join("kept");
-    std::fs::create_dir(&kept).unwrap();
-    fixture.list_options = format!(" precedence = [\"salas\"]\n last_good = {kept:?}");
+    let last_good = fixture.dir.join("last_good");
+    std::fs::create_dir(&last_good).unwrap();
+    fixture.list_options = format!(" precedence = [\"salas\"]\n last_good = {last_good:?}");
     fixture.write_sealed(&list(&[("e1", e1.address, "")]));
-    let copy = kept.join("salas.last-good");
+    let copy = last_good.join("salas.last-good");
     let (d, _coordinator) = fixture.launch().dispatcher(&[]);
     // The watcher thread writes it asynchronously.
     for _ in 0..400 {
@@ -115,5 +115,5 @@
     let mut log = String::new();
     std::io::Read::read_to_string(&mut child.stderr.take().unwrap(), &mut log).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(1));
-    assert!(log.contains("damaged") && log.contains("none can be used"), "{log}");
+    assert!(log.contains("damaged") && log.contains("no usable list and no last good copy"), "{log}");
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -143,12 +143,12 @@
     let dump = call(ops, "DUMP");
     assert!(dump.contains("dispatcher_outstanding 1\n"), "{dump}");
     let moved = d.config.replace(&format!("\"{}\"", old.address), &format!("\"{}\"", new.address));
-    for (text, told) in
+    for (text, message) in
         [(&moved[..99], "configuration reload rejected"), (&moved[..], "configuration reloaded")]
     {
         std::fs::write(&d.file, text).unwrap();
         d.signal("HUP");
-        d.logs(told);
+        d.logs(message);
     }
     let dump = call(ops, "DUMP");
     assert!(dump.contains("dispatcher_sighup_rejected 1\n"), "{dump}");
