--- a/crates/lab/src/motor_lists/large.rs
+++ b/crates/lab/src/motor_lists/large.rs
@@ -73,7 +73,7 @@
     let list = parsed(&one);
     let parse_ms = ms(begun);
     let terms = Terms { loopback: true, ..Terms::default() };
-    let catalog = Catalog { rooms: ["a".into()].into(), kinds: [("k".into(), 8.0)].into() };
+    let catalog = Catalog { zones: ["a".into()].into(), kinds: [("k".into(), 8.0)].into() };
     let begun = Instant::now();
     let faults = check::check(&list, &terms, Some(&catalog), &|n| n.into());
     let check_ms = ms(begun);
--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -20,7 +20,7 @@
 /// What changed of an executor, in words.
 fn changes(old: &Executor, new: &Executor) -> Vec<String> {
     let pairs = [
-        ("room", shown(&old.room), shown(&new.room)),
+        ("room", shown(&old.zone), shown(&new.zone)),
         ("address", old.address.to_string(), new.address.to_string()),
         ("kind", shown(&old.kind), shown(&new.kind)),
         ("weight", old.weight.to_string(), new.weight.to_string()),
@@ -69,7 +69,7 @@
     }
     let same = added.is_empty() && left.is_empty() && changed.is_empty();
     if as_json {
-        let losses: BTreeMap<_, _> = held.iter().map(|l| (&l.room, l.share)).collect();
+        let losses: BTreeMap<_, _> = held.iter().map(|l| (&l.zone, l.share)).collect();
         let all = json!({"same": same, "added": added, "left": left, "changed": changed, "held_back": losses, "refused": refused});
         writeln!(out, "{all}")?;
     } else {
@@ -77,7 +77,7 @@
         left.iter().try_for_each(|u| writeln!(out, "- {}", shown(u)))?;
         changed.iter().try_for_each(|(u, c)| writeln!(out, "~ {}: {}", shown(u), c.join(", ")))?;
         for l in &held {
-            writeln!(out, "held back: takes away {:.0}% of {}", l.share * 100.0, shown(&l.room))?;
+            writeln!(out, "held back: takes away {:.0}% of {}", l.share * 100.0, shown(&l.zone))?;
         }
         refused.iter().try_for_each(|why| writeln!(out, "refused: {why}"))?;
         if same {
--- a/src/cli/lists/show.rs
+++ b/src/cli/lists/show.rs
@@ -32,14 +32,14 @@
         let generation = f.generation.map_or("none".into(), |g| g.to_string());
         writeln!(out, "\n{}: generation {generation}, seal {}", f.name, seal_state(f))?;
         let row = |cells: [&str; 6]| {
-            let [room, uid, address, kind, weight, state] = cells;
-            format!("  {room:<16} {uid:<20} {address:<24} {kind:<16} {weight:>8} {state}")
+            let [zone, uid, address, kind, weight, state] = cells;
+            format!("  {zone:<16} {uid:<20} {address:<24} {kind:<16} {weight:>8} {state}")
         };
         writeln!(out, "{}", row(["room", "uid", "address", "kind", "weight", "state"]))?;
         for m in &f.executors {
             let (address, weight) = (m.address.to_string(), m.weight.to_string());
-            let (room, uid, kind) = (shown(&m.room), shown(&m.uid), shown(&m.kind));
-            writeln!(out, "{}", row([&room, &uid, &address, &kind, &weight, state(m)]))?;
+            let (zone, uid, kind) = (shown(&m.zone), shown(&m.uid), shown(&m.kind));
+            writeln!(out, "{}", row([&zone, &uid, &address, &kind, &weight, state(m)]))?;
         }
     }
     Ok(Verdict::Fine)
--- a/src/membership/check.rs
+++ b/src/membership/check.rs
@@ -15,11 +15,11 @@
 /// Maximum number of faults reported per list; the others are only counted.
 pub const MAX_FAULTS: usize = 100;
 
-/// The rooms and kinds that the platform's settings define.
+/// The zones and kinds that the platform's settings define.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Catalog {
-    /// Names of the rooms.
-    pub rooms: BTreeSet<String>,
+    /// Names of the zones, which list files call rooms.
+    pub zones: BTreeSet<String>,
     /// Kinds of machine, with their number of cores.
     pub kinds: BTreeMap<String, f64>,
 }
@@ -29,13 +29,13 @@
     pub fn from_settings(settings: &Settings, names: &Names) -> Catalog {
         let cores = |i: &usize| settings.kinds.get(*i).map_or(1.0, |k| k.cores);
         Catalog {
-            rooms: names.zones.keys().cloned().collect(),
+            zones: names.zones.keys().cloned().collect(),
             kinds: names.kinds.iter().map(|(n, i)| (n.clone(), cores(i))).collect(),
         }
     }
 }
 
-/// Returns all faults of a list; none if it may be used. Without a catalog, rooms and kinds are not checked.
+/// Returns all faults of a list; none if it may be used. Without a catalog, zones and kinds are not checked.
 pub fn check(
     list: &List,
     terms: &Terms,
@@ -83,7 +83,7 @@
 
 fn field(m: &Executor, key: &str) -> String {
     let key = if key.is_empty() { String::new() } else { format!(".{key}") };
-    format!("room.{}.motor.{}{key}", m.room, m.uid)
+    format!("room.{}.motor.{}{key}", m.zone, m.uid)
 }
 
 fn joined<'a>(names: impl Iterator<Item = &'a String>) -> String {
@@ -102,7 +102,7 @@
         for (f, m, at) in list.executors() {
             let (terms, catalog) = (self.terms, self.catalog);
             let mut report = |key: &str, what: String| self.report(&path(&f.name), at, &field(m, key), what);
-            for (key, name) in [("", &m.uid), ("room", &m.room), ("kind", &m.kind)] {
+            for (key, name) in [("", &m.uid), ("room", &m.zone), ("kind", &m.kind)] {
                 if name.is_empty() || name.len() > MAX_NAME_BYTES {
                     report(key, format!("a name of {} bytes; 1 to {MAX_NAME_BYTES} are allowed", name.len()));
                 }
@@ -110,8 +110,8 @@
                     report(key, "a name with control characters".into());
                 }
             }
-            if let Some(c) = catalog.filter(|c| !c.rooms.contains(&*m.room)) {
-                report("", format!("unknown room {:?}; known: {}", m.room, joined(c.rooms.iter())));
+            if let Some(c) = catalog.filter(|c| !c.zones.contains(&*m.zone)) {
+                report("", format!("unknown room {:?}; known: {}", m.zone, joined(c.zones.iter())));
             }
             if let Some(c) = catalog.filter(|c| !c.kinds.contains_key(&*m.kind)) {
                 report("kind", format!("unknown kind {:?}; known: {}", m.kind, joined(c.kinds.keys())));
@@ -169,23 +169,23 @@
         }
     }
 
-    /// Checks that each room has weight, and that some executor accepts requests.
+    /// Checks that each zone has weight, and that some executor accepts requests.
     fn check_total_weights(&mut self, list: &List, path: &dyn Fn(&str) -> String) {
-        let mut rooms: BTreeMap<&str, (f64, bool, String, Place)> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, (f64, bool, String, Place)> = BTreeMap::new();
         for (f, m, at) in list.executors() {
-            let room = rooms.entry(&m.room).or_insert_with(|| (0.0, false, path(&f.name), at));
-            room.0 += m.weight;
-            room.1 |= m.accepts_requests();
+            let zone = zones.entry(&m.zone).or_insert_with(|| (0.0, false, path(&f.name), at));
+            zone.0 += m.weight;
+            zone.1 |= m.accepts_requests();
         }
-        if !rooms.values().any(|(_, takes, ..)| *takes) {
+        if !zones.values().any(|(_, takes, ..)| *takes) {
             let what = format!("no motor of {} takes queries: total weight 0, or all drain", list.len());
             self.faults.push(Fault::of_file(&path(""), what));
             return;
         }
-        for (room, (total, _, file, at)) in rooms {
+        for (zone, (total, _, file, at)) in zones {
             if total <= 0.0 {
                 let what = "total weight 0; to empty a room, set its motores to state = \"draining\"";
-                self.report(&file, at, &format!("room.{room}"), what);
+                self.report(&file, at, &format!("room.{zone}"), what);
             }
         }
     }
--- a/src/membership/check/tests.rs
+++ b/src/membership/check/tests.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 pub(crate) fn catalog() -> Catalog {
-    let rooms = ["a", "b"].map(String::from).into();
-    Catalog { rooms, kinds: [("k".to_string(), 8.0)].into() }
+    let zones = ["a", "b"].map(String::from).into();
+    Catalog { zones, kinds: [("k".to_string(), 8.0)].into() }
 }
 
 fn faults_of(text: &str) -> Vec<String> {
@@ -16,8 +16,8 @@
     all.iter().map(Fault::to_string).collect()
 }
 
-fn executor(room: &str, uid: &str, address: &str, rest: &str) -> String {
-    format!("room \"{room}\" {{\n motor \"{uid}\" {{\n address = \"{address}\"\n{rest}\n}}\n}}\n")
+fn executor(zone: &str, uid: &str, address: &str, rest: &str) -> String {
+    format!("room \"{zone}\" {{\n motor \"{uid}\" {{\n address = \"{address}\"\n{rest}\n}}\n}}\n")
 }
 
 // Whoever edits a list should see all of its faults at once, each with its position.
--- a/src/membership/list.rs
+++ b/src/membership/list.rs
@@ -1,4 +1,4 @@
-//! The list file: rooms with executors, an optional generation and a seal.
+//! The list file: executors by zone (a `room` block each), an optional generation and a seal.
 //!
 //! ```hcl
 //! generation = 12
@@ -44,8 +44,9 @@
 pub struct Executor {
     /// Unique id; a machine that replaces the executor has another.
     pub uid: Arc<str>,
-    /// The room that it stands in, which is its zone.
-    pub room: Arc<str>,
+    /// Its zone; the list file calls it a room.
+    #[serde(rename = "room")]
+    pub zone: Arc<str>,
     /// The address that it listens on, in canonical form.
     pub address: SocketAddr,
     /// Its kind of machine.
@@ -109,10 +110,10 @@
         let confirm = root.get("confirm", &mut faults, hcl::parsed("sha256:..., 64 hex digits"));
         let seal = root.block("seal", &mut faults).and_then(|t| seal(&t, &mut faults));
         let (mut executors, mut places) = (Vec::new(), Vec::new());
-        for (names, room) in root.blocks("room", 1, &mut faults) {
-            room.only(&[], &["motor"], &mut faults);
+        for (names, zone) in root.blocks("room", 1, &mut faults) {
+            zone.only(&[], &["motor"], &mut faults);
             let label: Arc<str> = names[0].into();
-            for (uid, t) in room.blocks("motor", 1, &mut faults) {
+            for (uid, t) in zone.blocks("motor", 1, &mut faults) {
                 if let Some(m) = executor(uid[0], &label, &t, &mut faults) {
                     executors.push(Arc::new(m));
                     places.push(t.place());
@@ -138,7 +139,7 @@
     Some(Seal { count: count?, digest: digest?, span: t.span(), place: t.place() })
 }
 
-fn executor(uid: &str, room: &Arc<str>, t: &Table<'_>, faults: &mut Vec<Fault>) -> Option<Executor> {
+fn executor(uid: &str, zone: &Arc<str>, t: &Table<'_>, faults: &mut Vec<Fault>) -> Option<Executor> {
     t.only(&["address", "kind", "weight", "state"], &[], faults);
     let address = t.need("address", faults, hcl::parsed::<SocketAddr>("10.1.0.9:8443"));
     let kind = t.need("kind", faults, hcl::string);
@@ -147,8 +148,8 @@
     let states = hcl::one_of(&[("up", DesiredState::Up), ("draining", DesiredState::Draining)]);
     let state = if t.has("state") { t.get("state", faults, states) } else { Some(DesiredState::Up) };
     let address = address.map(|a| SocketAddr::new(a.ip().to_canonical(), a.port()));
-    let (uid, room, kind) = (uid.into(), room.clone(), kind?.into());
-    Some(Executor { uid, room, address: address?, kind, weight: weight?, state: state? })
+    let (uid, zone, kind) = (uid.into(), zone.clone(), kind?.into());
+    Some(Executor { uid, zone, address: address?, kind, weight: weight?, state: state? })
 }
 
 /// A list: all its files, as one version.
--- a/src/membership/list/digest.rs
+++ b/src/membership/list/digest.rs
@@ -68,6 +68,6 @@
 
 /// The line of an executor. Names are quoted, so that none can imitate another line.
 fn line(m: &Executor) -> String {
-    let Executor { uid, room, address, kind, weight, state } = m;
-    format!("{room:?} {uid:?} {address} {kind:?} {:016x} {state:?}\n", weight.to_bits())
+    let Executor { uid, zone, address, kind, weight, state } = m;
+    format!("{zone:?} {uid:?} {address} {kind:?} {:016x} {state:?}\n", weight.to_bits())
 }
--- a/src/membership/members/active.rs
+++ b/src/membership/members/active.rs
@@ -1,6 +1,6 @@
 //! The list in force: merges the latest versions of the sources and computes the changes.
 
-use super::{ActiveEntry, Change, Effect, Entry, Members, Merged, RoomLosses, ShadowedEntry};
+use super::{ActiveEntry, Change, Effect, Entry, Members, Merged, ShadowedEntry, ZoneLosses};
 use crate::api::Micros;
 use crate::codec::coordinator::State;
 use crate::membership::list::List;
@@ -20,12 +20,12 @@
         rank: usize,
         list: Arc<List>,
         next: (Merged, Vec<ShadowedEntry>),
-        lost: RoomLosses,
+        lost: ZoneLosses,
         effects: &mut Vec<Effect>,
     ) {
         if self.files.get(&rank).is_some_and(|f| f.list.is_some()) {
             let lost = lost.into_iter().filter(|(_, (_, lost))| *lost > 0.0);
-            self.recent_losses.extend(lost.map(|(room, (_, lost))| (now, room, lost)));
+            self.recent_losses.extend(lost.map(|(zone, (_, lost))| (now, zone, lost)));
             let excess = self.recent_losses.len().saturating_sub(MAX_RECORDED_LOSSES);
             self.recent_losses.drain(..excess);
         }
--- a/src/membership/members/effect.rs
+++ b/src/membership/members/effect.rs
@@ -16,12 +16,12 @@
     pub changed: usize,
 }
 
-/// The capacity that a list removes from a room.
+/// The capacity that a list removes from a zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Loss {
-    /// The room.
-    pub room: Arc<str>,
-    /// Share of the room's capacity, 0 to 1, including what was removed within the guard's window.
+    /// The zone.
+    pub zone: Arc<str>,
+    /// Share of the zone's capacity, 0 to 1, including what was removed within the guard's window.
     pub share: f64,
 }
 
--- a/src/membership/members/entry.rs
+++ b/src/membership/members/entry.rs
@@ -28,17 +28,17 @@
         }
     }
 
-    pub(super) fn room(&self) -> &str {
+    pub(super) fn zone(&self) -> &str {
         match self {
-            Entry::FromList(m) => &m.room,
+            Entry::FromList(m) => &m.zone,
             Entry::FromFeed(t) => &t.az,
         }
     }
 
-    /// The room's name, without a copy where the entry shares it.
-    pub(super) fn room_name(&self) -> Arc<str> {
+    /// The zone's name, without a copy where the entry shares it.
+    pub(super) fn zone_name(&self) -> Arc<str> {
         match self {
-            Entry::FromList(m) => m.room.clone(),
+            Entry::FromList(m) => m.zone.clone(),
             Entry::FromFeed(t) => t.az.as_str().into(),
         }
     }
@@ -63,7 +63,7 @@
             Entry::FromList(m) => Target {
                 uid: m.uid.to_string(),
                 endpoint: Some(m.address),
-                az: m.room.to_string(),
+                az: m.zone.to_string(),
                 model: m.kind.to_string(),
                 pod_group: 0,
                 state: if m.accepts_requests() { State::Up } else { State::Draining },
--- a/src/membership/members/guard.rs
+++ b/src/membership/members/guard.rs
@@ -1,6 +1,6 @@
 //! The guard: holds a list back if it removes too much capacity, until it is accepted.
 
-use super::{Effect, Entry, HeldList, Loss, Members, Merged, RoomLosses, micros};
+use super::{Effect, Entry, HeldList, Loss, Members, Merged, ZoneLosses, micros};
 use crate::api::Micros;
 use crate::membership::list::{Digest, List};
 use crate::membership::storage::Acceptance;
@@ -20,7 +20,7 @@
         let first = self.files.get(&rank).is_none_or(|f| f.list.is_none());
         let guarded = !self.settings.without.contains(&Safeguard::Guard);
         let next = self.merge(Some((rank, &list)));
-        let lost = self.losses_by_room(&next.0);
+        let lost = self.losses_by_zone(&next.0);
         if guarded && !first && !self.accepted(now, rank, &list) {
             let losses = self.excessive_losses(now, &lost);
             if !losses.is_empty() {
@@ -55,26 +55,26 @@
         confirmed || file.accepted.iter().any(|a| a.matches(&list.digest) && fresh(a))
     }
 
-    /// Rooms that would lose too much capacity, counting what lists removed within the window.
-    fn excessive_losses(&mut self, now: Micros, lost: &RoomLosses) -> Vec<Loss> {
+    /// Zones that would lose too much capacity, counting what lists removed within the window.
+    fn excessive_losses(&mut self, now: Micros, lost: &ZoneLosses) -> Vec<Loss> {
         let window = micros(self.settings.guard.window);
         self.recent_losses.retain(|(at, ..)| now < at + window);
-        let mut rooms = lost.clone();
-        for (_, room, before) in &self.recent_losses {
-            if let Some((all, lost)) = rooms.get_mut(room).filter(|(_, lost)| *lost > 0.0) {
+        let mut zones = lost.clone();
+        for (_, zone, before) in &self.recent_losses {
+            if let Some((all, lost)) = zones.get_mut(zone).filter(|(_, lost)| *lost > 0.0) {
                 (*all, *lost) = (*all + before, *lost + before);
             }
         }
-        let over = |(room, (all, lost)): (Arc<str>, (f64, f64))| {
+        let over = |(zone, (all, lost)): (Arc<str>, (f64, f64))| {
             let share = if all > 0.0 { lost / all } else { 0.0 };
-            (share > self.settings.guard.most_loss + 1e-9).then_some(Loss { room, share })
+            (share > self.settings.guard.most_loss + 1e-9).then_some(Loss { zone, share })
         };
-        rooms.into_iter().filter_map(over).collect()
+        zones.into_iter().filter_map(over).collect()
     }
 
-    /// For each room in force: its capacity, and how much of it the next list removes. Weights are relative to the largest
+    /// For each zone in force: its capacity, and how much of it the next list removes. Weights are relative to the largest
     /// weight of the same list, as only their ratio matters.
-    fn losses_by_room(&self, next: &Merged) -> RoomLosses {
+    fn losses_by_zone(&self, next: &Merged) -> ZoneLosses {
         let max_weight = |all: &mut dyn Iterator<Item = &Entry>| {
             all.filter(|e| e.accepts_requests()).map(Entry::weight).fold(f64::MIN_POSITIVE, f64::max)
         };
@@ -84,17 +84,17 @@
         let cores = |e: &Entry| self.settings.cores.get(e.kind()).copied().unwrap_or(1.0);
         let part =
             |e: &Entry, most: f64| if e.accepts_requests() { cores(e) * e.weight() / most } else { 0.0 };
-        let mut rooms = RoomLosses::new();
+        let mut zones = ZoneLosses::new();
         for (uid, p) in self.active.iter().filter(|(_, p)| p.draining_since.is_none()) {
             let was = part(&p.entry, old_max_weight);
             // The same uid at another address is another process.
             let stays = next.get(uid).filter(|(_, e)| e.address() == p.entry.address());
             let lost = (was - stays.map_or(0.0, |(_, e)| part(e, new_max_weight))).max(0.0);
-            match rooms.get_mut(p.entry.room()) {
+            match zones.get_mut(p.entry.zone()) {
                 Some(sum) => *sum = (sum.0 + was, sum.1 + lost),
-                None => drop(rooms.insert(p.entry.room_name(), (was, lost))),
+                None => drop(zones.insert(p.entry.zone_name(), (was, lost))),
             }
         }
-        rooms
+        zones
     }
 }
--- a/src/membership/members/mod.rs
+++ b/src/membership/members/mod.rs
@@ -67,8 +67,8 @@
 
 /// Executors by uid, each with the rank of the source that owns it.
 type Merged = BTreeMap<Arc<str>, (usize, Entry)>;
-/// By room: its capacity, and how much of it is removed.
-type RoomLosses = BTreeMap<Arc<str>, (f64, f64)>;
+/// By zone: its capacity, and how much of it is removed.
+type ZoneLosses = BTreeMap<Arc<str>, (f64, f64)>;
 /// An entry left out for its address: the executor, the rank of its source, and the executor that has the address.
 type ShadowedEntry = (Arc<str>, usize, Arc<str>);
 /// The feed's rank and its targets.
@@ -84,7 +84,7 @@
     active: BTreeMap<Arc<str>, ActiveEntry>,
     /// Entries left out because another has their address, so that each is reported once.
     shadowed: BTreeSet<Arc<str>>,
-    /// Capacity that lists removed recently: when, from which room, how much.
+    /// Capacity that lists removed recently: when, from which zone, how much.
     recent_losses: VecDeque<(Micros, Arc<str>, f64)>,
 }
 
--- a/src/membership/members/tests/guard.rs
+++ b/src/membership/members/tests/guard.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-// A valid list may still be a mistake: one that removes much of a room's capacity is held back until it is accepted,
+// A valid list may still be a mistake: one that removes much of a zone's capacity is held back until it is accepted,
 // and reported again at intervals.
 #[test]
 fn a_list_that_removes_much_capacity_is_held_back_until_accepted() {
@@ -37,7 +37,7 @@
     assert_eq!(changes(&m.update_list(4_002 * S, "f", confirmed)).len(), 3);
 }
 
-// Losses within the window add up: half a room in two steps counts like half a room at once. Weights that all fall by
+// Losses within the window add up: half a zone in two steps counts like half a zone at once. Weights that all fall by
 // the same factor remove no capacity.
 #[test]
 fn losses_add_up_and_only_ratios_of_weights_count() {
@@ -69,9 +69,9 @@
     );
 }
 
-// Renaming a room removes no capacity: its executors are all still listed.
+// Renaming a zone removes no capacity: its executors are all still listed.
 #[test]
-fn a_renamed_room_is_no_loss() {
+fn a_renamed_zone_is_no_loss() {
     let mut settings = settings(&["f"]);
     settings.guard = Guard { most_loss: 0.1, ..Guard::default() };
     let lines = [(1, 1, 1.0, true), (2, 2, 1.0, true)];
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -22,11 +22,11 @@
 /// An executor in short form: uid, port, weight, whether it is up.
 type Line = (u8, u16, f64, bool);
 
-fn file(name: &str, generation: Option<u64>, room: &str, lines: &[Line]) -> ListFile {
+fn file(name: &str, generation: Option<u64>, zone: &str, lines: &[Line]) -> ListFile {
     let executor = |(uid, port, weight, up): &Line| {
         Arc::new(Executor {
             uid: format!("e{uid}").into(),
-            room: room.into(),
+            zone: zone.into(),
             address: SocketAddr::from(([10, 0, 0, 1], *port)),
             kind: "k".into(),
             weight: *weight,
--- a/src/membership/members/versions.rs
+++ b/src/membership/members/versions.rs
@@ -1,6 +1,6 @@
 //! New versions of the sources, and timers.
 
-use super::{Effect, Members, RoomLosses, micros};
+use super::{Effect, Members, ZoneLosses, micros};
 use crate::api::Micros;
 use crate::codec::coordinator::{State, Target};
 use crate::membership::list::{Digest, List};
@@ -71,7 +71,7 @@
         if let Some(rank) = self.rank(source).filter(|r| self.files.contains_key(r)) {
             let list = Arc::new(list);
             let next = self.merge(Some((rank, &list)));
-            self.apply(now, rank, list, next, RoomLosses::new(), &mut effects);
+            self.apply(now, rank, list, next, ZoneLosses::new(), &mut effects);
         }
         effects
     }
--- a/src/membership/watcher/reading.rs
+++ b/src/membership/watcher/reading.rs
@@ -14,7 +14,7 @@
 pub struct Rules {
     /// Limits on the content of a list.
     pub terms: Terms,
-    /// Known rooms and kinds; `None` to skip these checks.
+    /// Known zones and kinds; `None` to skip these checks.
     pub catalog: Option<Catalog>,
     /// Limits on the size and number of files.
     pub limits: ReadLimits,
--- a/src/net/endpoint_lists/outcomes.rs
+++ b/src/net/endpoint_lists/outcomes.rs
@@ -78,7 +78,7 @@
                     self.counters.held += u64::from(!again);
                     let list = self.accept_arguments.get(&source).map_or("", String::as_str);
                     let loss =
-                        |l: &crate::membership::members::Loss| format!("{} {:.0}%", l.room, l.share * 100.0);
+                        |l: &crate::membership::members::Loss| format!("{} {:.0}%", l.zone, l.share * 100.0);
                     let losses: Vec<String> = losses.iter().map(loss).collect();
                     tracing::error!(
                         source = &*source,
