--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -3,7 +3,7 @@
 use super::{read, state};
 use crate::cli::{Verdict, catalog};
 use crate::membership::list::{Executor, List};
-use crate::membership::{Effect, Guard, Members, Sources};
+use crate::membership::{Effect, Guard, Members, MembersSettings};
 use crate::settings::hcl::shown;
 use crate::settings::options::Lists;
 use serde_json::json;
@@ -20,7 +20,7 @@
 /// What changed of an executor, in words.
 fn changes(old: &Executor, new: &Executor) -> Vec<String> {
     let pairs = [
-        ("room", shown(&old.room), shown(&new.room)),
+        ("room", shown(&old.zone), shown(&new.zone)),
         ("address", old.address.to_string(), new.address.to_string()),
         ("kind", shown(&old.kind), shown(&new.kind)),
         ("weight", old.weight.to_string(), new.weight.to_string()),
@@ -50,17 +50,17 @@
         .filter(|(_, c)| !c.is_empty())
         .collect();
     let guard = lists.map_or_else(Guard::default, |l| l.guard);
-    let terms = Sources {
+    let settings = MembersSettings {
         precedence: vec!["list".into()],
         guard,
         drain_limit: Duration::from_secs(1),
         cores,
         without: BTreeSet::new(),
     };
-    let mut members = Members::new(terms);
+    let mut members = Members::new(settings);
     members.restore(0, "list", old);
     let (mut held, mut refused) = (Vec::new(), None);
-    for effect in members.list(1, "list", new) {
+    for effect in members.update_list(1, "list", new) {
         match effect {
             Effect::HeldBack { losses, .. } => held = losses,
             Effect::Rejected(_, _, why) => refused = Some(why),
@@ -69,7 +69,7 @@
     }
     let same = added.is_empty() && left.is_empty() && changed.is_empty();
     if as_json {
-        let losses: BTreeMap<_, _> = held.iter().map(|l| (&l.room, l.share)).collect();
+        let losses: BTreeMap<_, _> = held.iter().map(|l| (&l.zone, l.share)).collect();
         let all = json!({"same": same, "added": added, "left": left, "changed": changed, "held_back": losses, "refused": refused});
         writeln!(out, "{all}")?;
     } else {
@@ -77,7 +77,7 @@
         left.iter().try_for_each(|u| writeln!(out, "- {}", shown(u)))?;
         changed.iter().try_for_each(|(u, c)| writeln!(out, "~ {}: {}", shown(u), c.join(", ")))?;
         for l in &held {
-            writeln!(out, "held back: takes away {:.0}% of {}", l.share * 100.0, shown(&l.room))?;
+            writeln!(out, "held back: takes away {:.0}% of {}", l.share * 100.0, shown(&l.zone))?;
         }
         refused.iter().try_for_each(|why| writeln!(out, "refused: {why}"))?;
         if same {
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -9,8 +9,8 @@
 
 const S: Micros = 1_000_000;
 
-fn sources(precedence: &[&str]) -> Sources {
-    Sources {
+fn settings(precedence: &[&str]) -> MembersSettings {
+    MembersSettings {
         precedence: precedence.iter().map(|n| (*n).to_string()).collect(),
         guard: Guard { most_loss: 1.0, ..Guard::default() },
         drain_limit: Duration::from_secs(60),
@@ -22,11 +22,11 @@
 /// An executor in short form: uid, port, weight, whether it is up.
 type Line = (u8, u16, f64, bool);
 
-fn file(name: &str, generation: Option<u64>, room: &str, lines: &[Line]) -> ListFile {
+fn file(name: &str, generation: Option<u64>, zone: &str, lines: &[Line]) -> ListFile {
     let executor = |(uid, port, weight, up): &Line| {
         Arc::new(Executor {
             uid: format!("e{uid}").into(),
-            room: room.into(),
+            zone: zone.into(),
             address: SocketAddr::from(([10, 0, 0, 1], *port)),
             kind: "k".into(),
             weight: *weight,
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -89,7 +89,7 @@
         self.executors.clients_polled(before);
         // Done immediately: with little CPU time, the remaining events could take so long that the client
         // poll would be outdated again.
-        self.executors.begin_after_poll(&self.poll);
+        self.executors.start_waiting_attempts(&self.poll);
         others.into_iter().for_each(|event| self.process_event(event));
         self.poll_times.processed_until = before;
     }
