--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -185,7 +185,7 @@
 
 impl MemberRecord for crate::Fleet {
     fn view(&self, now: Micros) -> Option<MemberView<'_>> {
-        let fleet = self.founding()?;
+        let fleet = self.fleet_id()?;
         Some(MemberView { fleet, policies: self.policies()?, lease: self.lease(now) })
     }
 }
--- a/crates/fleet/src/fleet/joining.rs
+++ b/crates/fleet/src/fleet/joining.rs
@@ -4,7 +4,7 @@
 
 impl Fleet {
     /// Handles a message from a peer.
-    pub fn hear(&mut self, now: Micros, from: Peer, message: Message) {
+    pub fn handle_message(&mut self, now: Micros, from: Peer, message: Message) {
         match message {
             Message::Hello { incarnation, fleet, formed, policy, .. } => {
                 let id = fleet.as_ref().map(|f| f.id);
--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -49,7 +49,7 @@
 
     /// As leader, proposes the expiry of leases that were not renewed in time, and sweeps.
     pub(super) fn lead(&mut self, now: Micros) {
-        let Some(group) = self.group.as_ref().filter(|g| g.leads()) else { return };
+        let Some(group) = self.group.as_ref().filter(|g| g.is_leader()) else { return };
         let state = group.state();
         let others = state.alive().iter().filter(|h| h.incarnation != self.incarnation);
         let alive: Vec<(Holder, u64)> = others.filter_map(|h| Some((*h, state.renewals(*h)?))).collect();
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -133,18 +133,18 @@
     }
 
     /// The id of the fleet whose state is known here.
-    pub fn founding(&self) -> Option<u64> {
+    pub fn fleet_id(&self) -> Option<u64> {
         self.group.as_ref().filter(|g| g.begun()).map(|g| g.founding.id)
     }
 
     /// Whether this peer is the leader.
-    pub fn leads(&self) -> bool {
-        self.group.as_ref().is_some_and(Group::leads)
+    pub fn is_leader(&self) -> bool {
+        self.group.as_ref().is_some_and(Group::is_leader)
     }
 
     /// Whether the absence of a record proves that a request was never recorded: the fleet has existed for longer than
     /// a client may repeat a request.
-    pub fn vouches(&self, now: Micros) -> bool {
+    pub fn has_full_history(&self, now: Micros) -> bool {
         self.group.as_ref().is_some_and(|g| now >= g.founding.at + self.config.limits.remember)
     }
 
@@ -195,7 +195,7 @@
             None => self.found(now),
             Some(group) => {
                 group.tick(now);
-                if group.leads() {
+                if group.is_leader() {
                     let asking: Vec<Incarnation> = self.asking.values().copied().collect();
                     asking.into_iter().for_each(|incarnation| group.seat(incarnation));
                 }
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -16,7 +16,7 @@
     }
 
     /// Records that a request was sent to an executor.
-    pub fn tried(&mut self, now: Micros, ask: u64, executor: u32) {
+    pub fn record_attempt(&mut self, now: Micros, ask: u64, executor: u32) {
         let Some((holder, _)) = self.lease else { return };
         let waits = self.queue.iter_mut().rev().find_map(|c| match c {
             Command::Work(ledger::Command::Open(_, a, record)) if *a == ask => Some(record),
@@ -48,7 +48,7 @@
     }
 
     /// Queues a command for the log. Returns false without a lease.
-    pub fn agree(&mut self, now: Micros, command: Command) -> bool {
+    pub fn propose(&mut self, now: Micros, command: Command) -> bool {
         if self.holds(now).is_none() {
             return false;
         }
@@ -58,20 +58,20 @@
     }
 
     /// For how long no leader has been known; `None` while there is one.
-    pub fn without_word(&self, now: Micros) -> Option<Micros> {
+    pub fn leaderless_for(&self, now: Micros) -> Option<Micros> {
         let led = self.group.as_ref().is_some_and(|g| g.leader().is_some());
         (!led).then(|| now.saturating_sub(self.leaderless.unwrap_or(now)))
     }
 
     /// Asks the owner of a request for its result.
-    pub fn fetch(&mut self, ask: u64) {
+    pub fn request_result(&mut self, ask: u64) {
         if let Some((_, owner)) = self.ledger().and_then(|l| l.open(ask)) {
             self.messages.push((peer_of(owner.incarnation), Message::Fetch(ask)));
         }
     }
 
     /// Sends a peer the result of a request that it asked for.
-    pub fn tell(&mut self, to: Peer, ask: u64, pages: Option<Vec<Vec<u8>>>) {
+    pub fn send_result(&mut self, to: Peer, ask: u64, pages: Option<Vec<Vec<u8>>>) {
         self.messages.push((to, Message::Result(ask, pages)));
     }
 
--- a/crates/fleet/src/group/mod.rs
+++ b/crates/fleet/src/group/mod.rs
@@ -127,7 +127,7 @@
     }
 
     /// Whether this node is the leader.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
--- a/crates/fleet/src/group/seat.rs
+++ b/crates/fleet/src/group/seat.rs
@@ -8,7 +8,7 @@
     pub fn seat(&mut self, incarnation: Incarnation) {
         let members = self.log.members();
         let joint = !members.voters_outgoing.is_empty();
-        if !self.leads()
+        if !self.is_leader()
             || joint
             || self.node.raft.has_pending_conf()
             || members.voters.contains(&incarnation)
--- a/crates/fleet/src/policy/record.rs
+++ b/crates/fleet/src/policy/record.rs
@@ -30,7 +30,7 @@
     }
 
     fn say(&mut self, now: Micros, command: Command) -> bool {
-        self.agree(now, state::Command::Policy(command))
+        self.propose(now, state::Command::Policy(command))
     }
 
     fn heeded(&mut self, number: u64) {
--- a/crates/fleet/tests/control_plane/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -83,7 +83,7 @@
     let early = FollowerMessage::Renew { at: None, asked: 1 };
     let view = node.fleet.view(now);
     assert_eq!(node.member.hear(now, 5_000, early, view), Err(Violation::NotSubscribed));
-    let fleet = node.fleet.founding().unwrap();
+    let fleet = node.fleet.fleet_id().unwrap();
     let (peer, session) = w.followers[&0].connection.unwrap();
     let node = w.members.get_mut(&peer).unwrap();
     let ahead = FollowerMessage::Renew { at: Some(Resume { fleet, revision: 1_000 }), asked: 1 };
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -106,7 +106,7 @@
 fn who_waits_for_a_snapshot_gets_no_lease() {
     let mut w = World::new(3, 0, 28);
     w.run(3_000 * MS, |_| ());
-    let fleet = w.members[&1].fleet.founding().unwrap();
+    let fleet = w.members[&1].fleet.fleet_id().unwrap();
     let known = |w: &World| w.members[&1].fleet.state().unwrap().policy().revision();
     for n in 1..=50 {
         w.propose_anywhere(&format!("policy {n}"));
@@ -130,7 +130,7 @@
     w.run(3_000 * MS, |_| ());
     w.propose_anywhere("one");
     w.run(600 * MS, |_| ());
-    let fleet = w.members[&1].fleet.founding().unwrap();
+    let fleet = w.members[&1].fleet.fleet_id().unwrap();
     let before = Resume { fleet: fleet ^ 1, revision: 3 };
     subscribed(&mut w, 900, Some(before));
     assert_eq!(renewed(&mut w, 900, Some(before)), None);
--- a/crates/fleet/tests/control_plane/watch.rs
+++ b/crates/fleet/tests/control_plane/watch.rs
@@ -69,6 +69,6 @@
 
     /// The member that leads.
     pub fn leader(&self) -> Option<Peer> {
-        self.members.iter().find(|(_, n)| n.fleet.leads()).map(|(p, _)| *p)
+        self.members.iter().find(|(_, n)| n.fleet.is_leader()).map(|(p, _)| *p)
     }
 }
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -31,7 +31,7 @@
                 self.peer_wires.push_back((at + 5 * MS, from, to, bytes));
             } else if let Some(node) = self.members.get_mut(&to) {
                 let (_, message) = next(&bytes, 64 << 20).unwrap().unwrap();
-                node.fleet.hear(now, from, message);
+                node.fleet.handle_message(now, from, message);
             }
         }
     }
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -81,12 +81,12 @@
     let now = w.now;
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
     assert!(
-        w.fleets.values().all(|f| !f.vouches(now)),
+        w.fleets.values().all(|f| !f.has_full_history(now)),
         "a new fleet vouches for requests from before it was founded"
     );
     w.run(31_000 * MS, |_| ());
     let now = w.now;
-    assert!(w.fleets.values().all(|f| f.vouches(now)));
+    assert!(w.fleets.values().all(|f| f.has_full_history(now)));
 }
 
 // While one peer is disconnected, the others restart and found a fleet without it. When it reconnects, it has to
@@ -116,8 +116,8 @@
     let now = w.now;
     for bytes in [vec![], vec![0xff; 40], b"\x08\x05\x10\x01\x18\x02".to_vec()] {
         for p in 1..=3 {
-            w.fleets.get_mut(&p).unwrap().hear(now, 1 + p % 3, Message::Log(77, bytes.clone()));
-            w.fleets.get_mut(&p).unwrap().hear(now, 200, Message::Result(9, None));
+            w.fleets.get_mut(&p).unwrap().handle_message(now, 1 + p % 3, Message::Log(77, bytes.clone()));
+            w.fleets.get_mut(&p).unwrap().handle_message(now, 200, Message::Result(9, None));
         }
     }
     w.formed();
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -15,12 +15,12 @@
     digest.iter_mut().zip(text.bytes()).for_each(|(d, b)| *d = b);
     let text = text.to_string();
     let command = policy::Command::Propose { text, digest, by: p, at: now, limits: LIMITS, least: 0 };
-    w.fleets.get_mut(&p).is_some_and(|f| f.agree(now, Command::Policy(command)))
+    w.fleets.get_mut(&p).is_some_and(|f| f.propose(now, Command::Policy(command)))
 }
 
 fn say(w: &mut World, p: Peer, command: policy::Command) -> bool {
     let now = w.now;
-    w.fleets.get_mut(&p).is_some_and(|f| f.agree(now, Command::Policy(command)))
+    w.fleets.get_mut(&p).is_some_and(|f| f.propose(now, Command::Policy(command)))
 }
 
 fn policies(w: &World, p: Peer) -> Policies {
@@ -75,7 +75,7 @@
     let mut w = World::new(3, 3);
     w.formed();
     w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
-    let follower = if w.fleets[&1].leads() { 3 } else { 1 };
+    let follower = if w.fleets[&1].is_leader() { 3 } else { 1 };
     w.run(20 * MS, |_| ());
     let begun = w.now;
     while !propose(&mut w, follower, "policy one") {
@@ -100,7 +100,7 @@
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([1]));
     // Called off while one of them stands still, so that not all have voted.
-    let slow = if w.fleets[&5].leads() { 4 } else { 5 };
+    let slow = if w.fleets[&5].is_leader() { 4 } else { 5 };
     w.paused.insert(slow, w.now + 700 * MS);
     assert!(propose(&mut w, 1, "policy c"));
     w.run(200 * MS, |_| ());
--- a/crates/fleet/tests/fleet/storm.rs
+++ b/crates/fleet/tests/fleet/storm.rs
@@ -35,7 +35,7 @@
         };
         let differ: Vec<_> =
             w.fleets.iter().filter(|(_, f)| of(f) != of(&w.fleets[&1])).map(|(p, _)| *p).collect();
-        let state = |f: &Fleet| (f.holds(now), f.leads(), f.ledger().map(|l| l.len()));
+        let state = |f: &Fleet| (f.holds(now), f.is_leader(), f.ledger().map(|l| l.len()));
         let states: Vec<_> = w.fleets.values().map(state).collect();
         assert!(differ.is_empty(), "seed {seed}, request {ask} at {differ:?}: {states:?}");
         let open = w.fleets[&1].ledger().unwrap().open(ask).is_some();
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -110,7 +110,7 @@
             } else if let Some(f) = self.fleets.get_mut(&to) {
                 // Encoded and decoded as on a socket.
                 let (_, message) = next(&bytes, 64 << 20).unwrap().unwrap();
-                f.hear(now, from, message);
+                f.handle_message(now, from, message);
             }
         }
         let peers: Vec<Peer> = self.fleets.keys().copied().filter(|p| !self.paused.contains_key(p)).collect();
@@ -149,7 +149,7 @@
         let policies = f.state().map(|a| a.policy().clone());
         for act in part.look(now, p, f.holds(now), policies.as_ref(), &mut check) {
             if let Act::Say(c) = &act
-                && !f.agree(now, Command::Policy(c.clone()))
+                && !f.propose(now, Command::Policy(c.clone()))
             {
                 part.unsaid();
             }
@@ -204,7 +204,7 @@
         self.run(5_000 * MS, |_| ());
         let now = self.now;
         assert!(self.fleets.values().all(|f| f.holds(now).is_some()), "not all peers have a lease");
-        assert_eq!(self.fleets.values().filter(|f| f.leads()).count(), 1);
+        assert_eq!(self.fleets.values().filter(|f| f.is_leader()).count(), 1);
     }
 
     pub fn told(&self, p: Peer, what: impl Fn(&FleetEvent) -> bool) -> bool {
--- a/crates/lab/src/takeover/record.rs
+++ b/crates/lab/src/takeover/record.rs
@@ -59,7 +59,7 @@
                 for (to, message) in std::mem::take(&mut self.fleets[i].messages) {
                     quiet = false;
                     let begun = Instant::now();
-                    self.fleets[usize::from(to) - 1].hear(self.now, i as u8 + 1, message);
+                    self.fleets[usize::from(to) - 1].handle_message(self.now, i as u8 + 1, message);
                     self.slowest_ms = self.slowest_ms.max(begun.elapsed().as_secs_f64() * 1e3);
                 }
                 self.fleets[i].events.clear();
@@ -117,7 +117,7 @@
     let snapshot_mb = three.fleets[0].state().map_or(0.0, |l| l.encode().len() as f64 / 1e6);
     // One starts anew, and has to learn all of it.
     three.slowest_ms = 0.0;
-    let last = three.fleets.iter().position(|f| !f.leads()).unwrap_or(2);
+    let last = three.fleets.iter().position(|f| !f.is_leader()).unwrap_or(2);
     three.fleets[last] = Fleet::new(terms(last as u8 + 1, most), 99, three.now + 1);
     let begun = Instant::now();
     let mut turns = 0;
--- a/src/net/control_plane/calls.rs
+++ b/src/net/control_plane/calls.rs
@@ -70,7 +70,7 @@
         let rows = [
             ("followers", self.member.followers() as u64),
             ("follower_leases", self.member.leases(now) as u64),
-            ("leads", u64::from(self.fleet.leads())),
+            ("leads", u64::from(self.fleet.is_leader())),
             ("lease_held", u64::from(self.fleet.holds(now).is_some())),
             ("revision", self.fleet.policies().map_or(0, |p| p.revision())),
             ("changes_waiting", self.fleet.policies().map_or(0, |p| p.waiting().count() as u64)),
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -141,7 +141,7 @@
         self.peers.tick(now, &self.poll);
         loop {
             for (from, message) in std::mem::take(&mut self.peers.heard) {
-                self.fleet.hear(now, from, message);
+                self.fleet.handle_message(now, from, message);
             }
             if self.fleet.next_due() <= now {
                 self.fleet.tick(now);
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -117,7 +117,7 @@
         let (t, w) = (&in_flight.takeover.tally, &in_flight.peers.tally);
         tracing::info!(
             records = in_flight.takeover.fleet.ledger().map_or(0, |l| l.len()),
-            leads = in_flight.takeover.fleet.leads(),
+            leads = in_flight.takeover.fleet.is_leader(),
             recorded = t.recorded,
             unrecorded = t.unrecorded,
             claimed = t.claimed,
--- a/src/net/maintenance/calls.rs
+++ b/src/net/maintenance/calls.rs
@@ -40,7 +40,7 @@
             _ => Command::Abort,
         };
         let Some(in_flight) = &mut self.in_flight else { return Some("-ERR no fleet".into()) };
-        if !in_flight.takeover.fleet.agree(now, fleet::state::Command::Plan(command)) {
+        if !in_flight.takeover.fleet.propose(now, fleet::state::Command::Plan(command)) {
             return Some("-ERR no lease: this dispatcher is cut off from the fleet".into());
         }
         in_flight.maintenance.waiting.push(Waiting { caller, call, until: now + AGREED });
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -83,7 +83,7 @@
     fn hold_back(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         in_flight.maintenance.plan_known = true;
-        let without_word = in_flight.takeover.fleet.without_word(now);
+        let without_word = in_flight.takeover.fleet.leaderless_for(now);
         let held = plan.held_back(&in_flight.maintenance.budget, without_word);
         let held: BTreeSet<String> = held.into_iter().map(String::from).collect();
         let cold: BTreeMap<String, Micros> = plan
@@ -120,13 +120,13 @@
                 && !self.executors.busy(id)
             {
                 let idle = Command::Idle(holder, id.into());
-                in_flight.takeover.fleet.agree(now, fleet::state::Command::Plan(idle));
+                in_flight.takeover.fleet.propose(now, fleet::state::Command::Plan(idle));
             }
         }
     }
 
     fn lead_plan(&mut self, plan: &Plan, now: Micros) {
-        if !self.in_flight.as_ref().is_some_and(|h| h.maintenance.active && h.takeover.fleet.leads()) {
+        if !self.in_flight.as_ref().is_some_and(|h| h.maintenance.active && h.takeover.fleet.is_leader()) {
             return;
         }
         let (machines, busy) = (self.machines(), self.dispatch.busy_cores(now));
@@ -134,7 +134,7 @@
         let alive: BTreeSet<_> =
             in_flight.takeover.fleet.state().map(|a| a.alive().clone()).unwrap_or_default();
         for command in plan::lead(plan, &machines, busy, &alive, &in_flight.maintenance.budget, now) {
-            in_flight.takeover.fleet.agree(now, fleet::state::Command::Plan(command));
+            in_flight.takeover.fleet.propose(now, fleet::state::Command::Plan(command));
         }
     }
 }
--- a/src/takeover/answers.rs
+++ b/src/takeover/answers.rs
@@ -26,7 +26,7 @@
             _ => None,
         };
         for peer in std::mem::take(&mut local.wanted) {
-            self.fleet.tell(peer, ask, pages.cloned());
+            self.fleet.send_result(peer, ask, pages.cloned());
         }
         let end = match (&reply, repeats) {
             (Reply::Failed, false) => End::Failed,
@@ -90,7 +90,7 @@
             Past::MayHaveRan => (End::Unknown, Reply::Failed),
         };
         if let Reply::Served(pages) = &reply {
-            local.wanted.iter().for_each(|p| self.fleet.tell(*p, ask, Some(pages.clone())));
+            local.wanted.iter().for_each(|p| self.fleet.send_result(*p, ask, Some(pages.clone())));
         }
         self.fleet.close(now, ask, end);
         self.answer_all(&mut local, &reply);
--- a/src/takeover/arrivals.rs
+++ b/src/takeover/arrivals.rs
@@ -52,7 +52,7 @@
             };
         }
         // A young fleet may follow one that lost its record, and with it that of this one.
-        if !repeats && attempt.again && !self.fleet.vouches(now) && attempt.ask.is_some() {
+        if !repeats && attempt.again && !self.fleet.has_full_history(now) && attempt.ask.is_some() {
             return self.unrecorded(self.later());
         }
         self.fleet.open(now, ask, attempt.record.clone(), true);
@@ -93,7 +93,7 @@
     /// An attempt of a request went out.
     pub fn sent(&mut self, now: Micros, rid: u64, executor: u32) {
         if let Some(ask) = self.asks.get(&rid).copied() {
-            self.fleet.tried(now, ask, executor);
+            self.fleet.record_attempt(now, ask, executor);
         }
     }
 
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -84,7 +84,7 @@
                 let fetch_at = now + self.bounds.fetch;
                 local.stage = Stage::Theirs { fetch_at };
                 self.due.insert((fetch_at, ask));
-                self.fleet.fetch(ask);
+                self.fleet.request_result(ask);
             }
         }
     }
@@ -165,7 +165,7 @@
         match self.local.get_mut(&ask) {
             Some(Local { stage: Stage::Parked { pages, .. }, .. }) => {
                 let pages = pages.clone();
-                self.fleet.tell(peer, ask, Some(pages));
+                self.fleet.send_result(peer, ask, Some(pages));
             }
             Some(local) if matches!(local.stage, Stage::Mine { fenced: false, .. }) => {
                 local.wanted.insert(peer);
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -63,7 +63,7 @@
 
     /// A message of a peer.
     pub fn hears(&mut self, now: Micros, from: Peer, message: Message) {
-        self.fleet.hear(now, from, message);
+        self.fleet.handle_message(now, from, message);
         self.take_fleet_events(now);
     }
 
@@ -83,7 +83,7 @@
                 Some(Stage::Theirs { fetch_at }) if *fetch_at == at => {
                     *fetch_at = now + self.bounds.fetch;
                     self.due.insert((*fetch_at, ask));
-                    self.fleet.fetch(ask);
+                    self.fleet.request_result(ask);
                 }
                 Some(Stage::Parked { until, .. }) if *until == at => {
                     self.local.remove(&ask);
