--- a/crates/fleet/src/fleet/digest.rs
+++ b/crates/fleet/src/fleet/digest.rs
@@ -104,7 +104,7 @@
         }
         let owned: BTreeSet<u64> = state.work().owned(holder).collect();
         for ask in self.mine.difference(&owned) {
-            self.events.push_back(FleetEvent::Closed(*ask, End::Gone));
+            self.events.push_back(FleetEvent::Closed(*ask, Outcome::Removed));
         }
         for &ask in owned.difference(&self.mine) {
             self.events.push_back(FleetEvent::Reassigned { ask, from: holder, by: holder, mine: true });
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 
 pub use types::{FleetConfig, FleetEvent};
 
-use crate::ledger::{self, End, Ledger, Record};
+use crate::ledger::{self, Ledger, Outcome, Record};
 use crate::state::{Command, Effect, ReplicatedState, StateKind};
 use crate::wire::{Founding, Message};
 use crate::{Holder, Incarnation, Micros, Peer, incarnation, peer_of};
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -32,14 +32,14 @@
     }
 
     /// Ends a request. If its `Open` is still queued and nothing has to be kept, that command is removed instead.
-    pub fn close(&mut self, now: Micros, ask: u64, end: End) {
+    pub fn close(&mut self, now: Micros, ask: u64, end: Outcome) {
         let Some((holder, _)) = self.lease else { return };
         self.mine.remove(&ask);
         let opened = self
             .queue
             .iter()
             .position(|c| matches!(c, Command::Work(ledger::Command::Open(_, a, _)) if *a == ask));
-        if let (Some(at), End::Gone) = (opened, &end) {
+        if let (Some(at), Outcome::Removed) = (opened, &end) {
             self.queue.remove(at);
             return;
         }
--- a/crates/fleet/src/fleet/types.rs
+++ b/crates/fleet/src/fleet/types.rs
@@ -1,6 +1,6 @@
 //! Configuration and events of a fleet.
 
-use crate::ledger::{End, Limits};
+use crate::ledger::{Limits, Outcome};
 use crate::state::StateKind;
 use crate::{Holder, Micros, Peer};
 
@@ -50,7 +50,7 @@
         mine: bool,
     },
     /// A request has ended.
-    Closed(u64, End),
+    Closed(u64, Outcome),
     /// The lease of some peer has ended.
     LeaseEnded(Holder),
     /// A peer asks for the result of a request.
--- a/crates/fleet/src/ledger/mod.rs
+++ b/crates/fleet/src/ledger/mod.rs
@@ -6,7 +6,7 @@
 
 mod types;
 
-pub use types::{Command, Effect, End, Limits, Record};
+pub use types::{Command, Effect, Limits, Outcome, Record};
 
 use crate::{Holder, Incarnation, Micros};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 enum State {
     Open(Holder),
-    Done(End),
+    Done(Outcome),
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     }
 
     /// How a recorded request ended, if it has.
-    pub fn ended(&self, ask: u64) -> Option<&End> {
+    pub fn outcome(&self, ask: u64) -> Option<&Outcome> {
         match self.entries.get(&ask) {
             Some(Entry { state: State::Done(end), .. }) => Some(end),
             _ => None,
@@ -118,7 +118,7 @@
             self.times.remove(&(at, ask));
             if let Some((_, owner)) = self.open(ask) {
                 self.disown(owner, ask);
-                out(Effect::Closed(ask, End::Gone));
+                out(Effect::Closed(ask, Outcome::Removed));
             }
             self.entries.remove(&ask);
         }
@@ -137,10 +137,10 @@
         }
     }
 
-    fn close(&mut self, ask: u64, end: End, out: Out<'_>) {
+    fn close(&mut self, ask: u64, end: Outcome, out: Out<'_>) {
         let Some((_, owner)) = self.open(ask) else { return };
         self.disown(owner, ask);
-        if end == End::Gone {
+        if end == Outcome::Removed {
             if let Some(e) = self.entries.remove(&ask) {
                 self.times.remove(&(self.time(&e.record), ask));
             }
@@ -152,12 +152,12 @@
     }
 
     /// Handles the end of a lease. Requests that must not run twice may have run, so they end as
-    /// [`End::Unknown`]; all others are spread over the holders that are alive, or dropped if there are none.
+    /// [`Outcome::Unknown`]; all others are spread over the holders that are alive, or dropped if there are none.
     pub(crate) fn end(&mut self, h: Holder, heirs: &BTreeSet<Holder>, out: Out<'_>) {
         for ask in self.owned.remove(&h).unwrap_or_default() {
             let repeats = self.entries.get(&ask).is_some_and(|e| e.record.repeats);
             if !repeats {
-                self.close(ask, End::Unknown, out);
+                self.close(ask, Outcome::Unknown, out);
                 continue;
             }
             let heir = heirs.iter().max_by_key(|heir| mixed(ask, heir.incarnation)).copied();
@@ -167,7 +167,7 @@
                     self.owned.entry(by).or_default().insert(ask);
                     out(Effect::Claimed { ask, from: h, by });
                 }
-                _ => self.close(ask, End::Gone, out),
+                _ => self.close(ask, Outcome::Removed, out),
             }
         }
     }
--- a/crates/fleet/src/ledger/types.rs
+++ b/crates/fleet/src/ledger/types.rs
@@ -5,9 +5,9 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum Outcome {
     /// It never ran, or may run again; its record is removed.
-    Gone,
+    Removed,
     /// It ran and was answered: the result pages, or `None` if they were too large to keep.
     Served(Option<Vec<Vec<u8>>>),
     /// It ended in an error and may have run.
@@ -53,7 +53,7 @@
     /// Adds an executor that the request was sent to.
     Tried(Holder, u64, u32),
     /// Ends a request.
-    Close(Holder, u64, End),
+    Close(Holder, u64, Outcome),
 }
 
 /// The result of applying a command.
@@ -77,7 +77,7 @@
         by: Holder,
     },
     /// The request has ended.
-    Closed(u64, End),
+    Closed(u64, Outcome),
 }
 
 /// Limits of the ledger. They have to be the same at all peers, so they are part of the fleet's initial configuration.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -38,7 +38,7 @@
 
 pub use fleet::{Fleet, FleetConfig, FleetEvent};
 pub use leases::Holder;
-pub use ledger::{End, Ledger, Record};
+pub use ledger::{Ledger, Outcome, Record};
 pub use state::{ReplicatedState, StateKind};
 pub use state_machine::StateMachine;
 
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -1,7 +1,7 @@
 //! Single faults and their effect on in-flight requests.
 
 use crate::world::*;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use fleet::wire::Message;
 use fleet::{FleetEvent, Peer};
 
@@ -36,14 +36,14 @@
         let mine = |n: &FleetEvent| matches!(n, FleetEvent::Reassigned { ask: 1, mine: true, .. });
         assert_eq!((1..=3).filter(|p| w.told(*p, mine)).count(), 1);
         for f in w.fleets.values() {
-            assert_eq!(f.ledger().unwrap().ended(2), Some(&End::Unknown));
+            assert_eq!(f.ledger().unwrap().outcome(2), Some(&Outcome::Unknown));
         }
         // It restarts as a new incarnation and becomes a voter again.
         w.restart(dead);
         w.run(4_000 * MS, |_| ());
         let now = w.now;
         assert!(w.fleets[&dead].holds(now).is_some());
-        assert_eq!(w.fleets[&dead].ledger().unwrap().ended(2), Some(&End::Unknown));
+        assert_eq!(w.fleets[&dead].ledger().unwrap().outcome(2), Some(&Outcome::Unknown));
     }
 }
 
--- a/crates/fleet/tests/fleet/storm.rs
+++ b/crates/fleet/tests/fleet/storm.rs
@@ -31,7 +31,7 @@
     for ask in 1..next {
         let of = |f: &Fleet| {
             let l = f.ledger().unwrap();
-            (l.open(ask).map(|(r, h)| (r.clone(), h)), l.ended(ask).cloned())
+            (l.open(ask).map(|(r, h)| (r.clone(), h)), l.outcome(ask).cloned())
         };
         let differ: Vec<_> =
             w.fleets.iter().filter(|(_, f)| of(f) != of(&w.fleets[&1])).map(|(p, _)| *p).collect();
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! Properties of the ledger under arbitrary commands.
 
-use fleet::ledger::{self, End, Limits, Record};
+use fleet::ledger::{self, Limits, Outcome, Record};
 use fleet::state::{Command, Effect, ReplicatedState};
 use fleet::{Holder, Incarnation, incarnation};
 use proptest::prelude::*;
@@ -31,10 +31,10 @@
 
 fn command() -> impl Strategy<Value = Command> {
     let end = prop_oneof![
-        Just(End::Gone),
-        Just(End::Failed),
-        Just(End::Served(Some(vec![b"1\t2\t3\n".to_vec()]))),
-        Just(End::Unknown)
+        Just(Outcome::Removed),
+        Just(Outcome::Failed),
+        Just(Outcome::Served(Some(vec![b"1\t2\t3\n".to_vec()]))),
+        Just(Outcome::Unknown)
     ];
     prop_oneof![
         2 => (1_u8..4).prop_map(|p| Command::Register(incarnation(p, 1), 5)),
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -7,7 +7,7 @@
     FRAMING, FollowerId, FollowerMessage, MemberMessage, Rejection, Resume, VERSION, from_follower,
     from_member,
 };
-use fleet::ledger::{self, End, Limits, Record};
+use fleet::ledger::{self, Limits, Outcome, Record};
 use fleet::state::{Command, Effect, ReplicatedState};
 use fleet::wire::{self, Founding, Message};
 use fleet::{Holder, incarnation, lend, plan, policy, schema};
@@ -45,7 +45,7 @@
 
 /// A batch with commands of every machine.
 fn commands() -> Vec<Command> {
-    let served = End::Served(Some(vec![b"1\t2\n".to_vec()]));
+    let served = Outcome::Served(Some(vec![b"1\t2\n".to_vec()]));
     let proposal = policy::Command::Propose {
         text: "class {}".into(),
         digest: [7; 32],
--- a/src/takeover/answers.rs
+++ b/src/takeover/answers.rs
@@ -3,7 +3,7 @@
 use super::Takeover;
 use super::types::{Local, Move, Pages, Past, Reply, Stage};
 use crate::api::Micros;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 
 impl Takeover {
     /// The decisions have answered a request.
@@ -29,9 +29,9 @@
             self.fleet.send_result(peer, ask, pages.cloned());
         }
         let end = match (&reply, repeats) {
-            (Reply::Failed, false) => End::Failed,
-            (Reply::Served(pages), false) => End::Served(self.small(pages)),
-            _ => End::Gone,
+            (Reply::Failed, false) => Outcome::Failed,
+            (Reply::Served(pages), false) => Outcome::Served(self.small(pages)),
+            _ => Outcome::Removed,
         };
         let asked_for = !local.waiting.is_empty();
         if let (true, false, Reply::Served(pages)) = (adopted, asked_for, &reply) {
@@ -63,7 +63,7 @@
                     self.local.remove(&ask);
                     return;
                 }
-                self.fleet.close(now, ask, End::Gone);
+                self.fleet.close(now, ask, Outcome::Removed);
                 self.open_again(now, ask);
             }
             _ => {
@@ -81,13 +81,13 @@
             return self.turn_away(&mut local);
         }
         let (end, reply) = match past {
-            Past::Served(pages) => (End::Served(self.small(&pages)), Reply::Served(pages)),
+            Past::Served(pages) => (Outcome::Served(self.small(&pages)), Reply::Served(pages)),
             Past::NeverRan => {
-                self.fleet.close(now, ask, End::Gone);
+                self.fleet.close(now, ask, Outcome::Removed);
                 self.local.insert(ask, local);
                 return self.open_again(now, ask);
             }
-            Past::MayHaveRan => (End::Unknown, Reply::Failed),
+            Past::MayHaveRan => (Outcome::Unknown, Reply::Failed),
         };
         if let Reply::Served(pages) = &reply {
             local.wanted.iter().for_each(|p| self.fleet.send_result(*p, ask, Some(pages.clone())));
--- a/src/takeover/arrivals.rs
+++ b/src/takeover/arrivals.rs
@@ -3,7 +3,7 @@
 use super::types::{Gate, Local, Reply, Stage, Try, Waiting};
 use super::{Takeover, reply};
 use crate::api::Micros;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use std::collections::{BTreeSet, VecDeque};
 
 impl Takeover {
@@ -22,7 +22,7 @@
         if self.fleet.holds(now).is_none() {
             return if repeats { self.unrecorded(Gate::Go) } else { self.unrecorded(self.later()) };
         }
-        if let Some(reply) = self.fleet.ledger().and_then(|l| l.ended(ask)).map(reply) {
+        if let Some(reply) = self.fleet.ledger().and_then(|l| l.outcome(ask)).map(reply) {
             self.tally.joined += 1;
             self.tally.answered += 1;
             return Gate::Answer(reply);
@@ -33,7 +33,7 @@
                 let pages = std::mem::take(pages);
                 self.local.remove(&ask);
                 self.adopted = self.adopted.saturating_sub(1);
-                self.fleet.close(now, ask, End::Gone);
+                self.fleet.close(now, ask, Outcome::Removed);
                 self.tally.answered += 1;
                 return Gate::Answer(Reply::Served(pages));
             }
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -3,7 +3,7 @@
 use super::types::{Local, Move, Pages, Reply, Stage};
 use super::{Takeover, reply};
 use crate::api::Micros;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use fleet::{FleetEvent, Holder, Peer, StateKind};
 
 impl Takeover {
@@ -52,14 +52,14 @@
     fn opened(&mut self, now: Micros, ask: u64) {
         let Some(local) = self.local.get_mut(&ask) else {
             // Its client left before it was agreed: it never went out.
-            return self.fleet.close(now, ask, End::Gone);
+            return self.fleet.close(now, ask, Outcome::Removed);
         };
         if local.stage != Stage::Opening {
             return;
         }
         let Some(first) = local.waiting.pop_front() else {
             self.local.remove(&ask);
-            return self.fleet.close(now, ask, End::Gone);
+            return self.fleet.close(now, ask, Outcome::Removed);
         };
         self.tally.recorded += 1;
         self.keep(ask, first.rid, first.attempt.record.repeats, false);
@@ -74,7 +74,7 @@
             return;
         }
         self.tally.joined += 1;
-        match self.fleet.ledger().and_then(|l| l.ended(ask)).map(reply) {
+        match self.fleet.ledger().and_then(|l| l.outcome(ask)).map(reply) {
             Some(reply) => {
                 if let Some(mut local) = self.local.remove(&ask) {
                     self.answer_all(&mut local, &reply);
@@ -138,7 +138,7 @@
         let left = record.deadline > now + self.bounds.fetch;
         let sendable = record.statement.is_some() && record.tried.len() < self.bounds.attempts;
         if !left || !sendable || self.adopted >= self.bounds.adopted || self.asks.contains_key(&record.rid) {
-            return self.fleet.close(now, ask, End::Gone);
+            return self.fleet.close(now, ask, Outcome::Removed);
         }
         self.adopted += 1;
         self.tally.adopted += 1;
@@ -146,13 +146,13 @@
         self.moves.push_back(Move::Adopt(record));
     }
 
-    fn closed(&mut self, now: Micros, ask: u64, end: &End) {
+    fn closed(&mut self, now: Micros, ask: u64, end: &Outcome) {
         let Some(local) = self.local.get(&ask) else { return };
         if !matches!(local.stage, Stage::Theirs { .. }) {
             return;
         }
         match end {
-            End::Gone => self.open_again(now, ask),
+            Outcome::Removed => self.open_again(now, ask),
             end => {
                 if let Some(mut local) = self.local.remove(&ask) {
                     self.answer_all(&mut local, &reply(end));
@@ -177,7 +177,7 @@
                 let own =
                     self.fleet.ledger().and_then(|l| l.open(ask)).is_some_and(|(_, h)| Some(h) == holder);
                 if own {
-                    self.fleet.close(now, ask, End::Gone);
+                    self.fleet.close(now, ask, Outcome::Removed);
                 }
             }
         }
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -17,7 +17,7 @@
 pub use types::{Bounds, Gate, Move, Pages, Past, Reply, Tally, Try};
 
 use crate::api::Micros;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use fleet::wire::Message;
 use fleet::{Fleet, Peer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -88,7 +88,7 @@
                 Some(Stage::Parked { until, .. }) if *until == at => {
                     self.local.remove(&ask);
                     self.adopted = self.adopted.saturating_sub(1);
-                    self.fleet.close(now, ask, End::Gone);
+                    self.fleet.close(now, ask, Outcome::Removed);
                 }
                 _ => {}
             }
@@ -105,10 +105,10 @@
 }
 
 /// What a try is answered that finds its ask ended on record.
-fn reply(end: &End) -> Reply {
+fn reply(end: &Outcome) -> Reply {
     match end {
-        End::Served(Some(pages)) => Reply::Served(pages.clone()),
+        Outcome::Served(Some(pages)) => Reply::Served(pages.clone()),
         // It ran, and its result is no longer there; or whether it ran is not known.
-        End::Served(None) | End::Failed | End::Unknown | End::Gone => Reply::Failed,
+        Outcome::Served(None) | Outcome::Failed | Outcome::Unknown | Outcome::Removed => Reply::Failed,
     }
 }
