--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -187,7 +187,7 @@
 
 impl MemberLog for crate::Fleet {
     fn view(&self, now: Micros) -> Option<MemberView<'_>> {
-        let fleet = self.founding()?;
+        let fleet = self.fleet_id()?;
         Some(MemberView { fleet, policies: self.policies()?, lease: self.lease(now) })
     }
 }
--- a/crates/fleet/src/policy/log.rs
+++ b/crates/fleet/src/policy/log.rs
@@ -30,7 +30,7 @@
     }
 
     fn submit(&mut self, now: Micros, command: Command) -> bool {
-        self.agree(now, state::Command::Policy(command))
+        self.propose(now, state::Command::Policy(command))
     }
 
     fn mark_applied(&mut self, number: u64) {
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -1,7 +1,7 @@
 //! Single faults and their effect on in-flight requests.
 
 use crate::world::*;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use fleet::wire::Message;
 use fleet::{FleetEvent, Peer};
 
@@ -36,14 +36,14 @@
         let mine = |n: &FleetEvent| matches!(n, FleetEvent::Reassigned { ask: 1, mine: true, .. });
         assert_eq!((1..=3).filter(|p| w.told(*p, mine)).count(), 1);
         for f in w.fleets.values() {
-            assert_eq!(f.ledger().unwrap().ended(2), Some(&End::Unknown));
+            assert_eq!(f.ledger().unwrap().outcome(2), Some(&Outcome::Unknown));
         }
         // It restarts as a new incarnation and becomes a voter again.
         w.restart(dead);
         w.run(4_000 * MS, |_| ());
         let now = w.now;
         assert!(w.fleets[&dead].holds(now).is_some());
-        assert_eq!(w.fleets[&dead].ledger().unwrap().ended(2), Some(&End::Unknown));
+        assert_eq!(w.fleets[&dead].ledger().unwrap().outcome(2), Some(&Outcome::Unknown));
     }
 }
 
@@ -81,12 +81,12 @@
     let now = w.now;
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
     assert!(
-        w.fleets.values().all(|f| !f.vouches(now)),
+        w.fleets.values().all(|f| !f.has_full_history(now)),
         "a new fleet vouches for requests from before it was founded"
     );
     w.run(31_000 * MS, |_| ());
     let now = w.now;
-    assert!(w.fleets.values().all(|f| f.vouches(now)));
+    assert!(w.fleets.values().all(|f| f.has_full_history(now)));
 }
 
 // While one peer is disconnected, the others restart and found a fleet without it. When it reconnects, it has to
@@ -116,8 +116,8 @@
     let now = w.now;
     for bytes in [vec![], vec![0xff; 40], b"\x08\x05\x10\x01\x18\x02".to_vec()] {
         for p in 1..=3 {
-            w.fleets.get_mut(&p).unwrap().hear(now, 1 + p % 3, Message::Log(77, bytes.clone()));
-            w.fleets.get_mut(&p).unwrap().hear(now, 200, Message::Result(9, None));
+            w.fleets.get_mut(&p).unwrap().handle_message(now, 1 + p % 3, Message::Log(77, bytes.clone()));
+            w.fleets.get_mut(&p).unwrap().handle_message(now, 200, Message::Result(9, None));
         }
     }
     w.formed();
--- a/src/takeover/arrivals.rs
+++ b/src/takeover/arrivals.rs
@@ -3,7 +3,7 @@
 use super::types::{Gate, Local, Reply, Stage, Try, Waiting};
 use super::{Takeover, reply};
 use crate::api::Micros;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use std::collections::{BTreeSet, VecDeque};
 
 impl Takeover {
@@ -22,7 +22,7 @@
         if self.fleet.holds(now).is_none() {
             return if repeats { self.unrecorded(Gate::Go) } else { self.unrecorded(self.later()) };
         }
-        if let Some(reply) = self.fleet.ledger().and_then(|l| l.ended(ask)).map(reply) {
+        if let Some(reply) = self.fleet.ledger().and_then(|l| l.outcome(ask)).map(reply) {
             self.tally.joined += 1;
             self.tally.answered += 1;
             return Gate::Answer(reply);
@@ -33,7 +33,7 @@
                 let pages = std::mem::take(pages);
                 self.local.remove(&ask);
                 self.adopted = self.adopted.saturating_sub(1);
-                self.fleet.close(now, ask, End::Gone);
+                self.fleet.close(now, ask, Outcome::Removed);
                 self.tally.answered += 1;
                 return Gate::Answer(Reply::Served(pages));
             }
@@ -52,7 +52,7 @@
             };
         }
         // A young fleet may follow one that lost its record, and with it that of this one.
-        if !repeats && attempt.again && !self.fleet.vouches(now) && attempt.ask.is_some() {
+        if !repeats && attempt.again && !self.fleet.has_full_history(now) && attempt.ask.is_some() {
             return self.unrecorded(self.later());
         }
         self.fleet.open(now, ask, attempt.record.clone(), true);
@@ -93,7 +93,7 @@
     /// An attempt of a request went out.
     pub fn sent(&mut self, now: Micros, rid: u64, executor: u32) {
         if let Some(ask) = self.asks.get(&rid).copied() {
-            self.fleet.tried(now, ask, executor);
+            self.fleet.record_attempt(now, ask, executor);
         }
     }
 
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -17,7 +17,7 @@
 pub use types::{Bounds, Gate, Move, Pages, Past, Reply, Tally, Try};
 
 use crate::api::Micros;
-use fleet::ledger::End;
+use fleet::ledger::Outcome;
 use fleet::wire::Message;
 use fleet::{Fleet, Peer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -63,7 +63,7 @@
 
     /// A message of a peer.
     pub fn hears(&mut self, now: Micros, from: Peer, message: Message) {
-        self.fleet.hear(now, from, message);
+        self.fleet.handle_message(now, from, message);
         self.take_fleet_events(now);
     }
 
@@ -83,12 +83,12 @@
                 Some(Stage::Theirs { fetch_at }) if *fetch_at == at => {
                     *fetch_at = now + self.bounds.fetch;
                     self.due.insert((*fetch_at, ask));
-                    self.fleet.fetch(ask);
+                    self.fleet.request_result(ask);
                 }
                 Some(Stage::Parked { until, .. }) if *until == at => {
                     self.local.remove(&ask);
                     self.adopted = self.adopted.saturating_sub(1);
-                    self.fleet.close(now, ask, End::Gone);
+                    self.fleet.close(now, ask, Outcome::Removed);
                 }
                 _ => {}
             }
@@ -105,10 +105,10 @@
 }
 
 /// What a try is answered that finds its ask ended on record.
-fn reply(end: &End) -> Reply {
+fn reply(end: &Outcome) -> Reply {
     match end {
-        End::Served(Some(pages)) => Reply::Served(pages.clone()),
+        Outcome::Served(Some(pages)) => Reply::Served(pages.clone()),
         // It ran, and its result is no longer there; or whether it ran is not known.
-        End::Served(None) | End::Failed | End::Unknown | End::Gone => Reply::Failed,
+        Outcome::Served(None) | Outcome::Failed | Outcome::Unknown | Outcome::Removed => Reply::Failed,
     }
 }
