--- a/crates/fleet/src/control_plane/follower/connection.rs
+++ b/crates/fleet/src/control_plane/follower/connection.rs
@@ -1,6 +1,6 @@
 //! Selection of the member a follower connects to, and failover to another member.
 
-use super::{Follower, FollowerEvent, Lost, Order};
+use super::{ConnectionAction, DisconnectReason, Follower, FollowerEvent};
 use crate::Micros;
 use crate::control_plane::messages::{FollowerMessage, VERSION};
 use rand_core::RngCore;
@@ -18,7 +18,7 @@
     /// Subscription sent; the member has to answer by `until`.
     Subscribing { member: usize, until: Micros },
     /// Subscribed: the time of the last message, and since when the member has granted no lease.
-    Following { member: usize, heard: Micros, no_lease_since: Option<Micros> },
+    Following { member: usize, last_heard: Micros, no_lease_since: Option<Micros> },
 }
 
 impl Connection {
@@ -35,10 +35,10 @@
 impl Follower {
     /// Chooses the next member to connect to, preferring members of the same region and avoiding the one just
     /// lost.
-    pub(super) fn choose(&mut self, now: Micros, lost: Option<usize>) {
-        let count = self.config.near.len();
+    pub(super) fn choose_member(&mut self, now: Micros, lost: Option<usize>) {
+        let count = self.config.same_region.len();
         let others = |near: bool| -> Vec<usize> {
-            (0..count).filter(|m| Some(*m) != lost && self.config.near[*m] == near).collect()
+            (0..count).filter(|m| Some(*m) != lost && self.config.same_region[*m] == near).collect()
         };
         let (near, far) = (others(true), others(false));
         // Every second failure selects from the remote members, in case all members of the region are down.
@@ -58,39 +58,44 @@
         self.rng.next_u64() % below.max(1)
     }
 
-    pub(super) fn connection_due(&self) -> Micros {
+    pub(super) fn connection_deadline(&self) -> Micros {
         let timing = &self.config.timing;
         match self.connection {
             Connection::Idle { dial_at, .. } => dial_at,
             Connection::Dialing { until, .. } | Connection::Subscribing { until, .. } => until,
-            Connection::Following { heard, no_lease_since, .. } => {
+            Connection::Following { last_heard, no_lease_since, .. } => {
                 let moves = no_lease_since.map_or(Micros::MAX, |since| since + timing.lease);
-                (heard + timing.follower_lease).min(moves)
+                (last_heard + timing.follower_lease).min(moves)
             }
         }
     }
 
     /// Dials a member when due, and drops the connection when its deadline has passed.
-    pub(super) fn keep_connection(&mut self, now: Micros) {
-        if self.connection_due() > now {
+    pub(super) fn tick_connection(&mut self, now: Micros) {
+        if self.connection_deadline() > now {
             return;
         }
         match self.connection {
             Connection::Idle { member, .. } => {
                 let until = now + self.config.timing.follower_lease;
                 self.connection = Connection::Dialing { member, until };
-                self.tally.dials += 1;
-                self.orders.push(Order::Dial(member));
+                self.counters.dials += 1;
+                self.connection_actions.push(ConnectionAction::Dial(member));
             }
-            Connection::Dialing { .. } | Connection::Subscribing { .. } => self.lose(now, Lost::Silent),
-            Connection::Following { heard, .. } => {
-                let silent = heard + self.config.timing.follower_lease <= now;
-                self.lose(now, if silent { Lost::Silent } else { Lost::NoLease });
+            Connection::Dialing { .. } | Connection::Subscribing { .. } => {
+                self.fail_over(now, DisconnectReason::Silent)
+            }
+            Connection::Following { last_heard, .. } => {
+                let silent = last_heard + self.config.timing.follower_lease <= now;
+                self.fail_over(
+                    now,
+                    if silent { DisconnectReason::Silent } else { DisconnectReason::NoLease },
+                );
             }
         }
     }
 
-    /// The connection requested with [`Order::Dial`] is established.
+    /// The connection requested with [`ConnectionAction::Dial`] is established.
     pub fn connected(&mut self, now: Micros) {
         let Connection::Dialing { member, .. } = self.connection else { return };
         let until = now + self.config.timing.follower_lease;
@@ -109,18 +114,18 @@
     /// The connection was closed or could not be established.
     pub fn disconnected(&mut self, now: Micros) {
         if !matches!(self.connection, Connection::Idle { .. }) {
-            self.lose(now, Lost::Closed);
+            self.fail_over(now, DisconnectReason::Closed);
         }
     }
 
     /// Disconnects and chooses another member. The current lease remains valid until it expires.
-    pub(super) fn lose(&mut self, now: Micros, why: Lost) {
+    pub(super) fn fail_over(&mut self, now: Micros, why: DisconnectReason) {
         let member = self.connection.member();
         let followed = self.member().is_some();
         self.failures = if followed { 0 } else { self.failures.saturating_add(1) };
-        self.events.push_back(FollowerEvent::Lost(member, why));
-        self.orders.push(Order::Close);
+        self.events.push_back(FollowerEvent::Disconnected(member, why));
+        self.connection_actions.push(ConnectionAction::Close);
         self.outgoing.clear();
-        self.choose(now, Some(member));
+        self.choose_member(now, Some(member));
     }
 }
--- a/crates/fleet/src/control_plane/follower/mod.rs
+++ b/crates/fleet/src/control_plane/follower/mod.rs
@@ -24,14 +24,14 @@
     pub name: String,
     /// For each member, in the order of the group's configuration: whether it is in the same region and thus
     /// preferred.
-    pub near: Vec<bool>,
+    pub same_region: Vec<bool>,
     /// Time settings of the group.
     pub timing: Timing,
 }
 
 /// A request to the host about the follower's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum ConnectionAction {
     /// Connect to the member with this index, after closing any existing connection.
     Dial(usize),
     /// Close the connection.
@@ -40,7 +40,7 @@
 
 /// Reason why a connection to a member ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Lost {
+pub enum DisconnectReason {
     /// The connection was closed or could not be established.
     Closed,
     /// No message arrived within a lease.
@@ -65,7 +65,7 @@
     /// Subscribed to the member with this index.
     Following(usize),
     /// The connection to the member with this index ended.
-    Lost(usize, Lost),
+    Disconnected(usize, DisconnectReason),
     /// The follower holds a lease.
     LeaseHeld,
     /// The follower's lease expired.
@@ -74,7 +74,7 @@
 
 /// Counters of a follower.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct FollowerTally {
+pub struct FollowerCounters {
     /// Connection attempts to members.
     pub dials: u64,
     /// Changes applied.
@@ -87,7 +87,7 @@
     pub denied: u64,
 }
 
-/// The state machine of a follower. Sans-I/O: the host carries out [`Follower::orders`] and sends
+/// The state machine of a follower. Sans-I/O: the host carries out [`Follower::connection_actions`] and sends
 /// [`Follower::outgoing`].
 pub struct Follower {
     config: FollowerConfig,
@@ -109,13 +109,13 @@
     last_asked: Micros,
     changed: bool,
     /// Requests to the host about the connection.
-    pub orders: Vec<Order>,
+    pub connection_actions: Vec<ConnectionAction>,
     /// Messages to send to the member.
     pub outgoing: Vec<FollowerMessage>,
     /// Events for the host's log.
     pub events: VecDeque<FollowerEvent>,
     /// Counters.
-    pub tally: FollowerTally,
+    pub counters: FollowerCounters,
 }
 
 impl Follower {
@@ -138,12 +138,12 @@
             renew_at: now,
             last_asked: 0,
             changed: false,
-            orders: Vec::new(),
+            connection_actions: Vec::new(),
             outgoing: Vec::new(),
             events: VecDeque::new(),
-            tally: FollowerTally::default(),
+            counters: FollowerCounters::default(),
         };
-        follower.choose(now, None);
+        follower.choose_member(now, None);
         follower
     }
 
@@ -167,7 +167,7 @@
 
     /// When [`Follower::tick`] has to be called next.
     pub fn next_due(&self) -> Micros {
-        let connection = self.connection_due();
+        let connection = self.connection_deadline();
         let lease = self.lease_until.unwrap_or(Micros::MAX);
         let renew = if self.member().is_some() { self.renew_at } else { Micros::MAX };
         connection.min(lease).min(renew)
@@ -180,7 +180,7 @@
             self.changed = true;
             self.events.push_back(FollowerEvent::LeaseLost);
         }
-        self.keep_connection(now);
+        self.tick_connection(now);
         if self.member().is_some() && self.renew_at <= now {
             self.renew(now);
         }
@@ -216,7 +216,7 @@
         let message = match command {
             Command::Vote(_, number, faults) => FollowerMessage::Vote(number, faults),
             Command::Stopped(_, number) => FollowerMessage::Stopped(number),
-            Command::Cannot(_, number, why) => FollowerMessage::Cannot(number, why),
+            Command::CannotApply(_, number, why) => FollowerMessage::CannotApply(number, why),
             Command::Propose { text, digest, min_number, .. } => {
                 FollowerMessage::Restore { number: min_number, text, digest }
             }
--- a/crates/fleet/src/control_plane/follower/stream.rs
+++ b/crates/fleet/src/control_plane/follower/stream.rs
@@ -1,7 +1,7 @@
 //! Handling of a member's messages: subscription answers, the agreed state, and leases.
 
 use super::connection::Connection;
-use super::{Follower, FollowerEvent, Lost};
+use super::{DisconnectReason, Follower, FollowerEvent};
 use crate::control_plane::messages::MemberMessage;
 use crate::policy::{Change, Policies, Revision};
 use crate::{Micros, Peer};
@@ -9,16 +9,16 @@
 impl Follower {
     /// Handles a message of the member. If [`Follower::take_changed`] returns true afterwards, the host must
     /// apply the agreed state before it admits further requests.
-    pub fn hear(&mut self, now: Micros, message: MemberMessage) {
-        if let Connection::Following { heard, .. } = &mut self.connection {
-            *heard = now;
+    pub fn handle_message(&mut self, now: Micros, message: MemberMessage) {
+        if let Connection::Following { last_heard, .. } = &mut self.connection {
+            *last_heard = now;
         }
         match (message, self.connection) {
             (MemberMessage::Welcome { group, member }, Connection::Subscribing { member: dialed, .. }) => {
                 self.welcome(now, &group, member, dialed);
             }
             (MemberMessage::Rejected(why), Connection::Subscribing { .. }) => {
-                self.lose(now, Lost::Rejected(why));
+                self.fail_over(now, DisconnectReason::Rejected(why));
             }
             (MemberMessage::Snapshot { fleet, policies }, Connection::Following { .. }) => {
                 self.snapshot(now, fleet, *policies);
@@ -29,11 +29,13 @@
             (MemberMessage::Keepalive { asked, lease, .. }, Connection::Following { .. }) => {
                 self.keepalive(now, asked, lease);
             }
-            (MemberMessage::GoAway, Connection::Following { .. }) => self.lose(now, Lost::GoAway),
+            (MemberMessage::GoAway, Connection::Following { .. }) => {
+                self.fail_over(now, DisconnectReason::GoAway)
+            }
             // A message that the protocol does not allow in this state: the sender is not a configured
             // member.
             (_, Connection::Subscribing { .. } | Connection::Following { .. }) => {
-                self.lose(now, Lost::WrongMember);
+                self.fail_over(now, DisconnectReason::WrongMember);
             }
             _ => {}
         }
@@ -41,9 +43,10 @@
 
     fn welcome(&mut self, now: Micros, group: &str, member: Peer, dialed: usize) {
         if group != self.config.group || usize::from(member) != dialed + 1 {
-            return self.lose(now, Lost::WrongMember);
+            return self.fail_over(now, DisconnectReason::WrongMember);
         }
-        self.connection = Connection::Following { member: dialed, heard: now, no_lease_since: Some(now) };
+        self.connection =
+            Connection::Following { member: dialed, last_heard: now, no_lease_since: Some(now) };
         self.term += 1;
         // Votes sent to the previous member are repeated to this one.
         self.changed = true;
@@ -55,11 +58,11 @@
         let older =
             self.known.as_ref().is_some_and(|(f, p)| *f == fleet && p.revision() > policies.revision());
         if older {
-            return self.lose(now, Lost::Stale);
+            return self.fail_over(now, DisconnectReason::Stale);
         }
         self.known = Some((fleet, policies));
         self.applied = 0;
-        self.tally.snapshots += 1;
+        self.counters.snapshots += 1;
         self.changed = true;
         // Renew at once: the acknowledgement frees the member's snapshot slot for another follower.
         self.renew_at = now;
@@ -69,14 +72,14 @@
         let followed = self.known.as_mut().map(|(_, policies)| policies.apply_change(revision, change));
         match followed {
             Some(Ok(())) => {
-                self.tally.changes += 1;
+                self.counters.changes += 1;
                 self.changed = true;
             }
             Some(Err(gap)) => {
-                self.tally.gaps += 1;
-                self.lose(now, Lost::Gap(gap));
+                self.counters.gaps += 1;
+                self.fail_over(now, DisconnectReason::Gap(gap));
             }
-            None => self.lose(now, Lost::WrongMember),
+            None => self.fail_over(now, DisconnectReason::WrongMember),
         }
     }
 
@@ -99,7 +102,7 @@
             }
             None => {
                 no_lease_since.get_or_insert(now);
-                self.tally.denied += 1;
+                self.counters.denied += 1;
             }
         }
     }
--- a/crates/fleet/src/control_plane/member/consent.rs
+++ b/crates/fleet/src/control_plane/member/consent.rs
@@ -32,15 +32,15 @@
             Command::Stopped(h, number) => self.deferred = Some(Deferred::Stopped(h, number)),
             command => {
                 if !record.submit(now, command) {
-                    self.part.submit_failed();
+                    self.participant.submit_failed();
                 }
             }
         }
     }
 
     /// Submits the deferred command once all followers have consented or one of them has objected.
-    pub(super) fn speak(&mut self, now: Micros, record: &mut impl MemberLog) {
-        self.speak_of_restored(now, record);
+    pub(super) fn submit_deferred(&mut self, now: Micros, record: &mut impl MemberLog) {
+        self.propose_restored(now, record);
         let Some(deferred) = self.deferred else { return };
         let (Deferred::Yes(holder, number) | Deferred::Stopped(holder, number)) = deferred;
         let pending = record.policies().and_then(Policies::pending).map(|p| p.policy.number);
@@ -56,7 +56,7 @@
         if let Some(command) = command {
             self.deferred = None;
             if !record.submit(now, command) {
-                self.part.submit_failed();
+                self.participant.submit_failed();
             }
         }
     }
@@ -90,8 +90,10 @@
     fn stopped(&self, holder: Holder, number: u64) -> Option<Command> {
         let mut all_stopped = true;
         for (name, session) in self.leased_sessions() {
-            if let Some((_, why)) = session.and_then(|s| s.cannot.as_ref()).filter(|(n, _)| *n == number) {
-                return Some(Command::Cannot(holder, number, format!("{name}: {why}")));
+            if let Some((_, why)) =
+                session.and_then(|s| s.cannot_apply.as_ref()).filter(|(n, _)| *n == number)
+            {
+                return Some(Command::CannotApply(holder, number, format!("{name}: {why}")));
             }
             all_stopped &= session.is_some_and(|s| s.stopped == Some(number));
         }
@@ -100,8 +102,8 @@
 
     /// Proposes a policy again that was in force before the group lost its state, unless a change is already
     /// pending.
-    fn speak_of_restored(&mut self, now: Micros, record: &mut impl MemberLog) {
-        let Some(policy) = self.restore.take() else { return };
+    fn propose_restored(&mut self, now: Micros, record: &mut impl MemberLog) {
+        let Some(policy) = self.restore_proposal.take() else { return };
         let Some(policies) = record.policies() else { return };
         if policies.pending().is_some() || policies.current().number >= policy.number {
             return;
--- a/crates/fleet/src/control_plane/member/leases.rs
+++ b/crates/fleet/src/control_plane/member/leases.rs
@@ -8,7 +8,7 @@
 
 /// A lease granted to a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Granted {
+pub(super) struct GrantedLease {
     /// When it has expired on every clock, by this member's clock.
     pub(super) until: Micros,
     /// The follower's name, for operators.
@@ -41,13 +41,13 @@
         // The follower counts from the time of its request, which is earlier than `now`.
         let until = now + length + self.config.timing.margin;
         let granted =
-            self.granted.entry(follower).or_insert_with(|| Granted { until, name: name.to_string() });
+            self.granted.entry(follower).or_insert_with(|| GrantedLease { until, name: name.to_string() });
         granted.until = granted.until.max(until);
-        self.tally.leases += 1;
+        self.counters.leases += 1;
     }
 
     /// Drops expired leases.
-    pub(super) fn forget_leases(&mut self, now: Micros) {
+    pub(super) fn drop_expired_leases(&mut self, now: Micros) {
         self.granted.retain(|_, granted| now < granted.until);
     }
 
--- a/crates/fleet/src/control_plane/member/mod.rs
+++ b/crates/fleet/src/control_plane/member/mod.rs
@@ -14,7 +14,7 @@
 use crate::policy::{Action, Participant, Policies, Policy, PolicyLog};
 use crate::{Holder, Micros, Peer};
 use consent::Deferred;
-use leases::Granted;
+use leases::GrantedLease;
 use sessions::Session;
 use std::collections::{BTreeMap, VecDeque};
 pub use violation::Violation;
@@ -41,7 +41,7 @@
 
 /// Counters of a member.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct MemberTally {
+pub struct MemberCounters {
     /// Subscriptions accepted.
     pub subscribed: u64,
     /// Subscriptions rejected.
@@ -75,9 +75,9 @@
 /// closes the connections in [`Member::closing`].
 pub struct Member {
     config: MemberConfig,
-    part: Participant,
+    participant: Participant,
     sessions: BTreeMap<SessionId, Session>,
-    granted: BTreeMap<FollowerId, Granted>,
+    granted: BTreeMap<FollowerId, GrantedLease>,
     /// Sessions that wait for a snapshot slot, in order.
     snapshot_queue: VecDeque<SessionId>,
     deferred: Option<Deferred>,
@@ -85,16 +85,16 @@
     sent_up_to: Option<(u64, u64)>,
     /// The highest policy number any follower has admitted requests under.
     followers_policy: u64,
-    restore: Option<Policy>,
+    restore_proposal: Option<Policy>,
     leaving: bool,
     /// When the connections are next checked for silence.
-    look_at: Micros,
+    next_check_at: Micros,
     /// Messages to send to followers.
     pub outgoing: Vec<(SessionId, MemberMessage)>,
     /// Sessions to close once their pending messages are written.
     pub closing: Vec<SessionId>,
     /// Counters.
-    pub tally: MemberTally,
+    pub counters: MemberCounters,
 }
 
 impl Member {
@@ -102,25 +102,25 @@
     pub fn new(config: MemberConfig) -> Member {
         Member {
             config,
-            part: Participant::default(),
+            participant: Participant::default(),
             sessions: BTreeMap::new(),
             granted: BTreeMap::new(),
             snapshot_queue: VecDeque::new(),
             deferred: None,
             sent_up_to: None,
             followers_policy: 0,
-            restore: None,
+            restore_proposal: None,
             leaving: false,
-            look_at: 0,
+            next_check_at: 0,
             outgoing: Vec::new(),
             closing: Vec::new(),
-            tally: MemberTally::default(),
+            counters: MemberCounters::default(),
         }
     }
 
     /// The member's own participant in policy changes.
-    pub fn part(&self) -> &Participant {
-        &self.part
+    pub fn participant(&self) -> &Participant {
+        &self.participant
     }
 
     /// Number of subscribed followers.
@@ -136,7 +136,7 @@
     /// The highest policy number that this member or one of its followers has admitted requests under. A
     /// newly founded group must not start below it.
     pub fn known_policy(&self) -> u64 {
-        self.part.number().max(self.followers_policy)
+        self.participant.number().max(self.followers_policy)
     }
 
     /// Processes a change of the agreed state or the passage of time: sends new changes to followers and
@@ -149,10 +149,10 @@
         check: &mut dyn FnMut(&Policy) -> Vec<String>,
     ) -> Vec<Action> {
         if self.deferred.is_some() {
-            self.forget_leases(now);
+            self.drop_expired_leases(now);
         }
         let holder = record.holds(now);
-        let acts = self.part.poll(now, self.config.me, holder, record.policies(), check);
+        let acts = self.participant.poll(now, self.config.me, holder, record.policies(), check);
         let mut told = Vec::new();
         for act in acts {
             match act {
@@ -160,7 +160,7 @@
                 act => told.push(act),
             }
         }
-        self.speak(now, record);
+        self.submit_deferred(now, record);
         record.mark_applied(self.known_policy());
         if let Some(view) = record.view(now) {
             self.send_changes(view);
--- a/crates/fleet/src/control_plane/member/sessions.rs
+++ b/crates/fleet/src/control_plane/member/sessions.rs
@@ -34,9 +34,9 @@
     /// The number of the change for which it has stopped admission.
     pub(super) stopped: Option<u64>,
     /// The number of the change it cannot apply, and the reason.
-    pub(super) cannot: Option<(u64, String)>,
+    pub(super) cannot_apply: Option<(u64, String)>,
     /// When its last message arrived.
-    pub(super) heard: Micros,
+    pub(super) last_heard: Micros,
     /// Its send buffer is full: no further changes are sent for now.
     pub(super) blocked: bool,
 }
@@ -44,31 +44,31 @@
 impl Member {
     /// A connection was accepted.
     pub fn connected(&mut self, now: Micros, session: SessionId) {
-        self.sessions.insert(session, Session { heard: now, ..Session::default() });
+        self.sessions.insert(session, Session { last_heard: now, ..Session::default() });
     }
 
     /// Closes connections that have been silent for too long; a follower renews several times per lease. The
     /// check runs once per follower lease.
     pub fn tick(&mut self, now: Micros) {
-        if now < self.look_at {
+        if now < self.next_check_at {
             return;
         }
-        self.look_at = now + self.config.timing.follower_lease;
-        self.forget_leases(now);
+        self.next_check_at = now + self.config.timing.follower_lease;
+        self.drop_expired_leases(now);
         let limit = SILENT_LEASES * self.config.timing.follower_lease;
         let silent: Vec<SessionId> =
-            self.sessions.iter().filter(|(_, s)| now >= s.heard + limit).map(|(id, _)| *id).collect();
+            self.sessions.iter().filter(|(_, s)| now >= s.last_heard + limit).map(|(id, _)| *id).collect();
         for session in silent {
             self.disconnected(session);
             self.closing.push(session);
-            self.tally.silent += 1;
+            self.counters.silent += 1;
         }
     }
 
     /// When [`Member::tick`] or [`Member::poll`] has to be called next because of a timer.
     pub fn next_due(&self) -> Micros {
         let lease = self.deferred.and_then(|_| self.next_lease_end());
-        lease.map_or(self.look_at, |end| end.min(self.look_at))
+        lease.map_or(self.next_check_at, |end| end.min(self.next_check_at))
     }
 
     /// A connection was closed. A lease granted on it remains valid until it expires.
@@ -92,7 +92,7 @@
     }
 
     /// Handles a message from a follower. [`Member::poll`] must be called before the event loop waits again.
-    pub fn hear(
+    pub fn handle_message(
         &mut self,
         now: Micros,
         session: SessionId,
@@ -107,16 +107,16 @@
                 return Err(Violation::Policy(policy));
             }
             self.followers_policy = self.followers_policy.max(policy);
-            let rejection = self.rejects(version, &group, view);
+            let rejection = self.rejection(version, &group, view);
             if let Some(rejection) = rejection {
-                self.tally.rejected += 1;
+                self.counters.rejected += 1;
                 self.outgoing.push((session, MemberMessage::Rejected(rejection.clone())));
                 return Err(Violation::Rejected(rejection));
             }
             return self.subscribe(session, follower, name, resume, view);
         }
         let Some(s) = self.sessions.get_mut(&session) else { return Ok(()) };
-        s.heard = now;
+        s.last_heard = now;
         let Some((follower, name)) = s.subscribed.clone() else { return Err(Violation::NotSubscribed) };
         match message {
             FollowerMessage::Subscribe { .. } => {}
@@ -128,22 +128,24 @@
                 s.vote = Some((number, faults));
             }
             FollowerMessage::Stopped(number) => s.stopped = Some(number),
-            FollowerMessage::Cannot(number, why) if why.len() <= MAX_FAULT_BYTES * MAX_FAULTS => {
-                s.cannot = Some((number, why));
+            FollowerMessage::CannotApply(number, why) if why.len() <= MAX_FAULT_BYTES * MAX_FAULTS => {
+                s.cannot_apply = Some((number, why));
             }
             FollowerMessage::Restore { number, .. } if number > MAX_POLICY_NUMBER => {
                 return Err(Violation::Policy(number));
             }
             FollowerMessage::Restore { number, text, digest } if text.len() <= MAX_TEXT_BYTES => {
-                self.restore = Some(Policy { number, text, digest });
+                self.restore_proposal = Some(Policy { number, text, digest });
+            }
+            FollowerMessage::CannotApply(..) | FollowerMessage::Restore { .. } => {
+                return Err(Violation::TooLong);
             }
-            FollowerMessage::Cannot(..) | FollowerMessage::Restore { .. } => return Err(Violation::TooLong),
             FollowerMessage::Leave => drop(self.granted.remove(&follower)),
         }
         Ok(())
     }
 
-    fn rejects(&self, version: u32, group: &str, view: Option<MemberView<'_>>) -> Option<Rejection> {
+    fn rejection(&self, version: u32, group: &str, view: Option<MemberView<'_>>) -> Option<Rejection> {
         if version != VERSION {
             return Some(Rejection::Version(VERSION));
         }
@@ -181,9 +183,9 @@
         if let Some(resume) = resume {
             s.fleet = Some(resume.fleet);
             s.sent = Some(resume.revision);
-            self.tally.resumed += 1;
+            self.counters.resumed += 1;
         }
-        self.tally.subscribed += 1;
+        self.counters.subscribed += 1;
         let welcome = MemberMessage::Welcome { group: self.config.group.clone(), member: self.config.me };
         self.outgoing.push((session, welcome));
         self.sent_up_to = None;
@@ -224,7 +226,7 @@
                 self.grant(now, follower, name, length);
                 self.sessions.entry(session).and_modify(|s| s.leased = true);
             }
-            None => self.tally.denied += 1,
+            None => self.counters.denied += 1,
         }
         let revision = view.map_or(0, |v| v.policies.revision());
         self.outgoing.push((session, MemberMessage::Keepalive { asked, lease, revision }));
--- a/crates/fleet/src/control_plane/member/streams.rs
+++ b/crates/fleet/src/control_plane/member/streams.rs
@@ -33,7 +33,7 @@
         if s.fleet != Some(view.fleet) {
             // The log it followed is lost, and so are its revisions, votes and stops there.
             (s.fleet, s.sent, s.snapshot, s.revision, s.leased) = (None, None, None, 0, false);
-            (s.vote, s.stopped, s.cannot) = (None, None, None);
+            (s.vote, s.stopped, s.cannot_apply) = (None, None, None);
             return false;
         }
         let Some(sent) = s.sent else { return false };
@@ -46,20 +46,20 @@
         };
         for (revision, change) in changes {
             s.sent = Some(revision);
-            self.tally.changes += 1;
+            self.counters.changes += 1;
             self.outgoing.push((session, MemberMessage::Change(revision, change.clone())));
         }
         true
     }
 
     /// Number of snapshots sent and not yet acknowledged.
-    pub fn snapshots_under_way(&self) -> usize {
+    pub fn unacknowledged_snapshots(&self) -> usize {
         self.sessions.values().filter(|s| s.snapshot.is_some()).count()
     }
 
     /// Sends snapshots to waiting sessions, up to the limit of unacknowledged ones.
     fn send_snapshots(&mut self, view: MemberView<'_>) {
-        let further = self.config.max_snapshots.saturating_sub(self.snapshots_under_way());
+        let further = self.config.max_snapshots.saturating_sub(self.unacknowledged_snapshots());
         for _ in 0..further {
             let Some(session) = self.snapshot_queue.pop_front() else { return };
             let Some(s) = self.sessions.get_mut(&session) else { continue };
@@ -71,7 +71,7 @@
             s.revision = 0;
             (s.sent, s.snapshot, s.leased) = (Some(revision), Some(revision), false);
             let policies = Box::new(view.policies.snapshot());
-            self.tally.snapshots += 1;
+            self.counters.snapshots += 1;
             self.outgoing.push((session, MemberMessage::Snapshot { fleet: view.fleet, policies }));
         }
     }
--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -63,7 +63,7 @@
     /// The follower admits no requests until the change of this number is over.
     Stopped(u64),
     /// The follower cannot apply a policy that it voted for.
-    Cannot(u64, String),
+    CannotApply(u64, String),
     /// A policy that was in force and that the members have lost.
     Restore {
         /// The policy's number.
--- a/crates/fleet/src/control_plane/mod.rs
+++ b/crates/fleet/src/control_plane/mod.rs
@@ -18,6 +18,6 @@
 pub mod timing;
 
 pub use follower::{Follower, FollowerConfig};
-pub use member::{Member, MemberConfig, MemberTally, SessionId};
+pub use member::{Member, MemberConfig, MemberCounters, SessionId};
 pub use messages::{FollowerId, FollowerMessage, MemberMessage, Rejection, Resume};
 pub use timing::Timing;
--- a/crates/fleet/src/policy/apply.rs
+++ b/crates/fleet/src/policy/apply.rs
@@ -116,7 +116,7 @@
                 Some(p) if alive.contains(&h) => p.stopped.insert(h),
                 _ => false,
             },
-            Command::Cannot(h, number, why) => match self.pending_at(number, Stage::Closing) {
+            Command::CannotApply(h, number, why) => match self.pending_at(number, Stage::Closing) {
                 Some(p) if alive.contains(&h) => {
                     let why = truncated(vec![why]);
                     let told = format!("peer {} can't: {}", peer_of(h.incarnation), why.concat());
--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -124,7 +124,7 @@
     /// A holder has stopped admission until the change of this number is over.
     Stopped(Holder, u64),
     /// A holder cannot apply the change of this number although it voted yes.
-    Cannot(Holder, u64, String),
+    CannotApply(Holder, u64, String),
     /// An operator aborts the change of this number.
     Abort(u64),
 }
--- a/crates/fleet/src/policy/participant.rs
+++ b/crates/fleet/src/policy/participant.rs
@@ -129,7 +129,7 @@
                 let faults = check(&p.policy);
                 acts.push(Action::Submit(match faults.is_empty() {
                     true => Command::Stopped(holder, p.policy.number),
-                    false => Command::Cannot(holder, p.policy.number, faults.join("; ")),
+                    false => Command::CannotApply(holder, p.policy.number, faults.join("; ")),
                 }));
             }
             None if current.number < self.applied.number && self.next_proposal_at <= now => {
--- a/crates/fleet/tests/control_plane/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -66,7 +66,7 @@
         let Some(at) = self.follower.revision() else { return };
         if let Some((fleet, revision)) = self.last_revision
             && fleet == at.fleet
-            && self.follower.tally.snapshots == snapshots
+            && self.follower.counters.snapshots == snapshots
         {
             assert!(
                 at.revision == revision || at.revision == revision + 1,
--- a/crates/fleet/tests/control_plane/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -32,7 +32,7 @@
     };
     change(&mut message);
     let view = node.fleet.view(now);
-    let told = node.member.hear(now, session, message, view);
+    let told = node.member.handle_message(now, session, message, view);
     node.member.disconnected(session);
     told
 }
@@ -82,11 +82,11 @@
     node.member.connected(now, 5_000);
     let early = FollowerMessage::Renew { at: None, asked: 1 };
     let view = node.fleet.view(now);
-    assert_eq!(node.member.hear(now, 5_000, early, view), Err(Violation::NotSubscribed));
+    assert_eq!(node.member.handle_message(now, 5_000, early, view), Err(Violation::NotSubscribed));
     let fleet = node.fleet.founding().unwrap();
     let (peer, session) = w.followers[&0].connection.unwrap();
     let node = w.members.get_mut(&peer).unwrap();
     let ahead = FollowerMessage::Renew { at: Some(Resume { fleet, revision: 1_000 }), asked: 1 };
     let view = node.fleet.view(now);
-    assert_eq!(node.member.hear(now, session, ahead, view), Err(Violation::Revision(1_000)));
+    assert_eq!(node.member.handle_message(now, session, ahead, view), Err(Violation::Revision(1_000)));
 }
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -13,7 +13,7 @@
 fn a_follower_that_comes_back_resumes_by_its_revision() {
     let mut w = World::new(3, 8, 21);
     w.formed();
-    let snapshots: u64 = w.members.values().map(|n| n.member.tally.snapshots).sum();
+    let snapshots: u64 = w.members.values().map(|n| n.member.counters.snapshots).sum();
     assert_eq!(snapshots, 8, "one each at the start");
     w.silent.insert(3);
     for n in 1..=3 {
@@ -22,9 +22,9 @@
     }
     w.silent.clear();
     w.until(5_000 * MS, "it is back", |w| w.all_at(3));
-    let after: u64 = w.members.values().map(|n| n.member.tally.snapshots).sum();
+    let after: u64 = w.members.values().map(|n| n.member.counters.snapshots).sum();
     assert_eq!(after, snapshots, "changes are enough");
-    assert!(w.members.values().map(|n| n.member.tally.resumed).sum::<u64>() > 0);
+    assert!(w.members.values().map(|n| n.member.counters.resumed).sum::<u64>() > 0);
 }
 
 // A follower that was away for longer than changes are kept gets a snapshot.
@@ -39,7 +39,7 @@
     }
     w.silent.clear();
     w.until(10_000 * MS, "it is back", |w| w.all_at(60));
-    assert_eq!(w.followers[&1].follower.tally.snapshots, 2);
+    assert_eq!(w.followers[&1].follower.counters.snapshots, 2);
 }
 
 // A follower that does not read must not delay the others; nothing is queued for it while it is blocked.
@@ -84,7 +84,7 @@
         resume,
         policy: 0,
     };
-    node.member.hear(now, session, message, view).unwrap();
+    node.member.handle_message(now, session, message, view).unwrap();
     node.member.poll(now, &mut node.fleet, &mut |_| Vec::new());
 }
 
@@ -94,7 +94,7 @@
     let node = w.members.get_mut(&1).unwrap();
     node.member.outgoing.clear();
     let view = node.fleet.view(now);
-    node.member.hear(now, session, FollowerMessage::Renew { at, asked: now }, view).unwrap();
+    node.member.handle_message(now, session, FollowerMessage::Renew { at, asked: now }, view).unwrap();
     let answer = node.member.outgoing.iter().find_map(|(s, m)| match m {
         MemberMessage::Keepalive { lease, .. } if *s == session => Some(*lease),
         _ => None,
@@ -116,7 +116,7 @@
     }
     let bound = w.max_snapshots as u64;
     (0..bound).for_each(|n| subscribed(&mut w, 900 + n, None));
-    assert_eq!(w.members[&1].member.snapshots_under_way(), w.max_snapshots);
+    assert_eq!(w.members[&1].member.unacknowledged_snapshots(), w.max_snapshots);
     let behind = Resume { fleet, revision: 3 };
     subscribed(&mut w, 950, Some(behind));
     assert_eq!(renewed(&mut w, 950, Some(behind)), None);
@@ -136,7 +136,7 @@
     let before = Resume { fleet: fleet ^ 1, revision: 3 };
     subscribed(&mut w, 900, Some(before));
     assert_eq!(renewed(&mut w, 900, Some(before)), None);
-    assert_eq!(w.members[&1].member.snapshots_under_way(), 1, "it is on its way still");
+    assert_eq!(w.members[&1].member.unacknowledged_snapshots(), 1, "it is on its way still");
     let here = Resume { fleet, revision: 3 };
     assert!(renewed(&mut w, 900, Some(here)).is_some());
 }
--- a/crates/fleet/tests/control_plane/turns.rs
+++ b/crates/fleet/tests/control_plane/turns.rs
@@ -3,7 +3,7 @@
 use super::wires::{Payload, Wire};
 use super::world::{MS, World};
 use fleet::Peer;
-use fleet::control_plane::follower::Order;
+use fleet::control_plane::follower::ConnectionAction;
 use fleet::control_plane::messages::FRAMING;
 use fleet::policy::Gate;
 use fleet::wire::frame;
@@ -21,7 +21,7 @@
         node.fleet.events.clear();
         let outgoing = std::mem::take(&mut node.member.outgoing);
         let closing = std::mem::take(&mut node.member.closing);
-        self.snapshots_seen = self.snapshots_seen.max(node.member.snapshots_under_way());
+        self.snapshots_seen = self.snapshots_seen.max(node.member.unacknowledged_snapshots());
         for (to, message) in messages {
             let lost = self.cut.contains(&(peer, to)) || self.draw(200) == 0;
             let at = now + self.delay + self.draw(4) * MS;
@@ -45,9 +45,9 @@
         f.follower.tick(clock);
         f.look(now);
         f.follower.tick(clock);
-        let orders = std::mem::take(&mut f.follower.orders);
-        for order in orders {
-            self.carry_out(index, order);
+        let actions = std::mem::take(&mut f.follower.connection_actions);
+        for action in actions {
+            self.execute(index, action);
         }
         let Some(f) = self.followers.get_mut(&index) else { return };
         let outgoing = std::mem::take(&mut f.follower.outgoing);
@@ -60,7 +60,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, order: Order) {
+    fn execute(&mut self, index: usize, action: ConnectionAction) {
         let now = self.now;
         let Some(f) = self.followers.get_mut(&index) else { return };
         let clock = f.clock(now);
@@ -71,7 +71,7 @@
             }
             self.sessions.remove(&session);
         }
-        let Order::Dial(member) = order else { return };
+        let ConnectionAction::Dial(member) = action else { return };
         let peer = (member + 1) as Peer;
         let session = self.next_session;
         self.next_session += 1;
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -71,7 +71,7 @@
                 let read = FRAMING.next::<FollowerMessage>(&bytes, MAX_FOLLOWER_FRAME);
                 let (_, message) = read.unwrap().unwrap();
                 let view = node.fleet.view(now);
-                if node.member.hear(now, session, message, view).is_err() {
+                if node.member.handle_message(now, session, message, view).is_err() {
                     node.member.disconnected(session);
                     node.member.closing.push(session);
                 }
@@ -82,10 +82,10 @@
                     return;
                 }
                 let clock = f.clock(now);
-                let snapshots = f.follower.tally.snapshots;
+                let snapshots = f.follower.counters.snapshots;
                 let read = FRAMING.next::<MemberMessage>(&bytes, MAX_MEMBER_FRAME);
                 let (_, message) = read.unwrap().unwrap();
-                f.follower.hear(clock, message);
+                f.follower.handle_message(clock, message);
                 f.check_revision(snapshots);
             }
             Payload::Closed => {
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -130,7 +130,7 @@
         let config = FollowerConfig {
             group: GROUP.into(),
             name: format!("d{index}"),
-            near: vec![false; usize::from(self.count)],
+            same_region: vec![false; usize::from(self.count)],
             timing: self.timing,
         };
         let (drift, offset) = (self.draw(41) as i64 - 20, self.draw(1_000_000_000));
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -134,7 +134,7 @@
         FollowerMessage::Renew { at: Some(resume), asked: 55 },
         FollowerMessage::Vote(5, vec!["no".into()]),
         FollowerMessage::Stopped(5),
-        FollowerMessage::Cannot(5, "why".into()),
+        FollowerMessage::CannotApply(5, "why".into()),
         FollowerMessage::Restore { number: 5, text: "class {}".into(), digest: [7; 32] },
         FollowerMessage::Leave,
     ];
--- a/crates/lab/src/scale/hollow_follower.rs
+++ b/crates/lab/src/scale/hollow_follower.rs
@@ -1,7 +1,7 @@
 //! One follower without clients: its connection and what it would admit by.
 
 use super::hollow::{Seen, now};
-use fleet::control_plane::follower::FollowerTally;
+use fleet::control_plane::follower::FollowerCounters;
 use fleet::policy::{Action, Gate, Participant, Policy, PolicyLog};
 use ottercroft::api::{Micros, Settings};
 use ottercroft::net::control_plane::ControlLink;
@@ -102,7 +102,7 @@
     }
 
     /// Its counters.
-    pub fn tally(&self) -> FollowerTally {
-        self.link.follower.tally
+    pub fn tally(&self) -> FollowerCounters {
+        self.link.follower.counters
     }
 }
--- a/src/net/control_plane/calls.rs
+++ b/src/net/control_plane/calls.rs
@@ -44,7 +44,7 @@
             base: &self.policy.base,
             names: &self.policy.names,
             me: self.fleet.me(),
-            number: self.member.part().number(),
+            number: self.member.participant().number(),
             queue_from: Some(self.member.known_policy()),
         })
     }
@@ -65,7 +65,7 @@
 
     /// The member's figures, in Prometheus' text format.
     fn figures(&self, now: Micros) -> String {
-        let tally = self.member.tally;
+        let counters = self.member.counters;
         let [bytes_in, bytes_out] = self.server.bytes();
         let rows = [
             ("followers", self.member.followers() as u64),
@@ -74,14 +74,14 @@
             ("lease_held", u64::from(self.fleet.holds(now).is_some())),
             ("revision", self.fleet.policies().map_or(0, |p| p.revision())),
             ("changes_waiting", self.fleet.policies().map_or(0, |p| p.queued().count() as u64)),
-            ("subscriptions_total", tally.subscribed),
-            ("subscriptions_rejected_total", tally.rejected),
-            ("subscriptions_resumed_total", tally.resumed),
-            ("snapshots_total", tally.snapshots),
-            ("changes_total", tally.changes),
-            ("leases_total", tally.leases),
-            ("leases_denied_total", tally.denied),
-            ("connections_silent_total", tally.silent),
+            ("subscriptions_total", counters.subscribed),
+            ("subscriptions_rejected_total", counters.rejected),
+            ("subscriptions_resumed_total", counters.resumed),
+            ("snapshots_total", counters.snapshots),
+            ("changes_total", counters.changes),
+            ("leases_total", counters.leases),
+            ("leases_denied_total", counters.denied),
+            ("connections_silent_total", counters.silent),
             ("connections_refused_total", self.server.tally.refused),
             ("bad_frames_total", self.server.tally.bad_frames),
             ("follower_bytes_in_total", bytes_in),
--- a/src/net/control_plane/link.rs
+++ b/src/net/control_plane/link.rs
@@ -5,7 +5,7 @@
 use crate::net::event_loop::poll::{Key, Poll};
 use crate::net::sockets::dial;
 use crate::settings::options::Control;
-use fleet::control_plane::follower::{FollowerEvent, Order};
+use fleet::control_plane::follower::{ConnectionAction, FollowerEvent};
 use fleet::control_plane::messages::{MAX_MEMBER_FRAME, MemberMessage};
 use fleet::control_plane::{Follower, FollowerConfig};
 use std::io;
@@ -29,7 +29,7 @@
         let config = FollowerConfig {
             group: settings.group.clone(),
             name: name.to_string(),
-            near: settings.members.iter().map(|m| near(&m.region)).collect(),
+            same_region: settings.members.iter().map(|m| near(&m.region)).collect(),
             timing: settings.timing,
         };
         ControlLink {
@@ -76,7 +76,7 @@
             }
         }
         let (messages, ended) = connection.read::<MemberMessage>();
-        messages.into_iter().for_each(|message| self.follower.hear(now, message));
+        messages.into_iter().for_each(|message| self.follower.handle_message(now, message));
         match ended {
             Some(Ended::Closed) => self.over(now, poll, None),
             Some(Ended::Fault(fault)) => self.over(now, poll, Some(fault)),
@@ -93,9 +93,9 @@
 
     /// Carries out what the follower wants: dials, closes, writes.
     pub fn flush(&mut self, now: Micros, poll: &Poll) {
-        for order in std::mem::take(&mut self.follower.orders) {
+        for action in std::mem::take(&mut self.follower.connection_actions) {
             self.close(poll);
-            if let Order::Dial(member) = order
+            if let ConnectionAction::Dial(member) = action
                 && let Err(e) = self.dial(member, poll)
             {
                 tracing::debug!(error = %e, "control: can't dial a member");
@@ -144,7 +144,7 @@
                 FollowerEvent::Following(member) => {
                     tracing::info!(member = name(member), "control: following");
                 }
-                FollowerEvent::Lost(member, why) => {
+                FollowerEvent::Disconnected(member, why) => {
                     tracing::info!(member = name(member), ?why, "control: member lost");
                 }
                 FollowerEvent::LeaseHeld => tracing::info!("control: lease held"),
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -115,7 +115,7 @@
                 Heard::Over(session) => self.member.disconnected(session),
                 Heard::Said(session, message) => {
                     let view = self.fleet.view(now);
-                    if let Err(why) = self.member.hear(now, session, message, view) {
+                    if let Err(why) = self.member.handle_message(now, session, message, view) {
                         self.violated(session, &why);
                     }
                 }
@@ -200,7 +200,7 @@
             }
             self.peers.flush(now, &self.poll);
         }
-        tracing::info!(tally = ?self.member.tally, "stopped");
+        tracing::info!(tally = ?self.member.counters, "stopped");
     }
 }
 
