--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -126,7 +126,7 @@
         /// The executor that runs it.
         executor: ExecutorId,
         /// The message.
-        progress_note: AttemptProgress,
+        progress: AttemptProgress,
     },
     /// The client disconnected, so no answer can be delivered.
     ClientDisconnected {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -113,8 +113,8 @@
             Event::Arrival(arrival) => self.handle_arrival(arrival),
             Event::FirstByte { request, .. } => self.start_streaming(request),
             Event::AttemptFinished(finished) => self.handle_attempt_finished(finished),
-            Event::AttemptProgressed { request, attempt, progress_note, .. } => {
-                self.handle_progress(request, attempt, progress_note);
+            Event::AttemptProgressed { request, attempt, progress, .. } => {
+                self.handle_progress(request, attempt, progress);
             }
             Event::ClientDisconnected { request } => self.finish_request(request),
             Event::Timer { token: TICK_TIMER } => self.tick(),
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -120,7 +120,7 @@
 
 fn attempt_progressed(name: &str, text: &str) -> Result<Option<Event>, Malformed> {
     let message: ProgressMessage = body(name, text)?;
-    let progress_note = match message.kind {
+    let progress = match message.kind {
         1 => AttemptProgress::Progress(message.amount),
         2 => AttemptProgress::Spill(message.amount),
         3 => AttemptProgress::Waits,
@@ -130,7 +130,7 @@
         request: request_id(name, &message.request)?,
         attempt: message.attempt,
         executor: message.executor,
-        progress_note,
+        progress,
     }))
 }
 
--- a/src/dispatch/network_events.rs
+++ b/src/dispatch/network_events.rs
@@ -29,11 +29,11 @@
         &mut self,
         now: Micros,
         id: AttemptId,
-        progress_note: AttemptProgress,
+        progress: AttemptProgress,
     ) -> Vec<Command<R>> {
         let Some(executor) = self.outstanding(id).map(|attempt| attempt.executor) else { return Vec::new() };
         let AttemptId { request, attempt } = id;
-        self.run(now, Event::AttemptProgressed { request, attempt, executor, progress_note })
+        self.run(now, Event::AttemptProgressed { request, attempt, executor, progress })
     }
 
     fn probe_finished(
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -155,12 +155,12 @@
         let n = self.world.below(self.world.fates.len() as u64) as usize;
         let (request, n) = *self.world.fates.keys().nth(n).unwrap();
         let executor = self.world.referee.open[&request].attempts[n].executor;
-        let progress_note = match self.world.below(6) {
+        let progress = match self.world.below(6) {
             0..4 => AttemptProgress::Progress(self.world.below(100) as f64 / 100.0),
             4 => AttemptProgress::Spill(64.0),
             _ => AttemptProgress::Waits,
         };
-        self.event(Event::AttemptProgressed { request, attempt: n as u32, executor, progress_note });
+        self.event(Event::AttemptProgressed { request, attempt: n as u32, executor, progress });
     }
 }
 
--- a/tests/balancer/attempts.rs
+++ b/tests/balancer/attempts.rs
@@ -46,8 +46,8 @@
                 }
             }
             if progress.is_some() && i % 5 == 0 {
-                let progress_note = AttemptProgress::Progress(0.01 * f64::from(i));
-                rig.event(Event::AttemptProgressed { request, attempt: 0, executor, progress_note });
+                let progress = AttemptProgress::Progress(0.01 * f64::from(i));
+                rig.event(Event::AttemptProgressed { request, attempt: 0, executor, progress });
             }
         }
         let again = all
@@ -98,12 +98,12 @@
     let mut all = Vec::new();
     for step in 1..=5u32 {
         all.extend(rig.pass(500 * MS));
-        let progress_note = AttemptProgress::Progress(0.19 * f64::from(step));
+        let progress = AttemptProgress::Progress(0.19 * f64::from(step));
         all.extend(rig.event(Event::AttemptProgressed {
             request: answering,
             attempt: 0,
             executor,
-            progress_note,
+            progress,
         }));
     }
     let again = |id| {
--- a/tests/balancer/requests.rs
+++ b/tests/balancer/requests.rs
@@ -48,7 +48,7 @@
         request: 99,
         attempt: 0,
         executor: 1,
-        progress_note: AttemptProgress::Waits,
+        progress: AttemptProgress::Waits,
     });
     rig.event(Event::ProbeFinished { executor: 77, outcome: Outcome::Ok, latency: 0, report: None });
     assert!(rig.finish(99, 3, 77, Outcome::Ok, 0.1).is_empty());
--- a/tests/small_share/grants.rs
+++ b/tests/small_share/grants.rs
@@ -18,7 +18,7 @@
         request,
         attempt: 0,
         executor,
-        progress_note: AttemptProgress::Spill(300.0),
+        progress: AttemptProgress::Spill(300.0),
     });
     let after = grant(&rig.arrive(1, 2.0).1).expect("a grant");
     assert!(after > 1.2 * before, "{before} then {after}");
