--- a/crates/fleet/src/fleet/digest.rs
+++ b/crates/fleet/src/fleet/effects.rs
@@ -4,7 +4,7 @@
 
 impl Fleet {
     /// Queues the group's outgoing messages and converts its effects into events.
-    pub(super) fn digest(&mut self, now: Micros) {
+    pub(super) fn process_effects(&mut self, now: Micros) {
         let Some(group) = &mut self.group else { return };
         let fleet = group.founding.id;
         let messages = std::mem::take(&mut group.messages);
@@ -17,16 +17,16 @@
         }
         let (effects, restored) = (std::mem::take(&mut group.effects), std::mem::take(&mut group.restored));
         if restored {
-            self.restored(now);
+            self.apply_snapshot(now);
         }
-        effects.into_iter().for_each(|e| self.effect(now, e));
+        effects.into_iter().for_each(|e| self.apply_effect(now, e));
     }
 
-    pub(super) fn effect(&mut self, now: Micros, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, now: Micros, effect: Effect) {
         let own = |h: Holder| h.incarnation == self.incarnation;
         match effect {
             Effect::Registered(h, asked) => {
-                self.renewed.insert(h, now);
+                self.renewals_seen.insert(h, now);
                 if own(h) {
                     let until = asked + self.config.lease;
                     if until > now && self.lease.is_none() {
@@ -37,7 +37,7 @@
                 }
             }
             Effect::Renewed(h, asked) => {
-                self.renewed.insert(h, now);
+                self.renewals_seen.insert(h, now);
                 if let Some((mine, until)) = &mut self.lease
                     && *mine == h
                 {
@@ -45,27 +45,27 @@
                 }
             }
             Effect::Ended(h) => {
-                self.renewed.remove(&h);
+                self.renewals_seen.remove(&h);
                 if self.lease.is_some_and(|(mine, _)| mine == h) {
                     self.lease = None;
                     self.register_at = now;
-                    self.lose(h);
+                    self.release_requests(h);
                 }
                 self.events.push_back(FleetEvent::LeaseEnded(h));
             }
             Effect::Changed(part) => self.events.push_back(FleetEvent::StateChanged(part)),
-            Effect::Work(e) => self.work(e),
+            Effect::Work(e) => self.apply_request_effect(e),
         }
     }
 
     /// Handles an effect on an in-flight request.
-    fn work(&mut self, effect: ledger::Effect) {
+    fn apply_request_effect(&mut self, effect: ledger::Effect) {
         use ledger::Effect;
         let own = |h: Holder| h.incarnation == self.incarnation;
         match effect {
             Effect::Opened(h, ask) if own(h) => {
                 if self.lease.is_some_and(|(mine, _)| mine == h) {
-                    self.mine.insert(ask);
+                    self.owned.insert(ask);
                     self.events.push_back(FleetEvent::Opened(ask));
                 }
             }
@@ -77,12 +77,12 @@
             Effect::Claimed { ask, from, by } => {
                 let mine = own(by) && self.lease.is_some_and(|(h, _)| h == by);
                 if mine {
-                    self.mine.insert(ask);
+                    self.owned.insert(ask);
                 }
                 self.events.push_back(FleetEvent::Reassigned { ask, from, by, mine });
             }
             Effect::Closed(ask, end) => {
-                self.mine.remove(&ask);
+                self.owned.remove(&ask);
                 self.events.push_back(FleetEvent::Closed(ask, end));
             }
         }
@@ -90,25 +90,25 @@
 
     /// Handles a snapshot that replaced the state: derives this peer's lease and requests from it, as the effects of the
     /// skipped entries were not seen.
-    pub(super) fn restored(&mut self, now: Micros) {
+    pub(super) fn apply_snapshot(&mut self, now: Micros) {
         let Some(state) = self.group.as_ref().map(Group::state) else { return };
         self.events
             .extend([FleetEvent::StateChanged(StateKind::Plan), FleetEvent::StateChanged(StateKind::Policy)]);
         let alive = state.alive().clone();
-        self.renewed = alive.iter().map(|h| (*h, now)).collect();
+        self.renewals_seen = alive.iter().map(|h| (*h, now)).collect();
         let Some((holder, _)) = self.lease else { return };
         if !alive.contains(&holder) {
             self.lease = None;
             self.register_at = now;
-            return self.lose(holder);
+            return self.release_requests(holder);
         }
         let owned: BTreeSet<u64> = state.work().owned(holder).collect();
-        for ask in self.mine.difference(&owned) {
+        for ask in self.owned.difference(&owned) {
             self.events.push_back(FleetEvent::Closed(*ask, Outcome::Removed));
         }
-        for &ask in owned.difference(&self.mine) {
+        for &ask in owned.difference(&self.owned) {
             self.events.push_back(FleetEvent::Reassigned { ask, from: holder, by: holder, mine: true });
         }
-        self.mine = owned;
+        self.owned = owned;
     }
 }
--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -8,18 +8,18 @@
 const HURRY: Micros = 200_000;
 
 impl Fleet {
-    pub(super) fn lose(&mut self, holder: Holder) {
-        self.mine.clear();
+    pub(super) fn release_requests(&mut self, holder: Holder) {
+        self.owned.clear();
         self.events.push_back(FleetEvent::LeaseLost(holder));
     }
 
     /// Drops an expired lease, so that this peer stops acting under it before others expire it.
-    pub(super) fn check_lease(&mut self, now: Micros) {
+    pub(super) fn drop_expired_lease(&mut self, now: Micros) {
         if let Some((holder, until)) = self.lease
             && until <= now
         {
             self.lease = None;
-            self.lose(holder);
+            self.release_requests(holder);
             // Queued commands were issued under that lease. Leave returns it, as other peers may still count it.
             self.queue.clear();
             self.queue.push(Command::Leave(holder));
@@ -28,7 +28,7 @@
         }
     }
 
-    pub(super) fn keep_lease(&mut self, now: Micros) {
+    pub(super) fn maintain_lease(&mut self, now: Micros) {
         let Some(group) = &self.group else { return };
         let every = self.config.lease / RENEWALS;
         match self.lease {
@@ -48,7 +48,7 @@
     }
 
     /// As leader, proposes the expiry of leases that were not renewed in time, and sweeps.
-    pub(super) fn lead(&mut self, now: Micros) {
+    pub(super) fn run_leader_duties(&mut self, now: Micros) {
         let Some(group) = self.group.as_ref().filter(|g| g.is_leader()) else { return };
         let state = group.state();
         let others = state.alive().iter().filter(|h| h.incarnation != self.incarnation);
@@ -56,7 +56,7 @@
         // A pending change of policy depends on time limits, so the leader sweeps more often.
         let (timed, hurry) = (state.keeps_time(), state.policy().pending().is_some());
         for (holder, renewals) in alive {
-            let seen = self.renewed.entry(holder).or_insert(now);
+            let seen = self.renewals_seen.entry(holder).or_insert(now);
             if now > *seen + self.config.lease + self.config.margin {
                 *seen = now;
                 self.queue.push(Command::Expire(holder, renewals));
--- a/crates/fleet/src/fleet/joining.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -8,13 +8,19 @@
         match message {
             Message::Hello { incarnation, fleet, formed, policy, .. } => {
                 let id = fleet.as_ref().map(|f| f.id);
-                self.greeted(now, from, Heard { incarnation, fleet: id, policy, at: now }, fleet, formed);
+                self.handle_hello(
+                    now,
+                    from,
+                    PeerStatus { incarnation, fleet: id, policy, at: now },
+                    fleet,
+                    formed,
+                );
             }
             Message::Log(fleet, bytes) => {
                 if self.group.is_none()
-                    && let Some(other) = self.other.take_if(|o| o.id == fleet)
+                    && let Some(other) = self.joinable.take_if(|o| o.id == fleet)
                 {
-                    self.take_part(now, other);
+                    self.join(now, other);
                 }
                 if let Some(group) = self.group.as_mut().filter(|g| g.founding.id == fleet) {
                     group.step(&bytes);
@@ -23,14 +29,14 @@
             Message::Fetch(ask) => self.events.push_back(FleetEvent::ResultRequested(from, ask)),
             Message::Result(ask, pages) => self.events.push_back(FleetEvent::ResultReceived(ask, pages)),
         }
-        self.digest(now);
+        self.process_effects(now);
     }
 
-    pub(super) fn greeted(
+    pub(super) fn handle_hello(
         &mut self,
         now: Micros,
         from: Peer,
-        heard: Heard,
+        heard: PeerStatus,
         fleet: Option<Founding>,
         formed: bool,
     ) {
@@ -39,10 +45,10 @@
             return;
         }
         let id = fleet.as_ref().map(|f| f.id);
-        self.heard.insert(from, heard);
+        self.peers_heard.insert(from, heard);
         let own = self.group.as_ref().map(|g| g.founding.id);
         if own.is_some() && (id.is_none() || id == own) {
-            self.asking.insert(from, incarnation);
+            self.joining.insert(from, incarnation);
         }
         let Some(fleet) = fleet else { return };
         let unformed = self.group.as_ref().is_some_and(|g| !g.formed());
@@ -53,23 +59,23 @@
         let named = waits && id != own && fleet.voters.contains(&self.incarnation);
         if named || unformed && formed && id != own {
             // Two fleets were founded at once and the other one has formed.
-            self.give_up();
+            self.abandon();
         }
         if self.group.is_none() {
             match fleet.voters.contains(&self.incarnation) {
-                true => self.take_part(now, fleet),
-                false => self.other = Some(fleet),
+                true => self.join(now, fleet),
+                false => self.joinable = Some(fleet),
             }
         }
     }
 
-    pub(super) fn others(&self) -> impl Iterator<Item = Peer> + '_ {
+    pub(super) fn other_peers(&self) -> impl Iterator<Item = Peer> + '_ {
         self.config.peers.iter().copied().filter(|p| *p != self.config.me)
     }
 
-    pub(super) fn fresh(&self, now: Micros) -> impl Iterator<Item = (Peer, Heard)> + '_ {
+    pub(super) fn recently_heard(&self, now: Micros) -> impl Iterator<Item = (Peer, PeerStatus)> + '_ {
         let oldest = now.saturating_sub(FRESH * HELLO * self.config.tick);
-        self.heard.iter().filter(move |(_, h)| h.at >= oldest).map(|(p, h)| (*p, *h))
+        self.peers_heard.iter().filter(move |(_, h)| h.at >= oldest).map(|(p, h)| (*p, *h))
     }
 
     pub(super) fn majority(&self) -> usize {
@@ -78,11 +84,11 @@
 
     /// Founds a fleet if a majority of the peers has none and this is the lowest of them. Only one such fleet can form, as
     /// any two majorities share a peer and a peer takes part in one founding at a time.
-    pub(super) fn found(&mut self, now: Micros) {
-        if now < self.begun + 2 * HELLO * self.config.tick {
+    pub(super) fn found_fleet(&mut self, now: Micros) {
+        if now < self.started_at + 2 * HELLO * self.config.tick {
             return;
         }
-        let fresh: BTreeMap<Peer, Heard> = self.fresh(now).collect();
+        let fresh: BTreeMap<Peer, PeerStatus> = self.recently_heard(now).collect();
         let first = fresh.keys().all(|p| *p > self.config.me);
         let free = fresh.values().all(|h| h.fleet.is_none());
         if !first || !free || fresh.len() + 1 < self.majority() {
@@ -97,28 +103,28 @@
         let policy = fresh.values().map(|h| h.policy).fold(self.policy, u64::max);
         let founding =
             Founding { id: self.rng.next_u64(), voters, limits: self.config.limits, at: now, policy };
-        self.take_part(now, founding);
+        self.join(now, founding);
         self.hello_at = now;
     }
 
-    pub(super) fn take_part(&mut self, now: Micros, founding: Founding) {
+    pub(super) fn join(&mut self, now: Micros, founding: Founding) {
         let id = founding.id;
         if let Ok(group) = Group::new(founding, self.incarnation, self.config.tick, now) {
-            (self.group, self.other) = (Some(group), None);
-            (self.leaderless, self.hello_at) = (Some(now), now);
+            (self.group, self.joinable) = (Some(group), None);
+            (self.leaderless_since, self.hello_at) = (Some(now), now);
             self.events.push_back(FleetEvent::FleetJoined(id));
         }
     }
 
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn abandon(&mut self) {
         let Some(group) = self.group.take() else { return };
         if let Some((holder, _)) = self.lease.take() {
-            self.lose(holder);
+            self.release_requests(holder);
         }
-        (self.leader, self.leaderless) = (None, None);
-        self.renewed.clear();
+        (self.leader, self.leaderless_since) = (None, None);
+        self.renewals_seen.clear();
         self.queue.clear();
-        self.asking.clear();
+        self.joining.clear();
         // Rejoins as a new incarnation, as the votes of this one belong to the old fleet. An incarnation that never
         // became a member has not voted.
         if group.begun() {
@@ -127,19 +133,19 @@
         self.events.push_back(FleetEvent::FleetAbandoned(group.founding.id));
     }
 
-    pub(super) fn give_up_if_lost(&mut self, now: Micros) {
+    pub(super) fn abandon_if_lost(&mut self, now: Micros) {
         let Some(group) = &self.group else { return };
-        match (group.leader(), self.leaderless) {
-            (Some(_), _) => self.leaderless = None,
-            (None, None) => self.leaderless = Some(now),
+        match (group.leader(), self.leaderless_since) {
+            (Some(_), _) => self.leaderless_since = None,
+            (None, None) => self.leaderless_since = Some(now),
             // The fleet that it joined no longer exists, or the one that it founded never formed.
-            (None, Some(since)) if !group.formed() && now > since + self.config.give_up / 2 => self.give_up(),
+            (None, Some(since)) if !group.formed() && now > since + self.config.give_up / 2 => self.abandon(),
             (None, Some(since)) if now > since + self.config.give_up => {
                 // A majority has no fleet, or one that was founded while this peer was cut off.
                 let own = Some(group.founding.id);
-                let anew = self.fresh(now).filter(|(_, h)| h.fleet != own).count();
+                let anew = self.recently_heard(now).filter(|(_, h)| h.fleet != own).count();
                 if anew >= self.majority() {
-                    self.give_up();
+                    self.abandon();
                 }
             }
             _ => {}
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -4,9 +4,9 @@
 //! renewal was applied from the log at all others. So the holder stops acting before any other peer may expire the lease.
 
 use crate::group::Group;
-mod digest;
-mod joining;
+mod effects;
 mod lease;
+mod membership;
 mod requests;
 mod types;
 
@@ -21,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct PeerStatus {
     incarnation: Incarnation,
     fleet: Option<u64>,
     policy: u64,
@@ -44,24 +44,24 @@
     rng: Pcg64Mcg,
     group: Option<Group>,
     /// A fleet of other peers, which this one joins when its leader sends a log message.
-    other: Option<Founding>,
-    heard: BTreeMap<Peer, Heard>,
+    joinable: Option<Founding>,
+    peers_heard: BTreeMap<Peer, PeerStatus>,
     /// The incarnations that ask for membership.
-    asking: BTreeMap<Peer, Incarnation>,
-    begun: Micros,
+    joining: BTreeMap<Peer, Incarnation>,
+    started_at: Micros,
     hello_at: Micros,
     lease: Option<(Holder, Micros)>,
     renew_at: Micros,
     register_at: Micros,
     /// When the last renewal of each lease was applied here.
-    renewed: BTreeMap<Holder, Micros>,
+    renewals_seen: BTreeMap<Holder, Micros>,
     sweep_at: Micros,
-    mine: BTreeSet<u64>,
+    owned: BTreeSet<u64>,
     queue: Vec<Command>,
     flush_at: Option<Micros>,
     leader: Option<Peer>,
-    leaderless: Option<Micros>,
-    last: Micros,
+    leaderless_since: Option<Micros>,
+    last_tick: Micros,
     /// The number of the policy that this dispatcher applies, set by the caller.
     pub policy: u64,
     /// Outgoing messages, for the caller to send.
@@ -79,22 +79,22 @@
             // Mixed with the incarnation, so that fleets founded by different incarnations get different ids.
             rng: Pcg64Mcg::seed_from_u64(seed ^ incarnation.rotate_left(17)),
             group: None,
-            other: None,
-            heard: BTreeMap::new(),
-            asking: BTreeMap::new(),
-            begun: now,
+            joinable: None,
+            peers_heard: BTreeMap::new(),
+            joining: BTreeMap::new(),
+            started_at: now,
             hello_at: now,
             lease: None,
             renew_at: now,
             register_at: now,
-            renewed: BTreeMap::new(),
+            renewals_seen: BTreeMap::new(),
             sweep_at: now,
-            mine: BTreeSet::new(),
+            owned: BTreeSet::new(),
             queue: Vec::new(),
             flush_at: None,
             leader: None,
-            leaderless: Some(now),
-            last: now,
+            leaderless_since: Some(now),
+            last_tick: now,
             policy: 0,
             messages: Vec::new(),
             events: VecDeque::new(),
@@ -150,7 +150,7 @@
 
     /// Whether this peer owns a request and may act on it now.
     pub fn owns(&self, now: Micros, ask: u64) -> bool {
-        self.holds(now).is_some() && self.mine.contains(&ask)
+        self.holds(now).is_some() && self.owned.contains(&ask)
     }
 
     /// The message that announces this peer, sent first on every connection.
@@ -180,34 +180,34 @@
     /// Advances the time to `now`.
     pub fn tick(&mut self, now: Micros) {
         // After a pause of this process, renewals of others may be unread: don't count the pause against them.
-        if now > self.last + self.config.lease / 2 {
-            self.renewed.values_mut().for_each(|t| *t = now);
+        if now > self.last_tick + self.config.lease / 2 {
+            self.renewals_seen.values_mut().for_each(|t| *t = now);
         }
-        self.last = now;
-        self.check_lease(now);
+        self.last_tick = now;
+        self.drop_expired_lease(now);
         if self.hello_at <= now {
             self.hello_at = now + HELLO * self.config.tick;
             let hello = self.hello();
-            let others: Vec<Peer> = self.others().collect();
+            let others: Vec<Peer> = self.other_peers().collect();
             self.messages.extend(others.into_iter().map(|p| (p, hello.clone())));
         }
         match &mut self.group {
-            None => self.found(now),
+            None => self.found_fleet(now),
             Some(group) => {
                 group.tick(now);
                 if group.is_leader() {
-                    let asking: Vec<Incarnation> = self.asking.values().copied().collect();
+                    let asking: Vec<Incarnation> = self.joining.values().copied().collect();
                     asking.into_iter().for_each(|incarnation| group.seat(incarnation));
                 }
             }
         }
-        self.digest(now);
-        self.lead(now);
-        self.keep_lease(now);
+        self.process_effects(now);
+        self.run_leader_duties(now);
+        self.maintain_lease(now);
         if self.flush_at.is_some_and(|t| t <= now) {
             self.flush(now);
         }
-        self.give_up_if_lost(now);
+        self.abandon_if_lost(now);
     }
 
     /// Proposes the queued commands as one batch; call it after handling all input of one moment.
@@ -221,7 +221,7 @@
         if !self.queue.is_empty() {
             let batch = std::mem::take(&mut self.queue);
             group.propose(&batch, now);
-            self.digest(now);
+            self.process_effects(now);
         }
     }
 
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -34,7 +34,7 @@
     /// Ends a request. If its `Open` is still queued and nothing has to be kept, that command is removed instead.
     pub fn close(&mut self, now: Micros, ask: u64, end: Outcome) {
         let Some((holder, _)) = self.lease else { return };
-        self.mine.remove(&ask);
+        self.owned.remove(&ask);
         let opened = self
             .queue
             .iter()
@@ -60,7 +60,7 @@
     /// For how long no leader has been known; `None` while there is one.
     pub fn leaderless_for(&self, now: Micros) -> Option<Micros> {
         let led = self.group.as_ref().is_some_and(|g| g.leader().is_some());
-        (!led).then(|| now.saturating_sub(self.leaderless.unwrap_or(now)))
+        (!led).then(|| now.saturating_sub(self.leaderless_since.unwrap_or(now)))
     }
 
     /// Asks the owner of a request for its result.
