--- a/crates/fleet/src/plan/lead.rs
+++ b/crates/fleet/src/plan/lead.rs
@@ -6,9 +6,9 @@
 
 /// An executor as a dispatcher sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Machine {
+pub struct ExecutorInfo {
     /// Index of its zone.
-    pub hall: usize,
+    pub zone: usize,
     /// Its number of cores.
     pub cores: f64,
     /// Whether it is listed and accepts work, apart from bans by the plan.
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
     /// Minimum number of executors in service, over all zones.
-    pub machines: usize,
+    pub min_executors: usize,
     /// Minimum ratio of cores in service to busy cores.
     pub headroom: f64,
     /// Maximum number of executors missing at the same time.
@@ -42,9 +42,9 @@
     /// This many executors are missing already, which is the limit.
     AtOnce(usize),
     /// Another executor of this zone is missing, and too few would remain there.
-    Hall(usize),
+    Zone(usize),
     /// Only this many executors would remain.
-    Machines(usize),
+    Executors(usize),
     /// Cores that would remain, and cores needed.
     Cores(f64, f64),
 }
@@ -53,7 +53,7 @@
 /// current observations. `busy` is the number of busy cores in total, `alive` the current lease holders.
 pub fn lead(
     plan: &Plan,
-    machines: &BTreeMap<String, Machine>,
+    executors: &BTreeMap<String, ExecutorInfo>,
     busy: f64,
     alive: &BTreeSet<Holder>,
     budget: &Budget,
@@ -69,7 +69,7 @@
                 }
             }
             Step::Out(since) => {
-                let back = machines.get(id).is_some_and(|m| m.up && m.started > *since);
+                let back = executors.get(id).is_some_and(|m| m.up && m.started > *since);
                 if back {
                     commands.push(Command::Back(id.into(), now));
                 } else if now > since + budget.out_limit {
@@ -80,7 +80,7 @@
             _ => {}
         }
     }
-    if let Ok(id) = may_begin(plan, machines, busy, budget) {
+    if let Ok(id) = may_begin(plan, executors, busy, budget) {
         commands.push(Command::Begin(id, now, plan.version));
     }
     commands
@@ -89,7 +89,7 @@
 /// The executor whose maintenance may start now, or what blocks it.
 pub fn may_begin(
     plan: &Plan,
-    machines: &BTreeMap<String, Machine>,
+    executors: &BTreeMap<String, ExecutorInfo>,
     busy: f64,
     budget: &Budget,
 ) -> Result<String, Holdup> {
@@ -98,22 +98,23 @@
     if missing.len() >= budget.at_once {
         return Err(Holdup::AtOnce(missing.len()));
     }
-    let left = |(id, m): &(&String, &Machine)| m.up && id.as_str() != next && !missing.contains(&id.as_str());
-    let serving: Vec<(&String, &Machine)> = machines.iter().filter(left).collect();
-    if serving.len() < budget.machines {
-        return Err(Holdup::Machines(serving.len()));
+    let left =
+        |(id, m): &(&String, &ExecutorInfo)| m.up && id.as_str() != next && !missing.contains(&id.as_str());
+    let serving: Vec<(&String, &ExecutorInfo)> = executors.iter().filter(left).collect();
+    if serving.len() < budget.min_executors {
+        return Err(Holdup::Executors(serving.len()));
     }
     let (cores, needed) = (serving.iter().map(|(_, m)| m.cores).sum::<f64>(), busy * budget.headroom);
     if cores < needed {
         return Err(Holdup::Cores(cores, needed));
     }
     // A zone in which an executor is already missing keeps more than half of its executors.
-    if let Some(hall) = machines.get(next).map(|m| m.hall) {
-        let of_hall = |id: &str| machines.get(id).is_some_and(|m| m.hall == hall);
-        let all = machines.values().filter(|m| m.hall == hall).count();
-        let gone = missing.iter().filter(|id| of_hall(id)).count();
+    if let Some(zone) = executors.get(next).map(|m| m.zone) {
+        let in_zone = |id: &str| executors.get(id).is_some_and(|m| m.zone == zone);
+        let all = executors.values().filter(|m| m.zone == zone).count();
+        let gone = missing.iter().filter(|id| in_zone(id)).count();
         if gone > 0 && 2 * (gone + 1) >= all {
-            return Err(Holdup::Hall(hall));
+            return Err(Holdup::Zone(zone));
         }
     }
     Ok(next.to_string())
--- a/crates/fleet/src/plan/mod.rs
+++ b/crates/fleet/src/plan/mod.rs
@@ -6,7 +6,7 @@
 
 mod lead;
 
-pub use lead::{Budget, Holdup, Machine, lead, may_begin};
+pub use lead::{Budget, ExecutorInfo, Holdup, lead, may_begin};
 
 use crate::{Holder, Micros};
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/schema/capacity.rs
+++ b/crates/fleet/src/schema/capacity.rs
@@ -3,7 +3,7 @@
 //! and the reason is reported.
 
 use super::{Schema, Version};
-use crate::plan::{Budget, Machine, Plan, Step};
+use crate::plan::{Budget, ExecutorInfo, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -68,16 +68,16 @@
     id: &str,
     schema: &Schema,
     plan: &Plan,
-    machines: &BTreeMap<String, Machine>,
+    executors: &BTreeMap<String, ExecutorInfo>,
     demand: &BTreeMap<Span, Use>,
     budget: &Budget,
 ) -> Result<(), Short> {
     let starts = schema.starts(None);
     let stays = |m: &str| m != id && !plan.step(m).is_some_and(Step::missing);
     let mut cores: BTreeMap<Version, f64> = BTreeMap::new();
-    for (m, machine) in machines.iter().filter(|(m, machine)| machine.up && stays(m)) {
+    for (m, executor) in executors.iter().filter(|(m, executor)| executor.up && stays(m)) {
         if let Some(version) = schema.executors().version(m) {
-            *cores.entry(version).or_default() += machine.cores;
+            *cores.entry(version).or_default() += executor.cores;
         }
     }
     let clipped = |&(a, b): &Span| {
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -1,7 +1,7 @@
 //! The maintenance plan under random orders of commands, faults, aborts and leaders with outdated state.
 
 use fleet::Machine as _;
-use fleet::plan::{Budget, Command, Machine, Plan, Step, lead, may_begin};
+use fleet::plan::{Budget, Command, ExecutorInfo, Plan, Step, lead, may_begin};
 use fleet::{Holder, Micros, incarnation};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
@@ -12,7 +12,7 @@
 
 fn budget(at_once: usize) -> Budget {
     Budget {
-        machines: 4,
+        min_executors: 4,
         headroom: 1.3,
         at_once,
         drain_limit: 2_000 * MS,
@@ -21,8 +21,8 @@
     }
 }
 
-fn machines() -> BTreeMap<String, Machine> {
-    let one = |n: usize| (format!("m{n}"), Machine { hall: n % 2, cores: 8.0, up: true, started: 0 });
+fn executors() -> BTreeMap<String, ExecutorInfo> {
+    let one = |n: usize| (format!("m{n}"), ExecutorInfo { zone: n % 2, cores: 8.0, up: true, started: 0 });
     (0..8).map(one).collect()
 }
 
@@ -46,7 +46,7 @@
 fn world(seed: u64, at_once: usize) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = |below: u64| rng.next_u64() % below;
-    let (budget, mut machines, mut plan) = (budget(at_once), machines(), Plan::default());
+    let (budget, mut executors, mut plan) = (budget(at_once), executors(), Plan::default());
     let alive: BTreeSet<Holder> = (1..=3).map(holder).collect();
     let (mut now, mut back): (Micros, BTreeMap<String, Option<Micros>>) = (1_000_000 * MS, BTreeMap::new());
     let mut stale = plan.clone();
@@ -75,7 +75,7 @@
         // Commands come from the current leader or from a former one with an outdated plan.
         let view = if draw(5) == 0 { stale.clone() } else { plan.clone() };
         let busy = 8.0 * draw(5) as f64;
-        commands.extend(lead(&view, &machines, busy, &alive, &budget, now));
+        commands.extend(lead(&view, &executors, busy, &alive, &budget, now));
         if draw(10) == 0 {
             stale = plan.clone();
         }
@@ -99,11 +99,11 @@
             if begins.is_some() {
                 let missing = |p: &Plan| p.steps().filter(|(_, s)| s.missing()).count();
                 assert!(missing(&plan) <= budget.at_once, "seed {seed}: {plan:?}");
-                let serving = machines
+                let serving = executors
                     .iter()
                     .filter(|(id, m)| m.up && !plan.step(id).is_some_and(Step::missing))
                     .count();
-                assert!(serving >= budget.machines, "seed {seed}: the budget is broken: {plan:?}");
+                assert!(serving >= budget.min_executors, "seed {seed}: the budget is broken: {plan:?}");
             }
             if !asked {
                 for (id, step) in plan.steps() {
@@ -115,7 +115,7 @@
         for (id, step) in plan.steps() {
             match step {
                 Step::Out(_) if !back.contains_key(id) => {
-                    if let Some(m) = machines.get_mut(id) {
+                    if let Some(m) = executors.get_mut(id) {
                         m.up = false;
                     }
                     let never = draw(10) == 0;
@@ -130,7 +130,7 @@
         for (id, at) in &back {
             let mended = plan.step(id).is_some_and(|s| matches!(s, Step::Warms(_)));
             if (at.is_some_and(|t| t <= now) || mended)
-                && let Some(m) = machines.get_mut(id).filter(|m| !m.up)
+                && let Some(m) = executors.get_mut(id).filter(|m| !m.up)
             {
                 (m.up, m.started) = (true, now);
             }
@@ -170,12 +170,12 @@
 
 #[test]
 fn what_holds_a_machine_up_is_told() {
-    let (machines, budget) = (machines(), budget(1));
+    let (executors, budget) = (executors(), budget(1));
     let mut plan = Plan::default();
     assert!(plan.apply(Command::Ask(vec!["m1".into(), "m2".into()]), &BTreeSet::new()));
     assert!(!plan.apply(Command::Ask(vec!["m2".into()]), &BTreeSet::new()), "planned already");
-    assert_eq!(may_begin(&plan, &machines, 10.0, &budget), Ok("m1".into()));
-    assert!(may_begin(&plan, &machines, 50.0, &budget).is_err(), "56 cores are left, 65 are needed");
-    let few: BTreeMap<String, Machine> = machines.into_iter().take(4).collect();
+    assert_eq!(may_begin(&plan, &executors, 10.0, &budget), Ok("m1".into()));
+    assert!(may_begin(&plan, &executors, 50.0, &budget).is_err(), "56 cores are left, 65 are needed");
+    let few: BTreeMap<String, ExecutorInfo> = executors.into_iter().take(4).collect();
     assert!(may_begin(&plan, &few, 1.0, &budget).is_err(), "three would be left");
 }
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -153,13 +153,14 @@
 fn an_executor_stays_while_a_version_would_be_short_without_it() {
     let alive = BTreeSet::new();
     let s = fleet(true, &alive);
-    let machine = |_| plan::Machine { hall: 0, cores: 8.0, up: true, started: 0 };
-    let machines: BTreeMap<String, _> = (0..4).map(|n| (format!("m{n}"), machine(n))).collect();
-    let budget = Budget { machines: 1, headroom: 1.25, at_once: 1, drain_limit: S, out_limit: S, ramp: S };
+    let executor = |_| plan::ExecutorInfo { zone: 0, cores: 8.0, up: true, started: 0 };
+    let executors: BTreeMap<String, _> = (0..4).map(|n| (format!("m{n}"), executor(n))).collect();
+    let budget =
+        Budget { min_executors: 1, headroom: 1.25, at_once: 1, drain_limit: S, out_limit: S, ramp: S };
     let both = ((7, 8), Use { busy: 12.0, sessions: 9 });
     let ask = |id: &str, plan: &Plan, old: f64, more: Use| {
         let demand = [((1, 7), Use { busy: old, sessions: 1 }), ((8, 8), more), both].into();
-        may_leave(id, &s, plan, &machines, &demand, &budget)
+        may_leave(id, &s, plan, &executors, &demand, &budget)
     };
     let (none, mut plan) = (Use::default(), Plan::default());
     assert_eq!(ask("m3", &plan, 6.4, none), Ok(()));
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -106,7 +106,7 @@
         let peers = Peers::bind(o.listen, &others, o.most_frame as usize, now, poll)?;
         let takeover = Takeover::new(Fleet::new(config, seed, now), bounds);
         let budget = Budget {
-            machines: o.min_executors,
+            min_executors: o.min_executors,
             headroom: o.headroom,
             at_once: o.at_once,
             drain_limit: micros(o.drain_limit),
--- a/src/net/maintenance/format.rs
+++ b/src/net/maintenance/format.rs
@@ -32,8 +32,8 @@
     match why {
         Holdup::Nothing => "nothing waits".into(),
         Holdup::AtOnce(n) => format!("{n} out already"),
-        Holdup::Hall(hall) => format!("hall {hall} would fall short"),
-        Holdup::Machines(n) => format!("{n} machines would be left"),
+        Holdup::Zone(zone) => format!("hall {zone} would fall short"),
+        Holdup::Executors(n) => format!("{n} machines would be left"),
         Holdup::Cores(left, needed) => format!("{left:.0} cores would be left, {needed:.0} are needed"),
     }
 }
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -5,7 +5,7 @@
 use crate::codec::coordinator::State;
 use crate::dispatch::WatchEvent;
 use crate::net::DispatcherServer;
-use fleet::plan::{self, Command, Machine, Plan, Step};
+use fleet::plan::{self, Command, ExecutorInfo, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often the plan is looked at.
@@ -16,10 +16,10 @@
         self.in_flight.as_ref()?.takeover.fleet.agreed().map(fleet::Agreed::plan)
     }
 
-    pub(super) fn machines(&self) -> BTreeMap<String, Machine> {
+    pub(super) fn machines(&self) -> BTreeMap<String, ExecutorInfo> {
         let Some(in_flight) = &self.in_flight else { return BTreeMap::new() };
-        let machine = |t: &crate::codec::coordinator::Target| Machine {
-            hall: self.names.zones.get(&t.az).copied().unwrap_or(0),
+        let machine = |t: &crate::codec::coordinator::Target| ExecutorInfo {
+            zone: self.names.zones.get(&t.az).copied().unwrap_or(0),
             cores: in_flight.cores_of(self.names.kinds.get(&t.model).copied()),
             up: t.state == State::Up && !self.bans.banned(&t.uid),
             started: t.boot_ms.saturating_mul(1_000),
