--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -112,7 +112,7 @@
         let peers = Peers::bind(settings.listen, &others, settings.most_frame as usize, now, poll)?;
         let takeover = Takeover::new(Fleet::new(config, seed, now), bounds);
         let budget = Budget {
-            machines: settings.min_executors,
+            min_executors: settings.min_executors,
             headroom: settings.headroom,
             at_once: settings.at_once,
             drain_limit: micros(settings.drain_limit),
