--- a/src/balancer/admission/rates.rs
+++ b/src/balancer/admission/rates.rs
@@ -3,7 +3,7 @@
 use super::Rule;
 use super::rule::TIER_STEP;
 use crate::api::{ClassId, TenantId};
-use crate::balancer::load::is_open_to;
+use crate::balancer::load::is_pool_eligible;
 use crate::state::Balancer;
 
 /// Burst of a token bucket of thread-seconds, in seconds at its rate.
@@ -51,7 +51,7 @@
             let pressure = rule.class.map_or(self.pressure.highest, |class| self.pressure.of(class));
             rule.set_open_fraction(pressure, delay);
             let full_rate =
-                if rule.over_quota { self.quota(rule.tenant) } else { self.open_cores(rule.class) };
+                if rule.over_quota { self.quota(rule.tenant) } else { self.eligible_cores(rule.class) };
             let burst_s = if rule.over_quota { 0.0 } else { BURST_S };
             rule.set_rate(self.load.traffic_share * full_rate, burst_s, self.now);
         }
@@ -76,8 +76,8 @@
     }
 
     /// Cores of the executors that are eligible for a class.
-    fn open_cores(&self, class: Option<ClassId>) -> f64 {
-        let is_open = |pool: u64| class.is_none_or(|class| is_open_to(pool, class));
-        self.executor_index.cores(&self.settings.kinds, is_open)
+    fn eligible_cores(&self, class: Option<ClassId>) -> f64 {
+        let is_eligible = |pool: u64| class.is_none_or(|class| is_pool_eligible(pool, class));
+        self.executor_index.cores(&self.settings.kinds, is_eligible)
     }
 }
--- a/src/balancer/load/mod.rs
+++ b/src/balancer/load/mod.rs
@@ -10,7 +10,7 @@
 mod pressure;
 
 use pool::PoolLoad;
-pub(super) use pool::is_open_to;
+pub(super) use pool::is_pool_eligible;
 pub(crate) use pressure::Pressure;
 
 use super::cost_model::LEARNING_RATE;
--- a/src/balancer/load/pool.rs
+++ b/src/balancer/load/pool.rs
@@ -84,7 +84,7 @@
 }
 
 /// Whether the executors of a pool are eligible for a class; a pool is a bit mask of classes.
-pub(in crate::balancer) fn is_open_to(pool: u64, class: ClassId) -> bool {
+pub(in crate::balancer) fn is_pool_eligible(pool: u64, class: ClassId) -> bool {
     pool >> class & 1 == 1
 }
 
--- a/src/balancer/load/pressure.rs
+++ b/src/balancer/load/pressure.rs
@@ -3,7 +3,7 @@
 //! At 0 all rules are open; an ordinary overload reaches about 1. The pressure of a class is the saturation
 //! of the least saturated pool that is eligible for it, or the lateness of its requests if that is higher.
 
-use super::{PoolLoad, SPARE_CAPACITY_LOAD, pool::is_open_to};
+use super::{PoolLoad, SPARE_CAPACITY_LOAD, pool::is_pool_eligible};
 use crate::api::{Class, ClassId};
 use crate::balancer::TICK_US;
 use crate::state::Balancer;
@@ -98,8 +98,8 @@
     fn update(&mut self, classes: &[Class], pools: &BTreeMap<u64, PoolLoad>, lateness_weight: f64) {
         for id in 0..classes.len() {
             let by_lateness = self.lateness_of_peers(&classes[id], classes) * lateness_weight;
-            let open = pools.iter().filter(|(pool, _)| is_open_to(**pool, id));
-            let by_load = open.map(|(_, load)| load.saturation).reduce(f64::min).unwrap_or(0.0);
+            let eligible = pools.iter().filter(|(pool, _)| is_pool_eligible(**pool, id));
+            let by_load = eligible.map(|(_, load)| load.saturation).reduce(f64::min).unwrap_or(0.0);
             self.classes[id].pressure = by_load.max(by_lateness).clamp(0.0, MAX_PRESSURE);
         }
         self.highest = self.classes.iter().map(|class| class.pressure).fold(0.0, f64::max);
--- a/src/balancer/selection/affinity.rs
+++ b/src/balancer/selection/affinity.rs
@@ -63,11 +63,11 @@
 
     /// The executors from which the preferred ones of a table group are chosen; the same on all dispatchers.
     fn affinity_candidates(&self, class: ClassId, group: u64) -> Vec<usize> {
-        let is_open = |pool: u64| pool >> class & 1 == 1;
-        if self.executor_index.count(Part::All, is_open) <= SAMPLE_SIZE {
-            return self.executor_index.all(is_open);
+        let is_eligible = |pool: u64| pool >> class & 1 == 1;
+        if self.executor_index.count(Part::All, is_eligible) <= SAMPLE_SIZE {
+            return self.executor_index.all(is_eligible);
         }
-        self.executor_index.window(Part::All, is_open, splitmix64(group), SAMPLE_SIZE)
+        self.executor_index.window(Part::All, is_eligible, splitmix64(group), SAMPLE_SIZE)
     }
 
     /// Weight factor that keeps unrestricted classes away from executors that restricted classes need.
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -75,9 +75,10 @@
     /// The candidates of a draw for a request, in table order: all executors of a small fleet, or else a
     /// sample of `sample_factor` times the usual size.
     fn candidates(&mut self, id: RequestId, sample_factor: usize) -> Vec<usize> {
-        let open_executors = self.executor_index.count(Part::All, self.open_to(&self.requests[&id]));
-        let mut chosen = if open_executors <= SAMPLE_SIZE {
-            self.executor_index.all(self.open_to(&self.requests[&id]))
+        let eligible_executors =
+            self.executor_index.count(Part::All, self.eligibility_filter(&self.requests[&id]));
+        let mut chosen = if eligible_executors <= SAMPLE_SIZE {
+            self.executor_index.all(self.eligibility_filter(&self.requests[&id]))
         } else {
             let (warm_chance, warming_chance) = (self.chance(), self.chance());
             self.sample(&self.requests[&id], sample_factor, warm_chance, warming_chance)
@@ -96,20 +97,22 @@
         warm_chance: f64,
         warming_chance: f64,
     ) -> Vec<usize> {
-        let is_open = self.open_to(request);
+        let is_eligible = self.eligibility_filter(request);
         let preferred = request.preferred_executors.iter().filter_map(|e| self.executors.position(*e));
         let tried = request.attempts.iter().map(|attempt| attempt.executor);
         let mut chosen: Vec<usize> = preferred.chain(tried).collect();
 
-        let subset_size = sample_factor * self.subset_size(self.executor_index.count(Part::Warm, &is_open));
-        let mut subset = self.executor_index.window(Part::Warm, &is_open, self.ring_position, subset_size);
+        let subset_size =
+            sample_factor * self.subset_size(self.executor_index.count(Part::Warm, &is_eligible));
+        let mut subset =
+            self.executor_index.window(Part::Warm, &is_eligible, self.ring_position, subset_size);
         let begin = (warm_chance * subset.len() as f64) as usize;
         subset.rotate_left(begin);
         subset.truncate(sample_factor * SAMPLE_SIZE);
         chosen.extend(subset);
 
         let from = (warming_chance * u64::MAX as f64) as u64;
-        chosen.extend(self.executor_index.window(Part::Warming, &is_open, from, SAMPLE_SIZE));
+        chosen.extend(self.executor_index.window(Part::Warming, &is_eligible, from, SAMPLE_SIZE));
         chosen
     }
 
@@ -120,7 +123,7 @@
     }
 
     /// Returns a predicate for the pools whose executors are eligible for a request.
-    fn open_to<'a>(&self, request: &'a Request) -> impl Fn(u64) -> bool + use<'a> {
+    fn eligibility_filter<'a>(&self, request: &'a Request) -> impl Fn(u64) -> bool + use<'a> {
         let class = &self.settings.classes[request.class];
         // A request keeps the placement constraints it was admitted with, even if the settings have changed
         // since.
