--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -121,7 +121,7 @@
     /// requests are open, it is rejected at once and not held.
     ///
     /// The caller that holds a request should call [`Dispatch::admit`] or [`Dispatch::answer_held`] once; no other
-    /// caller may do so for its id. The call is not required:
+    /// caller may do so for its id. The call may be made at any time, and is not required:
     ///
     /// - At its deadline, [`Dispatch::tick`] rejects the request with a backoff, which is harmless because it had no
     ///   attempt. [`Dispatch::release`] and [`Dispatch::end_all`] do the same before the deadline.
