--- a/crates/fleet/src/lend/mod.rs
+++ b/crates/fleet/src/lend/mod.rs
@@ -27,13 +27,13 @@
 struct Lent {
     holder: Holder,
     /// The lease's end by the leader's clock; `None` until the next sweep.
-    until: Option<Micros>,
+    expires_at: Option<Micros>,
     /// When the slot was recalled, if it is.
-    recalled: Option<Micros>,
+    recalled_at: Option<Micros>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct Ask {
+struct Demand {
     number: u64,
     want: u16,
     most: u16,
@@ -44,7 +44,7 @@
 pub struct Slots {
     terms: Terms,
     lent: BTreeMap<u16, Lent>,
-    asks: BTreeMap<Holder, Ask>,
+    demands: BTreeMap<Holder, Demand>,
     clock: Micros,
 }
 
@@ -60,19 +60,19 @@
     }
 
     /// The number of slots of a holder, and how many of them are recalled.
-    pub fn of(&self, holder: Holder) -> (u16, u16) {
+    pub fn held_and_recalled(&self, holder: Holder) -> (u16, u16) {
         let all = self.lent.values().filter(|l| l.holder == holder);
-        all.fold((0, 0), |(have, back), l| (have + 1, back + u16::from(l.recalled.is_some())))
+        all.fold((0, 0), |(have, back), l| (have + 1, back + u16::from(l.recalled_at.is_some())))
     }
 
     /// The end of a slot's lease by the leader's clock; `None` if it is not leased or was renewed since the last sweep.
-    pub fn until(&self, slot: u16) -> Option<Micros> {
-        self.lent.get(&slot).and_then(|l| l.until)
+    pub fn expires_at(&self, slot: u16) -> Option<Micros> {
+        self.lent.get(&slot).and_then(|l| l.expires_at)
     }
 
     /// The number of a holder's last applied command; 0 if there was none.
-    pub fn taken(&self, holder: Holder) -> u64 {
-        self.asks.get(&holder).map_or(0, |a| a.number)
+    pub fn last_applied(&self, holder: Holder) -> u64 {
+        self.demands.get(&holder).map_or(0, |a| a.number)
     }
 
     /// The number of free slots.
@@ -81,15 +81,15 @@
     }
 
     /// The number of slots to recall: those that holders lack of their shares or that exceed the total, less the free ones.
-    pub fn lacking(&self) -> u16 {
-        let have = self.have();
+    pub fn shortage(&self) -> u16 {
+        let have = self.held_by_holder();
         let of = |h: &Holder| have.get(h).copied().unwrap_or(0);
-        let lack: u16 = self.parts().iter().map(|(h, part)| part.saturating_sub(of(h))).sum();
+        let lack: u16 = self.fair_shares().iter().map(|(h, share)| share.saturating_sub(of(h))).sum();
         let over = (self.lent.len() as u16).saturating_sub(self.terms.total);
         (lack + over).saturating_sub(self.free())
     }
 
-    fn have(&self) -> BTreeMap<Holder, u16> {
+    fn held_by_holder(&self) -> BTreeMap<Holder, u16> {
         let mut have = BTreeMap::new();
         self.lent.values().for_each(|l| *have.entry(l.holder).or_default() += 1);
         have
@@ -97,33 +97,33 @@
 
     /// The max-min fair share of each holder: none gets more than it needs, and a holder that gets less has the largest
     /// share, or one slot fewer.
-    fn parts(&self) -> BTreeMap<Holder, u16> {
-        let mut order: Vec<(u16, Holder)> = self.asks.iter().map(|(h, a)| (a.want, *h)).collect();
+    fn fair_shares(&self) -> BTreeMap<Holder, u16> {
+        let mut order: Vec<(u16, Holder)> = self.demands.iter().map(|(h, a)| (a.want, *h)).collect();
         order.sort();
-        let (mut left, mut parts) = (self.terms.total, BTreeMap::new());
+        let (mut left, mut shares) = (self.terms.total, BTreeMap::new());
         for (i, (want, holder)) in order.iter().enumerate() {
             let rest = (order.len() - i) as u16;
-            let part = (*want).min(left.div_ceil(rest)).min(left);
-            left -= part;
-            parts.insert(*holder, part);
+            let share = (*want).min(left.div_ceil(rest)).min(left);
+            left -= share;
+            shares.insert(*holder, share);
         }
-        parts
+        shares
     }
 
     /// Leases the free slots: first to holders with fewer than they need, the one with the fewest first; then to those that
     /// could use more, the one with the fewest beyond its need first.
     fn lend(&mut self) -> bool {
-        let (mut free, mut have, mut changed) = (self.free(), self.have(), false);
+        let (mut free, mut have, mut changed) = (self.free(), self.held_by_holder(), false);
         while free > 0 {
             let of = |h: &Holder| have.get(h).copied().unwrap_or(0);
-            let short = self.asks.iter().filter(|(h, a)| of(h) < a.want).min_by_key(|(h, _)| (of(h), **h));
+            let short = self.demands.iter().filter(|(h, a)| of(h) < a.want).min_by_key(|(h, _)| (of(h), **h));
             let more = || {
-                let all = self.asks.iter().filter(|(h, a)| of(h) < a.most);
+                let all = self.demands.iter().filter(|(h, a)| of(h) < a.most);
                 all.min_by_key(|(h, a)| (of(h).saturating_sub(a.want), **h))
             };
             let Some(holder) = short.or_else(more).map(|(h, _)| *h) else { break };
             let Some(slot) = (0..self.terms.total).find(|n| !self.lent.contains_key(n)) else { break };
-            self.lent.insert(slot, Lent { holder, until: None, recalled: None });
+            self.lent.insert(slot, Lent { holder, expires_at: None, recalled_at: None });
             *have.entry(holder).or_default() += 1;
             (free, changed) = (free - 1, true);
         }
@@ -132,12 +132,12 @@
 
     /// Recalls as many slots as are lacking, from the holders with the most beyond their shares.
     fn recall(&mut self) {
-        let (parts, mut have) = (self.parts(), self.have());
+        let (shares, mut have) = (self.fair_shares(), self.held_by_holder());
         let mut back: BTreeMap<Holder, u16> = BTreeMap::new();
-        for _ in 0..self.lacking() {
-            let over = |(h, n): &(&Holder, &u16)| n.saturating_sub(parts.get(h).copied().unwrap_or(0));
+        for _ in 0..self.shortage() {
+            let over = |(h, n): &(&Holder, &u16)| n.saturating_sub(shares.get(h).copied().unwrap_or(0));
             // Slots of lost holders are freed when their leases end.
-            let known = have.iter().filter(|(h, _)| parts.contains_key(h));
+            let known = have.iter().filter(|(h, _)| shares.contains_key(h));
             let Some((most, holder)) = known.map(|e| (over(&e), *e.0)).max() else { break };
             if most == 0 {
                 break;
@@ -146,19 +146,20 @@
             *back.entry(holder).or_default() += 1;
         }
         // Slots that are recalled already come first, so that a slot keeps the time of its recall.
-        let mut order: Vec<(bool, u16)> = self.lent.iter().map(|(n, l)| (l.recalled.is_none(), *n)).collect();
+        let mut order: Vec<(bool, u16)> =
+            self.lent.iter().map(|(n, l)| (l.recalled_at.is_none(), *n)).collect();
         order.sort();
         for (_, n) in order {
             let Some(l) = self.lent.get_mut(&n) else { continue };
             let left = back.entry(l.holder).or_default();
-            l.recalled = (*left > 0).then(|| l.recalled.unwrap_or(self.clock));
+            l.recalled_at = (*left > 0).then(|| l.recalled_at.unwrap_or(self.clock));
             *left = left.saturating_sub(1);
         }
     }
 
-    fn hold(&mut self, holder: Holder, back: u16) {
+    fn renew(&mut self, holder: Holder, back: u16) {
         let mine = self.lent.iter().filter(|(_, l)| l.holder == holder);
-        let mut mine: Vec<(bool, u16)> = mine.map(|(n, l)| (l.recalled.is_none(), *n)).collect();
+        let mut mine: Vec<(bool, u16)> = mine.map(|(n, l)| (l.recalled_at.is_none(), *n)).collect();
         // Recalled slots are returned first.
         mine.sort();
         mine.truncate(back.into());
@@ -167,8 +168,8 @@
         }
         let (clock, longest) = (self.clock, self.terms.longest);
         for l in self.lent.values_mut().filter(|l| l.holder == holder) {
-            if l.recalled.is_none_or(|at| clock.saturating_sub(at) < longest) {
-                l.until = None;
+            if l.recalled_at.is_none_or(|at| clock.saturating_sub(at) < longest) {
+                l.expires_at = None;
             }
         }
     }
@@ -182,13 +183,13 @@
         match command {
             Command::Set(terms) => self.terms = Terms { total: terms.total.min(MOST), ..terms },
             Command::Hold { holder, number, back, want, most } => {
-                let room = self.asks.len() < HOLDERS || self.asks.contains_key(&holder);
-                if !alive.contains(&holder) || number <= self.taken(holder) || !room {
+                let room = self.demands.len() < HOLDERS || self.demands.contains_key(&holder);
+                if !alive.contains(&holder) || number <= self.last_applied(holder) || !room {
                     return false;
                 }
                 let (want, most) = (want.min(MOST), most.min(MOST));
-                self.asks.insert(holder, Ask { number, want, most });
-                self.hold(holder, back);
+                self.demands.insert(holder, Demand { number, want, most });
+                self.renew(holder, back);
             }
         }
         self.lend();
@@ -197,9 +198,9 @@
     }
 
     fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
-        let before = self.asks.len();
-        self.asks.retain(|h, _| alive.contains(h));
-        let changed = self.asks.len() < before;
+        let before = self.demands.len();
+        self.demands.retain(|h, _| alive.contains(h));
+        let changed = self.demands.len() < before;
         if changed {
             self.lend();
             self.recall();
@@ -211,9 +212,9 @@
         self.clock = self.clock.max(now);
         let (clock, term, mut changed) = (self.clock, self.terms.term, false);
         let before = self.lent.len();
-        self.lent.retain(|_, l| l.until.is_none_or(|at| at > clock));
-        for l in self.lent.values_mut().filter(|l| l.until.is_none()) {
-            l.until = Some(clock.saturating_add(term));
+        self.lent.retain(|_, l| l.expires_at.is_none_or(|at| at > clock));
+        for l in self.lent.values_mut().filter(|l| l.expires_at.is_none()) {
+            l.expires_at = Some(clock.saturating_add(term));
             changed = true;
         }
         changed |= self.lent.len() < before;
--- a/crates/fleet/tests/lend.rs
+++ b/crates/fleet/tests/lend.rs
@@ -87,7 +87,7 @@
             for s in &mut sides {
                 let usable = s.borrower.usable(now, &s.known);
                 s.busy = s.busy.min(usable);
-                if let Some(c) = s.borrower.ask(now, &s.known, s.busy, s.want, s.want + 3)
+                if let Some(c) = s.borrower.next_command(now, &s.known, s.busy, s.want, s.want + 3)
                     && !s.cut
                 {
                     // Sent twice: the duplicate must have no effect.
@@ -104,7 +104,7 @@
             prop_assert!(slots <= before.len().max(record.terms().total.into()));
             sides.iter_mut().filter(|s| !s.cut).for_each(|s| s.known = record.clone());
             for s in sides.iter().chain(&gone) {
-                prop_assert!(s.borrower.usable(now, &s.known) <= record.of(s.me).0);
+                prop_assert!(s.borrower.usable(now, &s.known) <= record.held_and_recalled(s.me).0);
             }
         }
         // A joining peer decodes the same state.
@@ -134,7 +134,7 @@
         }
         let part = total / all.len() as u16;
         for (h, want) in all[1..].iter().zip(&wants) {
-            prop_assert!(record.of(*h).0 >= part.min(*want), "{} of {part} and {want}", record.of(*h).0);
+            prop_assert!(record.held_and_recalled(*h).0 >= part.min(*want), "{} of {part} and {want}", record.held_and_recalled(*h).0);
         }
         prop_assert_eq!(record.lent().count(), usize::from(total));
     }
@@ -152,11 +152,14 @@
     record.apply(hold(b, 4), &alive);
     record.sweep(now);
     record.on_lease_change(&BTreeSet::from([b]));
-    assert_eq!((record.of(a).0, record.of(b).0, record.until(0)), (4, 0, Some(now + TERM)));
+    assert_eq!(
+        (record.held_and_recalled(a).0, record.held_and_recalled(b).0, record.expires_at(0)),
+        (4, 0, Some(now + TERM))
+    );
     record.sweep(now + TERM - 1);
-    assert_eq!((record.of(a).0, record.of(b).0), (4, 0));
+    assert_eq!((record.held_and_recalled(a).0, record.held_and_recalled(b).0), (4, 0));
     record.sweep(now + TERM);
-    assert_eq!((record.of(a).0, record.of(b).0), (0, 4));
+    assert_eq!((record.held_and_recalled(a).0, record.held_and_recalled(b).0), (0, 4));
 }
 
 /// Guards against leasing slots while the total is exceeded: after the total was lowered, the excess is recalled, and
@@ -171,9 +174,15 @@
     record.apply(hold(a, 1, 0, 10), &alive);
     record.apply(set(4), &alive);
     record.apply(hold(b, 1, 0, 2), &alive);
-    assert_eq!((record.of(a), record.of(b).0, record.lacking()), ((10, 8), 0, 8));
+    assert_eq!(
+        (record.held_and_recalled(a), record.held_and_recalled(b).0, record.shortage()),
+        ((10, 8), 0, 8)
+    );
     record.apply(hold(a, 2, 6, 10), &alive);
-    assert_eq!((record.of(a), record.of(b).0), ((4, 2), 0));
+    assert_eq!((record.held_and_recalled(a), record.held_and_recalled(b).0), ((4, 2), 0));
     record.apply(hold(a, 3, 2, 10), &alive);
-    assert_eq!((record.of(a), record.of(b).0, record.lacking()), ((2, 0), 2, 0));
+    assert_eq!(
+        (record.held_and_recalled(a), record.held_and_recalled(b).0, record.shortage()),
+        ((2, 0), 2, 0)
+    );
 }
--- a/crates/slots/tests/sim/mod.rs
+++ b/crates/slots/tests/sim/mod.rs
@@ -163,7 +163,7 @@
             if now >= x.asked + 25 * MS {
                 x.asked = now;
                 let want = x.queue.want(now);
-                let asks = x.borrower.ask(
+                let asks = x.borrower.next_command(
                     now,
                     &record,
                     x.queue.running() as u16,
@@ -180,7 +180,7 @@
             {
                 mail.push_back((now + late, d, x.queue.share(now)));
             }
-            twice += u32::from(x.queue.running() > u32::from(record.of(x.me).0));
+            twice += u32::from(x.queue.running() > u32::from(record.held_and_recalled(x.me).0));
         }
         for id in started {
             let (t, work, _, came) = known[&id];
