--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -1,7 +1,7 @@
 //! What followers and members say to each other, and its frames.
 
 use crate::policy::{Change, Policies, Revision};
-use crate::wire::{Fault, Framing};
+use crate::wire::{FrameError, Framing};
 use crate::{Micros, Peer};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -134,11 +134,11 @@
 }
 
 /// Reads the first message of a follower.
-pub fn from_follower(bytes: &[u8]) -> Result<Option<(usize, FollowerMessage)>, Fault> {
-    FRAMING.next(bytes, MOST_FOLLOWER_FRAME)
+pub fn from_follower(bytes: &[u8]) -> Result<Option<(usize, FollowerMessage)>, FrameError> {
+    FRAMING.decode(bytes, MOST_FOLLOWER_FRAME)
 }
 
 /// Reads the first message of a member.
-pub fn from_member(bytes: &[u8]) -> Result<Option<(usize, MemberMessage)>, Fault> {
-    FRAMING.next(bytes, MOST_MEMBER_FRAME)
+pub fn from_member(bytes: &[u8]) -> Result<Option<(usize, MemberMessage)>, FrameError> {
+    FRAMING.decode(bytes, MOST_MEMBER_FRAME)
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -47,29 +47,29 @@
 
 /// Bytes of the header: the message's length, and the length XORed with a constant. Without the second value, a reader
 /// that is out of step would take arbitrary bytes for a length and wait for the rest of that frame.
-pub const HEAD: usize = 8;
+pub const HEADER_LEN: usize = 8;
 /// The framing between peers.
-const PEERS: Framing = Framing { check: 0x6f74_7463 };
+const PEER_FRAMING: Framing = Framing { check: 0x6f74_7463 };
 
 /// Why bytes can't be read as a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum FrameError {
     /// The frame is longer than allowed.
     TooLong(usize),
     /// The header's check fails or the body is not a message.
-    Garbled,
+    Malformed,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::TooLong(n) => write!(f, "a frame of {n} bytes"),
-            Fault::Garbled => write!(f, "a frame that is no message"),
+            FrameError::TooLong(n) => write!(f, "frame of {n} bytes exceeds the limit"),
+            FrameError::Malformed => write!(f, "malformed frame"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for FrameError {}
 
 /// The framing of one protocol; frames of another protocol fail the header's check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,43 +80,47 @@
 
 impl Framing {
     /// Encodes a message as a frame.
-    pub fn frame(self, message: &impl Serialize) -> Vec<u8> {
-        let mut bytes = vec![0; HEAD];
+    pub fn encode(self, message: &impl Serialize) -> Vec<u8> {
+        let mut bytes = vec![0; HEADER_LEN];
         let body = postcard::to_stdvec(message).unwrap_or_default();
         bytes.extend_from_slice(&body);
         let length = body.len() as u32;
         bytes[..4].copy_from_slice(&length.to_le_bytes());
-        bytes[4..HEAD].copy_from_slice(&(length ^ self.check).to_le_bytes());
+        bytes[4..HEADER_LEN].copy_from_slice(&(length ^ self.check).to_le_bytes());
         bytes
     }
 
     /// Decodes the first frame of `bytes`: its length and message, or `None` if it is incomplete.
-    pub fn next<M: DeserializeOwned>(self, bytes: &[u8], most: usize) -> Result<Option<(usize, M)>, Fault> {
-        let Some(head) = bytes.first_chunk::<HEAD>() else { return Ok(None) };
+    pub fn decode<M: DeserializeOwned>(
+        self,
+        bytes: &[u8],
+        max_len: usize,
+    ) -> Result<Option<(usize, M)>, FrameError> {
+        let Some(head) = bytes.first_chunk::<HEADER_LEN>() else { return Ok(None) };
         let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         if number(0) ^ self.check != number(4) {
-            return Err(Fault::Garbled);
+            return Err(FrameError::Malformed);
         }
         let length = number(0) as usize;
-        if length > most {
-            return Err(Fault::TooLong(length));
+        if length > max_len {
+            return Err(FrameError::TooLong(length));
         }
-        let Some(body) = bytes.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(body) = bytes.get(HEADER_LEN..HEADER_LEN + length) else { return Ok(None) };
         match postcard::take_from_bytes(body) {
-            Ok((message, [])) => Ok(Some((HEAD + length, message))),
-            _ => Err(Fault::Garbled),
+            Ok((message, [])) => Ok(Some((HEADER_LEN + length, message))),
+            _ => Err(FrameError::Malformed),
         }
     }
 }
 
 /// Encodes a message between peers as a frame.
-pub fn frame(message: &Message) -> Vec<u8> {
-    PEERS.frame(message)
+pub fn encode_frame(message: &Message) -> Vec<u8> {
+    PEER_FRAMING.encode(message)
 }
 
 /// Decodes the first frame of `bytes` between peers.
-pub fn next(bytes: &[u8], most: usize) -> Result<Option<(usize, Message)>, Fault> {
-    PEERS.next(bytes, most)
+pub fn decode_frame(bytes: &[u8], max_len: usize) -> Result<Option<(usize, Message)>, FrameError> {
+    PEER_FRAMING.decode(bytes, max_len)
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/wire/tests.rs
+++ b/crates/fleet/src/wire/tests.rs
@@ -6,21 +6,22 @@
 
 #[test]
 fn an_incomplete_frame_is_not_decoded() {
-    let bytes = [frame(&hello()), frame(&Message::Fetch(9))].concat();
-    let (n, first) = next(&bytes, 1_000).unwrap().unwrap();
-    assert_eq!((first, next(&bytes[n..], 1_000).unwrap().unwrap().1), (hello(), Message::Fetch(9)));
+    let bytes = [encode_frame(&hello()), encode_frame(&Message::Fetch(9))].concat();
+    let (n, first) = decode_frame(&bytes, 1_000).unwrap().unwrap();
+    assert_eq!((first, decode_frame(&bytes[n..], 1_000).unwrap().unwrap().1), (hello(), Message::Fetch(9)));
     for cut in 0..n {
-        assert_eq!(next(&bytes[..cut], 1_000), Ok(None));
+        assert_eq!(decode_frame(&bytes[..cut], 1_000), Ok(None));
     }
-    assert!(next(&frame(&Message::Log(1, vec![0; 2_000])), 1_000).is_err());
+    assert!(decode_frame(&encode_frame(&Message::Log(1, vec![0; 2_000])), 1_000).is_err());
 }
 
 // A reader that is out of step by one byte read a length of megabytes and waited for that many bytes, although its
 // peer was alive and sending.
 #[test]
 fn a_reader_that_is_out_of_step_reports_it_at_once() {
-    let bytes = [frame(&hello()), frame(&Message::Log(5, vec![1; 300]))].concat();
-    let wrong = (1..bytes.len() - HEAD).filter(|at| matches!(next(&bytes[*at..], 64 << 20), Ok(None)));
-    let whole = frame(&hello()).len();
+    let bytes = [encode_frame(&hello()), encode_frame(&Message::Log(5, vec![1; 300]))].concat();
+    let wrong =
+        (1..bytes.len() - HEADER_LEN).filter(|at| matches!(decode_frame(&bytes[*at..], 64 << 20), Ok(None)));
+    let whole = encode_frame(&hello()).len();
     assert_eq!(wrong.filter(|at| *at != whole).count(), 0);
 }
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -143,16 +143,16 @@
     // Whatever comes, it is a message, a fault, or not whole yet.
     #[test]
     fn any_bytes_are_read_without_fail(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = FRAMING.next::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
-        let _ = FRAMING.next::<MemberMessage>(&bytes, MOST_FOLLOWER_FRAME);
+        let _ = FRAMING.decode::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
+        let _ = FRAMING.decode::<MemberMessage>(&bytes, MOST_FOLLOWER_FRAME);
     }
 
     // A message of peers is none of a follower's, and the other way round.
     #[test]
     fn protocols_are_told_apart(asked in any::<u64>()) {
-        let ours = FRAMING.frame(&FollowerMessage::Renew { at: None, asked });
-        prop_assert!(fleet::wire::next(&ours, 1 << 20).is_err());
-        let read = FRAMING.next::<FollowerMessage>(&ours, MOST_FOLLOWER_FRAME).unwrap().unwrap();
+        let ours = FRAMING.encode(&FollowerMessage::Renew { at: None, asked });
+        prop_assert!(fleet::wire::decode_frame(&ours, 1 << 20).is_err());
+        let read = FRAMING.decode::<FollowerMessage>(&ours, MOST_FOLLOWER_FRAME).unwrap().unwrap();
         prop_assert_eq!(read.1, FollowerMessage::Renew { at: None, asked });
     }
 
--- a/crates/fleet/tests/control_plane/turns.rs
+++ b/crates/fleet/tests/control_plane/turns.rs
@@ -6,7 +6,7 @@
 use fleet::control_plane::follower::Order;
 use fleet::control_plane::messages::FRAMING;
 use fleet::policy::Gate;
-use fleet::wire::frame;
+use fleet::wire::encode_frame;
 
 impl World {
     pub fn turn_member(&mut self, peer: Peer) {
@@ -26,12 +26,12 @@
             let lost = self.cut.contains(&(peer, to)) || self.draw(200) == 0;
             let at = now + self.delay + self.draw(4) * MS;
             if !lost {
-                self.peer_wires.push_back((at, peer, to, frame(&message)));
+                self.peer_wires.push_back((at, peer, to, encode_frame(&message)));
             }
         }
         for (session, message) in outgoing {
             let at = now + self.draw(4) * MS;
-            let payload = Payload::ToFollower(FRAMING.frame(&message));
+            let payload = Payload::ToFollower(FRAMING.encode(&message));
             self.wires.push(Wire { at, session, payload });
         }
         closing.into_iter().for_each(|s| self.close(s));
@@ -54,7 +54,7 @@
         if let Some((_, session)) = f.connection {
             for message in outgoing {
                 let at = now + self.draw(4) * MS;
-                let payload = Payload::ToMember(FRAMING.frame(&message));
+                let payload = Payload::ToMember(FRAMING.encode(&message));
                 self.wires.push(Wire { at, session, payload });
             }
         }
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/wires.rs
@@ -4,7 +4,7 @@
 use fleet::control_plane::member::MemberRecord;
 use fleet::control_plane::messages::{FRAMING, MOST_FOLLOWER_FRAME, MOST_MEMBER_FRAME};
 use fleet::control_plane::{FollowerMessage, MemberMessage, SessionId};
-use fleet::wire::next;
+use fleet::wire::decode_frame;
 use fleet::{Micros, Peer};
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
             if self.paused_members.contains_key(&to) {
                 self.peer_wires.push_back((at + 5 * MS, from, to, bytes));
             } else if let Some(node) = self.members.get_mut(&to) {
-                let (_, message) = next(&bytes, 64 << 20).unwrap().unwrap();
+                let (_, message) = decode_frame(&bytes, 64 << 20).unwrap().unwrap();
                 node.fleet.handle_message(now, from, message);
             }
         }
@@ -68,7 +68,7 @@
         match wire.payload {
             Payload::ToMember(bytes) => {
                 let Some(node) = self.members.get_mut(&peer) else { return };
-                let read = FRAMING.next::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
+                let read = FRAMING.decode::<FollowerMessage>(&bytes, MOST_FOLLOWER_FRAME);
                 let (_, message) = read.unwrap().unwrap();
                 let view = node.fleet.view(now);
                 if node.member.hear(now, session, message, view).is_err() {
@@ -83,7 +83,7 @@
                 }
                 let clock = f.clock(now);
                 let snapshots = f.follower.tally.snapshots;
-                let read = FRAMING.next::<MemberMessage>(&bytes, MOST_MEMBER_FRAME);
+                let read = FRAMING.decode::<MemberMessage>(&bytes, MOST_MEMBER_FRAME);
                 let (_, message) = read.unwrap().unwrap();
                 f.follower.hear(clock, message);
                 f.check_revision(snapshots);
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -3,7 +3,7 @@
 use fleet::ledger::{Limits, Record};
 use fleet::policy::{Act, Gate, Part, Policy};
 use fleet::state::Command;
-use fleet::wire::{frame, next};
+use fleet::wire::{decode_frame, encode_frame};
 use fleet::{Fleet, FleetConfig, FleetEvent, Micros, Peer};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -109,7 +109,7 @@
                 self.wires.push_back((at + 5 * MS, from, to, bytes));
             } else if let Some(f) = self.fleets.get_mut(&to) {
                 // Encoded and decoded as on a socket.
-                let (_, message) = next(&bytes, 64 << 20).unwrap().unwrap();
+                let (_, message) = decode_frame(&bytes, 64 << 20).unwrap().unwrap();
                 f.handle_message(now, from, message);
             }
         }
@@ -124,7 +124,7 @@
                 let lost = self.cut.contains(&(p, to)) || self.draw(200) == 0;
                 let late = 1 + self.draw(4);
                 if !lost {
-                    self.wires.push_back((now + late * MS, p, to, frame(&message)));
+                    self.wires.push_back((now + late * MS, p, to, encode_frame(&message)));
                 }
             }
             for n in events {
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -105,10 +105,10 @@
         Message::Result(21, Some(vec![b"x".to_vec()])),
     ];
     let stored = bytes(include_str!("peer-frames.hex"));
-    assert_eq!(messages.iter().flat_map(wire::frame).collect::<Vec<u8>>(), stored);
+    assert_eq!(messages.iter().flat_map(wire::encode_frame).collect::<Vec<u8>>(), stored);
     let mut rest = &stored[..];
     for message in messages {
-        let (length, read) = wire::next(rest, 1 << 20).unwrap().unwrap();
+        let (length, read) = wire::decode_frame(rest, 1 << 20).unwrap().unwrap();
         assert_eq!(read, message);
         rest = &rest[length..];
     }
@@ -116,7 +116,7 @@
 }
 
 fn frames(messages: &[impl Serialize]) -> Vec<u8> {
-    messages.iter().flat_map(|message| FRAMING.frame(message)).collect()
+    messages.iter().flat_map(|message| FRAMING.encode(message)).collect()
 }
 
 #[test]
--- a/src/net/control_plane/link.rs
+++ b/src/net/control_plane/link.rs
@@ -120,7 +120,7 @@
         Ok(())
     }
 
-    fn over(&mut self, now: Micros, poll: &Poll, fault: Option<fleet::wire::Fault>) {
+    fn over(&mut self, now: Micros, poll: &Poll, fault: Option<fleet::wire::FrameError>) {
         if let Some(fault) = fault {
             tracing::warn!(error = %fault, "control: connection to a member closed");
         }
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -137,7 +137,7 @@
         if let Some(operators) = &mut self.operators {
             operators.tick(now, &self.poll);
         }
-        self.peers.hello = fleet::wire::frame(&self.fleet.hello());
+        self.peers.hello = fleet::wire::encode_frame(&self.fleet.hello());
         self.peers.tick(now, &self.poll);
         loop {
             for (from, message) in std::mem::take(&mut self.peers.heard) {
--- a/src/net/control_plane/stream.rs
+++ b/src/net/control_plane/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::net::event_loop::poll::{Key, Poll};
 use fleet::control_plane::messages::FRAMING;
-use fleet::wire::{Fault, HEAD};
+use fleet::wire::{FrameError, HEADER_LEN};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io::{self, Read, Write};
@@ -19,7 +19,7 @@
     /// The other side closed it, or the system did.
     Closed,
     /// What came is no frame.
-    Fault(Fault),
+    Fault(FrameError),
 }
 
 /// A connection.
@@ -71,7 +71,7 @@
         let mut messages = Vec::new();
         let mut used = 0;
         let fault = loop {
-            match FRAMING.next(&self.incoming[used..], self.most) {
+            match FRAMING.decode(&self.incoming[used..], self.most) {
                 Ok(Some((length, message))) => {
                     used += length;
                     messages.push(message);
@@ -89,7 +89,7 @@
 
     /// Adds a message to what is written next.
     pub(super) fn push(&mut self, message: &impl Serialize) {
-        self.outgoing.extend_from_slice(&FRAMING.frame(message));
+        self.outgoing.extend_from_slice(&FRAMING.encode(message));
     }
 
     /// Bytes that wait to be written.
@@ -99,7 +99,7 @@
 
     /// Whether a frame has begun that is not whole yet.
     pub(super) fn in_part(&self) -> bool {
-        !self.incoming.is_empty() && self.incoming.len() < HEAD + self.most
+        !self.incoming.is_empty() && self.incoming.len() < HEADER_LEN + self.most
     }
 
     /// Writes what the socket takes. An error is the connection's end.
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -136,7 +136,7 @@
     }
 
     fn tick(&mut self, now: Micros, poll: &Poll) {
-        self.peers.hello = fleet::wire::frame(&self.takeover.fleet.hello());
+        self.peers.hello = fleet::wire::encode_frame(&self.takeover.fleet.hello());
         self.peers.tick(now, poll);
     }
 }
--- a/src/net/peers/incoming.rs
+++ b/src/net/peers/incoming.rs
@@ -69,7 +69,7 @@
         }
         let mut used = 0;
         loop {
-            match wire::next(&c.bytes[used..], self.most_frame) {
+            match wire::decode_frame(&c.bytes[used..], self.most_frame) {
                 Ok(None) => break,
                 Ok(Some((n, message))) => {
                     used += n;
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -84,7 +84,7 @@
         if link.waiting.is_empty() {
             link.since = now;
         }
-        link.waiting.extend_from_slice(&wire::frame(message));
+        link.waiting.extend_from_slice(&wire::encode_frame(message));
         link.added = true;
     }
 
