--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between followers and members, and their framing.
 
 use crate::policy::{Change, Policies, Revision};
-use crate::wire::{Fault, Framing};
+use crate::wire::{FrameError, Framing};
 use crate::{Micros, Peer};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -136,11 +136,11 @@
 }
 
 /// Decodes the first message in `bytes` sent by a follower.
-pub fn from_follower(bytes: &[u8]) -> Result<Option<(usize, FollowerMessage)>, Fault> {
-    FRAMING.next(bytes, MAX_FOLLOWER_FRAME)
+pub fn from_follower(bytes: &[u8]) -> Result<Option<(usize, FollowerMessage)>, FrameError> {
+    FRAMING.decode(bytes, MAX_FOLLOWER_FRAME)
 }
 
 /// Decodes the first message in `bytes` sent by a member.
-pub fn from_member(bytes: &[u8]) -> Result<Option<(usize, MemberMessage)>, Fault> {
-    FRAMING.next(bytes, MAX_MEMBER_FRAME)
+pub fn from_member(bytes: &[u8]) -> Result<Option<(usize, MemberMessage)>, FrameError> {
+    FRAMING.decode(bytes, MAX_MEMBER_FRAME)
 }
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -145,16 +145,16 @@
     // Any input must decode to a message, a framing error, or an incomplete frame, without a panic.
     #[test]
     fn any_bytes_are_read_without_fail(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = FRAMING.next::<FollowerMessage>(&bytes, MAX_FOLLOWER_FRAME);
-        let _ = FRAMING.next::<MemberMessage>(&bytes, MAX_FOLLOWER_FRAME);
+        let _ = FRAMING.decode::<FollowerMessage>(&bytes, MAX_FOLLOWER_FRAME);
+        let _ = FRAMING.decode::<MemberMessage>(&bytes, MAX_FOLLOWER_FRAME);
     }
 
     // Frames of the follower protocol must not decode as frames of the peer protocol.
     #[test]
     fn protocols_are_told_apart(asked in any::<u64>()) {
-        let ours = FRAMING.frame(&FollowerMessage::Renew { at: None, asked });
-        prop_assert!(fleet::wire::next(&ours, 1 << 20).is_err());
-        let read = FRAMING.next::<FollowerMessage>(&ours, MAX_FOLLOWER_FRAME).unwrap().unwrap();
+        let ours = FRAMING.encode(&FollowerMessage::Renew { at: None, asked });
+        prop_assert!(fleet::wire::decode_frame(&ours, 1 << 20).is_err());
+        let read = FRAMING.decode::<FollowerMessage>(&ours, MAX_FOLLOWER_FRAME).unwrap().unwrap();
         prop_assert_eq!(read.1, FollowerMessage::Renew { at: None, asked });
     }
 
