--- a/crates/fleet/src/plan/lead.rs
+++ b/crates/fleet/src/plan/lead.rs
@@ -62,26 +62,28 @@
     let mut commands = Vec::new();
     for (id, step) in plan.steps() {
         match step {
-            Step::Drains(since, idle) => {
+            Step::Draining(since, idle) => {
                 let all = alive.iter().all(|h| idle.contains(h));
                 if all || now > since + budget.drain_limit {
-                    commands.push(Command::HandOver(id.into(), now));
+                    commands.push(Command::TakeOut(id.into(), now));
                 }
             }
             Step::Out(since) => {
                 let back = executors.get(id).is_some_and(|m| m.up && m.started > *since);
                 if back {
-                    commands.push(Command::Back(id.into(), now));
+                    commands.push(Command::Returned(id.into(), now));
                 } else if now > since + budget.out_limit {
                     commands.push(Command::Fail(id.into(), "it did not come back".into()));
                 }
             }
-            Step::Warms(since) if now > since + budget.ramp => commands.push(Command::Warm(id.into())),
+            Step::WarmingUp(since) if now > since + budget.ramp => {
+                commands.push(Command::WarmedUp(id.into()))
+            }
             _ => {}
         }
     }
     if let Ok(id) = may_begin(plan, executors, busy, budget) {
-        commands.push(Command::Begin(id, now, plan.version));
+        commands.push(Command::StartDrain(id, now, plan.version));
     }
     commands
 }
--- a/crates/fleet/src/plan/mod.rs
+++ b/crates/fleet/src/plan/mod.rs
@@ -16,13 +16,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
     /// Waiting for its turn.
-    Waits,
+    Waiting,
     /// Draining since this time: it receives no new work. The holders have no work left on it.
-    Drains(Micros, BTreeSet<Holder>),
+    Draining(Micros, BTreeSet<Holder>),
     /// Out of service since this time.
     Out(Micros),
     /// Back in service and warming up since this time.
-    Warms(Micros),
+    WarmingUp(Micros),
     /// Maintenance is complete.
     Done,
     /// It did not come back, or could not be drained.
@@ -34,7 +34,7 @@
 impl Step {
     /// Whether it receives no new work.
     pub fn banned(&self) -> bool {
-        matches!(self, Step::Drains(..) | Step::Out(_) | Step::Failed(_))
+        matches!(self, Step::Draining(..) | Step::Out(_) | Step::Failed(_))
     }
 
     /// Whether this is a final step.
@@ -44,7 +44,7 @@
 
     /// Whether its capacity is missing, wholly or partly.
     pub fn missing(&self) -> bool {
-        matches!(self, Step::Drains(..) | Step::Out(_) | Step::Warms(_) | Step::Failed(_))
+        matches!(self, Step::Draining(..) | Step::Out(_) | Step::WarmingUp(_) | Step::Failed(_))
     }
 }
 
@@ -52,24 +52,24 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Appends these executors to the plan.
-    Ask(Vec<String>),
+    Add(Vec<String>),
     /// Starts draining this executor at this time, provided the plan still has this version: the proposer has
     /// checked the capacity against that version.
-    Begin(String, Micros, u64),
+    StartDrain(String, Micros, u64),
     /// A dispatcher has no work left on the executor.
     Idle(Holder, String),
     /// All dispatchers are idle on the executor, or the drain limit has passed: it goes out of service.
-    HandOver(String, Micros),
+    TakeOut(String, Micros),
     /// The executor is back.
-    Back(String, Micros),
+    Returned(String, Micros),
     /// The executor has warmed up.
-    Warm(String),
+    WarmedUp(String),
     /// The executor will not come back, for this reason; the plan stops.
     Fail(String, String),
     /// Starts no further executor; those still draining return to service.
     Abort,
     /// An operator reports a failed or absent executor as repaired: it comes back and warms up.
-    Mend(String, Micros),
+    Repair(String, Micros),
 }
 
 /// Maximum number of planned executors.
@@ -104,7 +104,7 @@
 
     /// The first waiting executor, unless the plan has stopped.
     pub fn next(&self) -> Option<&str> {
-        let waits = self.steps.iter().find(|(_, s)| *s == Step::Waits).map(|(id, _)| id.as_str());
+        let waits = self.steps.iter().find(|(_, s)| *s == Step::Waiting).map(|(id, _)| id.as_str());
         waits.filter(|_| self.stopped.is_none())
     }
 
@@ -132,7 +132,7 @@
             self.steps.iter().filter(|(_, s)| s.banned()).map(|(id, _)| id.as_str()).collect();
         if let (Some(time), None) = (without_word, &self.stopped) {
             let rounds = 1 + (time / budget.ramp.max(1)) as usize;
-            let waits = self.steps.iter().filter(|(_, s)| *s == Step::Waits);
+            let waits = self.steps.iter().filter(|(_, s)| *s == Step::Waiting);
             held.extend(waits.take(budget.at_once.saturating_mul(rounds)).map(|(id, _)| id.as_str()));
         }
         held
@@ -140,7 +140,7 @@
 
     fn take(&mut self, command: Command) -> bool {
         match command {
-            Command::Ask(ids) => {
+            Command::Add(ids) => {
                 if self.accepts(&ids).is_err() {
                     return false;
                 }
@@ -150,31 +150,35 @@
                     self.stopped = None;
                 }
                 self.steps.retain(|(id, _)| !ids.contains(id));
-                self.steps.extend(ids.into_iter().map(|id| (id, Step::Waits)));
+                self.steps.extend(ids.into_iter().map(|id| (id, Step::Waiting)));
                 true
             }
-            Command::Begin(id, at, version) => {
+            Command::StartDrain(id, at, version) => {
                 self.stopped.is_none()
                     && version == self.version
-                    && self.turn(&id, |s| (*s == Step::Waits).then(|| Step::Drains(at, BTreeSet::new())))
+                    && self.turn(&id, |s| (*s == Step::Waiting).then(|| Step::Draining(at, BTreeSet::new())))
             }
             Command::Idle(holder, id) => self.turn(&id, |s| match s {
-                Step::Drains(at, idle) if !idle.contains(&holder) => {
+                Step::Draining(at, idle) if !idle.contains(&holder) => {
                     let mut idle = idle.clone();
                     idle.insert(holder);
-                    Some(Step::Drains(*at, idle))
+                    Some(Step::Draining(*at, idle))
                 }
                 _ => None,
             }),
-            Command::HandOver(id, at) => {
-                self.turn(&id, |s| matches!(s, Step::Drains(..)).then_some(Step::Out(at)))
+            Command::TakeOut(id, at) => {
+                self.turn(&id, |s| matches!(s, Step::Draining(..)).then_some(Step::Out(at)))
+            }
+            Command::Returned(id, at) => {
+                self.turn(&id, |s| matches!(s, Step::Out(_)).then_some(Step::WarmingUp(at)))
+            }
+            Command::WarmedUp(id) => {
+                self.turn(&id, |s| matches!(s, Step::WarmingUp(_)).then_some(Step::Done))
             }
-            Command::Back(id, at) => self.turn(&id, |s| matches!(s, Step::Out(_)).then_some(Step::Warms(at))),
-            Command::Warm(id) => self.turn(&id, |s| matches!(s, Step::Warms(_)).then_some(Step::Done)),
             Command::Fail(id, why) => {
                 let reason = format!("{id}: {why}");
                 let failed = self.turn(&id, |s| {
-                    matches!(s, Step::Drains(..) | Step::Out(_)).then(|| Step::Failed(why.clone()))
+                    matches!(s, Step::Draining(..) | Step::Out(_)).then(|| Step::Failed(why.clone()))
                 });
                 if failed {
                     self.stopped.get_or_insert(reason);
@@ -184,7 +188,7 @@
             Command::Abort => {
                 let was = self.clone();
                 for (_, s) in &mut self.steps {
-                    if matches!(s, Step::Waits | Step::Drains(..)) {
+                    if matches!(s, Step::Waiting | Step::Draining(..)) {
                         *s = Step::Aborted;
                     }
                 }
@@ -193,10 +197,11 @@
                 }
                 *self != was
             }
-            Command::Mend(id, at) => {
+            Command::Repair(id, at) => {
                 let failed = matches!(self.step(&id), Some(Step::Failed(_)));
-                let mended = self
-                    .turn(&id, |s| matches!(s, Step::Failed(_) | Step::Out(_)).then_some(Step::Warms(at)));
+                let mended = self.turn(&id, |s| {
+                    matches!(s, Step::Failed(_) | Step::Out(_)).then_some(Step::WarmingUp(at))
+                });
                 if failed && !self.steps.iter().any(|(_, s)| matches!(s, Step::Failed(_))) {
                     self.stopped = None;
                 }
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -32,10 +32,10 @@
 
 fn rank(step: &Step) -> u8 {
     match step {
-        Step::Waits => 0,
-        Step::Drains(..) => 1,
+        Step::Waiting => 0,
+        Step::Draining(..) => 1,
         Step::Out(_) => 2,
-        Step::Warms(_) => 4,
+        Step::WarmingUp(_) => 4,
         Step::Done => 5,
         Step::Failed(_) => 3,
         Step::Aborted => 6,
@@ -59,16 +59,16 @@
         let mut commands = Vec::new();
         if round % 100 == 0 {
             let ids: Vec<String> = (0..3).map(|n| format!("m{}", (draw(8) + n * 3) % 8)).collect();
-            commands.push(Command::Ask(ids));
+            commands.push(Command::Add(ids));
         }
         match draw(300) {
             0 => commands.push(Command::Abort),
-            1..=3 => commands.push(Command::Mend(format!("m{}", draw(8)), now)),
+            1..=3 => commands.push(Command::Repair(format!("m{}", draw(8)), now)),
             _ => {}
         }
         // Idle dispatchers report so late or never; the drain limit ends the wait.
         for (id, step) in plan.steps() {
-            if matches!(step, Step::Drains(..)) && draw(4) == 0 {
+            if matches!(step, Step::Draining(..)) && draw(4) == 0 {
                 commands.push(Command::Idle(holder(1 + draw(3) as u8), id.into()));
             }
         }
@@ -87,10 +87,10 @@
         for command in commands {
             let before = plan.clone();
             let begins = match &command {
-                Command::Begin(id, ..) => Some(id.clone()),
+                Command::StartDrain(id, ..) => Some(id.clone()),
                 _ => None,
             };
-            let asked = matches!(command, Command::Ask(_));
+            let asked = matches!(command, Command::Add(_));
             if !plan.apply(command, &BTreeSet::new()) {
                 assert_eq!(before, plan);
                 continue;
@@ -128,7 +128,7 @@
             }
         }
         for (id, at) in &back {
-            let mended = plan.step(id).is_some_and(|s| matches!(s, Step::Warms(_)));
+            let mended = plan.step(id).is_some_and(|s| matches!(s, Step::WarmingUp(_)));
             if (at.is_some_and(|t| t <= now) || mended)
                 && let Some(m) = executors.get_mut(id).filter(|m| !m.up)
             {
@@ -143,7 +143,7 @@
             let held = known.held_back(&budget, Some(now - since));
             let stopped = known.stopped().is_some() || plan.stopped().is_some();
             for (id, step) in plan.steps().filter(|(_, s)| s.banned()) {
-                let waited = known.step(id) == Some(&Step::Waits);
+                let waited = known.step(id) == Some(&Step::Waiting);
                 assert!(stopped || !waited || held.contains(id), "seed {seed}: {id} {step:?} held {held:?}");
             }
         }
@@ -172,8 +172,8 @@
 fn what_holds_a_machine_up_is_told() {
     let (executors, budget) = (executors(), budget(1));
     let mut plan = Plan::default();
-    assert!(plan.apply(Command::Ask(vec!["m1".into(), "m2".into()]), &BTreeSet::new()));
-    assert!(!plan.apply(Command::Ask(vec!["m2".into()]), &BTreeSet::new()), "planned already");
+    assert!(plan.apply(Command::Add(vec!["m1".into(), "m2".into()]), &BTreeSet::new()));
+    assert!(!plan.apply(Command::Add(vec!["m2".into()]), &BTreeSet::new()), "planned already");
     assert_eq!(may_begin(&plan, &executors, 10.0, &budget), Ok("m1".into()));
     assert!(may_begin(&plan, &executors, 50.0, &budget).is_err(), "56 cores are left, 65 are needed");
     let few: BTreeMap<String, ExecutorInfo> = executors.into_iter().take(4).collect();
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -168,8 +168,8 @@
     assert_eq!(short.to_string(), "m3: schema 7 would be left 8.0 of the 8.1 cores needed");
     let all = Short::Cores { id: "m0".into(), span: (7, 8), left: 24.0, needed: 26.25 };
     assert_eq!(ask("m0", &plan, 5.0, Use { busy: 4.0, sessions: 1 }), Err(all));
-    plan.apply(plan::Command::Ask(vec!["m0".into()]), &BTreeSet::new());
-    plan.apply(plan::Command::Begin("m0".into(), 1, 1), &BTreeSet::new());
+    plan.apply(plan::Command::Add(vec!["m0".into()]), &BTreeSet::new());
+    plan.apply(plan::Command::StartDrain("m0".into(), 1, 1), &BTreeSet::new());
     let idle = Use { busy: 0.0, sessions: 3 };
     assert_eq!(ask("m1", &plan, 0.0, idle), Err(Short::Last { id: "m1".into(), span: (8, 8), sessions: 3 }));
 }
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -63,7 +63,7 @@
         Command::Work(ledger::Command::Open(holder(2, 1), 22, record(32, false))),
         Command::Work(ledger::Command::Tried(holder(1, 1), 21, 51)),
         Command::Work(ledger::Command::Close(holder(2, 1), 22, served)),
-        Command::Plan(plan::Command::Ask(vec!["s-1".into(), "s-2".into()])),
+        Command::Plan(plan::Command::Add(vec!["s-1".into(), "s-2".into()])),
         Command::Policy(proposal),
         Command::Schema(schema::Command::Found(7, 500)),
         Command::Schema(schema::Command::Tell("s-1".into(), 7, 50)),
--- a/src/net/maintenance/calls.rs
+++ b/src/net/maintenance/calls.rs
@@ -28,13 +28,13 @@
                     return Some(format!("-ERR no executor {unknown}"));
                 }
                 match self.plan().map(|p| p.accepts(ids)) {
-                    Some(Ok(())) => Command::Ask(ids.clone()),
+                    Some(Ok(())) => Command::Add(ids.clone()),
                     Some(Err(why)) => return Some(format!("-ERR {why}")),
                     None => return Some("-ERR this dispatcher takes no part in a fleet now".into()),
                 }
             }
             Call::PlanMend(id) => match self.plan().and_then(|p| p.step(id)) {
-                Some(Step::Out(_) | Step::Failed(_)) => Command::Mend(id.clone(), now),
+                Some(Step::Out(_) | Step::Failed(_)) => Command::Repair(id.clone(), now),
                 _ => return Some(format!("-ERR {id} is neither out nor failed")),
             },
             _ => Command::Abort,
@@ -72,7 +72,7 @@
         let done = |call: &Call| match call {
             Call::Plan(ids) => ids.iter().all(|id| plan.step(id).is_some_and(|s| !s.over())),
             Call::PlanMend(id) => plan.step(id).is_some_and(|s| !s.banned()),
-            _ => plan.next().is_none() && !plan.steps().any(|(_, s)| matches!(s, Step::Drains(..))),
+            _ => plan.next().is_none() && !plan.steps().any(|(_, s)| matches!(s, Step::Draining(..))),
         };
         let (over, waiting): (Vec<Waiting>, Vec<Waiting>) =
             in_flight.maintenance.waiting.drain(..).partition(|w| done(&w.call) || w.until <= now);
--- a/src/net/maintenance/format.rs
+++ b/src/net/maintenance/format.rs
@@ -7,10 +7,10 @@
 pub(super) fn step_text(step: &Step, now: Micros) -> String {
     let since = |t: &Micros| now.saturating_sub(*t) / 1_000_000;
     match step {
-        Step::Waits => "waits".into(),
-        Step::Drains(t, idle) => format!("drains {}s, idle at {}", since(t), idle.len()),
+        Step::Waiting => "waits".into(),
+        Step::Draining(t, idle) => format!("drains {}s, idle at {}", since(t), idle.len()),
         Step::Out(t) => format!("out {}s", since(t)),
-        Step::Warms(t) => format!("warms {}s", since(t)),
+        Step::WarmingUp(t) => format!("warms {}s", since(t)),
         Step::Done => "done".into(),
         Step::Failed(why) => format!("failed: {why}"),
         Step::Aborted => "aborted".into(),
@@ -20,9 +20,9 @@
 /// A step without its times, to see whether it changed.
 pub(super) fn kind(step: &Step) -> String {
     match step {
-        Step::Drains(..) => "drains".into(),
+        Step::Draining(..) => "drains".into(),
         Step::Out(_) => "out".into(),
-        Step::Warms(_) => "warms".into(),
+        Step::WarmingUp(_) => "warms".into(),
         step => step_text(step, 0),
     }
 }
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -88,7 +88,7 @@
         let held: BTreeSet<String> = held.into_iter().map(String::from).collect();
         let cold: BTreeMap<String, Micros> = plan
             .steps()
-            .filter_map(|(id, s)| if let Step::Warms(t) = s { Some((id.to_string(), *t)) } else { None })
+            .filter_map(|(id, s)| if let Step::WarmingUp(t) = s { Some((id.to_string(), *t)) } else { None })
             .collect();
         self.hold(held, cold, now);
     }
@@ -114,7 +114,7 @@
         let Some(in_flight) = &mut self.in_flight else { return };
         let Some(holder) = in_flight.takeover.fleet.holds(now) else { return };
         for (id, step) in plan.steps() {
-            let Step::Drains(_, idle) = step else { continue };
+            let Step::Draining(_, idle) = step else { continue };
             if !idle.contains(&holder)
                 && in_flight.maintenance.held_back.contains(id)
                 && !self.executors.busy(id)
