--- a/crates/fleet/src/plan/lead.rs
+++ b/crates/fleet/src/plan/lead.rs
@@ -36,9 +36,9 @@
 
 /// Why the next executor cannot start its maintenance.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Holdup {
+pub enum BlockReason {
     /// No executor is waiting, or the plan has stopped.
-    Nothing,
+    NoneWaiting,
     /// This many executors are missing already, which is the limit.
     AtOnce(usize),
     /// Another executor of this zone is missing, and too few would remain there.
@@ -94,21 +94,21 @@
     executors: &BTreeMap<String, ExecutorInfo>,
     busy: f64,
     budget: &Budget,
-) -> Result<String, Holdup> {
-    let next = plan.next().ok_or(Holdup::Nothing)?;
+) -> Result<String, BlockReason> {
+    let next = plan.next().ok_or(BlockReason::NoneWaiting)?;
     let missing: Vec<&str> = plan.steps().filter(|(_, s)| s.missing()).map(|(id, _)| id).collect();
     if missing.len() >= budget.at_once {
-        return Err(Holdup::AtOnce(missing.len()));
+        return Err(BlockReason::AtOnce(missing.len()));
     }
     let left =
         |(id, m): &(&String, &ExecutorInfo)| m.up && id.as_str() != next && !missing.contains(&id.as_str());
     let serving: Vec<(&String, &ExecutorInfo)> = executors.iter().filter(left).collect();
     if serving.len() < budget.min_executors {
-        return Err(Holdup::Executors(serving.len()));
+        return Err(BlockReason::Executors(serving.len()));
     }
     let (cores, needed) = (serving.iter().map(|(_, m)| m.cores).sum::<f64>(), busy * budget.headroom);
     if cores < needed {
-        return Err(Holdup::Cores(cores, needed));
+        return Err(BlockReason::Cores(cores, needed));
     }
     // A zone in which an executor is already missing keeps more than half of its executors.
     if let Some(zone) = executors.get(next).map(|m| m.zone) {
@@ -116,7 +116,7 @@
         let all = executors.values().filter(|m| m.zone == zone).count();
         let gone = missing.iter().filter(|id| in_zone(id)).count();
         if gone > 0 && 2 * (gone + 1) >= all {
-            return Err(Holdup::Zone(zone));
+            return Err(BlockReason::Zone(zone));
         }
     }
     Ok(next.to_string())
--- a/crates/fleet/src/plan/mod.rs
+++ b/crates/fleet/src/plan/mod.rs
@@ -6,7 +6,7 @@
 
 mod lead;
 
-pub use lead::{Budget, ExecutorInfo, Holdup, lead, may_begin};
+pub use lead::{BlockReason, Budget, ExecutorInfo, lead, may_begin};
 
 use crate::{Holder, Micros};
 use serde::{Deserialize, Serialize};
--- a/src/net/maintenance/format.rs
+++ b/src/net/maintenance/format.rs
@@ -1,7 +1,7 @@
 //! The plan as text, for the status and the log.
 
 use crate::api::Micros;
-use fleet::plan::{Holdup, Step};
+use fleet::plan::{BlockReason, Step};
 
 /// A step in a word, as the status and the log tell it.
 pub(super) fn step_text(step: &Step, now: Micros) -> String {
@@ -28,12 +28,12 @@
 }
 
 /// What holds a machine up, as the status tells it.
-pub(super) fn holdup_text(why: &Holdup) -> String {
+pub(super) fn holdup_text(why: &BlockReason) -> String {
     match why {
-        Holdup::Nothing => "nothing waits".into(),
-        Holdup::AtOnce(n) => format!("{n} out already"),
-        Holdup::Zone(zone) => format!("hall {zone} would fall short"),
-        Holdup::Executors(n) => format!("{n} machines would be left"),
-        Holdup::Cores(left, needed) => format!("{left:.0} cores would be left, {needed:.0} are needed"),
+        BlockReason::NoneWaiting => "nothing waits".into(),
+        BlockReason::AtOnce(n) => format!("{n} out already"),
+        BlockReason::Zone(zone) => format!("hall {zone} would fall short"),
+        BlockReason::Executors(n) => format!("{n} machines would be left"),
+        BlockReason::Cores(left, needed) => format!("{left:.0} cores would be left, {needed:.0} are needed"),
     }
 }
