--- a/crates/fleet/src/plan/lead.rs
+++ b/crates/fleet/src/plan/lead.rs
@@ -36,9 +36,9 @@
 
 /// Why the next executor cannot start its maintenance.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Holdup {
+pub enum BlockReason {
     /// No executor is waiting, or the plan has stopped.
-    Nothing,
+    NoneWaiting,
     /// This many executors are missing already, which is the limit.
     AtOnce(usize),
     /// Another executor of this zone is missing, and too few would remain there.
@@ -62,26 +62,28 @@
     let mut commands = Vec::new();
     for (id, step) in plan.steps() {
         match step {
-            Step::Drains(since, idle) => {
+            Step::Draining(since, idle) => {
                 let all = alive.iter().all(|h| idle.contains(h));
                 if all || now > since + budget.drain_limit {
-                    commands.push(Command::HandOver(id.into(), now));
+                    commands.push(Command::TakeOut(id.into(), now));
                 }
             }
             Step::Out(since) => {
                 let back = executors.get(id).is_some_and(|m| m.up && m.started > *since);
                 if back {
-                    commands.push(Command::Back(id.into(), now));
+                    commands.push(Command::Returned(id.into(), now));
                 } else if now > since + budget.out_limit {
                     commands.push(Command::Fail(id.into(), "it did not come back".into()));
                 }
             }
-            Step::Warms(since) if now > since + budget.ramp => commands.push(Command::Warm(id.into())),
+            Step::WarmingUp(since) if now > since + budget.ramp => {
+                commands.push(Command::WarmedUp(id.into()))
+            }
             _ => {}
         }
     }
     if let Ok(id) = may_begin(plan, executors, busy, budget) {
-        commands.push(Command::Begin(id, now, plan.version));
+        commands.push(Command::StartDrain(id, now, plan.version));
     }
     commands
 }
@@ -92,21 +94,21 @@
     executors: &BTreeMap<String, ExecutorInfo>,
     busy: f64,
     budget: &Budget,
-) -> Result<String, Holdup> {
-    let next = plan.next().ok_or(Holdup::Nothing)?;
+) -> Result<String, BlockReason> {
+    let next = plan.next().ok_or(BlockReason::NoneWaiting)?;
     let missing: Vec<&str> = plan.steps().filter(|(_, s)| s.missing()).map(|(id, _)| id).collect();
     if missing.len() >= budget.at_once {
-        return Err(Holdup::AtOnce(missing.len()));
+        return Err(BlockReason::AtOnce(missing.len()));
     }
     let left =
         |(id, m): &(&String, &ExecutorInfo)| m.up && id.as_str() != next && !missing.contains(&id.as_str());
     let serving: Vec<(&String, &ExecutorInfo)> = executors.iter().filter(left).collect();
     if serving.len() < budget.min_executors {
-        return Err(Holdup::Executors(serving.len()));
+        return Err(BlockReason::Executors(serving.len()));
     }
     let (cores, needed) = (serving.iter().map(|(_, m)| m.cores).sum::<f64>(), busy * budget.headroom);
     if cores < needed {
-        return Err(Holdup::Cores(cores, needed));
+        return Err(BlockReason::Cores(cores, needed));
     }
     // A zone in which an executor is already missing keeps more than half of its executors.
     if let Some(zone) = executors.get(next).map(|m| m.zone) {
@@ -114,7 +116,7 @@
         let all = executors.values().filter(|m| m.zone == zone).count();
         let gone = missing.iter().filter(|id| in_zone(id)).count();
         if gone > 0 && 2 * (gone + 1) >= all {
-            return Err(Holdup::Zone(zone));
+            return Err(BlockReason::Zone(zone));
         }
     }
     Ok(next.to_string())
