--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Interval of the leader's [`Command::Sweep`].
-const SWEEP: Micros = 1_000_000;
-/// The same while a change of policy is pending.
-const HURRY: Micros = 200_000;
+/// Interval at which the leader proposes [`Command::Sweep`].
+const SWEEP_INTERVAL: Micros = 1_000_000;
+/// Interval of the sweeps while a change of policy is pending, whose time limits need a finer resolution.
+const PENDING_POLICY_SWEEP_INTERVAL: Micros = 200_000;
 
 impl Fleet {
     pub(super) fn release_requests(&mut self, holder: Holder) {
@@ -30,14 +30,14 @@
 
     pub(super) fn maintain_lease(&mut self, now: Micros) {
         let Some(group) = &self.group else { return };
-        let every = self.config.lease / RENEWALS;
+        let every = self.config.lease / RENEWALS_PER_LEASE;
         match self.lease {
             Some((holder, _)) if self.renew_at <= now => {
                 self.renew_at = now + every;
                 self.queue.push(Command::Renew(holder, now));
                 self.flush_by(now);
             }
-            None if self.register_at <= now && group.leader().is_some() && group.votes() => {
+            None if self.register_at <= now && group.leader().is_some() && group.is_voter() => {
                 self.register_at = now + self.config.lease;
                 // The lease runs from now, whenever the command is applied.
                 self.queue.push(Command::Register(self.incarnation, now));
@@ -54,7 +54,7 @@
         let others = state.alive().iter().filter(|h| h.incarnation != self.incarnation);
         let alive: Vec<(Holder, u64)> = others.filter_map(|h| Some((*h, state.renewals(*h)?))).collect();
         // A pending change of policy depends on time limits, so the leader sweeps more often.
-        let (timed, hurry) = (state.keeps_time(), state.policy().pending().is_some());
+        let (has_deadlines, policy_pending) = (state.keeps_time(), state.policy().pending().is_some());
         for (holder, renewals) in alive {
             let seen = self.renewals_seen.entry(holder).or_insert(now);
             if now > *seen + self.config.lease + self.config.margin {
@@ -63,9 +63,9 @@
                 self.flush_by(now);
             }
         }
-        if self.sweep_at <= now || (hurry && self.sweep_at > now + HURRY) {
-            self.sweep_at = now + if hurry { HURRY } else { SWEEP };
-            if timed {
+        if self.sweep_at <= now || (policy_pending && self.sweep_at > now + PENDING_POLICY_SWEEP_INTERVAL) {
+            self.sweep_at = now + if policy_pending { PENDING_POLICY_SWEEP_INTERVAL } else { SWEEP_INTERVAL };
+            if has_deadlines {
                 self.queue.push(Command::Sweep(now));
                 self.flush_by(now);
             }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -51,11 +51,11 @@
             self.joining.insert(from, incarnation);
         }
         let Some(fleet) = fleet else { return };
-        let unformed = self.group.as_ref().is_some_and(|g| !g.formed());
+        let unformed = self.group.as_ref().is_some_and(|g| !g.has_committed());
         // A peer that waits for membership in a fleet that no longer exists joins a fleet whose founding names its
         // incarnation. Otherwise it would abandon the old fleet later and return as a new incarnation, and each
         // further founding would again name an incarnation that has ended.
-        let waits = self.group.as_ref().is_some_and(|g| !g.begun());
+        let waits = self.group.as_ref().is_some_and(|g| !g.has_state());
         let named = waits && id != own && fleet.voters.contains(&self.incarnation);
         if named || unformed && formed && id != own {
             // Two fleets were founded at once and the other one has formed.
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn recently_heard(&self, now: Micros) -> impl Iterator<Item = (Peer, PeerStatus)> + '_ {
-        let oldest = now.saturating_sub(FRESH * HELLO * self.config.tick);
+        let oldest = now.saturating_sub(MAX_HELLO_AGE * HELLO_TICKS * self.config.tick);
         self.peers_heard.iter().filter(move |(_, h)| h.at >= oldest).map(|(p, h)| (*p, *h))
     }
 
@@ -85,7 +85,7 @@
     /// Founds a fleet if a majority of the peers has none and this is the lowest of them. Only one such fleet can form, as
     /// any two majorities share a peer and a peer takes part in one founding at a time.
     pub(super) fn found_fleet(&mut self, now: Micros) {
-        if now < self.started_at + 2 * HELLO * self.config.tick {
+        if now < self.started_at + 2 * HELLO_TICKS * self.config.tick {
             return;
         }
         let fresh: BTreeMap<Peer, PeerStatus> = self.recently_heard(now).collect();
@@ -127,7 +127,7 @@
         self.joining.clear();
         // Rejoins as a new incarnation, as the votes of this one belong to the old fleet. An incarnation that never
         // became a member has not voted.
-        if group.begun() {
+        if group.has_state() {
             self.incarnation = incarnation(self.config.me, (self.incarnation & (u64::MAX >> 8)) + 1);
         }
         self.events.push_back(FleetEvent::FleetAbandoned(group.founding.id));
@@ -139,7 +139,9 @@
             (Some(_), _) => self.leaderless_since = None,
             (None, None) => self.leaderless_since = Some(now),
             // The fleet that it joined no longer exists, or the one that it founded never formed.
-            (None, Some(since)) if !group.formed() && now > since + self.config.give_up / 2 => self.abandon(),
+            (None, Some(since)) if !group.has_committed() && now > since + self.config.give_up / 2 => {
+                self.abandon()
+            }
             (None, Some(since)) if now > since + self.config.give_up => {
                 // A majority has no fleet, or one that was founded while this peer was cut off.
                 let own = Some(group.founding.id);
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -29,13 +29,13 @@
 }
 
 /// Ticks between two hello messages to each peer.
-const HELLO: u64 = 8;
+const HELLO_TICKS: u64 = 8;
 /// Hello intervals after which the last hello of a peer is stale.
-const FRESH: u64 = 4;
-/// Queued commands beyond which requests that need not be recorded are no longer recorded.
-const WAITING: usize = 8_192;
+const MAX_HELLO_AGE: u64 = 4;
+/// Queue length from which on requests that need not be recorded are not recorded.
+const MAX_QUEUED_COMMANDS: usize = 8_192;
 /// Renewals per lease duration.
-const RENEWALS: u64 = 5;
+const RENEWALS_PER_LEASE: u64 = 5;
 
 /// One dispatcher's participation in its fleet.
 pub struct Fleet {
@@ -134,7 +134,7 @@
 
     /// The id of the fleet whose state is known here.
     pub fn fleet_id(&self) -> Option<u64> {
-        self.group.as_ref().filter(|g| g.begun()).map(|g| g.founding.id)
+        self.group.as_ref().filter(|g| g.has_state()).map(|g| g.founding.id)
     }
 
     /// Whether this peer is the leader.
@@ -155,8 +155,8 @@
 
     /// The message that announces this peer, sent first on every connection.
     pub fn hello(&self) -> Message {
-        let fleet = self.group.as_ref().filter(|g| g.begun()).map(|g| g.founding.clone());
-        let formed = self.group.as_ref().is_some_and(Group::formed);
+        let fleet = self.group.as_ref().filter(|g| g.has_state()).map(|g| g.founding.clone());
+        let formed = self.group.as_ref().is_some_and(Group::has_committed);
         Message::Hello {
             from: self.config.me,
             incarnation: self.incarnation,
@@ -186,7 +186,7 @@
         self.last_tick = now;
         self.drop_expired_lease(now);
         if self.hello_at <= now {
-            self.hello_at = now + HELLO * self.config.tick;
+            self.hello_at = now + HELLO_TICKS * self.config.tick;
             let hello = self.hello();
             let others: Vec<Peer> = self.other_peers().collect();
             self.messages.extend(others.into_iter().map(|p| (p, hello.clone())));
@@ -197,7 +197,7 @@
                 group.tick(now);
                 if group.is_leader() {
                     let asking: Vec<Incarnation> = self.joining.values().copied().collect();
-                    asking.into_iter().for_each(|incarnation| group.seat(incarnation));
+                    asking.into_iter().for_each(|incarnation| group.add_voter(incarnation));
                 }
             }
         }
@@ -212,7 +212,7 @@
 
     /// Proposes the queued commands as one batch; call it after handling all input of one moment.
     pub fn flush(&mut self, now: Micros) {
-        let Some(group) = self.group.as_mut().filter(|g| g.has_room()) else {
+        let Some(group) = self.group.as_mut().filter(|g| g.can_propose()) else {
             // Pending batches have to be applied first, which needs a leader: retrying each tick is enough.
             self.flush_at = Some(now + self.config.tick);
             return;
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -7,7 +7,7 @@
     /// it is batched, and not recorded if the queue is full. Returns false if it can't be recorded or there is no lease.
     pub fn open(&mut self, now: Micros, ask: u64, record: Record, first: bool) -> bool {
         let Some(holder) = self.holds(now) else { return false };
-        if !first && self.queue.len() >= WAITING {
+        if !first && self.queue.len() >= MAX_QUEUED_COMMANDS {
             return false;
         }
         self.queue.push(Command::Work(ledger::Command::Open(holder, ask, record)));
--- a/crates/fleet/src/group/seat.rs
+++ b/crates/fleet/src/group/membership.rs
@@ -5,7 +5,7 @@
 impl Group {
     /// As leader, takes the next step towards making an incarnation a voter: adds it as a learner, or promotes it once it
     /// has caught up. Does nothing while another configuration change is pending.
-    pub fn seat(&mut self, incarnation: Incarnation) {
+    pub fn add_voter(&mut self, incarnation: Incarnation) {
         let members = self.log.members();
         let joint = !members.voters_outgoing.is_empty();
         if !self.is_leader()
@@ -28,7 +28,7 @@
         let mut changes: Vec<ConfChangeSingle> = Vec::new();
         if members.learners.contains(&incarnation) {
             let matched = self.node.raft.prs().get(incarnation).map_or(0, |p| p.matched);
-            if matched == 0 || matched + CAUGHT_UP < self.node.raft.raft_log.committed {
+            if matched == 0 || matched + MAX_LEARNER_LAG < self.node.raft.raft_log.committed {
                 return;
             }
             changes.extend(stale(&members.voters).into_iter().map(|l| single(ConfChangeType::RemoveNode, l)));
@@ -41,6 +41,6 @@
         let mut change = ConfChangeV2::default();
         change.set_changes(changes.into());
         let _ = self.node.propose_conf_change(Vec::new(), change);
-        self.pump();
+        self.process_ready();
     }
 }
--- a/crates/fleet/src/group/mod.rs
+++ b/crates/fleet/src/group/mod.rs
@@ -4,8 +4,8 @@
 //! own. A new incarnation is added as a learner; once it has caught up, it replaces its peer's former incarnation
 //! in one joint configuration change.
 
-mod pump;
-mod seat;
+mod membership;
+mod ready;
 
 use crate::log::Log;
 use crate::state::{Command, Effect, ReplicatedState};
@@ -21,19 +21,19 @@
 
 /// Ticks without a message from the leader before the first peer starts an election; each further peer waits one tick
 /// more, so that they don't start at once.
-const ELECTION: usize = 6;
+const ELECTION_TICKS: usize = 6;
 /// Entries kept before a snapshot, so that peers slightly behind don't need the snapshot.
-const KEPT: u64 = 1_024;
+const RETAINED_ENTRIES: u64 = 1_024;
 /// A learner at most this many entries behind the commit index has caught up.
-const CAUGHT_UP: u64 = 256;
+const MAX_LEARNER_LAG: u64 = 256;
 /// The log is compacted once it has grown by more bytes than this and than the size of the last snapshot.
-const LEAST_CUT: usize = 1 << 20;
+const MIN_COMPACTION_BYTES: usize = 1 << 20;
 /// The most batches that are proposed but not yet applied; further ones wait.
-const UNDER_WAY: usize = 64;
-/// Ticks after which a snapshot is reported as failed.
-const SNAPSHOT: u64 = 24;
+const MAX_PENDING_BATCHES: usize = 64;
+/// Ticks after which a snapshot is reported to the library as failed.
+const SNAPSHOT_TIMEOUT_TICKS: u64 = 24;
 /// Ticks after which a batch that was not applied is proposed again.
-const AGAIN: u64 = 8;
+const REPROPOSE_TICKS: u64 = 8;
 
 /// One node of the Raft group.
 pub struct Group {
@@ -45,17 +45,17 @@
     state: ReplicatedState,
     applied: u64,
     /// The decoded state of the last received snapshot, until the library applies it.
-    incoming: Option<ReplicatedState>,
-    period: Micros,
+    incoming_state: Option<ReplicatedState>,
+    tick_interval: Micros,
     tick_at: Micros,
     /// Own batches that are not applied yet: number, entry, and time of the last proposal.
     pending: VecDeque<(u64, Vec<u8>, Micros)>,
     next_batch: u64,
     /// Bytes appended to the log since the last snapshot.
-    grown: usize,
-    size: usize,
+    bytes_since_snapshot: usize,
+    snapshot_size: usize,
     /// Incarnations that a snapshot was sent to, and when: the library sends them no entries until the outcome is known.
-    snapshots: Vec<(Incarnation, Micros)>,
+    snapshots_in_transit: Vec<(Incarnation, Micros)>,
     /// Outgoing messages, by the incarnation to send them to.
     pub messages: Vec<(Incarnation, Vec<u8>)>,
     /// Effects of the applied entries, in order.
@@ -63,7 +63,7 @@
     /// Set when a snapshot replaced the state, so that the effects of some entries are missing.
     pub restored: bool,
     /// The number of messages and entries that were rejected.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 /// The payload of a log entry: the proposing incarnation, the batch's number and its commands.
@@ -80,17 +80,22 @@
 
 impl Group {
     /// Creates the node of an incarnation; one that the founding does not name starts with an empty log and joins later.
-    pub fn new(founding: Founding, me: Incarnation, period: Micros, now: Micros) -> raft::Result<Group> {
+    pub fn new(
+        founding: Founding,
+        me: Incarnation,
+        tick_interval: Micros,
+        now: Micros,
+    ) -> raft::Result<Group> {
         let founder = founding.voters.contains(&me);
         let log = if founder { Log::from_snapshot(founding_snapshot(&founding))? } else { Log::default() };
         let applied = u64::from(founder);
-        let place = usize::from(peer_of(me));
+        let peer_offset = usize::from(peer_of(me));
         let config = Config {
             id: me,
-            election_tick: ELECTION,
+            election_tick: ELECTION_TICKS,
             heartbeat_tick: 1,
-            min_election_tick: ELECTION + place,
-            max_election_tick: ELECTION + place + 1,
+            min_election_tick: ELECTION_TICKS + peer_offset,
+            max_election_tick: ELECTION_TICKS + peer_offset + 1,
             applied,
             max_size_per_msg: 1 << 20,
             max_inflight_msgs: 64,
@@ -106,18 +111,18 @@
             node,
             log,
             applied,
-            incoming: None,
-            period,
-            tick_at: now + period,
+            incoming_state: None,
+            tick_interval,
+            tick_at: now + tick_interval,
             pending: VecDeque::new(),
             next_batch: 1,
-            grown: 0,
-            size: 0,
-            snapshots: Vec::new(),
+            bytes_since_snapshot: 0,
+            snapshot_size: 0,
+            snapshots_in_transit: Vec::new(),
             messages: Vec::new(),
             effects: Vec::new(),
             restored: false,
-            refused: 0,
+            rejected: 0,
         })
     }
 
@@ -137,17 +142,17 @@
     }
 
     /// Whether this node has a state: as a founding member or from the log. False while it waits to be added.
-    pub fn begun(&self) -> bool {
+    pub fn has_state(&self) -> bool {
         self.applied > 0
     }
 
     /// Whether any entry was committed after the founding.
-    pub fn formed(&self) -> bool {
+    pub fn has_committed(&self) -> bool {
         self.applied > 1
     }
 
     /// Whether this incarnation has a vote.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.log.members().voters.contains(&self.me)
     }
 
@@ -157,8 +162,8 @@
     }
 
     /// Whether another batch can be proposed.
-    pub fn has_room(&self) -> bool {
-        self.pending.len() < UNDER_WAY
+    pub fn can_propose(&self) -> bool {
+        self.pending.len() < MAX_PENDING_BATCHES
     }
 
     /// When [`Group::tick`] has to be called next.
@@ -174,27 +179,27 @@
         // Without a leader the proposal is dropped; tick() proposes it again.
         let _ = self.node.propose(Vec::new(), entry.clone());
         self.pending.push_back((number, entry, now));
-        self.pump();
+        self.process_ready();
     }
 
     /// Handles a Raft message.
     pub fn step(&mut self, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         };
         // The library panics on a heartbeat whose commit index is past the end of the log.
         let last = self.log.last_index().unwrap_or(0);
-        let beyond = message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > last;
+        let past_end = message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > last;
         let snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
         if snapshot {
-            self.incoming = ReplicatedState::decode(&message.get_snapshot().data).ok();
+            self.incoming_state = ReplicatedState::decode(&message.get_snapshot().data).ok();
         }
-        let unreadable = snapshot && self.incoming.is_none();
-        if message.to != self.me || beyond || unreadable || self.node.step(message).is_err() {
-            self.refused += 1;
+        let unreadable = snapshot && self.incoming_state.is_none();
+        if message.to != self.me || past_end || unreadable || self.node.step(message).is_err() {
+            self.rejected += 1;
         }
-        self.pump();
+        self.process_ready();
     }
 
     /// Advances the time to `now`.
@@ -202,17 +207,19 @@
         // A long pause of this process counts as one tick, so that it does not make the leader seem lost.
         while self.tick_at <= now {
             self.node.tick();
-            self.tick_at =
-                if self.tick_at + 4 * self.period < now { now } else { self.tick_at } + self.period;
+            self.tick_at = if self.tick_at + 4 * self.tick_interval < now { now } else { self.tick_at }
+                + self.tick_interval;
         }
         // A failed snapshot is sent again; the library learns from the receiver's response that one has arrived.
-        let late = now.saturating_sub(SNAPSHOT * self.period);
-        let (over, sent) = std::mem::take(&mut self.snapshots).into_iter().partition(|(_, at)| *at <= late);
-        self.snapshots = sent;
-        let over: Vec<(Incarnation, Micros)> = over;
-        over.into_iter()
+        let late = now.saturating_sub(SNAPSHOT_TIMEOUT_TICKS * self.tick_interval);
+        let (timed_out, in_transit) =
+            std::mem::take(&mut self.snapshots_in_transit).into_iter().partition(|(_, at)| *at <= late);
+        self.snapshots_in_transit = in_transit;
+        let timed_out: Vec<(Incarnation, Micros)> = timed_out;
+        timed_out
+            .into_iter()
             .for_each(|(incarnation, _)| self.node.report_snapshot(incarnation, SnapshotStatus::Failure));
-        let again = now.saturating_sub(AGAIN * self.period);
+        let again = now.saturating_sub(REPROPOSE_TICKS * self.tick_interval);
         if self.leader().is_some() && self.pending.front().is_some_and(|(_, _, at)| *at <= again) {
             for (_, entry, at) in &mut self.pending {
                 *at = now;
@@ -221,6 +228,6 @@
                 }
             }
         }
-        self.pump();
+        self.process_ready();
     }
 }
--- a/crates/fleet/src/group/pump.rs
+++ b/crates/fleet/src/group/ready.rs
@@ -4,7 +4,7 @@
 
 impl Group {
     /// Processes ready states until none is left, and compacts the log if due.
-    pub(super) fn pump(&mut self) {
+    pub(super) fn process_ready(&mut self) {
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             self.send(ready.take_messages());
@@ -13,7 +13,7 @@
             }
             self.apply(ready.take_committed_entries());
             if !ready.entries().is_empty() {
-                self.grown += ready.entries().iter().map(|e| e.data.len() + 32).sum::<usize>();
+                self.bytes_since_snapshot += ready.entries().iter().map(|e| e.data.len() + 32).sum::<usize>();
                 if let Err(e) = self.log.append(ready.entries()) {
                     unreachable!("entries that follow the end of the log can't be appended: {e}");
                 }
@@ -31,30 +31,32 @@
             self.node.advance_apply();
         }
         let wanted = self.log.take_wanted();
-        if self.applied > 1 && (wanted || self.grown > LEAST_CUT.max(self.size)) {
+        if self.applied > 1
+            && (wanted || self.bytes_since_snapshot > MIN_COMPACTION_BYTES.max(self.snapshot_size))
+        {
             let data = self.state.encode();
-            (self.grown, self.size) = (0, data.len());
-            let _ = self.log.compact(self.applied, data, KEPT);
+            (self.bytes_since_snapshot, self.snapshot_size) = (0, data.len());
+            let _ = self.log.compact(self.applied, data, RETAINED_ENTRIES);
         }
     }
 
     pub(super) fn send(&mut self, messages: Vec<Message>) {
         let snapshot = |m: &&Message| m.get_msg_type() == MessageType::MsgSnapshot;
         let at = self.tick_at;
-        self.snapshots.extend(messages.iter().filter(snapshot).map(|m| (m.to, at)));
+        self.snapshots_in_transit.extend(messages.iter().filter(snapshot).map(|m| (m.to, at)));
         let bytes = |m: Message| Some((m.to, m.write_to_bytes().ok()?));
         self.messages.extend(messages.into_iter().filter_map(bytes));
     }
 
     fn restore(&mut self, snapshot: Snapshot) {
         // Group::step decoded it before it passed the message to the library.
-        let Some(state) = self.incoming.take() else { return };
+        let Some(state) = self.incoming_state.take() else { return };
         self.applied = snapshot.get_metadata().index;
-        (self.grown, self.size) = (0, snapshot.data.len());
+        (self.bytes_since_snapshot, self.snapshot_size) = (0, snapshot.data.len());
         if self.log.restore(snapshot).is_ok() {
             self.state = state;
             self.restored = true;
-            self.seen();
+            self.drop_applied_batches();
         }
     }
 
@@ -65,12 +67,12 @@
                 EntryType::EntryNormal if e.data.is_empty() => {}
                 EntryType::EntryNormal => {
                     let Ok((incarnation, number, commands)) = postcard::from_bytes::<Batch>(&e.data) else {
-                        self.refused += 1;
+                        self.rejected += 1;
                         continue;
                     };
                     self.state.apply(incarnation, number, commands, &mut self.effects);
                     if incarnation == self.me {
-                        self.seen();
+                        self.drop_applied_batches();
                     }
                 }
                 EntryType::EntryConfChangeV2 => {
@@ -85,7 +87,7 @@
     }
 
     /// Removes own batches that were applied from the pending ones.
-    pub(super) fn seen(&mut self) {
+    pub(super) fn drop_applied_batches(&mut self) {
         let last = self.state.batch(self.me);
         self.next_batch = self.next_batch.max(last + 1);
         while self.pending.front().is_some_and(|(n, _, _)| *n <= last) {
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -30,9 +30,9 @@
 }
 
 /// The most peers that can hold a lease at once; the peer's number has to fit the top byte of an incarnation.
-pub const MOST_ALIVE: usize = 32;
+pub const MAX_HOLDERS: usize = 32;
 /// The most incarnations that are kept.
-const MOST_LIVES: usize = 64;
+const MAX_INCARNATIONS: usize = 64;
 
 impl Leases {
     /// The holders of the current leases.
@@ -88,17 +88,17 @@
 
     /// Removes ended incarnations that a later one of the same peer has superseded, oldest first, until the limit
     /// is met, and returns them. The latest incarnation of a peer is never removed.
-    pub fn forget(&mut self) -> Vec<Incarnation> {
-        let mut gone = Vec::new();
-        while self.incarnations.len() > MOST_LIVES {
+    pub fn remove_superseded(&mut self) -> Vec<Incarnation> {
+        let mut removed = Vec::new();
+        while self.incarnations.len() > MAX_INCARNATIONS {
             let incarnations: Vec<Incarnation> = self.incarnations.keys().copied().collect();
-            let followed =
+            let superseded =
                 |w: &&[Incarnation]| peer_of(w[0]) == peer_of(w[1]) && !self.incarnations[&w[0]].alive;
-            let Some(old) = incarnations.windows(2).find(followed).map(|w| w[0]) else { break };
+            let Some(old) = incarnations.windows(2).find(superseded).map(|w| w[0]) else { break };
             self.incarnations.remove(&old);
-            gone.push(old);
+            removed.push(old);
         }
-        gone
+        removed
     }
 
     /// Rebuilds the derived index after decoding.
--- a/crates/fleet/src/policy/apply.rs
+++ b/crates/fleet/src/policy/apply.rs
@@ -138,7 +138,7 @@
             // Votes and stops of expired leases no longer count and are dropped, which bounds their number.
             p.votes.retain(|h, faults| alive.contains(h) || !faults.is_empty());
             p.stopped.retain(|h| alive.contains(h));
-            while p.votes.len() > 2 * crate::leases::MOST_ALIVE {
+            while p.votes.len() > 2 * crate::leases::MAX_HOLDERS {
                 p.votes.pop_first();
             }
         }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -200,7 +200,7 @@
     }
 
     fn leases_changed(&mut self, out: &mut Vec<Effect>) {
-        for incarnation in self.leases.forget() {
+        for incarnation in self.leases.remove_superseded() {
             self.batches.remove(&incarnation);
         }
         let alive = self.leases.alive();
