--- a/crates/fleet/src/fleet/effects.rs
+++ b/crates/fleet/src/fleet/effects.rs
@@ -63,27 +63,29 @@
         use ledger::Effect;
         let own = |h: Holder| h.incarnation == self.incarnation;
         match effect {
-            Effect::Opened(h, ask) if own(h) => {
+            Effect::Opened(h, request_id) if own(h) => {
                 if self.lease.is_some_and(|(mine, _)| mine == h) {
-                    self.owned.insert(ask);
-                    self.events.push_back(FleetEvent::Opened(ask));
+                    self.owned.insert(request_id);
+                    self.events.push_back(FleetEvent::Opened(request_id));
                 }
             }
-            Effect::Taken(h, ask) if own(h) => self.events.push_back(FleetEvent::AlreadyRecorded(ask)),
-            Effect::Full(h, ask) | Effect::Fenced(h, ask) if own(h) => {
-                self.events.push_back(FleetEvent::NotRecorded(ask));
+            Effect::AlreadyRecorded(h, request_id) if own(h) => {
+                self.events.push_back(FleetEvent::AlreadyRecorded(request_id))
             }
-            Effect::Opened(..) | Effect::Taken(..) | Effect::Full(..) | Effect::Fenced(..) => {}
-            Effect::Claimed { ask, from, by } => {
+            Effect::Full(h, request_id) | Effect::LeaseEnded(h, request_id) if own(h) => {
+                self.events.push_back(FleetEvent::NotRecorded(request_id));
+            }
+            Effect::Opened(..) | Effect::AlreadyRecorded(..) | Effect::Full(..) | Effect::LeaseEnded(..) => {}
+            Effect::Reassigned { request_id, from, by } => {
                 let mine = own(by) && self.lease.is_some_and(|(h, _)| h == by);
                 if mine {
-                    self.owned.insert(ask);
+                    self.owned.insert(request_id);
                 }
-                self.events.push_back(FleetEvent::Reassigned { ask, from, by, mine });
+                self.events.push_back(FleetEvent::Reassigned { request_id, from, by, mine });
             }
-            Effect::Closed(ask, end) => {
-                self.owned.remove(&ask);
-                self.events.push_back(FleetEvent::Closed(ask, end));
+            Effect::Closed(request_id, end) => {
+                self.owned.remove(&request_id);
+                self.events.push_back(FleetEvent::Closed(request_id, end));
             }
         }
     }
@@ -103,11 +105,16 @@
             return self.release_requests(holder);
         }
         let owned: BTreeSet<u64> = state.work().owned(holder).collect();
-        for ask in self.owned.difference(&owned) {
-            self.events.push_back(FleetEvent::Closed(*ask, Outcome::Removed));
+        for request_id in self.owned.difference(&owned) {
+            self.events.push_back(FleetEvent::Closed(*request_id, Outcome::Removed));
         }
-        for &ask in owned.difference(&self.owned) {
-            self.events.push_back(FleetEvent::Reassigned { ask, from: holder, by: holder, mine: true });
+        for &request_id in owned.difference(&self.owned) {
+            self.events.push_back(FleetEvent::Reassigned {
+                request_id,
+                from: holder,
+                by: holder,
+                mine: true,
+            });
         }
         self.owned = owned;
     }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -26,8 +26,12 @@
                     group.step(&bytes);
                 }
             }
-            Message::Fetch(ask) => self.events.push_back(FleetEvent::ResultRequested(from, ask)),
-            Message::Result(ask, pages) => self.events.push_back(FleetEvent::ResultReceived(ask, pages)),
+            Message::Fetch(request_id) => {
+                self.events.push_back(FleetEvent::ResultRequested(from, request_id))
+            }
+            Message::Result(request_id, pages) => {
+                self.events.push_back(FleetEvent::ResultReceived(request_id, pages))
+            }
         }
         self.process_effects(now);
     }
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -46,7 +46,7 @@
     /// A fleet of other peers, which this one joins when its leader sends a log message.
     joinable: Option<Founding>,
     peers_heard: BTreeMap<Peer, PeerStatus>,
-    /// The incarnations that ask for membership.
+    /// The incarnations that request membership.
     joining: BTreeMap<Peer, Incarnation>,
     started_at: Micros,
     hello_at: Micros,
@@ -145,12 +145,12 @@
     /// Whether the absence of a record proves that a request was never recorded: the fleet has existed for longer than
     /// a client may repeat a request.
     pub fn has_full_history(&self, now: Micros) -> bool {
-        self.group.as_ref().is_some_and(|g| now >= g.founding.at + self.config.limits.remember)
+        self.group.as_ref().is_some_and(|g| now >= g.founding.at + self.config.limits.retention)
     }
 
     /// Whether this peer owns a request and may act on it now.
-    pub fn owns(&self, now: Micros, ask: u64) -> bool {
-        self.holds(now).is_some() && self.owned.contains(&ask)
+    pub fn owns(&self, now: Micros, request_id: u64) -> bool {
+        self.holds(now).is_some() && self.owned.contains(&request_id)
     }
 
     /// The message that announces this peer, sent first on every connection.
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -5,45 +5,45 @@
 impl Fleet {
     /// Records a request. With `first`, it is proposed at once and [`FleetEvent::Opened`] confirms the commit; otherwise
     /// it is batched, and not recorded if the queue is full. Returns false if it can't be recorded or there is no lease.
-    pub fn open(&mut self, now: Micros, ask: u64, record: Record, first: bool) -> bool {
+    pub fn open(&mut self, now: Micros, request_id: u64, record: Record, first: bool) -> bool {
         let Some(holder) = self.holds(now) else { return false };
         if !first && self.queue.len() >= MAX_QUEUED_COMMANDS {
             return false;
         }
-        self.queue.push(Command::Work(ledger::Command::Open(holder, ask, record)));
+        self.queue.push(Command::Work(ledger::Command::Open(holder, request_id, record)));
         self.flush_by(if first { now } else { now + self.config.batch });
         true
     }
 
     /// Records that a request was sent to an executor.
-    pub fn record_attempt(&mut self, now: Micros, ask: u64, executor: u32) {
+    pub fn record_attempt(&mut self, now: Micros, request_id: u64, executor: u32) {
         let Some((holder, _)) = self.lease else { return };
         let waits = self.queue.iter_mut().rev().find_map(|c| match c {
-            Command::Work(ledger::Command::Open(_, a, record)) if *a == ask => Some(record),
+            Command::Work(ledger::Command::Open(_, a, record)) if *a == request_id => Some(record),
             _ => None,
         });
         match waits {
-            Some(record) => record.tried.push(executor),
+            Some(record) => record.executors_tried.push(executor),
             None => {
-                self.queue.push(Command::Work(ledger::Command::Tried(holder, ask, executor)));
+                self.queue.push(Command::Work(ledger::Command::AddAttempt(holder, request_id, executor)));
                 self.flush_by(now + self.config.batch);
             }
         }
     }
 
     /// Ends a request. If its `Open` is still queued and nothing has to be kept, that command is removed instead.
-    pub fn close(&mut self, now: Micros, ask: u64, end: Outcome) {
+    pub fn close(&mut self, now: Micros, request_id: u64, end: Outcome) {
         let Some((holder, _)) = self.lease else { return };
-        self.owned.remove(&ask);
+        self.owned.remove(&request_id);
         let opened = self
             .queue
             .iter()
-            .position(|c| matches!(c, Command::Work(ledger::Command::Open(_, a, _)) if *a == ask));
+            .position(|c| matches!(c, Command::Work(ledger::Command::Open(_, a, _)) if *a == request_id));
         if let (Some(at), Outcome::Removed) = (opened, &end) {
             self.queue.remove(at);
             return;
         }
-        self.queue.push(Command::Work(ledger::Command::Close(holder, ask, end)));
+        self.queue.push(Command::Work(ledger::Command::Close(holder, request_id, end)));
         self.flush_by(now + self.config.batch);
     }
 
@@ -64,15 +64,15 @@
     }
 
     /// Asks the owner of a request for its result.
-    pub fn request_result(&mut self, ask: u64) {
-        if let Some((_, owner)) = self.ledger().and_then(|l| l.open(ask)) {
-            self.messages.push((peer_of(owner.incarnation), Message::Fetch(ask)));
+    pub fn request_result(&mut self, request_id: u64) {
+        if let Some((_, owner)) = self.ledger().and_then(|l| l.open(request_id)) {
+            self.messages.push((peer_of(owner.incarnation), Message::Fetch(request_id)));
         }
     }
 
     /// Sends a peer the result of a request that it asked for.
-    pub fn send_result(&mut self, to: Peer, ask: u64, pages: Option<Vec<Vec<u8>>>) {
-        self.messages.push((to, Message::Result(ask, pages)));
+    pub fn send_result(&mut self, to: Peer, request_id: u64, pages: Option<Vec<Vec<u8>>>) {
+        self.messages.push((to, Message::Result(request_id, pages)));
     }
 
     /// Returns the lease before an orderly shutdown.
--- a/crates/fleet/src/fleet/types.rs
+++ b/crates/fleet/src/fleet/types.rs
@@ -41,7 +41,7 @@
     /// A request has a new owner, as the lease of the old one ended.
     Reassigned {
         /// The request.
-        ask: u64,
+        request_id: u64,
         /// The previous owner.
         from: Holder,
         /// The new owner.
--- a/crates/fleet/src/ledger/mod.rs
+++ b/crates/fleet/src/ledger/mod.rs
@@ -1,6 +1,6 @@
 //! The ledger of in-flight requests: a state machine that all peers apply.
 //!
-//! A request's record is stored under its `ask`, an id that stays the same over all attempts of its client. The first
+//! A request's record is stored under its `request_id`, which stays the same over all attempts of its client. The first
 //! holder to open a record owns the request; later ones are told that it exists. Records of requests that must
 //! not run twice stay after the request's end, so that a repeated attempt is answered and not executed.
 
@@ -34,17 +34,23 @@
     owned: BTreeMap<Holder, BTreeSet<u64>>,
     /// Index of the expiry times: the deadline and the retention after it; derived from `entries`.
     #[serde(skip)]
-    times: BTreeSet<(Micros, u64)>,
+    expiries: BTreeSet<(Micros, u64)>,
     swept: Micros,
 }
 
-/// Receives the effects of a command.
-type Out<'a> = &'a mut dyn FnMut(Effect);
+/// The callback that receives the effects of a command.
+type EffectSink<'a> = &'a mut dyn FnMut(Effect);
 
 impl Ledger {
     /// Creates an empty ledger.
     pub fn new(limits: Limits) -> Ledger {
-        Ledger { limits, entries: BTreeMap::new(), owned: BTreeMap::new(), times: BTreeSet::new(), swept: 0 }
+        Ledger {
+            limits,
+            entries: BTreeMap::new(),
+            owned: BTreeMap::new(),
+            expiries: BTreeSet::new(),
+            swept: 0,
+        }
     }
 
     /// The number of records, including those of ended requests.
@@ -58,16 +64,16 @@
     }
 
     /// The record of an open request, with its owner.
-    pub fn open(&self, ask: u64) -> Option<(&Record, Holder)> {
-        match self.entries.get(&ask) {
+    pub fn open(&self, request_id: u64) -> Option<(&Record, Holder)> {
+        match self.entries.get(&request_id) {
             Some(Entry { record, state: State::Open(h) }) => Some((record, *h)),
             _ => None,
         }
     }
 
     /// How a recorded request ended, if it has.
-    pub fn outcome(&self, ask: u64) -> Option<&Outcome> {
-        match self.entries.get(&ask) {
+    pub fn outcome(&self, request_id: u64) -> Option<&Outcome> {
+        match self.entries.get(&request_id) {
             Some(Entry { state: State::Done(end), .. }) => Some(end),
             _ => None,
         }
@@ -79,113 +85,116 @@
     }
 
     /// Applies a command, given the current lease holders.
-    pub(crate) fn apply(&mut self, command: Command, alive: &BTreeSet<Holder>, out: Out<'_>) {
+    pub(crate) fn apply(&mut self, command: Command, alive: &BTreeSet<Holder>, out: EffectSink<'_>) {
         match command {
-            Command::Open(h, ask, record) => {
+            Command::Open(h, request_id, record) => {
                 let effect = if !alive.contains(&h) {
-                    Effect::Fenced(h, ask)
-                } else if self.entries.contains_key(&ask) {
-                    Effect::Taken(h, ask)
+                    Effect::LeaseEnded(h, request_id)
+                } else if self.entries.contains_key(&request_id) {
+                    Effect::AlreadyRecorded(h, request_id)
                 } else if self.entries.len() >= self.limits.records as usize {
-                    Effect::Full(h, ask)
+                    Effect::Full(h, request_id)
                 } else {
-                    self.times.insert((self.time(&record), ask));
-                    self.owned.entry(h).or_default().insert(ask);
-                    self.entries.insert(ask, Entry { record, state: State::Open(h) });
-                    Effect::Opened(h, ask)
+                    self.expiries.insert((self.expiry(&record), request_id));
+                    self.owned.entry(h).or_default().insert(request_id);
+                    self.entries.insert(request_id, Entry { record, state: State::Open(h) });
+                    Effect::Opened(h, request_id)
                 };
                 out(effect);
             }
-            Command::Tried(h, ask, executor) => {
-                if let Some(Entry { record, state: State::Open(owner) }) = self.entries.get_mut(&ask)
+            Command::AddAttempt(h, request_id, executor) => {
+                if let Some(Entry { record, state: State::Open(owner) }) = self.entries.get_mut(&request_id)
                     && *owner == h
                 {
-                    record.tried.push(executor);
+                    record.executors_tried.push(executor);
                 }
             }
-            Command::Close(h, ask, end) => {
-                if self.open(ask).is_some_and(|(_, owner)| owner == h) {
-                    self.close(ask, end, out);
+            Command::Close(h, request_id, end) => {
+                if self.open(request_id).is_some_and(|(_, owner)| owner == h) {
+                    self.close(request_id, end, out);
                 }
             }
         }
     }
 
     /// Removes the records that have expired.
-    pub(crate) fn sweep(&mut self, now: Micros, out: Out<'_>) {
+    pub(crate) fn sweep(&mut self, now: Micros, out: EffectSink<'_>) {
         self.swept = self.swept.max(now);
-        while let Some(&(at, ask)) = self.times.first().filter(|(at, _)| *at <= now) {
-            self.times.remove(&(at, ask));
-            if let Some((_, owner)) = self.open(ask) {
-                self.disown(owner, ask);
-                out(Effect::Closed(ask, Outcome::Removed));
+        while let Some(&(at, request_id)) = self.expiries.first().filter(|(at, _)| *at <= now) {
+            self.expiries.remove(&(at, request_id));
+            if let Some((_, owner)) = self.open(request_id) {
+                self.remove_owner(owner, request_id);
+                out(Effect::Closed(request_id, Outcome::Removed));
             }
-            self.entries.remove(&ask);
+            self.entries.remove(&request_id);
         }
     }
 
-    fn time(&self, record: &Record) -> Micros {
-        record.deadline.saturating_add(self.limits.remember)
+    fn expiry(&self, record: &Record) -> Micros {
+        record.deadline.saturating_add(self.limits.retention)
     }
 
-    fn disown(&mut self, owner: Holder, ask: u64) {
+    fn remove_owner(&mut self, owner: Holder, request_id: u64) {
         if let Some(all) = self.owned.get_mut(&owner) {
-            all.remove(&ask);
+            all.remove(&request_id);
             if all.is_empty() {
                 self.owned.remove(&owner);
             }
         }
     }
 
-    fn close(&mut self, ask: u64, end: Outcome, out: Out<'_>) {
-        let Some((_, owner)) = self.open(ask) else { return };
-        self.disown(owner, ask);
+    fn close(&mut self, request_id: u64, end: Outcome, out: EffectSink<'_>) {
+        let Some((_, owner)) = self.open(request_id) else { return };
+        self.remove_owner(owner, request_id);
         if end == Outcome::Removed {
-            if let Some(e) = self.entries.remove(&ask) {
-                self.times.remove(&(self.time(&e.record), ask));
+            if let Some(e) = self.entries.remove(&request_id) {
+                self.expiries.remove(&(self.expiry(&e.record), request_id));
             }
-        } else if let Some(e) = self.entries.get_mut(&ask) {
+        } else if let Some(e) = self.entries.get_mut(&request_id) {
             // Repeated attempts are answered from the outcome; the statement is no longer needed.
             (e.state, e.record.statement) = (State::Done(end.clone()), None);
         }
-        out(Effect::Closed(ask, end));
+        out(Effect::Closed(request_id, end));
     }
 
     /// Handles the end of a lease. Requests that must not run twice may have run, so they end as
     /// [`Outcome::Unknown`]; all others are spread over the holders that are alive, or dropped if there are none.
-    pub(crate) fn end(&mut self, h: Holder, heirs: &BTreeSet<Holder>, out: Out<'_>) {
-        for ask in self.owned.remove(&h).unwrap_or_default() {
-            let repeats = self.entries.get(&ask).is_some_and(|e| e.record.repeats);
-            if !repeats {
-                self.close(ask, Outcome::Unknown, out);
+    pub(crate) fn on_lease_end(&mut self, h: Holder, successors: &BTreeSet<Holder>, out: EffectSink<'_>) {
+        for request_id in self.owned.remove(&h).unwrap_or_default() {
+            let repeatable = self.entries.get(&request_id).is_some_and(|e| e.record.repeatable);
+            if !repeatable {
+                self.close(request_id, Outcome::Unknown, out);
                 continue;
             }
-            let heir = heirs.iter().max_by_key(|heir| mixed(ask, heir.incarnation)).copied();
-            match (heir, self.entries.get_mut(&ask)) {
+            let successor = successors
+                .iter()
+                .max_by_key(|successor| rendezvous_hash(request_id, successor.incarnation))
+                .copied();
+            match (successor, self.entries.get_mut(&request_id)) {
                 (Some(by), Some(e)) => {
                     e.state = State::Open(by);
-                    self.owned.entry(by).or_default().insert(ask);
-                    out(Effect::Claimed { ask, from: h, by });
+                    self.owned.entry(by).or_default().insert(request_id);
+                    out(Effect::Reassigned { request_id, from: h, by });
                 }
-                _ => self.close(ask, Outcome::Removed, out),
+                _ => self.close(request_id, Outcome::Removed, out),
             }
         }
     }
 
     /// Rebuilds the derived indexes after decoding.
     pub(crate) fn restore(&mut self) {
-        for (ask, e) in &self.entries {
-            self.times.insert((e.record.deadline.saturating_add(self.limits.remember), *ask));
+        for (request_id, e) in &self.entries {
+            self.expiries.insert((e.record.deadline.saturating_add(self.limits.retention), *request_id));
             if let State::Open(h) = e.state {
-                self.owned.entry(h).or_default().insert(*ask);
+                self.owned.entry(h).or_default().insert(*request_id);
             }
         }
     }
 }
 
 /// Hash for spreading requests over holders (rendezvous hashing), the same at all peers: the splitmix64 finalizer.
-fn mixed(ask: u64, incarnation: Incarnation) -> u64 {
-    let mut x = ask ^ incarnation.rotate_left(32);
+fn rendezvous_hash(request_id: u64, incarnation: Incarnation) -> u64 {
+    let mut x = request_id ^ incarnation.rotate_left(32);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/crates/fleet/src/ledger/types.rs
+++ b/crates/fleet/src/ledger/types.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The id of the attempt that opened the record.
-    pub rid: u64,
+    pub attempt_id: u64,
     /// The index of its class.
     pub class: u16,
     /// The index of its tenant.
@@ -34,13 +34,13 @@
     /// Estimated memory in MB.
     pub memory_mb: Option<f64>,
     /// Whether it may run more than once.
-    pub repeats: bool,
+    pub repeatable: bool,
     /// The statement, if the request may run more than once and the statement is short enough to keep.
     pub statement: Option<String>,
     /// Its deadline, in Unix time.
     pub deadline: Micros,
     /// The numbers of the executors that it was sent to, in order.
-    pub tried: Vec<u32>,
+    pub executors_tried: Vec<u32>,
     /// The number of the policy that admitted it; 0 for the policy of the settings.
     pub policy: u64,
 }
@@ -51,7 +51,7 @@
     /// Opens the record of a request.
     Open(Holder, u64, Record),
     /// Adds an executor that the request was sent to.
-    Tried(Holder, u64, u32),
+    AddAttempt(Holder, u64, u32),
     /// Ends a request.
     Close(Holder, u64, Outcome),
 }
@@ -62,15 +62,15 @@
     /// The holder has opened the record and owns the request.
     Opened(Holder, u64),
     /// Not opened: the request has a record already.
-    Taken(Holder, u64),
+    AlreadyRecorded(Holder, u64),
     /// Not opened: the ledger is full.
     Full(Holder, u64),
     /// Not opened: the holder's lease has ended.
-    Fenced(Holder, u64),
+    LeaseEnded(Holder, u64),
     /// The request has a new owner, as the lease of the old one ended.
-    Claimed {
+    Reassigned {
         /// The request.
-        ask: u64,
+        request_id: u64,
         /// The previous owner.
         from: Holder,
         /// The new owner.
@@ -86,5 +86,5 @@
     /// The most records.
     pub records: u32,
     /// How long after its deadline the record of an ended request that must not run twice is kept.
-    pub remember: Micros,
+    pub retention: Micros,
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -195,7 +195,7 @@
             return;
         }
         out.push(Effect::Ended(h));
-        self.work.end(h, self.leases.alive(), &mut |e| out.push(Effect::Work(e)));
+        self.work.on_lease_end(h, self.leases.alive(), &mut |e| out.push(Effect::Work(e)));
         self.leases_changed(out);
     }
 
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -99,7 +99,7 @@
             tick: timing.tick,
             batch: timing.tick,
             give_up: 10 * timing.lease,
-            limits: Limits { records: 0, remember: 0 },
+            limits: Limits { records: 0, retention: 0 },
         };
         let fleet = Fleet::new(fleet_config, self.rng.next_u64(), self.now);
         let member = Member::new(MemberConfig {
--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -33,7 +33,7 @@
             assert!(w.now < killed + 2_000 * MS, "not taken over within two seconds");
         }
         w.run(500 * MS, |w| w.one_owner([1, 2].into_iter()));
-        let mine = |n: &FleetEvent| matches!(n, FleetEvent::Reassigned { ask: 1, mine: true, .. });
+        let mine = |n: &FleetEvent| matches!(n, FleetEvent::Reassigned { request_id: 1, mine: true, .. });
         assert_eq!((1..=3).filter(|p| w.told(*p, mine)).count(), 1);
         for f in w.fleets.values() {
             assert_eq!(f.ledger().unwrap().outcome(2), Some(&Outcome::Unknown));
@@ -60,7 +60,7 @@
     w.run(3_000 * MS, |w| w.one_owner([1].into_iter()));
     let lost = w.events.iter().position(|(p, n)| *p == 2 && matches!(n, FleetEvent::LeaseLost(_))).unwrap();
     let claimed =
-        w.events.iter().position(|(_, n)| matches!(n, FleetEvent::Reassigned { ask: 1, .. })).unwrap();
+        w.events.iter().position(|(_, n)| matches!(n, FleetEvent::Reassigned { request_id: 1, .. })).unwrap();
     assert!(lost < claimed, "others took over before the owner dropped its lease");
     assert!(!open(&mut w, 2, 9, false), "a request was recorded without a lease");
     w.cut.clear();
--- a/crates/fleet/tests/fleet/storm.rs
+++ b/crates/fleet/tests/fleet/storm.rs
@@ -13,34 +13,34 @@
         // One request at each peer that is not paused.
         for p in 1..=n {
             if !w.paused.contains_key(&p) {
-                let repeats = w.draw(2) == 0;
-                open(&mut w, p, next, repeats);
+                let repeatable = w.draw(2) == 0;
+                open(&mut w, p, next, repeatable);
                 next += 1;
             }
         }
         w.trouble();
-        let asks = next;
-        w.run(300 * MS, |w| w.one_owner(1..asks));
+        let request_ids_end = next;
+        w.run(300 * MS, |w| w.one_owner(1..request_ids_end));
         w.heal();
     }
     w.heal_all();
-    let asks = next;
-    w.run(6_000 * MS, |w| w.one_owner(1..asks));
+    let request_ids_end = next;
+    w.run(6_000 * MS, |w| w.one_owner(1..request_ids_end));
     // All peers have the same ledger, and each open request is owned by exactly one live peer that knows it.
     let now = w.now;
-    for ask in 1..next {
+    for request_id in 1..next {
         let of = |f: &Fleet| {
             let l = f.ledger().unwrap();
-            (l.open(ask).map(|(r, h)| (r.clone(), h)), l.outcome(ask).cloned())
+            (l.open(request_id).map(|(r, h)| (r.clone(), h)), l.outcome(request_id).cloned())
         };
         let differ: Vec<_> =
             w.fleets.iter().filter(|(_, f)| of(f) != of(&w.fleets[&1])).map(|(p, _)| *p).collect();
         let state = |f: &Fleet| (f.holds(now), f.is_leader(), f.ledger().map(|l| l.len()));
         let states: Vec<_> = w.fleets.values().map(state).collect();
-        assert!(differ.is_empty(), "seed {seed}, request {ask} at {differ:?}: {states:?}");
-        let open = w.fleets[&1].ledger().unwrap().open(ask).is_some();
-        let owners = w.fleets.values().filter(|f| f.owns(now, ask)).count();
-        assert_eq!(owners, usize::from(open), "seed {seed}, request {ask}");
+        assert!(differ.is_empty(), "seed {seed}, request {request_id} at {differ:?}: {states:?}");
+        let open = w.fleets[&1].ledger().unwrap().open(request_id).is_some();
+        let owners = w.fleets.values().filter(|f| f.owns(now, request_id)).count();
+        assert_eq!(owners, usize::from(open), "seed {seed}, request {request_id}");
     }
     w.trace.finish()
 }
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -22,23 +22,23 @@
         tick: 30 * MS,
         batch: 10 * MS,
         give_up: 10_000 * MS,
-        limits: Limits { records: 500, remember: 30_000 * MS },
+        limits: Limits { records: 500, retention: 30_000 * MS },
     }
 }
 
-pub fn record(rid: u64, repeats: bool, deadline: Micros) -> Record {
+pub fn record(attempt_id: u64, repeatable: bool, deadline: Micros) -> Record {
     Record {
-        rid,
+        attempt_id,
         class: 0,
         tenant: None,
         key: None,
         group: 0,
         work_s: None,
         memory_mb: None,
-        repeats,
+        repeatable,
         statement: Some("SELECT 1".into()),
         deadline,
-        tried: vec![1],
+        executors_tried: vec![1],
         policy: 0,
     }
 }
@@ -186,11 +186,11 @@
     }
 
     /// Asserts that no request has two owners.
-    pub fn one_owner(&self, asks: impl Iterator<Item = u64>) {
-        for ask in asks {
+    pub fn one_owner(&self, request_ids: impl Iterator<Item = u64>) {
+        for request_id in request_ids {
             let owners: Vec<Peer> =
-                self.fleets.iter().filter(|(_, f)| f.owns(self.now, ask)).map(|(p, _)| *p).collect();
-            assert!(owners.len() <= 1, "at {} request {ask} is owned by {owners:?}", self.now);
+                self.fleets.iter().filter(|(_, f)| f.owns(self.now, request_id)).map(|(p, _)| *p).collect();
+            assert!(owners.len() <= 1, "at {} request {request_id} is owned by {owners:?}", self.now);
         }
     }
 
@@ -212,7 +212,9 @@
     }
 }
 
-pub fn open(w: &mut World, p: Peer, ask: u64, repeats: bool) -> bool {
+pub fn open(w: &mut World, p: Peer, request_id: u64, repeatable: bool) -> bool {
     let (now, deadline) = (w.now, w.now + 20_000 * MS);
-    w.fleets.get_mut(&p).is_some_and(|f| f.open(now, ask, record(ask, repeats, deadline), true))
+    w.fleets
+        .get_mut(&p)
+        .is_some_and(|f| f.open(now, request_id, record(request_id, repeatable, deadline), true))
 }
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -6,25 +6,25 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const LIMITS: Limits = Limits { records: 12, remember: 1_000 };
+const LIMITS: Limits = Limits { records: 12, retention: 1_000 };
 
 fn holder() -> impl Strategy<Value = Holder> {
     (1_u8..4, 1_u32..4).prop_map(|(p, term)| Holder { incarnation: incarnation(p, 1), term })
 }
 
 fn record() -> impl Strategy<Value = Record> {
-    (any::<bool>(), 1_u64..9_000).prop_map(|(repeats, deadline)| Record {
-        rid: deadline,
+    (any::<bool>(), 1_u64..9_000).prop_map(|(repeatable, deadline)| Record {
+        attempt_id: deadline,
         class: 0,
         tenant: None,
         key: None,
         group: 1,
         work_s: Some(0.5),
         memory_mb: None,
-        repeats,
-        statement: repeats.then(|| "SELECT 1".into()),
+        repeatable,
+        statement: repeatable.then(|| "SELECT 1".into()),
         deadline,
-        tried: vec![],
+        executors_tried: vec![],
         policy: 0,
     })
 }
@@ -41,9 +41,9 @@
         1 => holder().prop_map(|h| Command::Renew(h, 5)),
         1 => (holder(), 0_u64..3).prop_map(|(h, n)| Command::Expire(h, n)),
         1 => holder().prop_map(Command::Leave),
-        6 => (holder(), 1_u64..20, record()).prop_map(|(h, ask, r)| Command::Work(ledger::Command::Open(h, ask, r))),
-        2 => (holder(), 1_u64..20, 1_u32..5).prop_map(|(h, ask, e)| Command::Work(ledger::Command::Tried(h, ask, e))),
-        3 => (holder(), 1_u64..20, end).prop_map(|(h, ask, e)| Command::Work(ledger::Command::Close(h, ask, e))),
+        6 => (holder(), 1_u64..20, record()).prop_map(|(h, request_id, r)| Command::Work(ledger::Command::Open(h, request_id, r))),
+        2 => (holder(), 1_u64..20, 1_u32..5).prop_map(|(h, request_id, e)| Command::Work(ledger::Command::AddAttempt(h, request_id, e))),
+        3 => (holder(), 1_u64..20, end).prop_map(|(h, request_id, e)| Command::Work(ledger::Command::Close(h, request_id, e))),
         1 => (1_u64..12_000).prop_map(Command::Sweep),
     ]
 }
@@ -66,20 +66,20 @@
             prop_assert!(!state.apply(from, n as u64 + 1, vec![c], &mut again), "a batch is applied once");
             prop_assert!(state.work().len() <= LIMITS.records as usize);
             for e in &effects {
-                if let Effect::Work(ledger::Effect::Claimed { ask, from, by }) = e {
-                    prop_assert!(state.work().open(*ask).is_some_and(|(r, h)| r.repeats && h == *by) && from != by);
+                if let Effect::Work(ledger::Effect::Reassigned { request_id, from, by }) = e {
+                    prop_assert!(state.work().open(*request_id).is_some_and(|(r, h)| r.repeatable && h == *by) && from != by);
                 }
             }
             let alive: Vec<Holder> = state.alive().iter().copied().collect();
-            for ask in 1..20 {
-                if let Some((r, h)) = state.work().open(ask) {
+            for request_id in 1..20 {
+                if let Some((r, h)) = state.work().open(request_id) {
                     prop_assert!(alive.contains(&h), "the owner of an open request has a lease");
-                    prop_assert!(state.work().owned(h).any(|a| a == ask));
-                    if !r.repeats {
-                        prop_assert!(loads.insert(ask, h).is_none_or(|was| was == h), "a request that must not run twice changed its owner");
+                    prop_assert!(state.work().owned(h).any(|a| a == request_id));
+                    if !r.repeatable {
+                        prop_assert!(loads.insert(request_id, h).is_none_or(|was| was == h), "a request that must not run twice changed its owner");
                     }
                 } else {
-                    loads.remove(&ask);
+                    loads.remove(&request_id);
                 }
             }
         }
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -13,7 +13,7 @@
 use fleet::{Holder, incarnation, lend, plan, policy, schema};
 use serde::Serialize;
 
-const LIMITS: Limits = Limits { records: 100, remember: 1_000_000 };
+const LIMITS: Limits = Limits { records: 100, retention: 1_000_000 };
 
 /// The bytes of a fixture.
 fn bytes(hex: &str) -> Vec<u8> {
@@ -26,19 +26,19 @@
     Holder { incarnation: incarnation(peer, 5), term }
 }
 
-fn record(rid: u64, repeats: bool) -> Record {
+fn record(attempt_id: u64, repeatable: bool) -> Record {
     Record {
-        rid,
+        attempt_id,
         class: 1,
         tenant: Some(2),
         key: Some(7),
         group: 11,
         work_s: Some(0.5),
         memory_mb: Some(64.0),
-        repeats,
-        statement: repeats.then(|| "SELECT 1".into()),
+        repeatable,
+        statement: repeatable.then(|| "SELECT 1".into()),
         deadline: 9_000_000,
-        tried: vec![],
+        executors_tried: vec![],
         policy: 3,
     }
 }
@@ -61,7 +61,7 @@
         Command::Renew(holder(1, 1), 200),
         Command::Work(ledger::Command::Open(holder(1, 1), 21, record(31, true))),
         Command::Work(ledger::Command::Open(holder(2, 1), 22, record(32, false))),
-        Command::Work(ledger::Command::Tried(holder(1, 1), 21, 51)),
+        Command::Work(ledger::Command::AddAttempt(holder(1, 1), 21, 51)),
         Command::Work(ledger::Command::Close(holder(2, 1), 22, served)),
         Command::Plan(plan::Command::Add(vec!["s-1".into(), "s-2".into()])),
         Command::Policy(proposal),
--- a/crates/lab/src/takeover/record.rs
+++ b/crates/lab/src/takeover/record.rs
@@ -41,7 +41,7 @@
         tick: 30_000,
         batch: 10_000,
         give_up: 10_000_000,
-        limits: Limits { records, remember: 60_000_000 },
+        limits: Limits { records, retention: 60_000_000 },
     }
 }
 
@@ -92,17 +92,17 @@
         for i in 0..3 {
             for _ in 0..100.min(records - next) {
                 let record = Record {
-                    rid: next as u64,
+                    attempt_id: next as u64,
                     class: 0,
                     tenant: Some(1),
                     key: None,
                     group: 17,
                     work_s: Some(0.8),
                     memory_mb: Some(96.0),
-                    repeats: true,
+                    repeatable: true,
                     statement: Some(statement.clone()),
                     deadline: three.now + 3_600_000_000,
-                    tried: vec![3],
+                    executors_tried: vec![3],
                     policy: 0,
                 };
                 three.fleets[i].open(three.now, 1 + next as u64, record, false);
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -52,7 +52,7 @@
             tick: timing.tick,
             batch: timing.tick,
             give_up: GIVE_UP_LEASES * timing.lease,
-            limits: Limits { records: 0, remember: 0 },
+            limits: Limits { records: 0, retention: 0 },
         };
         let listen = settings.listen.ok_or_else(|| io::Error::other("control: listen is missing"))?;
         let at_followers =
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -99,7 +99,7 @@
             tick: micros(settings.tick),
             batch: micros(settings.batch),
             give_up: micros(settings.give_up),
-            limits: Limits { records: settings.most_records as u32, remember: micros(settings.remember) },
+            limits: Limits { records: settings.most_records as u32, retention: micros(settings.remember) },
         };
         let bounds = Bounds {
             statement: settings.most_statement as usize,
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -62,7 +62,7 @@
         let Some(kind) = in_flight.classes.get(class).cloned() else { return Vec::new() };
         let budget = record.deadline.saturating_sub(now);
         let request = Request {
-            id: record.rid,
+            id: record.attempt_id,
             client_request_id: None,
             class,
             tenant: record.tenant.map(usize::from),
@@ -76,20 +76,20 @@
             held_by_client: false,
         };
         let job = Job { class_name: kind, statement: statement.into(), token: None };
-        self.requests.open.insert(record.rid, OpenRequest { client: NO_CLIENT, job, arrival: None });
+        self.requests.open.insert(record.attempt_id, OpenRequest { client: NO_CLIENT, job, arrival: None });
         let under =
             self.fleet_policy.as_ref().filter(|fleet_policy| fleet_policy.part.number() != record.policy);
         let under = under.and_then(|fleet_policy| fleet_policy.settings_under(record.policy));
-        match self.dispatch.adopt(now, &request, record.tried.len(), under) {
+        match self.dispatch.adopt(now, &request, record.executors_tried.len(), under) {
             Ok(commands) => commands,
             Err(e) => {
                 tracing::warn!(
-                    request = format_args!("{:016x}", record.rid),
+                    request = format_args!("{:016x}", record.attempt_id),
                     error = %e,
                     "fleet: request takeover failed"
                 );
-                self.requests.open.remove(&record.rid);
-                self.end_unsubmitted_in_flight(now, record.rid);
+                self.requests.open.remove(&record.attempt_id);
+                self.end_unsubmitted_in_flight(now, record.attempt_id);
                 Vec::new()
             }
         }
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -16,14 +16,14 @@
             ask: r.client_request_id,
             again: r.is_repeat,
             record: Record {
-                rid: r.id,
+                attempt_id: r.id,
                 class: index(r.class),
                 tenant: r.tenant.map(index),
                 key: r.key,
                 group: r.table_group,
                 work_s: r.estimated_thread_seconds,
                 memory_mb: r.estimated_memory_mb,
-                repeats: self.repeats.get(r.class).copied().unwrap_or(false),
+                repeatable: self.repeats.get(r.class).copied().unwrap_or(false),
                 // Another dispatcher would send the request without its idempotency token, so the statement
                 // is left out and it does not send it at all.
                 statement: r
@@ -31,7 +31,7 @@
                     .filter(|_| job.token.is_none())
                     .map(|_| job.statement.to_string()),
                 deadline: now + r.time_budget,
-                tried: Vec::new(),
+                executors_tried: Vec::new(),
                 policy,
             },
         }
--- a/src/takeover/arrivals.rs
+++ b/src/takeover/arrivals.rs
@@ -9,7 +9,7 @@
 impl Takeover {
     /// A request arrives.
     pub fn arrives(&mut self, now: Micros, mut attempt: Try) -> Gate {
-        let (rid, repeats) = (attempt.record.rid, attempt.record.repeats);
+        let (rid, repeats) = (attempt.record.attempt_id, attempt.record.repeatable);
         // Without a name nobody can come back for it: what may repeat needs no record then.
         let ask = match attempt.ask {
             Some(ask) => ask,
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -20,7 +20,9 @@
                 FleetEvent::Opened(ask) => self.opened(now, ask),
                 FleetEvent::AlreadyRecorded(ask) => self.taken(now, ask),
                 FleetEvent::NotRecorded(ask) => self.not_recorded(ask),
-                FleetEvent::Reassigned { ask, from, mine, .. } => self.claimed(now, ask, from, mine),
+                FleetEvent::Reassigned { request_id: ask, from, mine, .. } => {
+                    self.claimed(now, ask, from, mine)
+                }
                 FleetEvent::Closed(ask, end) => self.closed(now, ask, &end),
                 FleetEvent::ResultRequested(peer, ask) => self.fetched(now, peer, ask),
                 FleetEvent::ResultReceived(ask, pages) => self.result(ask, pages),
@@ -62,7 +64,7 @@
             return self.fleet.close(now, ask, Outcome::Removed);
         };
         self.tally.recorded += 1;
-        self.keep(ask, first.rid, first.attempt.record.repeats, false);
+        self.keep(ask, first.rid, first.attempt.record.repeatable, false);
         self.moves.push_back(Move::Admit(first.rid));
     }
 
@@ -93,7 +95,7 @@
         self.tally.unrecorded += 1;
         let Some(local) = self.local.get_mut(&ask).filter(|l| l.stage == Stage::Opening) else { return };
         let Some(first) = local.waiting.front() else { return };
-        if !first.attempt.record.repeats {
+        if !first.attempt.record.repeatable {
             if let Some(mut local) = self.local.remove(&ask) {
                 self.turn_away(&mut local);
             }
@@ -118,15 +120,15 @@
             return;
         };
         tracing::info!(
-            request = format_args!("{:016x}", record.rid),
+            request = format_args!("{:016x}", record.attempt_id),
             peer = fleet::peer_of(from.incarnation),
-            tried = record.tried.len(),
+            tried = record.executors_tried.len(),
             "fleet: taken over"
         );
         if let Some(local) = self.local.get_mut(&ask) {
             // Its client is here already: that try takes its place.
             if let Some(first) = local.waiting.pop_front() {
-                self.keep(ask, first.rid, first.attempt.record.repeats, false);
+                self.keep(ask, first.rid, first.attempt.record.repeatable, false);
                 self.moves.push_back(Move::Admit(first.rid));
                 return;
             }
@@ -136,13 +138,17 @@
             self.local.remove(&ask);
         }
         let left = record.deadline > now + self.bounds.fetch;
-        let sendable = record.statement.is_some() && record.tried.len() < self.bounds.attempts;
-        if !left || !sendable || self.adopted >= self.bounds.adopted || self.asks.contains_key(&record.rid) {
+        let sendable = record.statement.is_some() && record.executors_tried.len() < self.bounds.attempts;
+        if !left
+            || !sendable
+            || self.adopted >= self.bounds.adopted
+            || self.asks.contains_key(&record.attempt_id)
+        {
             return self.fleet.close(now, ask, Outcome::Removed);
         }
         self.adopted += 1;
         self.tally.adopted += 1;
-        self.keep(ask, record.rid, true, true);
+        self.keep(ask, record.attempt_id, true, true);
         self.moves.push_back(Move::Adopt(record));
     }
 
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -22,7 +22,7 @@
             tick: 30 * MS,
             batch: 10 * MS,
             give_up: 10_000 * MS,
-            limits: Limits { records: 100, remember: 30_000 * MS },
+            limits: Limits { records: 100, retention: 30_000 * MS },
         };
         let bounds = Bounds {
             statement: 100,
@@ -64,17 +64,17 @@
 
     fn asks(&mut self, at: Peer, rid: u64, ask: u64, repeats: bool, again: bool) -> Gate {
         let record = Record {
-            rid,
+            attempt_id: rid,
             class: 0,
             tenant: None,
             key: None,
             group: 0,
             work_s: None,
             memory_mb: None,
-            repeats,
+            repeatable: repeats,
             statement: Some("SELECT 1".into()),
             deadline: self.now + 8_000 * MS,
-            tried: Vec::new(),
+            executors_tried: Vec::new(),
             policy: 0,
         };
         let now = self.now;
@@ -125,7 +125,7 @@
         let adopted: Vec<Peer> = three
             .moves
             .iter()
-            .filter(|(_, m)| matches!(m, Move::Adopt(r) if r.rid == 10))
+            .filter(|(_, m)| matches!(m, Move::Adopt(r) if r.attempt_id == 10))
             .map(|(p, _)| *p)
             .collect();
         assert_eq!(adopted.len(), 1, "exactly one takes it over");
