--- a/crates/fleet/tests/lend.rs
+++ b/crates/fleet/tests/lend.rs
@@ -1,6 +1,6 @@
 //! Slot leases under any order of commands, late sweeps, disconnected and lost holders.
 
-use fleet::lend::{Borrower, Command, Slots, Terms};
+use fleet::lend::{Command, LeaseTerms, SlotHolder, Slots};
 use fleet::{Holder, Micros, StateMachine, incarnation};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -14,13 +14,13 @@
 }
 
 fn set(total: u16) -> Command {
-    Command::Set(Terms { total, term: TERM, longest: 4_000 * MS })
+    Command::SetTerms(LeaseTerms { total, term: TERM, max_request_duration: 4_000 * MS })
 }
 
 /// A simulated holder: its view of the state, the slots it needs and uses, and whether it is disconnected.
 struct Side {
     me: Holder,
-    borrower: Borrower,
+    slot_holder: SlotHolder,
     known: Slots,
     cut: bool,
     want: u16,
@@ -59,14 +59,14 @@
         let mut record = Slots::default();
         let mut alive: BTreeSet<Holder> = (0..4).map(|p| holder(p + 1, 1)).collect();
         let side = |me| {
-            let borrower = Borrower::new(me, TERM, MARGIN, 20 * MS);
-            Side { me, borrower, known: Slots::default(), cut: false, want: 5, busy: 0 }
+            let slot_holder = SlotHolder::new(me, TERM, MARGIN, 20 * MS);
+            Side { me, slot_holder, known: Slots::default(), cut: false, want: 5, busy: 0 }
         };
         let mut sides: Vec<Side> = alive.iter().map(|&me| side(me)).collect();
         let mut gone: Vec<Side> = Vec::new();
         let (mut now, mut log): (Micros, Vec<Command>) = (1_000_000 * MS, vec![set(12)]);
         for step in steps {
-            let before: Vec<(u16, Holder)> = record.lent().collect();
+            let before: Vec<(u16, Holder)> = record.leased().collect();
             match step {
                 Step::Want(h, n) => sides[h].want = n,
                 Step::Busy(h, n) => sides[h].busy = n,
@@ -85,9 +85,9 @@
                 Step::Pass(ms) => now += ms * MS,
             }
             for s in &mut sides {
-                let usable = s.borrower.usable(now, &s.known);
+                let usable = s.slot_holder.usable(now, &s.known);
                 s.busy = s.busy.min(usable);
-                if let Some(c) = s.borrower.next_command(now, &s.known, s.busy, s.want, s.want + 3)
+                if let Some(c) = s.slot_holder.next_command(now, &s.known, s.busy, s.want, s.want + 3)
                     && !s.cut
                 {
                     // Sent twice: the duplicate must have no effect.
@@ -95,16 +95,16 @@
                 }
             }
             for c in log.drain(..) {
-                let lent = record.lent().count();
+                let lent = record.leased().count();
                 record.apply(c, &alive);
                 let most = usize::from(record.terms().total).max(lent);
-                prop_assert!(record.lent().count() <= most);
+                prop_assert!(record.leased().count() <= most);
             }
-            let slots = record.lent().count();
+            let slots = record.leased().count();
             prop_assert!(slots <= before.len().max(record.terms().total.into()));
             sides.iter_mut().filter(|s| !s.cut).for_each(|s| s.known = record.clone());
             for s in sides.iter().chain(&gone) {
-                prop_assert!(s.borrower.usable(now, &s.known) <= record.held_and_recalled(s.me).0);
+                prop_assert!(s.slot_holder.usable(now, &s.known) <= record.held_and_recalled(s.me).0);
             }
         }
         // A joining peer decodes the same state.
@@ -125,7 +125,7 @@
         for number in 1..=40 {
             now += 500 * MS;
             record.sweep(now);
-            let hold = |holder, want| Command::Hold { holder, number, back: 0, want, most: want };
+            let hold = |holder, needed| Command::Update { holder, sequence: number, returned: 0, needed, max_usable: needed };
             record.apply(hold(all[0], u16::MAX), &alive);
             // The others arrive when the first one holds all slots.
             for (h, want) in all[1..].iter().zip(&wants).filter(|_| number > 5) {
@@ -136,7 +136,7 @@
         for (h, want) in all[1..].iter().zip(&wants) {
             prop_assert!(record.held_and_recalled(*h).0 >= part.min(*want), "{} of {part} and {want}", record.held_and_recalled(*h).0);
         }
-        prop_assert_eq!(record.lent().count(), usize::from(total));
+        prop_assert_eq!(record.leased().count(), usize::from(total));
     }
 }
 
@@ -147,7 +147,8 @@
     let alive = BTreeSet::from([a, b]);
     let (mut record, now) = (Slots::default(), 1_000_000 * MS);
     record.apply(set(4), &alive);
-    let hold = |holder, want| Command::Hold { holder, number: 1, back: 0, want, most: want };
+    let hold =
+        |holder, needed| Command::Update { holder, sequence: 1, returned: 0, needed, max_usable: needed };
     record.apply(hold(a, 4), &alive);
     record.apply(hold(b, 4), &alive);
     record.sweep(now);
@@ -170,7 +171,13 @@
     let alive = BTreeSet::from([a, b]);
     let mut record = Slots::default();
     record.apply(set(10), &alive);
-    let hold = |holder, number, back, want| Command::Hold { holder, number, back, want, most: want };
+    let hold = |holder, sequence, returned, needed| Command::Update {
+        holder,
+        sequence,
+        returned,
+        needed,
+        max_usable: needed,
+    };
     record.apply(hold(a, 1, 0, 10), &alive);
     record.apply(set(4), &alive);
     record.apply(hold(b, 1, 0, 2), &alive);
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -54,7 +54,7 @@
         limits: [1_000, 2_000],
         min_number: 4,
     };
-    let terms = lend::Terms { total: 8, term: 1_000, longest: 5_000 };
+    let terms = lend::LeaseTerms { total: 8, term: 1_000, max_request_duration: 5_000 };
     vec![
         Command::Register(incarnation(1, 5), 100),
         Command::Register(incarnation(2, 5), 110),
@@ -67,8 +67,14 @@
         Command::Policy(proposal),
         Command::Schema(schema::Command::Found(7, 500)),
         Command::Schema(schema::Command::Tell("s-1".into(), 7, 50)),
-        Command::Slots(lend::Command::Set(terms)),
-        Command::Slots(lend::Command::Hold { holder: holder(1, 1), number: 1, back: 0, want: 2, most: 3 }),
+        Command::Slots(lend::Command::SetTerms(terms)),
+        Command::Slots(lend::Command::Update {
+            holder: holder(1, 1),
+            sequence: 1,
+            returned: 0,
+            needed: 2,
+            max_usable: 3,
+        }),
     ]
 }
 
--- a/crates/slots/tests/sim/mod.rs
+++ b/crates/slots/tests/sim/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet in virtual time: dispatchers with this crate's queues, the record that lends slots, news that come late.
 
-use fleet::lend::{Borrower, Command, Slots, Terms as Lending};
+use fleet::lend::{Command, LeaseTerms as Lending, SlotHolder, Slots};
 use fleet::{Holder, StateMachine, incarnation};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -44,7 +44,7 @@
 struct Dispatcher {
     queue: Queue,
     me: Holder,
-    borrower: Borrower,
+    slot_holder: SlotHolder,
     ticked: Micros,
     asked: Micros,
 }
@@ -72,14 +72,17 @@
     let mut record = Slots::default();
     let alive: BTreeSet<Holder> =
         (0..n).map(|d| Holder { incarnation: incarnation(d as u8 + 1, 1), term: 1 }).collect();
-    record.apply(Command::Set(Lending { total: w.slots, term: TERM, longest: 5_000 * MS }), &alive);
+    record.apply(
+        Command::SetTerms(Lending { total: w.slots, term: TERM, max_request_duration: 5_000 * MS }),
+        &alive,
+    );
     let mut all: Vec<Dispatcher> = (alive.iter().enumerate())
         .map(|(d, &me)| {
-            let borrower = Borrower::new(me, TERM, 1_000 * MS, 20 * MS);
+            let slot_holder = SlotHolder::new(me, TERM, 1_000 * MS, 20 * MS);
             Dispatcher {
                 queue: Queue::new(Terms::default(), d as u64 + 1),
                 me,
-                borrower,
+                slot_holder,
                 ticked: 0,
                 asked: 0,
             }
@@ -148,7 +151,7 @@
             }
         }
         for (d, x) in all.iter_mut().enumerate() {
-            let mine = u32::from(x.borrower.usable(now, &record));
+            let mine = u32::from(x.slot_holder.usable(now, &record));
             let lent = Lent { mine, total: u32::from(w.slots), peers: n as u32 };
             x.queue.set_slots(now, lent);
             if touched[d] || x.queue.idle() > 0 && x.queue.waiting() > 0 || now >= x.ticked + 100 * MS {
@@ -163,7 +166,7 @@
             if now >= x.asked + 25 * MS {
                 x.asked = now;
                 let want = x.queue.want(now);
-                let asks = x.borrower.next_command(
+                let asks = x.slot_holder.next_command(
                     now,
                     &record,
                     x.queue.running() as u16,
@@ -171,7 +174,7 @@
                     want.most as u16,
                 );
                 // What is given back is not used from here on.
-                x.queue.set_slots(now, Lent { mine: u32::from(x.borrower.usable(now, &record)), ..lent });
+                x.queue.set_slots(now, Lent { mine: u32::from(x.slot_holder.usable(now, &record)), ..lent });
                 log.extend(asks.map(|c| (now + LOG, c)));
             }
             // The news of all at different times, four a second.
