--- a/crates/fleet/tests/fleet/faults.rs
+++ b/crates/fleet/tests/fleet/faults.rs
@@ -9,11 +9,11 @@
 #[test]
 fn the_first_to_open_a_request_owns_it() {
     let mut w = World::new(3, 1);
-    w.formed();
+    w.assert_forms();
     assert!(open(&mut w, 1, 7, false) && open(&mut w, 2, 7, false));
-    w.run(200 * MS, |w| w.one_owner([7].into_iter()));
-    let opened = (1..=3).filter(|p| w.told(*p, |n| *n == FleetEvent::Opened(7))).count();
-    let taken = (1..=3).filter(|p| w.told(*p, |n| *n == FleetEvent::AlreadyRecorded(7))).count();
+    w.run(200 * MS, |w| w.assert_at_most_one_owner([7].into_iter()));
+    let opened = (1..=3).filter(|p| w.has_seen(*p, |n| *n == FleetEvent::Opened(7))).count();
+    let taken = (1..=3).filter(|p| w.has_seen(*p, |n| *n == FleetEvent::AlreadyRecorded(7))).count();
     assert_eq!((opened, taken), (1, 1));
 }
 
@@ -23,18 +23,18 @@
 fn requests_of_a_dead_peer_go_to_one_other_unless_they_must_not_run_twice() {
     for dead in 1..=3 {
         let mut w = World::new(3, 10 + u64::from(dead));
-        w.formed();
+        w.assert_forms();
         assert!(open(&mut w, dead, 1, true) && open(&mut w, dead, 2, false));
         w.run(200 * MS, |_| ());
         w.fleets.remove(&dead);
         let killed = w.now;
         while !w.events.iter().any(|(_, n)| matches!(n, FleetEvent::Reassigned { .. })) {
-            w.run(10 * MS, |w| w.one_owner([1, 2].into_iter()));
+            w.run(10 * MS, |w| w.assert_at_most_one_owner([1, 2].into_iter()));
             assert!(w.now < killed + 2_000 * MS, "not taken over within two seconds");
         }
-        w.run(500 * MS, |w| w.one_owner([1, 2].into_iter()));
+        w.run(500 * MS, |w| w.assert_at_most_one_owner([1, 2].into_iter()));
         let mine = |n: &FleetEvent| matches!(n, FleetEvent::Reassigned { request_id: 1, mine: true, .. });
-        assert_eq!((1..=3).filter(|p| w.told(*p, mine)).count(), 1);
+        assert_eq!((1..=3).filter(|p| w.has_seen(*p, mine)).count(), 1);
         for f in w.fleets.values() {
             assert_eq!(f.ledger().unwrap().outcome(2), Some(&Outcome::Unknown));
         }
@@ -52,19 +52,19 @@
 #[test]
 fn a_disconnected_peer_drops_its_lease_before_others_take_over() {
     let mut w = World::new(3, 5);
-    w.formed();
+    w.assert_forms();
     assert!(open(&mut w, 2, 1, true));
     w.run(200 * MS, |_| ());
     let term = w.fleets[&2].holds(w.now).unwrap().term;
-    w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
-    w.run(3_000 * MS, |w| w.one_owner([1].into_iter()));
+    w.cut_links = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
+    w.run(3_000 * MS, |w| w.assert_at_most_one_owner([1].into_iter()));
     let lost = w.events.iter().position(|(p, n)| *p == 2 && matches!(n, FleetEvent::LeaseLost(_))).unwrap();
     let claimed =
         w.events.iter().position(|(_, n)| matches!(n, FleetEvent::Reassigned { request_id: 1, .. })).unwrap();
     assert!(lost < claimed, "others took over before the owner dropped its lease");
     assert!(!open(&mut w, 2, 9, false), "a request was recorded without a lease");
-    w.cut.clear();
-    w.run(3_000 * MS, |w| w.one_owner([1].into_iter()));
+    w.cut_links.clear();
+    w.run(3_000 * MS, |w| w.assert_at_most_one_owner([1].into_iter()));
     assert!(w.fleets[&2].holds(w.now).unwrap().term > term);
 }
 
@@ -73,11 +73,11 @@
 #[test]
 fn a_fleet_that_lost_its_majority_is_founded_again() {
     let mut w = World::new(3, 6);
-    w.formed();
+    w.assert_forms();
     w.restart(1);
     w.restart(2);
     w.run(20_000 * MS, |_| ());
-    assert!(w.told(3, |n| matches!(n, FleetEvent::FleetAbandoned(_))));
+    assert!(w.has_seen(3, |n| matches!(n, FleetEvent::FleetAbandoned(_))));
     let now = w.now;
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
     assert!(
@@ -94,17 +94,17 @@
 #[test]
 fn a_disconnected_peer_joins_the_fleet_that_was_founded_without_it() {
     let mut w = World::new(3, 9);
-    w.formed();
-    w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
+    w.assert_forms();
+    w.cut_links = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
     w.restart(1);
     w.restart(3);
     w.run(15_000 * MS, |_| ());
     let now = w.now;
     assert!(w.fleets[&1].holds(now).is_some() && w.fleets[&3].holds(now).is_some());
-    w.cut.clear();
+    w.cut_links.clear();
     w.run(15_000 * MS, |_| ());
     let now = w.now;
-    assert!(w.told(2, |n| matches!(n, FleetEvent::FleetAbandoned(_))));
+    assert!(w.has_seen(2, |n| matches!(n, FleetEvent::FleetAbandoned(_))));
     assert!(w.fleets.values().all(|f| f.holds(now).is_some()));
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn malformed_messages_change_nothing() {
     let mut w = World::new(3, 8);
-    w.formed();
+    w.assert_forms();
     let now = w.now;
     for bytes in [vec![], vec![0xff; 40], b"\x08\x05\x10\x01\x18\x02".to_vec()] {
         for p in 1..=3 {
@@ -120,7 +120,7 @@
             w.fleets.get_mut(&p).unwrap().handle_message(now, 200, Message::Result(9, None));
         }
     }
-    w.formed();
+    w.assert_forms();
 }
 
 // When a lease was requested twice and the first grant arrived late, its holder counted it from the second request and
@@ -133,9 +133,9 @@
         for _ in 0..60 {
             // The links to or from one peer are cut for about a lease's duration.
             let victim = 1 + w.draw(3) as Peer;
-            let deaf = w.draw(2) == 0;
+            let inbound = w.draw(2) == 0;
             let others: Vec<Peer> = (1..=3).filter(|p| *p != victim).collect();
-            w.cut = others.iter().map(|p| if deaf { (*p, victim) } else { (victim, *p) }).collect();
+            w.cut_links = others.iter().map(|p| if inbound { (*p, victim) } else { (victim, *p) }).collect();
             let span = (300 + w.draw(1_200)) * MS;
             w.run(span, |w| {
                 for p in 1..=3 {
@@ -153,9 +153,9 @@
                     }
                 }
             });
-            w.cut.clear();
-            let calm = w.draw(700) * MS;
-            w.run(calm, |_| ());
+            w.cut_links.clear();
+            let recovery = w.draw(700) * MS;
+            w.run(recovery, |_| ());
         }
     }
 }
--- a/crates/fleet/tests/fleet/main.rs
+++ b/crates/fleet/tests/fleet/main.rs
@@ -2,6 +2,6 @@
 
 mod faults;
 mod policy;
+mod random_faults;
 mod storm;
-mod trouble;
 mod world;
--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -29,20 +29,20 @@
 
 /// The policy numbers in force at the running peers.
 fn numbers(w: &World) -> BTreeSet<u64> {
-    w.parts.iter().filter(|(p, _)| w.fleets.contains_key(p)).map(|(_, part)| part.number()).collect()
+    w.participants.iter().filter(|(p, _)| w.fleets.contains_key(p)).map(|(_, part)| part.number()).collect()
 }
 
 // Without failures, a change is in force everywhere within a few round trips, and no request is refused.
 #[test]
 fn a_change_takes_hold_everywhere_and_refuses_nothing() {
     let mut w = World::new(3, 1);
-    w.formed();
-    let refused = w.gates[2];
+    w.assert_forms();
+    let refused = w.gate_counts[2];
     assert!(propose(&mut w, 2, "policy one"));
     w.run(400 * MS, |_| ());
     assert_eq!((numbers(&w), w.admitted), (BTreeSet::from([1]), 1));
-    assert!(w.gates[1] > 0, "while all stop, what arrives waits");
-    assert_eq!(w.gates[2], refused, "nothing was refused");
+    assert!(w.gate_counts[1] > 0, "while all stop, what arrives waits");
+    assert_eq!(w.gate_counts[2], refused, "nothing was refused");
     let now = w.now;
     assert!(say(&mut w, 1, policy::Command::Back(1, now, LIMITS)));
     w.run(400 * MS, |_| ());
@@ -54,15 +54,18 @@
 #[test]
 fn one_vote_against_it_and_it_takes_hold_nowhere() {
     let mut w = World::new(3, 2);
-    w.faulty.insert(3);
-    w.formed();
+    w.rejecting.insert(3);
+    w.assert_forms();
     assert!(propose(&mut w, 1, "policy with an unknown class"));
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([0]));
     let told = policies(&w, 2);
     let ended = told.outcomes().next().unwrap();
     assert_eq!((ended.number, &ended.faults[..]), (1, &[(3, vec!["unknown class".to_string()])][..]));
-    assert!(w.acts.iter().filter(|(_, a)| matches!(a, Action::GivenUp(1, ..))).count() >= 3, "all log it");
+    assert!(
+        w.policy_actions.iter().filter(|(_, a)| matches!(a, Action::GivenUp(1, ..))).count() >= 3,
+        "all log it"
+    );
     assert!(propose(&mut w, 1, "policy two"));
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([2]), "a number is never given twice");
@@ -73,8 +76,8 @@
 #[test]
 fn one_that_is_cut_off_holds_it_up_no_longer_than_its_lease() {
     let mut w = World::new(3, 3);
-    w.formed();
-    w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
+    w.assert_forms();
+    w.cut_links = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
     let follower = if w.fleets[&1].is_leader() { 3 } else { 1 };
     w.run(20 * MS, |_| ());
     let begun = w.now;
@@ -85,8 +88,8 @@
         w.run(10 * MS, |_| ());
         assert!(w.now < begun + 5_000 * MS, "it took hold within two leases and an election");
     }
-    assert_eq!(w.parts[&2].number(), 0);
-    w.cut.clear();
+    assert_eq!(w.participants[&2].number(), 0);
+    w.cut_links.clear();
     w.run(3_000 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([1]));
 }
@@ -95,7 +98,7 @@
 #[test]
 fn of_two_at_once_one_is_taken() {
     let mut w = World::new(5, 4);
-    w.formed();
+    w.assert_forms();
     assert!(propose(&mut w, 1, "policy a") && propose(&mut w, 4, "policy b"));
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([1]));
@@ -117,7 +120,7 @@
 fn a_policy_outlives_the_fleets_record() {
     for survives in [true, false] {
         let mut w = World::new(3, 6);
-        w.formed();
+        w.assert_forms();
         assert!(propose(&mut w, 1, "policy one"));
         w.run(400 * MS, |_| ());
         w.restart(1);
@@ -135,7 +138,7 @@
                 assert!(w.now < lost + 30_000 * MS, "the two that are left have a fleet");
             }
             let holder = w.fleets[&1].holds(w.now);
-            assert_eq!(w.parts[&1].gate(holder), Gate::Refuse);
+            assert_eq!(w.participants[&1].gate(holder), Gate::Refuse);
             assert!(propose(&mut w, 1, "policy two"));
         }
         w.run(if survives { 18_000 } else { 5_000 } * MS, |_| ());
@@ -151,7 +154,7 @@
 #[test]
 fn one_that_stood_still_takes_the_policy_of_the_fleet_that_was_founded_meanwhile() {
     let mut w = World::new(3, 12);
-    w.formed();
+    w.assert_forms();
     let id = |w: &World| {
         w.events.iter().rev().find_map(|(p, n)| match n {
             FleetEvent::FleetJoined(id) if *p == 1 => Some(*id),
@@ -164,7 +167,7 @@
     w.paused.insert(3, w.now + 20_000 * MS);
     for p in [1, 2] {
         w.fleets.insert(p, Fleet::new(fleet_config(p, 3), u64::from(p), w.now));
-        w.parts.insert(p, Default::default());
+        w.participants.insert(p, Default::default());
     }
     w.admitted = 0;
     w.run(6_000 * MS, |_| ());
@@ -172,14 +175,17 @@
     w.run(25_000 * MS, |_| ());
     let texts: BTreeSet<String> = (1..=3).map(|p| policies(&w, p).current().text.clone()).collect();
     assert_eq!((texts.len(), numbers(&w).len()), (1, 1), "{texts:?}");
-    let acts: Vec<&Action> = w.acts.iter().filter(|(p, _)| *p == 3).map(|(_, a)| a).collect();
-    assert!(acts.iter().any(|a| matches!(a, Action::InForce(p) if p.text == "policy another")), "{acts:?}");
+    let actions: Vec<&Action> = w.policy_actions.iter().filter(|(p, _)| *p == 3).map(|(_, a)| a).collect();
+    assert!(
+        actions.iter().any(|a| matches!(a, Action::InForce(p) if p.text == "policy another")),
+        "{actions:?}"
+    );
 }
 
 /// Proposes changes under random faults, then heals all. Returns the hash of the trace.
 fn changes(n: u8, seed: u64) -> u64 {
     let mut w = World::new(n, seed);
-    w.formed();
+    w.assert_forms();
     for round in 0..40_u64 {
         let p = 1 + w.draw(u64::from(n)) as Peer;
         let now = w.now;
@@ -193,11 +199,11 @@
         }
         let before = w.draw(60) * MS;
         w.run(before, |_| ());
-        w.trouble();
+        w.inject_fault();
         w.run(300 * MS, |_| ());
-        w.heal();
+        w.end_outages();
     }
-    w.heal_all();
+    w.end_all_outages();
     w.run(10_000 * MS, |_| ());
     let all: Vec<Policies> = (1..=n).map(|p| policies(&w, p)).collect();
     assert!(all.iter().all(|p| *p == all[0]), "seed {seed}: one state in the end");
--- a/crates/fleet/tests/fleet/trouble.rs
+++ b/crates/fleet/tests/fleet/random_faults.rs
@@ -6,21 +6,22 @@
 
 impl World {
     /// Kills, pauses or disconnects at most one dispatcher for a while.
-    pub fn trouble(&mut self) {
+    pub fn inject_fault(&mut self) {
         // At most a minority is unavailable at once; a restarted peer counts as unavailable until it has a lease.
         let now = self.now;
-        let victim = 1 + self.draw(u64::from(self.n)) as Peer;
-        let out: BTreeSet<Peer> = (1..=self.n)
+        let victim = 1 + self.draw(u64::from(self.peer_count)) as Peer;
+        let out: BTreeSet<Peer> = (1..=self.peer_count)
             .filter(|p| {
-                self.fleets.get(p).is_none_or(|f| f.holds(now).is_none()) || self.healed_at.contains_key(p)
+                self.fleets.get(p).is_none_or(|f| f.holds(now).is_none())
+                    || self.outage_ends_at.contains_key(p)
             })
             .collect();
-        if out.len() < usize::from((self.n - 1) / 2) && !out.contains(&victim) {
+        if out.len() < usize::from((self.peer_count - 1) / 2) && !out.contains(&victim) {
             let span = (200 + self.draw(2_500)) * MS;
             match self.draw(4) {
                 0 => {
                     self.fleets.remove(&victim);
-                    self.healed_at.insert(victim, self.now + span);
+                    self.outage_ends_at.insert(victim, self.now + span);
                 }
                 1 => {
                     let until = self.now + span;
@@ -28,13 +29,13 @@
                 }
                 2 => {
                     let one_way = self.draw(2) == 0;
-                    for p in (1..=self.n).filter(|p| *p != victim) {
-                        self.cut.insert((p, victim));
+                    for p in (1..=self.peer_count).filter(|p| *p != victim) {
+                        self.cut_links.insert((p, victim));
                         if !one_way {
-                            self.cut.insert((victim, p));
+                            self.cut_links.insert((victim, p));
                         }
                     }
-                    self.healed_at.insert(victim, self.now + span);
+                    self.outage_ends_at.insert(victim, self.now + span);
                 }
                 _ => {}
             }
@@ -42,12 +43,13 @@
     }
 
     /// Restarts or reconnects the peers whose outage is over.
-    pub fn heal(&mut self) {
+    pub fn end_outages(&mut self) {
         let now = self.now;
-        let healed: Vec<Peer> = self.healed_at.iter().filter(|(_, t)| **t <= now).map(|(p, _)| *p).collect();
+        let healed: Vec<Peer> =
+            self.outage_ends_at.iter().filter(|(_, t)| **t <= now).map(|(p, _)| *p).collect();
         for p in healed {
-            self.healed_at.remove(&p);
-            self.cut.retain(|(a, b)| *a != p && *b != p);
+            self.outage_ends_at.remove(&p);
+            self.cut_links.retain(|(a, b)| *a != p && *b != p);
             if !self.fleets.contains_key(&p) {
                 self.restart(p);
             }
@@ -55,9 +57,9 @@
     }
 
     /// Restarts and reconnects all peers.
-    pub fn heal_all(&mut self) {
-        self.cut.clear();
-        for p in 1..=self.n {
+    pub fn end_all_outages(&mut self) {
+        self.cut_links.clear();
+        for p in 1..=self.peer_count {
             if !self.fleets.contains_key(&p) {
                 self.restart(p);
             }
--- a/crates/fleet/tests/fleet/storm.rs
+++ b/crates/fleet/tests/fleet/storm.rs
@@ -7,7 +7,7 @@
 /// Runs traffic under random faults, then without faults; returns the hash of all events.
 fn storm(n: u8, seed: u64) -> u64 {
     let mut w = World::new(n, seed);
-    w.formed();
+    w.assert_forms();
     let mut next = 1_u64;
     for _ in 0..40 {
         // One request at each peer that is not paused.
@@ -18,14 +18,14 @@
                 next += 1;
             }
         }
-        w.trouble();
+        w.inject_fault();
         let request_ids_end = next;
-        w.run(300 * MS, |w| w.one_owner(1..request_ids_end));
-        w.heal();
+        w.run(300 * MS, |w| w.assert_at_most_one_owner(1..request_ids_end));
+        w.end_outages();
     }
-    w.heal_all();
+    w.end_all_outages();
     let request_ids_end = next;
-    w.run(6_000 * MS, |w| w.one_owner(1..request_ids_end));
+    w.run(6_000 * MS, |w| w.assert_at_most_one_owner(1..request_ids_end));
     // All peers have the same ledger, and each open request is owned by exactly one live peer that knows it.
     let now = w.now;
     for request_id in 1..next {
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -44,29 +44,30 @@
 }
 
 pub struct World {
-    pub n: u8,
+    pub peer_count: u8,
     pub now: Micros,
     pub rng: Pcg64Mcg,
     pub fleets: BTreeMap<Peer, Fleet>,
     /// Paused peers, and until when.
     pub paused: BTreeMap<Peer, Micros>,
-    pub cut: BTreeSet<(Peer, Peer)>,
+    /// Links that drop all messages: sender and receiver.
+    pub cut_links: BTreeSet<(Peer, Peer)>,
     /// Messages in transit: time of arrival, sender, receiver, frame.
-    pub wires: VecDeque<(Micros, Peer, Peer, Vec<u8>)>,
+    pub in_transit: VecDeque<(Micros, Peer, Peer, Vec<u8>)>,
     pub events: Vec<(Peer, FleetEvent)>,
     /// Hash of all events, to compare runs.
     pub trace: DefaultHasher,
     /// Each peer's state in changes of policy.
-    pub parts: BTreeMap<Peer, Participant>,
+    pub participants: BTreeMap<Peer, Participant>,
     /// Peers whose own check rejects policies that contain "unknown".
-    pub faulty: BTreeSet<Peer>,
+    pub rejecting: BTreeSet<Peer>,
     /// The highest policy number that a request was admitted under.
     pub admitted: u64,
     /// The number of requests that were admitted, held and refused.
-    pub gates: [u64; 3],
-    pub acts: Vec<(Peer, Action)>,
+    pub gate_counts: [u64; 3],
+    pub policy_actions: Vec<(Peer, Action)>,
     /// When the outages of killed or disconnected peers end.
-    pub healed_at: BTreeMap<Peer, Micros>,
+    pub outage_ends_at: BTreeMap<Peer, Micros>,
 }
 
 impl World {
@@ -75,21 +76,21 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let fleets = (1..=n).map(|p| (p, Fleet::new(fleet_config(p, n), rng.next_u64(), now))).collect();
         World {
-            n,
+            peer_count: n,
             now,
             rng,
             fleets,
             paused: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            wires: VecDeque::new(),
+            cut_links: BTreeSet::new(),
+            in_transit: VecDeque::new(),
             events: Vec::new(),
             trace: DefaultHasher::new(),
-            parts: (1..=n).map(|p| (p, Participant::default())).collect(),
-            faulty: BTreeSet::new(),
+            participants: (1..=n).map(|p| (p, Participant::default())).collect(),
+            rejecting: BTreeSet::new(),
             admitted: 0,
-            gates: [0; 3],
-            acts: Vec::new(),
-            healed_at: BTreeMap::new(),
+            gate_counts: [0; 3],
+            policy_actions: Vec::new(),
+            outage_ends_at: BTreeMap::new(),
         }
     }
 
@@ -101,14 +102,14 @@
         self.now += 5 * MS;
         let now = self.now;
         self.paused.retain(|_, until| *until > now);
-        let mut due: Vec<_> = self.wires.iter().filter(|w| w.0 <= now).cloned().collect();
-        self.wires.retain(|w| w.0 > now);
+        let mut due: Vec<_> = self.in_transit.iter().filter(|w| w.0 <= now).cloned().collect();
+        self.in_transit.retain(|w| w.0 > now);
         due.sort_by_key(|w| w.0);
         for (at, from, to, bytes) in due {
             if self.paused.contains_key(&to) {
-                self.wires.push_back((at + 5 * MS, from, to, bytes));
+                self.in_transit.push_back((at + 5 * MS, from, to, bytes));
             } else if let Some(f) = self.fleets.get_mut(&to) {
-                // Encoded and decoded as on a socket.
+                // The frame is decoded as when it is read from a socket.
                 let (_, message) = decode_frame(&bytes, 64 << 20).unwrap().unwrap();
                 f.handle_message(now, from, message);
             }
@@ -121,26 +122,26 @@
             let messages = std::mem::take(&mut f.messages);
             let events = std::mem::take(&mut f.events);
             for (to, message) in messages {
-                let lost = self.cut.contains(&(p, to)) || self.draw(200) == 0;
+                let lost = self.cut_links.contains(&(p, to)) || self.draw(200) == 0;
                 let late = 1 + self.draw(4);
                 if !lost {
-                    self.wires.push_back((now + late * MS, p, to, encode_frame(&message)));
+                    self.in_transit.push_back((now + late * MS, p, to, encode_frame(&message)));
                 }
             }
             for n in events {
                 format!("{now} {p} {n:?}").hash(&mut self.trace);
                 self.events.push((p, n));
             }
-            self.look(p);
-            self.arrives(p);
+            self.poll_policy(p);
+            self.admit_request(p);
         }
     }
 
     /// Lets a peer act on the replicated policy.
-    fn look(&mut self, p: Peer) {
+    fn poll_policy(&mut self, p: Peer) {
         let now = self.now;
-        let (Some(f), Some(part)) = (self.fleets.get_mut(&p), self.parts.get_mut(&p)) else { return };
-        let bad = self.faulty.contains(&p);
+        let (Some(f), Some(part)) = (self.fleets.get_mut(&p), self.participants.get_mut(&p)) else { return };
+        let bad = self.rejecting.contains(&p);
         let mut check = |policy: &Policy| {
             let faults = bad && policy.text.contains("unknown");
             if faults { vec!["unknown class".to_string()] } else { Vec::new() }
@@ -154,16 +155,16 @@
                 part.submit_failed();
             }
             format!("{now} {p} {act:?}").hash(&mut self.trace);
-            self.acts.push((p, act));
+            self.policy_actions.push((p, act));
         }
     }
 
-    /// A request arrives; it must not be admitted under an older policy than any earlier request.
-    fn arrives(&mut self, p: Peer) {
+    /// Offers a request to a peer and asserts that it is not admitted under an older policy than any earlier request.
+    fn admit_request(&mut self, p: Peer) {
         let holder = self.fleets.get(&p).and_then(|f| f.holds(self.now));
-        match self.parts.get(&p).map(|part| part.gate(holder)) {
+        match self.participants.get(&p).map(|part| part.gate(holder)) {
             Some(Gate::Admit(number)) => {
-                self.gates[0] += 1;
+                self.gate_counts[0] += 1;
                 assert!(
                     number >= self.admitted,
                     "at {} peer {p} admits by {number} after {}",
@@ -172,8 +173,8 @@
                 );
                 self.admitted = number;
             }
-            Some(Gate::Hold) => self.gates[1] += 1,
-            _ => self.gates[2] += 1,
+            Some(Gate::Hold) => self.gate_counts[1] += 1,
+            _ => self.gate_counts[2] += 1,
         }
     }
 
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Asserts that no request has two owners.
-    pub fn one_owner(&self, request_ids: impl Iterator<Item = u64>) {
+    /// Asserts that no request has more than one owner.
+    pub fn assert_at_most_one_owner(&self, request_ids: impl Iterator<Item = u64>) {
         for request_id in request_ids {
             let owners: Vec<Peer> =
                 self.fleets.iter().filter(|(_, f)| f.owns(self.now, request_id)).map(|(p, _)| *p).collect();
@@ -196,18 +197,20 @@
 
     pub fn restart(&mut self, p: Peer) {
         let seed = self.rng.next_u64();
-        self.fleets.insert(p, Fleet::new(fleet_config(p, self.n), seed, self.now));
-        self.parts.insert(p, Participant::default());
+        self.fleets.insert(p, Fleet::new(fleet_config(p, self.peer_count), seed, self.now));
+        self.participants.insert(p, Participant::default());
     }
 
-    pub fn formed(&mut self) {
+    /// Runs for five seconds and asserts that all peers have a lease and one of them leads.
+    pub fn assert_forms(&mut self) {
         self.run(5_000 * MS, |_| ());
         let now = self.now;
         assert!(self.fleets.values().all(|f| f.holds(now).is_some()), "not all peers have a lease");
         assert_eq!(self.fleets.values().filter(|f| f.is_leader()).count(), 1);
     }
 
-    pub fn told(&self, p: Peer, what: impl Fn(&FleetEvent) -> bool) -> bool {
+    /// Whether a peer has reported an event that matches.
+    pub fn has_seen(&self, p: Peer, what: impl Fn(&FleetEvent) -> bool) -> bool {
         self.events.iter().any(|(q, n)| *q == p && what(n))
     }
 }
