--- a/crates/fleet/src/fleet/effects.rs
+++ b/crates/fleet/src/fleet/effects.rs
@@ -23,11 +23,11 @@
     }
 
     pub(super) fn apply_effect(&mut self, now: Micros, effect: Effect) {
-        let own = |h: Holder| h.incarnation == self.incarnation;
+        let is_own = |h: Holder| h.incarnation == self.incarnation;
         match effect {
             Effect::Registered(h, asked) => {
                 self.renewals_seen.insert(h, now);
-                if own(h) {
+                if is_own(h) {
                     let until = asked + self.config.lease;
                     if until > now && self.lease.is_none() {
                         self.lease = Some((h, until));
@@ -61,23 +61,23 @@
     /// Handles an effect on an in-flight request.
     fn apply_request_effect(&mut self, effect: ledger::Effect) {
         use ledger::Effect;
-        let own = |h: Holder| h.incarnation == self.incarnation;
+        let is_own = |h: Holder| h.incarnation == self.incarnation;
         match effect {
-            Effect::Opened(h, request_id) if own(h) => {
+            Effect::Opened(h, request_id) if is_own(h) => {
                 if self.lease.is_some_and(|(mine, _)| mine == h) {
                     self.owned.insert(request_id);
                     self.events.push_back(FleetEvent::Opened(request_id));
                 }
             }
-            Effect::AlreadyRecorded(h, request_id) if own(h) => {
+            Effect::AlreadyRecorded(h, request_id) if is_own(h) => {
                 self.events.push_back(FleetEvent::AlreadyRecorded(request_id))
             }
-            Effect::Full(h, request_id) | Effect::LeaseEnded(h, request_id) if own(h) => {
+            Effect::Full(h, request_id) | Effect::LeaseEnded(h, request_id) if is_own(h) => {
                 self.events.push_back(FleetEvent::NotRecorded(request_id));
             }
             Effect::Opened(..) | Effect::AlreadyRecorded(..) | Effect::Full(..) | Effect::LeaseEnded(..) => {}
             Effect::Reassigned { request_id, from, by } => {
-                let mine = own(by) && self.lease.is_some_and(|(h, _)| h == by);
+                let mine = is_own(by) && self.lease.is_some_and(|(h, _)| h == by);
                 if mine {
                     self.owned.insert(request_id);
                 }
--- a/crates/fleet/src/fleet/lease.rs
+++ b/crates/fleet/src/fleet/lease.rs
@@ -30,10 +30,10 @@
 
     pub(super) fn maintain_lease(&mut self, now: Micros) {
         let Some(group) = &self.group else { return };
-        let every = self.config.lease / RENEWALS_PER_LEASE;
+        let renew_interval = self.config.lease / RENEWALS_PER_LEASE;
         match self.lease {
             Some((holder, _)) if self.renew_at <= now => {
-                self.renew_at = now + every;
+                self.renew_at = now + renew_interval;
                 self.queue.push(Command::Renew(holder, now));
                 self.flush_by(now);
             }
@@ -56,9 +56,9 @@
         // A pending change of policy depends on time limits, so the leader sweeps more often.
         let (has_deadlines, policy_pending) = (state.keeps_time(), state.policy().pending().is_some());
         for (holder, renewals) in alive {
-            let seen = self.renewals_seen.entry(holder).or_insert(now);
-            if now > *seen + self.config.lease + self.config.margin {
-                *seen = now;
+            let last_renewal = self.renewals_seen.entry(holder).or_insert(now);
+            if now > *last_renewal + self.config.lease + self.config.margin {
+                *last_renewal = now;
                 self.queue.push(Command::Expire(holder, renewals));
                 self.flush_by(now);
             }
--- a/crates/fleet/src/fleet/membership.rs
+++ b/crates/fleet/src/fleet/membership.rs
@@ -143,14 +143,14 @@
             (Some(_), _) => self.leaderless_since = None,
             (None, None) => self.leaderless_since = Some(now),
             // The fleet that it joined no longer exists, or the one that it founded never formed.
-            (None, Some(since)) if !group.has_committed() && now > since + self.config.give_up / 2 => {
+            (None, Some(since)) if !group.has_committed() && now > since + self.config.abandon_after / 2 => {
                 self.abandon()
             }
-            (None, Some(since)) if now > since + self.config.give_up => {
+            (None, Some(since)) if now > since + self.config.abandon_after => {
                 // A majority has no fleet, or one that was founded while this peer was cut off.
                 let own = Some(group.founding.id);
-                let anew = self.recently_heard(now).filter(|(_, h)| h.fleet != own).count();
-                if anew >= self.majority() {
+                let elsewhere = self.recently_heard(now).filter(|(_, h)| h.fleet != own).count();
+                if elsewhere >= self.majority() {
                     self.abandon();
                 }
             }
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -196,8 +196,8 @@
             Some(group) => {
                 group.tick(now);
                 if group.is_leader() {
-                    let asking: Vec<Incarnation> = self.joining.values().copied().collect();
-                    asking.into_iter().for_each(|incarnation| group.add_voter(incarnation));
+                    let candidates: Vec<Incarnation> = self.joining.values().copied().collect();
+                    candidates.into_iter().for_each(|incarnation| group.add_voter(incarnation));
                 }
             }
         }
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -3,15 +3,16 @@
 use super::*;
 
 impl Fleet {
-    /// Records a request. With `first`, it is proposed at once and [`FleetEvent::Opened`] confirms the commit; otherwise
-    /// it is batched, and not recorded if the queue is full. Returns false if it can't be recorded or there is no lease.
-    pub fn open(&mut self, now: Micros, request_id: u64, record: Record, first: bool) -> bool {
+    /// Records a request. With `await_commit`, it is proposed at once and [`FleetEvent::Opened`] confirms the commit;
+    /// otherwise it is batched, and not recorded if the queue is full. Returns false if it can't be recorded or there is no
+    /// lease.
+    pub fn open(&mut self, now: Micros, request_id: u64, record: Record, await_commit: bool) -> bool {
         let Some(holder) = self.holds(now) else { return false };
-        if !first && self.queue.len() >= MAX_QUEUED_COMMANDS {
+        if !await_commit && self.queue.len() >= MAX_QUEUED_COMMANDS {
             return false;
         }
         self.queue.push(Command::Work(ledger::Command::Open(holder, request_id, record)));
-        self.flush_by(if first { now } else { now + self.config.batch });
+        self.flush_by(if await_commit { now } else { now + self.config.batch_delay });
         true
     }
 
@@ -26,7 +27,7 @@
             Some(record) => record.executors_tried.push(executor),
             None => {
                 self.queue.push(Command::Work(ledger::Command::AddAttempt(holder, request_id, executor)));
-                self.flush_by(now + self.config.batch);
+                self.flush_by(now + self.config.batch_delay);
             }
         }
     }
@@ -44,7 +45,7 @@
             return;
         }
         self.queue.push(Command::Work(ledger::Command::Close(holder, request_id, end)));
-        self.flush_by(now + self.config.batch);
+        self.flush_by(now + self.config.batch_delay);
     }
 
     /// Queues a command for the log. Returns false without a lease.
--- a/crates/fleet/src/fleet/types.rs
+++ b/crates/fleet/src/fleet/types.rs
@@ -18,9 +18,9 @@
     /// Raft's tick; the leader sends a heartbeat each tick.
     pub tick: Micros,
     /// How long commands that nothing waits for may be delayed to form larger batches.
-    pub batch: Micros,
+    pub batch_delay: Micros,
     /// How long a fleet has to be without a leader before it is abandoned, if a majority of its peers has left it.
-    pub give_up: Micros,
+    pub abandon_after: Micros,
     /// Limits of the ledger.
     pub limits: Limits,
 }
--- a/crates/fleet/src/group/ready.rs
+++ b/crates/fleet/src/group/ready.rs
@@ -30,9 +30,10 @@
             self.apply(light.take_committed_entries());
             self.node.advance_apply();
         }
-        let wanted = self.log.take_wanted();
+        let snapshot_requested = self.log.take_snapshot_request();
         if self.applied > 1
-            && (wanted || self.bytes_since_snapshot > MIN_COMPACTION_BYTES.max(self.snapshot_size))
+            && (snapshot_requested
+                || self.bytes_since_snapshot > MIN_COMPACTION_BYTES.max(self.snapshot_size))
         {
             let data = self.state.encode();
             (self.bytes_since_snapshot, self.snapshot_size) = (0, data.len());
--- a/crates/fleet/src/ledger/mod.rs
+++ b/crates/fleet/src/ledger/mod.rs
@@ -35,7 +35,7 @@
     /// Index of the expiry times: the deadline and the retention after it; derived from `entries`.
     #[serde(skip)]
     expiries: BTreeSet<(Micros, u64)>,
-    swept: Micros,
+    last_sweep: Micros,
 }
 
 /// The callback that receives the effects of a command.
@@ -49,7 +49,7 @@
             entries: BTreeMap::new(),
             owned: BTreeMap::new(),
             expiries: BTreeSet::new(),
-            swept: 0,
+            last_sweep: 0,
         }
     }
 
@@ -119,7 +119,7 @@
 
     /// Removes the records that have expired.
     pub(crate) fn sweep(&mut self, now: Micros, out: EffectSink<'_>) {
-        self.swept = self.swept.max(now);
+        self.last_sweep = self.last_sweep.max(now);
         while let Some(&(at, request_id)) = self.expiries.first().filter(|(at, _)| *at <= now) {
             self.expiries.remove(&(at, request_id));
             if let Some((_, owner)) = self.open(request_id) {
--- a/crates/fleet/src/log.rs
+++ b/crates/fleet/src/log.rs
@@ -12,7 +12,7 @@
     entries: MemStorage,
     snapshot: Rc<RefCell<Snapshot>>,
     /// Set when a peer needs a newer snapshot than the stored one.
-    wanted: Rc<Cell<bool>>,
+    snapshot_requested: Rc<Cell<bool>>,
 }
 
 impl Log {
@@ -56,8 +56,8 @@
     }
 
     /// Returns whether a peer waits for a newer snapshot, and clears the flag.
-    pub fn take_wanted(&self) -> bool {
-        self.wanted.take()
+    pub fn take_snapshot_request(&self) -> bool {
+        self.snapshot_requested.take()
     }
 
     /// Stores a snapshot of the state at `index` and drops the entries before it, except for the last `keep`.
@@ -108,9 +108,13 @@
         let snapshot = self.snapshot.borrow();
         let (index, members) = (snapshot.get_metadata().index, snapshot.get_metadata().get_conf_state());
         // A node ignores a snapshot whose membership does not include it, as after joining later.
-        let knows = members.voters.contains(&to) || members.learners.contains(&to);
-        if !knows || index == 0 || index < request_index || index + 1 < self.entries.first_index()? {
-            self.wanted.set(true);
+        let includes_receiver = members.voters.contains(&to) || members.learners.contains(&to);
+        if !includes_receiver
+            || index == 0
+            || index < request_index
+            || index + 1 < self.entries.first_index()?
+        {
+            self.snapshot_requested.set(true);
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(snapshot.clone())
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -97,8 +97,8 @@
             lease: timing.lease,
             margin: timing.margin,
             tick: timing.tick,
-            batch: timing.tick,
-            give_up: 10 * timing.lease,
+            batch_delay: timing.tick,
+            abandon_after: 10 * timing.lease,
             limits: Limits { records: 0, retention: 0 },
         };
         let fleet = Fleet::new(fleet_config, self.rng.next_u64(), self.now);
--- a/crates/fleet/tests/fleet/world.rs
+++ b/crates/fleet/tests/fleet/world.rs
@@ -20,8 +20,8 @@
         lease: LEASE,
         margin: 100 * MS,
         tick: 30 * MS,
-        batch: 10 * MS,
-        give_up: 10_000 * MS,
+        batch_delay: 10 * MS,
+        abandon_after: 10_000 * MS,
         limits: Limits { records: 500, retention: 30_000 * MS },
     }
 }
--- a/crates/lab/src/takeover/record.rs
+++ b/crates/lab/src/takeover/record.rs
@@ -39,8 +39,8 @@
         lease: 1_000_000,
         margin: 100_000,
         tick: 30_000,
-        batch: 10_000,
-        give_up: 10_000_000,
+        batch_delay: 10_000,
+        abandon_after: 10_000_000,
         limits: Limits { records, retention: 60_000_000 },
     }
 }
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -50,8 +50,8 @@
             lease: timing.lease,
             margin: timing.margin,
             tick: timing.tick,
-            batch: timing.tick,
-            give_up: GIVE_UP_LEASES * timing.lease,
+            batch_delay: timing.tick,
+            abandon_after: GIVE_UP_LEASES * timing.lease,
             limits: Limits { records: 0, retention: 0 },
         };
         let listen = settings.listen.ok_or_else(|| io::Error::other("control: listen is missing"))?;
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -97,8 +97,8 @@
             lease: micros(settings.lease),
             margin: micros(settings.margin),
             tick: micros(settings.tick),
-            batch: micros(settings.batch),
-            give_up: micros(settings.give_up),
+            batch_delay: micros(settings.batch),
+            abandon_after: micros(settings.give_up),
             limits: Limits { records: settings.most_records as u32, retention: micros(settings.remember) },
         };
         let bounds = Bounds {
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -20,8 +20,8 @@
             lease: 1_000 * MS,
             margin: 100 * MS,
             tick: 30 * MS,
-            batch: 10 * MS,
-            give_up: 10_000 * MS,
+            batch_delay: 10 * MS,
+            abandon_after: 10_000 * MS,
             limits: Limits { records: 100, retention: 30_000 * MS },
         };
         let bounds = Bounds {
