--- a/crates/lab/src/scale/list.rs
+++ b/crates/lab/src/scale/list.rs
@@ -93,7 +93,7 @@
         estimated_thread_seconds: Some(0.2),
         estimated_memory_mb: Some(100.0),
         table_group: request % 50,
-        is_repeat: false,
+        is_client_retry: false,
         held_by_client: false,
     };
     let mut times = Vec::new();
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -81,7 +81,7 @@
                 estimated_thread_seconds: Some(0.2 + 2.0 * class as f64),
                 estimated_memory_mb: Some(100.0),
                 table_group: request % 50,
-                is_repeat: false,
+                is_client_retry: false,
                 held_by_client: false,
             }),
             &mut actions,
@@ -129,7 +129,7 @@
             estimated_thread_seconds: Some(0.2),
             estimated_memory_mb: Some(100.0),
             table_group: request % KEYS,
-            is_repeat: false,
+            is_client_retry: false,
             held_by_client: false,
         };
         dispatcher.handle(now, Event::Arrival(arrival), &mut actions);
--- a/examples/one_dispatcher.rs
+++ b/examples/one_dispatcher.rs
@@ -69,7 +69,7 @@
         estimated_thread_seconds: Some(2.5),
         estimated_memory_mb: Some(640.0),
         table_group: 7,
-        is_repeat: false,
+        is_client_retry: false,
         held_by_client: false,
     };
     let gone = executors.clone().map(|e| Endpoint { readiness: Readiness::Removed, ..e });
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -70,7 +70,7 @@
     /// The table group that it reads.
     pub table_group: u64,
     /// Whether the client marked it as a retry.
-    pub is_repeat: bool,
+    pub is_client_retry: bool,
     /// Whether the client may have delayed sending it, in which case `time_budget` is a lower bound.
     pub held_by_client: bool,
 }
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -32,13 +32,13 @@
             Idempotency::IdempotencyKey { scope, window } => {
                 let may_have_run = |a: &&Attempt| !a.outcome.is_some_and(Outcome::never_ran);
                 let mut attempts = request.attempts.iter().filter(may_have_run);
-                attempts.all(|attempt| self.drops_duplicate(attempt, executor, scope, window))
+                attempts.all(|attempt| self.recognises_duplicate(attempt, executor, scope, window))
             }
         }
     }
 
     /// Whether the executor would recognise a duplicate of the attempt now.
-    fn drops_duplicate(
+    fn recognises_duplicate(
         &self,
         attempt: &Attempt,
         executor: &Executor,
--- a/src/balancer/request_lifecycle.rs
+++ b/src/balancer/request_lifecycle.rs
@@ -109,7 +109,7 @@
         reason: EndReason,
     ) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.answered) else { return };
-        let action = if self.is_safe_to_repeat(request) {
+        let action = if self.is_safe_to_retry(request) {
             let retry_after = self.bounded_retry_after(retry_after);
             Action::Reject { request: id, retry_after, reason }
         } else {
@@ -121,7 +121,7 @@
 
     /// Whether a client may safely retry a request whatever the state of its attempts: it is idempotent on
     /// all executors, or none of its attempts ran.
-    fn is_safe_to_repeat(&self, request: &Request) -> bool {
+    fn is_safe_to_retry(&self, request: &Request) -> bool {
         let is_idempotent_everywhere = matches!(
             self.settings.classes[request.class].idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
--- a/src/bin/ottercroft-adapter/wire/events.rs
+++ b/src/bin/ottercroft-adapter/wire/events.rs
@@ -113,7 +113,7 @@
             .filter(|estimate| flags & ESTIMATE_IS_VALID != 0 && positive(estimate)),
         estimated_memory_mb: message.memory_mb.filter(positive),
         table_group: message.group.unwrap_or(0),
-        is_repeat: flags & IS_RETRY != 0,
+        is_client_retry: flags & IS_RETRY != 0,
         held_by_client: false,
     }))
 }
--- a/src/dispatch/client_request.rs
+++ b/src/dispatch/client_request.rs
@@ -51,7 +51,7 @@
     /// Its table group.
     pub table_group: u64,
     /// Whether the client marked it as a retry.
-    pub is_repeat: bool,
+    pub is_client_retry: bool,
     /// Whether the client may have delayed sending it; its time budget then assumes the maximum delay.
     pub held_by_client: bool,
 }
@@ -73,7 +73,7 @@
         estimated_thread_seconds: sanitize_estimate(request.estimated_thread_seconds, MAX_THREAD_SECONDS),
         estimated_memory_mb: sanitize_estimate(request.estimated_memory_mb, MAX_MEMORY_MB),
         table_group: request.table_group,
-        is_repeat: request.is_repeat,
+        is_client_retry: request.is_client_retry,
         held_by_client: request.held_by_client,
     })
 }
--- a/src/dispatch/pending_request.rs
+++ b/src/dispatch/pending_request.rs
@@ -34,7 +34,7 @@
     /// Whether a retry by the client is harmless even if an attempt ran.
     pub(super) idempotent: bool,
     /// Time for which executors recognise a duplicate, in microseconds, in classes with idempotency keys.
-    pub(super) repeat_window: Option<Micros>,
+    pub(super) dedup_window: Option<Micros>,
     /// Whether it was answered or its client disconnected.
     pub(super) closed: bool,
     /// Whether its client disconnected.
@@ -71,10 +71,7 @@
     pub(super) fn begin_by(&self, now: Micros, retry_start_window: Option<Micros>) -> Micros {
         let is_retry = !self.attempts.is_empty();
         let within_retry_budget = retry_start_window.filter(|_| is_retry).map(|window| now + window);
-        within_retry_budget
-            .into_iter()
-            .chain(self.repeats_recognised_until())
-            .fold(self.deadline, Micros::min)
+        within_retry_budget.into_iter().chain(self.dedup_ends_at()).fold(self.deadline, Micros::min)
     }
 
     /// Its current progress.
@@ -113,8 +110,8 @@
 
     /// The time until which executors recognise duplicates of all attempts that may have run, in microseconds; `None`
     /// if there is no such limit.
-    fn repeats_recognised_until(&self) -> Option<Micros> {
-        let window = self.repeat_window?;
+    fn dedup_ends_at(&self) -> Option<Micros> {
+        let window = self.dedup_window?;
         let may_have_run =
             self.attempts.iter().filter(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran));
         may_have_run.map(|attempt| attempt.sent_at + window).min()
--- a/src/dispatch/request_class.rs
+++ b/src/dispatch/request_class.rs
@@ -11,7 +11,7 @@
     /// Whether a retry by the client is harmless even if an attempt ran.
     pub(super) idempotent: bool,
     /// Time for which executors recognise a duplicate, in microseconds, in classes with idempotency keys.
-    pub(super) repeat_window: Option<Micros>,
+    pub(super) dedup_window: Option<Micros>,
     /// The longest valid time budget, in microseconds.
     pub(super) max_budget: Micros,
     /// Whether requests with the same key run in order, and clients space them.
@@ -21,14 +21,14 @@
 impl RequestClass {
     /// Derives the properties from the settings of a class.
     pub(super) fn new(class: &Class) -> RequestClass {
-        let (idempotent, repeat_window) = match class.idempotency {
+        let (idempotent, dedup_window) = match class.idempotency {
             Idempotency::Idempotent => (true, None),
             Idempotency::IdempotencyKey { scope, window } => (scope == KeyScope::All, Some(window)),
             Idempotency::NotIdempotent => (false, None),
         };
         RequestClass {
             idempotent,
-            repeat_window,
+            dedup_window,
             max_budget: class.client_timeout + BUDGET_TOLERANCE,
             keeps_order: class.keep_order,
         }
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -182,7 +182,7 @@
             submitted_at: now,
             deadline: now + dispatch_time_budget(request),
             idempotent: class.idempotent,
-            repeat_window: class.repeat_window,
+            dedup_window: class.dedup_window,
             closed: false,
             client_disconnected: false,
             late_result: None,
--- a/src/dispatch/tests/mod.rs
+++ b/src/dispatch/tests/mod.rs
@@ -37,7 +37,7 @@
         estimated_thread_seconds: None,
         estimated_memory_mb: None,
         table_group: 0,
-        is_repeat: false,
+        is_client_retry: false,
         held_by_client: false,
     }
 }
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -133,7 +133,8 @@
     /// answers it.
     fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
-        let storm = self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.is_repeat));
+        let storm =
+            self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.is_client_retry));
         if let Some(Verdict::Refuse(wait)) = storm {
             return self.reject_request(key, &request, &job, wait, EndReason::DecidedOutside, now);
         }
--- a/src/net/clients/session/request.rs
+++ b/src/net/clients/session/request.rs
@@ -35,7 +35,7 @@
         estimated_thread_seconds: fields.number("est")?.map(|ms| ms / 1e3),
         estimated_memory_mb: fields.number("space")?,
         table_group: statement::table_group(statement.text).unwrap_or(0),
-        is_repeat: fields.number("try")?.is_some_and(|attempt| attempt > 1.0),
+        is_client_retry: fields.number("try")?.is_some_and(|attempt| attempt > 1.0),
         held_by_client: false,
     };
     let token = fields.get("token").map(parse_token).transpose()?;
--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -72,7 +72,7 @@
             estimated_thread_seconds: record.work_s,
             estimated_memory_mb: record.memory_mb,
             table_group: record.group,
-            is_repeat: true,
+            is_client_retry: true,
             held_by_client: false,
         };
         let job = Job { class_name: kind, statement: statement.into(), token: None };
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -14,7 +14,7 @@
         let index = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
         Try {
             ask: r.client_request_id,
-            again: r.is_repeat,
+            again: r.is_client_retry,
             record: Record {
                 rid: r.id,
                 class: index(r.class),
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -141,7 +141,7 @@
                 estimated_thread_seconds: r.estimate_s,
                 estimated_memory_mb: r.memory_mb,
                 table_group: r.group,
-                is_repeat: false,
+                is_client_retry: false,
                 held_by_client: false,
             }));
         }
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -175,7 +175,7 @@
                 estimated_thread_seconds: wild.or(r.estimate_s),
                 estimated_memory_mb: wild.or(r.memory_mb),
                 table_group: r.group,
-                is_repeat: false,
+                is_client_retry: false,
                 held_by_client: false,
             };
             let commands = self.dispatch.submit(now, &request).expect("a request like its class");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -85,7 +85,7 @@
         estimated_thread_seconds: Some(estimate),
         estimated_memory_mb: Some(100.0),
         table_group: 1,
-        is_repeat: false,
+        is_client_retry: false,
         held_by_client: false,
     }
 }
