--- a/src/api/executors.rs
+++ b/src/api/executors.rs
@@ -65,7 +65,7 @@
 
 impl Report {
     /// The report without values that are negative or not finite.
-    pub fn sane(self) -> Report {
+    pub fn sanitized(self) -> Report {
         let ok = |v: Option<f64>| v.filter(|x| x.is_finite() && *x >= 0.0);
         let (util, inflight, queue) = (ok(self.util), ok(self.inflight), ok(self.queue));
         Report { util, inflight, queue, memory: ok(self.memory), disks: ok(self.disks) }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -31,7 +31,7 @@
 
 impl KeyScope {
     /// Whether two executors share idempotency keys.
-    pub fn holds(self, a: &Endpoint, b: &Endpoint) -> bool {
+    pub fn is_shared_by(self, a: &Endpoint, b: &Endpoint) -> bool {
         match self {
             KeyScope::All => true,
             KeyScope::Zone => a.zone == b.zone,
--- a/src/balancer/load/fleet.rs
+++ b/src/balancer/load/fleet.rs
@@ -110,7 +110,7 @@
         if self.load.uses_latency_ratios() {
             fleet.apply_latency_ratios();
         } else {
-            fleet.add_unobserved_cores(self.executor_index.listed());
+            fleet.add_unobserved_cores(self.executor_index.listed_count());
         }
         self.load.mean_load = fleet.mean_load();
         self.load.update_traffic_share(&fleet);
@@ -125,7 +125,7 @@
     fn observe_fleet(&self) -> FleetLoad {
         self.count_examined(self.executors.active.len());
         let active = self.executors.active.iter().map(|index| &self.executors[*index]);
-        let listed = active.filter(|executor| executor.listed());
+        let listed = active.filter(|executor| executor.is_listed());
         let is_ejected = |executor: &&Executor| executor.health.ejected_until.is_some();
         let ejected_cores: f64 = listed.clone().filter(is_ejected).map(|executor| executor.cores).sum();
         let all_cores = self.executor_index.cores(&self.settings.kinds, |_| true);
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -14,9 +14,9 @@
     ///
     /// An executor gets no attempts from the moment that the endpoint list has it as draining, well within
     /// its grace period. Otherwise requests would be lost on executors that shut down.
-    pub(super) fn permitted(&self, request: &Request, i: usize) -> bool {
+    pub(super) fn is_permitted(&self, request: &Request, i: usize) -> bool {
         let executor = &self.executors[i];
-        executor.listed()
+        executor.is_listed()
             && executor.is_within(&request.only_zones, &request.only_kinds)
             && self.idempotency_allows(request, executor)
             && self.slow_start_allows(request, executor)
@@ -46,6 +46,6 @@
         window: DurationUs,
     ) -> bool {
         let tried = &self.executors[attempt.executor].endpoint;
-        self.now < attempt.sent_at + window && scope.holds(tried, &executor.endpoint)
+        self.now < attempt.sent_at + window && scope.is_shared_by(tried, &executor.endpoint)
     }
 }
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -35,7 +35,7 @@
                 break;
             }
             usable = permitted;
-            if self.executor_index.listed() <= SAMPLE_SIZE {
+            if self.executor_index.listed_count() <= SAMPLE_SIZE {
                 break;
             }
         }
@@ -44,7 +44,7 @@
 
     fn permitted_of(&self, id: RequestId, candidates: Vec<usize>) -> Vec<usize> {
         let request = &self.requests[&id];
-        candidates.into_iter().filter(|&i| self.permitted(request, i)).collect()
+        candidates.into_iter().filter(|&i| self.is_permitted(request, i)).collect()
     }
 
     /// The healthy executors. The trial of an ejected executor is never a non-idempotent request, as that
--- a/src/dispatch/commands.rs
+++ b/src/dispatch/commands.rs
@@ -108,14 +108,14 @@
     fn cancel(&mut self, now: Micros, attempt_id: AttemptId) -> Option<Event> {
         let event = self.finish(now, attempt_id, Outcome::Cancelled, None)?;
         self.commands.push(Command::StopAttempt(attempt_id));
-        self.forget(attempt_id.request);
+        self.remove_if_finished(attempt_id.request);
         Some(event)
     }
 
     /// Gives a request its final answer.
     fn end_request(&mut self, now: Micros, request: u64, answer: Answer<R>, reason: EndReason) {
         self.answer(now, request, answer, reason);
-        self.forget(request);
+        self.remove_if_finished(request);
     }
 }
 
--- a/src/dispatch/completion.rs
+++ b/src/dispatch/completion.rs
@@ -71,7 +71,7 @@
             }
         }
         commands.append(&mut self.close(now, id, reason));
-        self.forget(id);
+        self.remove_if_finished(id);
         commands.append(&mut self.commands);
         commands
     }
@@ -93,7 +93,7 @@
         let answer = if retry_is_harmless { Answer::Rejected(BACKOFF_MS) } else { Answer::Failed };
         self.answer(now, id, answer, reason);
         let commands = self.run(now, Event::ClientDisconnected { request: id });
-        self.forget(id);
+        self.remove_if_finished(id);
         commands
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Removes a request if it is finished.
-    pub(super) fn forget(&mut self, id: u64) {
+    pub(super) fn remove_if_finished(&mut self, id: u64) {
         if !self.pending.get(&id).is_some_and(PendingRequest::is_over) {
             return;
         }
--- a/src/dispatch/network_events.rs
+++ b/src/dispatch/network_events.rs
@@ -63,7 +63,7 @@
         self.counters.left += 1;
         self.withdraw(id);
         let mut commands = self.run(now, Event::ClientDisconnected { request: id });
-        self.forget(id);
+        self.remove_if_finished(id);
         commands.append(&mut self.commands);
         commands
     }
@@ -83,7 +83,7 @@
             matches!(&event, Some(Event::AttemptFinished(finished)) if finished.executor == executor);
         check_invariant!(is_its_end, "the end of an outstanding attempt was not reported");
         let mut commands = event.map_or_else(Vec::new, |event| self.run(now, event));
-        self.forget(id.request);
+        self.remove_if_finished(id.request);
         commands.append(&mut self.commands);
         commands
     }
--- a/src/dispatch/submission.rs
+++ b/src/dispatch/submission.rs
@@ -164,7 +164,7 @@
         let held = self.held_requests.remove(&id).is_some();
         if held && self.pending.get(&id).is_some_and(|pending| !pending.closed) {
             self.answer(now, id, answer, EndReason::DecidedOutside);
-            self.forget(id);
+            self.remove_if_finished(id);
         }
         std::mem::take(&mut self.commands)
     }
@@ -196,7 +196,7 @@
         self.pending.insert(request.id, pending);
         if too_many {
             self.answer(now, request.id, Answer::Rejected(BACKOFF_MS), EndReason::TooManyOpen);
-            self.forget(request.id);
+            self.remove_if_finished(request.id);
         }
         Ok(too_many)
     }
--- a/src/state/executor.rs
+++ b/src/state/executor.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether it is in the endpoint list and accepts requests.
-    pub(crate) fn listed(&self) -> bool {
+    pub(crate) fn is_listed(&self) -> bool {
         self.present && self.endpoint.readiness == Readiness::Active
     }
 
--- a/src/state/executor_index.rs
+++ b/src/state/executor_index.rs
@@ -24,7 +24,7 @@
         let began = executor.slow_start_began(slow_start.ramp, now);
         let warming_since = began.filter(|_| slow_start.overload_window > 0);
         let kind = executor.endpoint.kind;
-        executor.listed().then_some(IndexEntry { pool: executor.pool, kind, warming_since })
+        executor.is_listed().then_some(IndexEntry { pool: executor.pool, kind, warming_since })
     }
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Number of listed executors.
-    pub(crate) fn listed(&self) -> usize {
+    pub(crate) fn listed_count(&self) -> usize {
         self.listed
     }
 
--- a/src/state/executor_index/tests.rs
+++ b/src/state/executor_index/tests.rs
@@ -33,7 +33,7 @@
         let (index, table) = apply_changes(&changes);
         let walk = |fits: fn(&IndexEntry) -> bool| table.values().filter(move |entry| fits(entry));
         let even = |pool: u64| pool % 2 == 0;
-        prop_assert_eq!(index.listed(), table.len());
+        prop_assert_eq!(index.listed_count(), table.len());
         let all = walk(|entry| entry.pool % 2 == 0).count();
         prop_assert_eq!(index.count(Part::All, even), all);
         let warming = walk(|entry| entry.pool % 2 == 0 && entry.warming_since.is_some()).count();
--- a/src/state/executor_table.rs
+++ b/src/state/executor_table.rs
@@ -113,7 +113,7 @@
     /// the list reports a new start.
     pub(crate) fn update_executor(&mut self, endpoint: Endpoint, restarted: Option<TimestampUs>) -> usize {
         let Some(position) = self.executors.position(endpoint.executor) else {
-            if self.executors.is_sweep_due(self.executor_index.listed(), self.now) {
+            if self.executors.is_sweep_due(self.executor_index.listed_count(), self.now) {
                 self.sweep_executors();
             }
             let cores = self.settings.kinds[endpoint.kind].cores;
@@ -145,7 +145,7 @@
         let Some((position, report)) = self.executors.position(executor).zip(report) else { return };
         let load = report.util.or(report.inflight).or(report.memory).or(report.disks);
         self.load.reports_state_load = Some(load.is_some());
-        self.executors[position].record_report(report.sane(), self.now);
+        self.executors[position].record_report(report.sanitized(), self.now);
         self.mark_active(position);
     }
 
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -29,7 +29,7 @@
     /// Cores of the executors that accept requests.
     pub(crate) fn fleet_cores(&self, now: Micros) -> FleetCores {
         let mut sum = FleetCores::default();
-        for executor in self.executors.iter().filter(|executor| executor.listed()) {
+        for executor in self.executors.iter().filter(|executor| executor.is_listed()) {
             let healthy = if executor.is_healthy(now) { executor.cores } else { 0.0 };
             sum.listed += executor.cores;
             sum.healthy += healthy;
