--- a/src/balancer/admission/mod.rs
+++ b/src/balancer/admission/mod.rs
@@ -10,12 +10,12 @@
 
 pub(crate) use rule::Rule;
 
-use super::cost_model::OUTCOMES_WANTED;
+use super::cost_model::MIN_OUTCOMES;
 use crate::api::{Arrival, Micros, Settings, TenantId};
 use crate::state::Balancer;
 
 /// Time constant of the request count per tenant, in seconds.
-const TENANT_SPAN_S: f64 = 3.0;
+const TENANT_TIME_CONSTANT_S: f64 = 3.0;
 /// A tenant is over its quota if its count exceeds the quota by this many standard deviations plus one
 /// request. The deviation of a count is its square root, and a dispatcher with little traffic has small
 /// counts.
@@ -55,12 +55,14 @@
 
     /// Decays the counts of the tenants' requests by one tick.
     pub(crate) fn decay_tenant_requests(&mut self, tick_s: f64) {
-        self.tenant_requests.iter_mut().for_each(|requests| *requests *= 1.0 - tick_s / TENANT_SPAN_S);
+        self.tenant_requests
+            .iter_mut()
+            .for_each(|requests| *requests *= 1.0 - tick_s / TENANT_TIME_CONSTANT_S);
     }
 
     /// Whether a tenant exceeds this dispatcher's share of its quota.
     fn is_over_quota(&self, tenant: TenantId, settings: &Settings, traffic_share: f64) -> bool {
-        let quota = settings.tenants[tenant].quota_per_s * traffic_share * TENANT_SPAN_S;
+        let quota = settings.tenants[tenant].quota_per_s * traffic_share * TENANT_TIME_CONSTANT_S;
         self.tenant_requests[tenant] > quota + QUOTA_DEVIATIONS * quota.sqrt() + 1.0
     }
 
@@ -84,7 +86,7 @@
         let Some(position) = self.admission.matching_rule(arrival, cost_multiple, over_quota) else {
             return Ok(());
         };
-        if self.cost_model.classes[arrival.class].finished_attempts < OUTCOMES_WANTED {
+        if self.cost_model.classes[arrival.class].finished_attempts < MIN_OUTCOMES {
             return Ok(());
         }
         let chance = self.chance();
--- a/src/balancer/admission/rates.rs
+++ b/src/balancer/admission/rates.rs
@@ -13,18 +13,18 @@
 /// Increase of pressure over which the rules for tenants over their quota go from open to closed.
 const OVER_QUOTA_CLOSING_SPAN: f64 = 1.0;
 /// Maximum factor on the pressure at which a class closes, for classes with a high priority weight.
-const MAX_DELAY: f64 = 2.0;
+const MAX_CLOSING_FACTOR: f64 = 2.0;
 /// Lower bound of a class's mean cost as a divisor, in thread-seconds.
 const MIN_MEAN_COST: f64 = 1e-6;
 /// Lower bound of a weight density as a divisor.
 const MIN_DENSITY: f64 = 1e-9;
 
 impl Rule {
-    /// Sets how far the rule is open at a pressure; `delay` is the factor by which it closes later than
-    /// others.
-    fn set_open_fraction(&mut self, pressure: f64, delay: f64) {
+    /// Sets how far the rule is open at a pressure. The rule begins to close at `closing_factor` times the
+    /// pressure of others.
+    fn set_open_fraction(&mut self, pressure: f64, closing_factor: f64) {
         let span = if self.over_quota { OVER_QUOTA_CLOSING_SPAN } else { TIER_CLOSING_SPAN };
-        self.open_fraction = 1.0 - ((pressure / delay - self.closes_from) / span).clamp(0.0, 1.0);
+        self.open_fraction = 1.0 - ((pressure / closing_factor - self.closes_from) / span).clamp(0.0, 1.0);
     }
 
     /// Sets the bucket's rate, which is `full_rate` for an open rule, and its burst. The bucket of an open
@@ -44,12 +44,12 @@
     /// by this dispatcher's share of the traffic.
     pub(in crate::balancer) fn update_rule_rates(&mut self) {
         let classes = 0..self.settings.classes.len();
-        let least_density = classes.map(|class| self.weight_density(class)).fold(f64::MAX, f64::min);
+        let lowest_density = classes.map(|class| self.weight_density(class)).fold(f64::MAX, f64::min);
         let mut rules = std::mem::take(&mut self.admission.rules);
         for rule in &mut rules {
-            let delay = rule.class.map_or(1.0, |class| self.closing_delay(class, least_density));
+            let closing_factor = rule.class.map_or(1.0, |class| self.closing_factor(class, lowest_density));
             let pressure = rule.class.map_or(self.pressure.highest, |class| self.pressure.of(class));
-            rule.set_open_fraction(pressure, delay);
+            rule.set_open_fraction(pressure, closing_factor);
             let full_rate =
                 if rule.over_quota { self.quota(rule.tenant) } else { self.eligible_cores(rule.class) };
             let burst_s = if rule.over_quota { 0.0 } else { BURST_S };
@@ -65,9 +65,9 @@
 
     /// Factor by which a class closes later, because it has more weight per thread-second than the lowest
     /// class.
-    fn closing_delay(&self, class: ClassId, least_density: f64) -> f64 {
-        let ratio = self.weight_density(class) / least_density.max(MIN_DENSITY);
-        ratio.sqrt().clamp(1.0, MAX_DELAY)
+    fn closing_factor(&self, class: ClassId, lowest_density: f64) -> f64 {
+        let ratio = self.weight_density(class) / lowest_density.max(MIN_DENSITY);
+        ratio.sqrt().clamp(1.0, MAX_CLOSING_FACTOR)
     }
 
     /// Quota of a tenant, in requests per second.
--- a/src/balancer/attempt_events.rs
+++ b/src/balancer/attempt_events.rs
@@ -19,8 +19,8 @@
         self.executors[attempt.executor].record_message(now);
         match progress {
             AttemptProgress::Progress(done) if done.is_finite() => {
-                let (least, whole) = PROGRESS_RANGE;
-                let seconds = attempt.record_progress(now, done.clamp(least, whole));
+                let (min, max) = PROGRESS_RANGE;
+                let seconds = attempt.record_progress(now, done.clamp(min, max));
                 let index = attempt.executor;
                 let threads = f64::from(self.settings.classes[request.class].threads);
                 let expected_s = request.predicted_cost.max(1e-6) / threads;
--- a/src/balancer/cost_model.rs
+++ b/src/balancer/cost_model.rs
@@ -11,7 +11,7 @@
 /// Weight of a new outcome in the learned means.
 pub(super) const LEARNING_RATE: f64 = 0.02;
 /// Number of outcomes of a class before its mean cost is derived from them.
-pub(super) const OUTCOMES_WANTED: u32 = 8;
+pub(super) const MIN_OUTCOMES: u32 = 8;
 /// Weight of a new outcome in the mean of a class and table group.
 const CACHE_LEARNING_RATE: f64 = 0.1;
 /// Number of cached means by class and table group: enough for some hundred groups in each of a few classes.
@@ -37,7 +37,7 @@
 /// Step of the memory bias per outcome (a natural logarithm).
 const GRANT_STEP: f64 = 0.05;
 /// Initial memory correction. Executors without a grant allocate a quarter more than the estimate.
-const FIRST_MEMORY_CORRECTION: f64 = 0.25;
+const INITIAL_MEMORY_CORRECTION: f64 = 0.25;
 /// Lower bound of costs and ratios as divisors.
 const MIN_COST: f64 = 1e-6;
 /// Lower bound of a mean estimate as a divisor.
@@ -83,7 +83,7 @@
             observed_mean: Mean::default(),
             estimate_mean: Mean::default(),
             latency_ratio: Mean { value: 1.0, count: PRIOR_OUTCOMES },
-            memory_bias: FIRST_MEMORY_CORRECTION.ln_1p(),
+            memory_bias: INITIAL_MEMORY_CORRECTION.ln_1p(),
             memory_mb: Mean::default(),
         }
     }
@@ -130,7 +130,7 @@
     /// them, before that from the estimates, and without estimates from the latency objective.
     pub(crate) fn class_mean(&self, class: ClassId, settings: &Settings) -> f64 {
         let model = &self.classes[class];
-        if model.cost.count >= OUTCOMES_WANTED {
+        if model.cost.count >= MIN_OUTCOMES {
             return model.cost.value;
         }
         let class = &settings.classes[class];
@@ -202,8 +202,8 @@
         let class_ratio = self.cost_model.learn(request, spent, reported);
         // Without progress messages and reported needs, spills are invisible, so the memory bias must not be
         // updated: grants would fall with each response until most requests spill.
-        let tells_spills = reported.is_some() || self.settings.progress_interval.is_some();
-        if let Some(estimate_mb) = request.estimated_memory_mb.filter(|_| tells_spills) {
+        let reports_spills = reported.is_some() || self.settings.progress_interval.is_some();
+        if let Some(estimate_mb) = request.estimated_memory_mb.filter(|_| reports_spills) {
             let class = &mut self.cost_model.classes[request.class];
             class.learn_memory(estimate_mb, reported, attempt.spilled);
         }
--- a/src/balancer/load/fleet.rs
+++ b/src/balancer/load/fleet.rs
@@ -8,7 +8,7 @@
 
 /// Time constant of a report's confidence in the fleet's sums, in seconds. It is long because only few
 /// reports are fresh at any time.
-const FLEET_REPORT_AGE_S: f64 = 5.0;
+const FLEET_REPORT_DECAY_S: f64 = 5.0;
 /// Fraction of the fleet's cores assumed to run at the usual latency, as a prior for observed latency ratios.
 const USUAL_LATENCY_FRACTION: f64 = 0.02;
 /// Number of idle executors assumed besides those that report, because a few reports do not prove an
@@ -47,7 +47,7 @@
         let Some(reported) = model.reported_threads(executor, settings) else { return };
         let others = (reported - executor.in_flight_threads_at_report).max(0.0);
         let threads = executor.in_flight_threads + others;
-        let confidence = report_confidence(executor, now, FLEET_REPORT_AGE_S);
+        let confidence = report_confidence(executor, now, FLEET_REPORT_DECAY_S);
         let memory = model.memory_of_threads(executor, threads, settings);
         let load = ExecutorLoad {
             confidence,
--- a/src/balancer/load/mod.rs
+++ b/src/balancer/load/mod.rs
@@ -21,7 +21,7 @@
 /// Load, in threads per core, below which an executor has spare capacity.
 pub(super) const SPARE_CAPACITY_LOAD: f64 = 0.5;
 /// Time constant of the confidence in a single executor's report, in seconds.
-const REPORT_AGE_S: f64 = 1.5;
+const REPORT_DECAY_S: f64 = 1.5;
 /// Weight of the initial guess of threads per request, in requests in flight.
 const GUESSED_REQUESTS: f64 = 0.3;
 /// Weight of the latest latency ratio in an executor's mean.
@@ -121,7 +121,7 @@
         let queued = executor.report.queue.unwrap_or(0.0) * self.threads_per_request(settings);
         let sent_since = executor.in_flight_threads - executor.in_flight_threads_at_report;
         let known = (reported + queued + sent_since).max(executor.in_flight_threads);
-        let confidence = report_confidence(executor, now, REPORT_AGE_S);
+        let confidence = report_confidence(executor, now, REPORT_DECAY_S);
         let threads = known * confidence + assumed * executor.cores * (1.0 - confidence);
         threads / executor.cores + self.scarcity(executor, threads, settings)
     }
--- a/src/balancer/load/pressure.rs
+++ b/src/balancer/load/pressure.rs
@@ -12,14 +12,14 @@
 /// Maximum pressure, at which all tiers are closed.
 const MAX_PRESSURE: f64 = 1.4;
 /// Time constant of a class's arrival rate, in seconds.
-const ARRIVAL_RATE_SPAN_S: f64 = 2.0;
+const ARRIVAL_RATE_TIME_CONSTANT_S: f64 = 2.0;
 /// Fraction of late requests that is tolerated without pressure, because bad query plans always make some
 /// late.
 const TOLERATED_LATE_FRACTION: f64 = 0.2;
 /// Factor by which lateness decays faster while executors have spare capacity.
 const SPARE_CAPACITY_DECAY_FACTOR: f64 = 4.0;
 /// Arrivals per second added to a class's own rate, so that a single late request has little effect.
-const EXTRA_ARRIVAL_RATE: f64 = 1.0;
+const ARRIVAL_RATE_OFFSET: f64 = 1.0;
 /// Weight of lateness if executors report their number of requests: lateness lags behind load and oscillates.
 const LATENESS_WEIGHT_WITH_REPORTS: f64 = 0.5;
 /// Pressure threshold; crossing it in either direction is logged.
@@ -65,14 +65,14 @@
     /// Counts a request of a class that missed its latency objective.
     fn record_late(&mut self, class: ClassId) {
         let class = &mut self.classes[class];
-        class.lateness = (class.lateness + 1.0 / (class.arrival_rate + EXTRA_ARRIVAL_RATE)).min(1.0);
+        class.lateness = (class.lateness + 1.0 / (class.arrival_rate + ARRIVAL_RATE_OFFSET)).min(1.0);
     }
 
     /// Updates the arrival rates with the arrivals of the last `tick_s` seconds.
     pub(crate) fn update_arrival_rates(&mut self, tick_s: f64) {
         for class in &mut self.classes {
             let latest = class.arrivals / tick_s;
-            class.arrival_rate += (latest - class.arrival_rate) * tick_s / ARRIVAL_RATE_SPAN_S;
+            class.arrival_rate += (latest - class.arrival_rate) * tick_s / ARRIVAL_RATE_TIME_CONSTANT_S;
             class.arrivals = 0.0;
         }
     }
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -17,7 +17,7 @@
 /// Age up to which a load report is fresh.
 const REPORT_FRESHNESS_US: DurationUs = 800_000;
 /// Number of executors with a known load that a draw needs. If there are fewer, others are probed first.
-const CANDIDATES_WANTED: usize = 3;
+const MIN_KNOWN_CANDIDATES: usize = 3;
 /// Maximum time that a request waits for responses to its probes; several round trips.
 pub(super) const PROBE_WAIT_US: DurationUs = 40_000;
 /// Time after which an unanswered probe is sent again.
@@ -68,7 +68,7 @@
                 return None;
             }
         }
-        let few_known = choices < CANDIDATES_WANTED;
+        let few_known = choices < MIN_KNOWN_CANDIDATES;
         let draw_set = candidates.into_draw_set(few_known, |i| self.executors[i].probe_sent_at.is_some());
         self.draw_by_weight(id, draw_set)
     }
@@ -117,11 +117,11 @@
     /// Draws executors of unknown load by weight and adds them to those to probe, until the draw would have
     /// enough candidates.
     fn choose_probes(&mut self, id: RequestId, choices: usize, candidates: &mut Candidates) {
-        if candidates.to_probe.len() + choices >= CANDIDATES_WANTED {
+        if candidates.to_probe.len() + choices >= MIN_KNOWN_CANDIDATES {
             return;
         }
         let mut weights = self.weights(id, &candidates.unknown);
-        while candidates.to_probe.len() + choices < CANDIDATES_WANTED {
+        while candidates.to_probe.len() + choices < MIN_KNOWN_CANDIDATES {
             let Some(drawn) = draw_weighted(&weights, self.chance()) else { break };
             weights.remove(drawn);
             candidates.to_probe.push(candidates.unknown.remove(drawn));
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -14,9 +14,9 @@
 /// Maximum number of windows' budget that may be saved up for one request.
 const SAVED_WINDOWS: f64 = 4.0;
 /// Maximum size of a request, as a fraction of the budget of a window.
-const LARGEST_REQUEST: f64 = 0.3;
+const MAX_REQUEST_FRACTION: f64 = 0.3;
 /// Lower bound of a request's work as a fraction of its class's mean, because estimates are imprecise.
-const MIN_OF_CLASS_MEAN: f64 = 0.5;
+const MIN_CLASS_MEAN_FRACTION: f64 = 0.5;
 /// Lower bound of a capacity fraction as a divisor.
 const MIN_CAPACITY_FRACTION: f64 = 1e-9;
 
@@ -82,9 +82,9 @@
     ) -> bool {
         let window_work = request.rate * request.window_s;
         let initial_window_work = request.initial_rate * request.window_s;
-        let most_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
+        let max_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
         buckets.share.refill_at_rate(now, request.initial_rate, initial_window_work);
-        buckets.admission.refill_at_rate(now, request.rate, most_saved);
+        buckets.admission.refill_at_rate(now, request.rate, max_saved);
         self.tokens.refill_at_rate(now, request.total_rate, request.total_rate * request.window_s);
 
         let spent = buckets.admission.level.min(request.work).min(self.tokens.level);
@@ -128,16 +128,17 @@
 
     /// Work of a request as counted for an executor in slow start, in thread-seconds.
     fn slow_start_work(&self, request: &Request) -> f64 {
-        request.predicted_cost.max(MIN_OF_CLASS_MEAN * self.class_mean(request.class))
+        request.predicted_cost.max(MIN_CLASS_MEAN_FRACTION * self.class_mean(request.class))
     }
 
     /// Whether a request is small enough for an executor: in slow start, a single request must not use a
     /// large fraction of the budget.
     pub(super) fn slow_start_allows(&self, request: &Request, executor: &Executor) -> bool {
         let Some(rate) = self.warming_rate(executor) else { return true };
-        let largest =
-            LARGEST_REQUEST * rate.all_dispatchers * self.settings.slow_start.overload_window as f64 / 1e6;
-        self.slow_start_work(request) <= largest
+        let max_work =
+            MAX_REQUEST_FRACTION * rate.all_dispatchers * self.settings.slow_start.overload_window as f64
+                / 1e6;
+        self.slow_start_work(request) <= max_work
     }
 
     /// Maximum rate of work for an executor in slow start, from all dispatchers and from this one; `None` for
