--- a/src/balancer/admission/mod.rs
+++ b/src/balancer/admission/mod.rs
@@ -89,7 +89,7 @@
         if self.cost_model.classes[arrival.class].finished_attempts < MIN_OUTCOMES {
             return Ok(());
         }
-        let chance = self.chance();
-        self.admission.rules[position].take_tokens(cost, mean_cost, chance, self.now)
+        let random = self.uniform_random();
+        self.admission.rules[position].take_tokens(cost, mean_cost, random, self.now)
     }
 }
--- a/src/balancer/admission/rule.rs
+++ b/src/balancer/admission/rule.rs
@@ -84,13 +84,13 @@
 
     /// Takes a request's cost from the bucket, or returns the time until enough tokens are available. With
     /// too few tokens, a request is admitted with a probability in proportion to the available tokens,
-    /// decided by `chance` (uniform from 0 to 1). A request that costs more than is available leaves the
+    /// decided by `random` (uniform from 0 to 1). A request that costs more than is available leaves the
     /// bucket in debt.
     pub(super) fn take_tokens(
         &mut self,
         cost: f64,
         mean_cost: f64,
-        chance: f64,
+        random: f64,
         now: Micros,
     ) -> Result<(), Micros> {
         // Requests over a tenant's quota cost one token each and are admitted evenly spaced, as in a leaky
@@ -98,7 +98,7 @@
         let (tokens, unit) = if self.over_quota { (1.0, 1.0) } else { (cost, mean_cost) };
         let bucket = &mut self.bucket;
         bucket.refill(now, bucket.burst.max(unit * self.open_fraction));
-        let needed = tokens.min(bucket.burst.max(unit)) * chance;
+        let needed = tokens.min(bucket.burst.max(unit)) * random;
         if self.open_fraction < 1.0 && bucket.level < needed {
             return Err(((needed - bucket.level) / bucket.rate.max(MIN_RATE) * 1e6) as Micros);
         }
--- a/src/balancer/selection/candidates.rs
+++ b/src/balancer/selection/candidates.rs
@@ -80,8 +80,8 @@
         let mut chosen = if eligible_executors <= SAMPLE_SIZE {
             self.executor_index.all(self.eligibility_filter(&self.requests[&id]))
         } else {
-            let (warm_chance, warming_chance) = (self.chance(), self.chance());
-            self.sample(&self.requests[&id], sample_factor, warm_chance, warming_chance)
+            let (warm_start, warming_start) = (self.uniform_random(), self.uniform_random());
+            self.sample(&self.requests[&id], sample_factor, warm_start, warming_start)
         };
         chosen.sort_unstable();
         chosen.dedup();
@@ -89,13 +89,14 @@
     }
 
     /// The request's preferred executors and those it has tried, a sample of the dispatcher's subset and a
-    /// sample of the executors in slow start. The chances, from 0 to 1, select where the samples start.
+    /// sample of the executors in slow start. `warm_start` and `warming_start`, from 0 to 1, select where
+    /// the two samples begin.
     fn sample(
         &self,
         request: &Request,
         sample_factor: usize,
-        warm_chance: f64,
-        warming_chance: f64,
+        warm_start: f64,
+        warming_start: f64,
     ) -> Vec<usize> {
         let is_eligible = self.eligibility_filter(request);
         let preferred = request.preferred_executors.iter().filter_map(|e| self.executors.position(*e));
@@ -106,12 +107,12 @@
             sample_factor * self.subset_size(self.executor_index.count(Part::Warm, &is_eligible));
         let mut subset =
             self.executor_index.window(Part::Warm, &is_eligible, self.ring_position, subset_size);
-        let begin = (warm_chance * subset.len() as f64) as usize;
+        let begin = (warm_start * subset.len() as f64) as usize;
         subset.rotate_left(begin);
         subset.truncate(sample_factor * SAMPLE_SIZE);
         chosen.extend(subset);
 
-        let from = (warming_chance * u64::MAX as f64) as u64;
+        let from = (warming_start * u64::MAX as f64) as u64;
         chosen.extend(self.executor_index.window(Part::Warming, &is_eligible, from, SAMPLE_SIZE));
         chosen
     }
--- a/src/balancer/selection/mod.rs
+++ b/src/balancer/selection/mod.rs
@@ -122,7 +122,7 @@
         }
         let mut weights = self.weights(id, &candidates.unknown);
         while candidates.to_probe.len() + choices < MIN_KNOWN_CANDIDATES {
-            let Some(drawn) = draw_weighted(&weights, self.chance()) else { break };
+            let Some(drawn) = draw_weighted(&weights, self.uniform_random()) else { break };
             weights.remove(drawn);
             candidates.to_probe.push(candidates.unknown.remove(drawn));
         }
@@ -156,7 +156,7 @@
     /// Draws by weight until an executor admits the request; only executors in slow start may not admit it.
     fn draw_by_weight(&mut self, id: RequestId, mut draw_set: Vec<usize>) -> Option<usize> {
         let mut weights = self.weights(id, &draw_set);
-        while let Some(drawn) = draw_weighted(&weights, self.chance()) {
+        while let Some(drawn) = draw_weighted(&weights, self.uniform_random()) {
             if self.admit_to_warming(id, draw_set[drawn]) {
                 return Some(draw_set[drawn]);
             }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -71,13 +71,13 @@
 }
 
 impl SlowStartAdmission {
-    /// Refills the buckets and decides by `chance`, uniform from 0 to 1. The tokens are spent whether or not
+    /// Refills the buckets and decides by `random`, uniform from 0 to 1. The tokens are spent whether or not
     /// the request is admitted; the admission probability is the spent tokens divided by its work.
     fn admit(
         &mut self,
         buckets: &mut WarmingBuckets,
         request: &Admission,
-        chance: f64,
+        random: f64,
         now: TimestampUs,
     ) -> bool {
         let window_work = request.rate * request.window_s;
@@ -92,7 +92,7 @@
         self.tokens.level -= spent;
 
         let has_share = buckets.share.level >= request.charged_work.min(initial_window_work);
-        let admitted = chance * request.work < spent && has_share;
+        let admitted = random * request.work < spent && has_share;
         if admitted {
             buckets.share.level = (buckets.share.level - request.charged_work).max(0.0);
         }
@@ -105,10 +105,10 @@
     /// probability if it is in slow start.
     pub(super) fn admit_to_warming(&mut self, id: RequestId, i: usize) -> bool {
         let Some(rate) = self.warming_rate(&self.executors[i]) else { return true };
-        let chance = self.chance();
+        let random = self.uniform_random();
         let admission = self.admission(&self.requests[&id], &self.executors[i], rate.own);
         let buckets = &mut self.executors[i].warming_buckets;
-        self.slow_start.admit(buckets, &admission, chance, self.now)
+        self.slow_start.admit(buckets, &admission, random, self.now)
     }
 
     fn admission(&self, request: &Request, executor: &Executor, rate: f64) -> Admission {
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -16,10 +16,10 @@
     uniform(&mut Pcg64Mcg::seed_from_u64(group ^ (u64::from(executor) << 32)))
 }
 
-/// Draws an index with probabilities in proportion to the weights; `chance` is uniform between 0 and 1. Returns
+/// Draws an index with probabilities in proportion to the weights; `random` is uniform between 0 and 1. Returns
 /// `None` if there are no weights.
-pub(crate) fn draw_weighted(weights: &[f64], chance: f64) -> Option<usize> {
-    let mut left = chance * weights.iter().sum::<f64>();
+pub(crate) fn draw_weighted(weights: &[f64], random: f64) -> Option<usize> {
+    let mut left = random * weights.iter().sum::<f64>();
     let drawn = weights.iter().position(|weight| {
         left -= weight;
         left <= 0.0
@@ -29,7 +29,7 @@
 
 impl Balancer {
     /// A random number between 0 and 1, both excluded, from the dispatcher's own generator.
-    pub(crate) fn chance(&mut self) -> f64 {
+    pub(crate) fn uniform_random(&mut self) -> f64 {
         uniform(&mut self.rng)
     }
 }
