--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -55,7 +55,8 @@
     UnknownKind,
 }
 
-/// The host shows these messages unchanged, so they use the terms of its settings, where a dispatcher is a gateway.
+/// The host shows these messages unchanged, so they use the terms of its settings: a dispatcher is a gateway, an
+/// executor an engine, a priority weight a worth, and the retry budget the attempt budget.
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("settings: ")?;
--- a/src/balancer/load/pressure.rs
+++ b/src/balancer/load/pressure.rs
@@ -127,7 +127,8 @@
         let (pressure, lateness) = (self.pressure.highest, self.pressure.max_lateness());
         let (load, share) = (self.load.mean_load, self.load.traffic_share);
         self.log(format!(
-            "pressure {pressure:.1}: {load:.1} threads a core, late {lateness:.2}, share {share:.4}"
+            "pressure {pressure:.1}: {load:.1} threads per core, lateness {lateness:.2}, \
+             traffic share {share:.4}"
         ));
     }
 
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -137,7 +137,7 @@
         let executor = &mut self.executors[index];
         executor.record_message(self.now);
         if executor.health.record_success() {
-            let line = format!("executor {} is back", executor.endpoint.executor);
+            let line = format!("executor {} recovered", executor.endpoint.executor);
             self.actions.push(Action::Log(line));
         }
     }
