--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -14,9 +14,9 @@
 /// Maximum number of windows' budget that may be saved up for one request.
 const SAVED_WINDOWS: f64 = 4.0;
 /// Maximum size of a request, as a fraction of the budget of a window.
-const LARGEST_REQUEST: f64 = 0.3;
+const MAX_REQUEST_FRACTION: f64 = 0.3;
 /// Lower bound of a request's work as a fraction of its class's mean, because estimates are imprecise.
-const MIN_OF_CLASS_MEAN: f64 = 0.5;
+const MIN_CLASS_MEAN_FRACTION: f64 = 0.5;
 /// Lower bound of a capacity fraction as a divisor.
 const MIN_CAPACITY_FRACTION: f64 = 1e-9;
 
@@ -71,20 +71,20 @@
 }
 
 impl SlowStartAdmission {
-    /// Refills the buckets and decides by `chance`, uniform from 0 to 1. The tokens are spent whether or not
+    /// Refills the buckets and decides by `random`, uniform from 0 to 1. The tokens are spent whether or not
     /// the request is admitted; the admission probability is the spent tokens divided by its work.
     fn admit(
         &mut self,
         buckets: &mut WarmingBuckets,
         request: &Admission,
-        chance: f64,
+        random: f64,
         now: TimestampUs,
     ) -> bool {
         let window_work = request.rate * request.window_s;
         let initial_window_work = request.initial_rate * request.window_s;
-        let most_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
+        let max_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
         buckets.share.refill_at_rate(now, request.initial_rate, initial_window_work);
-        buckets.admission.refill_at_rate(now, request.rate, most_saved);
+        buckets.admission.refill_at_rate(now, request.rate, max_saved);
         self.tokens.refill_at_rate(now, request.total_rate, request.total_rate * request.window_s);
 
         let spent = buckets.admission.level.min(request.work).min(self.tokens.level);
@@ -92,7 +92,7 @@
         self.tokens.level -= spent;
 
         let has_share = buckets.share.level >= request.charged_work.min(initial_window_work);
-        let admitted = chance * request.work < spent && has_share;
+        let admitted = random * request.work < spent && has_share;
         if admitted {
             buckets.share.level = (buckets.share.level - request.charged_work).max(0.0);
         }
@@ -105,10 +105,10 @@
     /// probability if it is in slow start.
     pub(super) fn admit_to_warming(&mut self, id: RequestId, i: usize) -> bool {
         let Some(rate) = self.warming_rate(&self.executors[i]) else { return true };
-        let chance = self.chance();
+        let random = self.uniform_random();
         let admission = self.admission(&self.requests[&id], &self.executors[i], rate.own);
         let buckets = &mut self.executors[i].warming_buckets;
-        self.slow_start.admit(buckets, &admission, chance, self.now)
+        self.slow_start.admit(buckets, &admission, random, self.now)
     }
 
     fn admission(&self, request: &Request, executor: &Executor, rate: f64) -> Admission {
@@ -128,16 +128,17 @@
 
     /// Work of a request as counted for an executor in slow start, in thread-seconds.
     fn slow_start_work(&self, request: &Request) -> f64 {
-        request.predicted_cost.max(MIN_OF_CLASS_MEAN * self.class_mean(request.class))
+        request.predicted_cost.max(MIN_CLASS_MEAN_FRACTION * self.class_mean(request.class))
     }
 
     /// Whether a request is small enough for an executor: in slow start, a single request must not use a
     /// large fraction of the budget.
     pub(super) fn slow_start_allows(&self, request: &Request, executor: &Executor) -> bool {
         let Some(rate) = self.warming_rate(executor) else { return true };
-        let largest =
-            LARGEST_REQUEST * rate.all_dispatchers * self.settings.slow_start.overload_window as f64 / 1e6;
-        self.slow_start_work(request) <= largest
+        let max_work =
+            MAX_REQUEST_FRACTION * rate.all_dispatchers * self.settings.slow_start.overload_window as f64
+                / 1e6;
+        self.slow_start_work(request) <= max_work
     }
 
     /// Maximum rate of work for an executor in slow start, from all dispatchers and from this one; `None` for
