--- a/crates/fleet/src/control_plane/member/violation.rs
+++ b/crates/fleet/src/control_plane/member/violation.rs
@@ -13,23 +13,23 @@
     SubscribedTwice,
     /// A name or text exceeds its maximum length.
     TooLong,
-    /// It claims a revision that was not sent to it.
+    /// The follower claims a revision that was not sent to it.
     Revision(Revision),
-    /// It claims a policy number that no fleet can reach.
+    /// The follower claims a policy number that no fleet can reach.
     Policy(u64),
-    /// Its subscription was rejected.
+    /// The subscription was rejected.
     Rejected(Rejection),
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::NotSubscribed => write!(f, "it speaks before it has subscribed"),
-            Violation::SubscribedTwice => write!(f, "it subscribes twice"),
-            Violation::TooLong => write!(f, "a name or text is too long"),
-            Violation::Revision(r) => write!(f, "it claims revision {r}, which was not sent to it"),
-            Violation::Policy(n) => write!(f, "it claims to have acted by policy {n}"),
-            Violation::Rejected(r) => write!(f, "turned away: {r}"),
+            Violation::NotSubscribed => write!(f, "message before the subscription"),
+            Violation::SubscribedTwice => write!(f, "second subscription on one connection"),
+            Violation::TooLong => write!(f, "a name or text exceeds its maximum length"),
+            Violation::Revision(r) => write!(f, "follower claims revision {r}, which was not sent to it"),
+            Violation::Policy(n) => write!(f, "follower claims policy number {n}, which is out of range"),
+            Violation::Rejected(r) => write!(f, "subscription rejected: {r}"),
         }
     }
 }
--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -127,10 +127,12 @@
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejection::Version(v) => write!(f, "it speaks version {v}, and this is version {VERSION}"),
-            Rejection::Group(g) => write!(f, "it is a member of group {g:?}"),
-            Rejection::Full(others) => write!(f, "it is full; other members: {}", others.join(", ")),
-            Rejection::NotReady => write!(f, "it does not know the group's record yet"),
+            Rejection::Version(v) => {
+                write!(f, "the member has protocol version {v}, this process has version {VERSION}")
+            }
+            Rejection::Group(g) => write!(f, "the member belongs to group {g:?}"),
+            Rejection::Full(others) => write!(f, "the member is full; other members: {}", others.join(", ")),
+            Rejection::NotReady => write!(f, "the member has not received the group's state yet"),
         }
     }
 }
