--- a/crates/fleet/src/schema/executors.rs
+++ b/crates/fleet/src/schema/executors.rs
@@ -96,7 +96,7 @@
     }
 
     /// Sets the configured version, from a list or a plan, of the process started at `started`.
-    pub(super) fn tell(&mut self, id: String, version: Version, started: Micros) -> bool {
+    pub(super) fn set_version(&mut self, id: String, version: Version, started: Micros) -> bool {
         let Some(m) = self.all.get_mut(&id) else {
             let fits = self.all.len() < MAX_EXECUTORS && !id.is_empty() && id.len() <= MAX_ID_BYTES;
             return fits && self.all.insert(id, Executor { told: version, started, against: None }).is_none();
@@ -116,7 +116,7 @@
     }
 
     /// Records the version reported by the process started at `started` itself.
-    pub(super) fn say(&mut self, id: &str, version: Version, started: Micros) -> bool {
+    pub(super) fn report_version(&mut self, id: &str, version: Version, started: Micros) -> bool {
         let new = self.is_new(id, version, started);
         if let Some(m) = self.all.get_mut(id).filter(|_| new) {
             m.against = (version != m.told).then_some((version, started));
@@ -125,7 +125,7 @@
     }
 
     /// Resolves a dispute by an operator's decision.
-    pub(super) fn settle(&mut self, id: &str, version: Version, started: Micros) -> bool {
+    pub(super) fn resolve_dispute(&mut self, id: &str, version: Version, started: Micros) -> bool {
         match self.all.get_mut(id) {
             Some(m) if m.against.is_some_and(|(_, at)| at == started) => {
                 *m = Executor { told: version, started: m.latest(), against: None };
@@ -136,7 +136,7 @@
     }
 
     /// The process started at `started` was removed from the endpoint list.
-    pub(super) fn gone(&mut self, id: &str, started: Micros) -> bool {
+    pub(super) fn remove(&mut self, id: &str, started: Micros) -> bool {
         let known = self.all.get(id).is_some_and(|m| started >= m.latest());
         known && self.all.remove(id).is_some()
     }
--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -35,24 +35,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Sets the first version of a fleet and its `linger`, from the proposer's settings.
-    Found(Version, Micros),
+    Initialize(Version, Micros),
     /// Opens the window to this version; names the step the operator saw.
     Open(Version, u64),
     /// Ends the older version.
     Close(u64),
     /// Rolls back: ends the newer version.
-    Back(u64),
+    RollBack(u64),
     /// A holder confirms, in this step, that it has no work under a version and starts none.
-    Clear(Holder, Version, u64),
+    Confirm(Holder, Version, u64),
     /// A list or a plan sets the version of an executor, with the start time of its process.
-    Tell(String, Version, Micros),
+    SetVersion(String, Version, Micros),
     /// An executor reports its own version, with the start time of its process.
-    Says(String, Version, Micros),
+    ReportVersion(String, Version, Micros),
     /// An operator resolves a dispute about an executor's version, naming the start time of the disputed
     /// process.
-    Settle(String, Version, Micros),
+    ResolveDispute(String, Version, Micros),
     /// A process was removed from the endpoint list.
-    Gone(String, Micros),
+    Remove(String, Micros),
 }
 
 /// The replicated schema state.
@@ -85,24 +85,28 @@
         &self.executors
     }
 
-    /// Versions under which a dispatcher may start work, oldest first. `without_word` is how long it has been
+    /// Versions under which a dispatcher may start work, oldest first. `cut_off_for` is how long it has been
     /// cut off from the fleet, if it is. With an open window, a dispatcher that is cut off stops after half
     /// of `linger`, because either version may have ended since. With a closed window, the version it knows
     /// is the best it can use.
-    pub fn starts(&self, without_word: Option<Micros>) -> Vec<Version> {
+    pub fn starts(&self, cut_off_for: Option<Micros>) -> Vec<Version> {
         let closed = matches!(self.window, Window::Closed(_));
-        match without_word {
+        match cut_off_for {
             Some(time) if !closed && time >= self.linger / 2 => vec![],
             _ => self.window.starts(),
         }
     }
 
-    /// The confirmation a holder should propose, if the end of a version waits for it. `in_hand` returns
+    /// The confirmation a holder should propose, if the end of a version waits for it. `has_work` returns
     /// whether the holder has work under a version.
-    pub fn word_of(&self, holder: Holder, in_hand: impl Fn(Version) -> bool) -> Option<Command> {
+    pub fn pending_confirmation(
+        &self,
+        holder: Holder,
+        has_work: impl Fn(Version) -> bool,
+    ) -> Option<Command> {
         let (version, ending) = (self.window.ends()?, self.window.ending()?);
-        let due = ending.waits().contains(&holder) && !in_hand(version);
-        due.then_some(Command::Clear(holder, version, self.step))
+        let due = ending.waits().contains(&holder) && !has_work(version);
+        due.then_some(Command::Confirm(holder, version, self.step))
     }
 
     /// Checks whether a command applies to the current state; the error is shown to the operator.
@@ -116,12 +120,12 @@
             false => Err(format!("versions go from 1 to {MAX_VERSION}")),
         };
         match (command, &self.window) {
-            (Command::Found(v, linger), Window::Unset) => {
+            (Command::Initialize(v, linger), Window::Unset) => {
                 known(*v)?;
                 if *linger > MAX_LINGER { Err("linger is too long".into()) } else { Ok(()) }
             }
-            (Command::Found(..), _) => Err("the fleet has a version already".into()),
-            (Command::Open(..) | Command::Close(_) | Command::Back(_), Window::Unset) => {
+            (Command::Initialize(..), _) => Err("the fleet has a version already".into()),
+            (Command::Open(..) | Command::Close(_) | Command::RollBack(_), Window::Unset) => {
                 Err("the fleet has no version yet".into())
             }
             (Command::Open(to, s), Window::Closed(v)) => {
@@ -144,12 +148,17 @@
                 step(*s)
             }
             (Command::Close(_), _) => Err("no window is opening".into()),
-            (Command::Back(s), Window::Opening { .. } | Window::Closing { .. }) => step(*s),
-            (Command::Back(_), _) => Err("no window is opening or closing".into()),
-            (Command::Clear(_, v, s), w) if w.ends() == Some(*v) => step(*s),
-            (Command::Clear(..), _) => Err("that version does not end".into()),
-            (Command::Tell(_, v, _) | Command::Says(_, v, _) | Command::Settle(_, v, _), _) => known(*v),
-            (Command::Gone(..), _) => Ok(()),
+            (Command::RollBack(s), Window::Opening { .. } | Window::Closing { .. }) => step(*s),
+            (Command::RollBack(_), _) => Err("no window is opening or closing".into()),
+            (Command::Confirm(_, v, s), w) if w.ends() == Some(*v) => step(*s),
+            (Command::Confirm(..), _) => Err("that version does not end".into()),
+            (
+                Command::SetVersion(_, v, _)
+                | Command::ReportVersion(_, v, _)
+                | Command::ResolveDispute(_, v, _),
+                _,
+            ) => known(*v),
+            (Command::Remove(..), _) => Ok(()),
         }
     }
 
@@ -182,8 +191,8 @@
         format!("schema {how}, step {}{}{holds}{disputed}", self.step, waits.unwrap_or_default())
     }
 
-    fn settle(&mut self) -> bool {
-        let moved = self.window.settle(self.linger);
+    fn close_if_done(&mut self) -> bool {
+        let moved = self.window.close_if_done(self.linger);
         self.step += u64::from(moved);
         moved
     }
@@ -197,27 +206,29 @@
             return false;
         }
         match command {
-            Command::Found(v, linger) => (self.window, self.linger) = (Window::Closed(v), linger),
+            Command::Initialize(v, linger) => (self.window, self.linger) = (Window::Closed(v), linger),
             Command::Open(to, _) => self.window = Window::Opening { old: to - 1 },
             Command::Close(_) => self.window.close(alive),
-            Command::Back(_) => self.window.back(alive),
-            Command::Clear(holder, ..) => {
-                return alive.contains(&holder) && self.window.clear(holder) | self.settle();
+            Command::RollBack(_) => self.window.roll_back(alive),
+            Command::Confirm(holder, ..) => {
+                return alive.contains(&holder) && self.window.confirm(holder) | self.close_if_done();
             }
-            Command::Tell(id, v, started) => return self.executors.tell(id, v, started),
-            Command::Says(id, v, started) => return self.executors.say(&id, v, started),
-            Command::Settle(id, v, started) => return self.executors.settle(&id, v, started),
-            Command::Gone(id, started) => return self.executors.gone(&id, started),
+            Command::SetVersion(id, v, started) => return self.executors.set_version(id, v, started),
+            Command::ReportVersion(id, v, started) => return self.executors.report_version(&id, v, started),
+            Command::ResolveDispute(id, v, started) => {
+                return self.executors.resolve_dispute(&id, v, started);
+            }
+            Command::Remove(id, started) => return self.executors.remove(&id, started),
         }
         self.step += 1;
         true
     }
 
     fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
-        self.window.leases(alive) | self.settle()
+        self.window.leases(alive) | self.close_if_done()
     }
 
     fn sweep(&mut self, now: Micros) -> bool {
-        self.window.sweep(now) | self.settle()
+        self.window.sweep(now) | self.close_if_done()
     }
 }
--- a/crates/fleet/src/schema/window.rs
+++ b/crates/fleet/src/schema/window.rs
@@ -138,14 +138,14 @@
         }
     }
 
-    pub(super) fn back(&mut self, alive: &BTreeSet<Holder>) {
+    pub(super) fn roll_back(&mut self, alive: &BTreeSet<Holder>) {
         if let Window::Opening { old } | Window::Closing { old, .. } = *self {
             *self = Window::Back { old, ending: Ending::new(alive) };
         }
     }
 
     /// Records a holder's confirmation that it has no work under the ending version.
-    pub(super) fn clear(&mut self, holder: Holder) -> bool {
+    pub(super) fn confirm(&mut self, holder: Holder) -> bool {
         let Some(ending) = self.ending_mut() else { return false };
         ending.waits.remove(&holder) && ending.clear.insert(holder)
     }
@@ -159,7 +159,7 @@
     }
 
     /// Closes the window once the ending version has nothing left to wait for.
-    pub(super) fn settle(&mut self, linger: Micros) -> bool {
+    pub(super) fn close_if_done(&mut self, linger: Micros) -> bool {
         let next = match self {
             Window::Closing { old, ending } if ending.over(linger) => old.saturating_add(1),
             Window::Back { old, ending } if ending.over(linger) => *old,
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -18,30 +18,30 @@
     Holder { incarnation: incarnation(peer, 1), term: 1 }
 }
 
-fn tell(id: &str, version: u16, started: Micros) -> Command {
-    Command::Tell(id.into(), version, started)
+fn set_version(id: &str, version: u16, started: Micros) -> Command {
+    Command::SetVersion(id.into(), version, started)
 }
 
 /// A fleet at version 7 with four executors. If `open`, the window is open to 8 and two executors hold 8.
 fn fleet(open: bool, alive: &BTreeSet<Holder>) -> Schema {
     let mut s = Schema::default();
-    s.apply(Command::Found(7, S), alive);
-    (0..4).for_each(|n| assert!(s.apply(tell(&format!("m{n}"), 7, 1), alive)));
+    s.apply(Command::Initialize(7, S), alive);
+    (0..4).for_each(|n| assert!(s.apply(set_version(&format!("m{n}"), 7, 1), alive)));
     if open {
         assert!(s.apply(Command::Open(8, s.step()), alive));
-        (0..2).for_each(|n| assert!(s.apply(tell(&format!("m{n}"), 8, 2), alive)));
+        (0..2).for_each(|n| assert!(s.apply(set_version(&format!("m{n}"), 8, 2), alive)));
     }
     s
 }
 
-fn linger(s: &mut Schema) {
+fn wait_for_linger(s: &mut Schema) {
     (1..=3).for_each(|n| assert!(s.sweep(n * S)));
 }
 
 // Upgrade from 7 to 8 with every command repeated, as after a leader failure. A holder that joins meanwhile
 // must confirm, too, and a dispatcher without a lease does not delay the end.
 #[test]
-fn a_version_ends_once_every_holder_has_said_so_and_no_sooner() {
+fn a_version_ends_once_every_holder_has_confirmed_and_no_sooner() {
     let mut alive: BTreeSet<Holder> = [holder(1), holder(2)].into();
     let mut s = fleet(true, &alive);
     let refused = s.accepts(&Command::Open(9, s.step())).unwrap_err();
@@ -49,38 +49,40 @@
     let close = Command::Close(s.step());
     assert!(s.apply(close.clone(), &alive) && !s.apply(close, &alive));
     assert_eq!((s.starts(None), s.window().ends(), s.window().versions()), (vec![8], Some(7), vec![7, 8]));
-    linger(&mut s);
-    assert_eq!(s.word_of(holder(1), |v| v == 7), None, "it has some in hand");
-    let word = s.word_of(holder(1), |_| false).unwrap();
-    assert!(s.apply(word.clone(), &alive) && !s.apply(word, &alive));
+    wait_for_linger(&mut s);
+    assert_eq!(s.pending_confirmation(holder(1), |v| v == 7), None, "it has work in progress under 7");
+    let confirmation = s.pending_confirmation(holder(1), |_| false).unwrap();
+    assert!(s.apply(confirmation.clone(), &alive) && !s.apply(confirmation, &alive));
     alive = [holder(1), holder(3)].into();
     assert!(s.on_lease_change(&alive) && s.window().ending().unwrap().waits().contains(&holder(3)));
-    assert!(!s.apply(Command::Clear(holder(2), 7, s.step()), &alive), "it has no lease");
+    assert!(!s.apply(Command::Confirm(holder(2), 7, s.step()), &alive), "the holder has no lease");
     assert!(
         !s.on_lease_change(&alive) && s.status().contains("waits for 1 holders and 0 ms"),
         "{}",
         s.status()
     );
-    assert!(s.apply(s.word_of(holder(3), |_| false).unwrap(), &alive));
+    assert!(s.apply(s.pending_confirmation(holder(3), |_| false).unwrap(), &alive));
     assert_eq!(s.window(), &Window::Closed(8));
-    assert!(s.accepts(&Command::Open(8, s.step())).is_err() && s.accepts(&Command::Back(s.step())).is_err());
+    assert!(
+        s.accepts(&Command::Open(8, s.step())).is_err() && s.accepts(&Command::RollBack(s.step())).is_err()
+    );
 }
 
 // A confirmation for an earlier step must not count in a later one, where it would end a version that is in
 // use again.
 #[test]
-fn a_word_counts_for_its_step_only_and_a_late_call_moves_nothing() {
+fn a_confirmation_counts_only_for_its_step() {
     let alive: BTreeSet<Holder> = [holder(1)].into();
     let mut s = fleet(true, &alive);
-    let (first_back, early) = (Command::Back(s.step()), Command::Close(s.step()));
-    assert!(s.apply(first_back.clone(), &alive) && !s.apply(early, &alive));
-    let late = s.word_of(holder(1), |_| false).unwrap();
-    linger(&mut s);
+    let (first_rollback, early) = (Command::RollBack(s.step()), Command::Close(s.step()));
+    assert!(s.apply(first_rollback.clone(), &alive) && !s.apply(early, &alive));
+    let late = s.pending_confirmation(holder(1), |_| false).unwrap();
+    wait_for_linger(&mut s);
     assert!(s.apply(late.clone(), &alive));
     assert_eq!(s.window(), &Window::Closed(7));
-    assert!(s.apply(Command::Open(8, s.step()), &alive) && !s.apply(first_back, &alive));
-    assert!(s.apply(Command::Back(s.step()), &alive));
-    linger(&mut s);
+    assert!(s.apply(Command::Open(8, s.step()), &alive) && !s.apply(first_rollback, &alive));
+    assert!(s.apply(Command::RollBack(s.step()), &alive));
+    wait_for_linger(&mut s);
     assert!(!s.apply(late, &alive));
     assert_eq!(s.window().ends(), Some(8));
 }
@@ -88,18 +90,18 @@
 // Half of the executors hold 8 when the operator rolls back while the window is closing: 8 must end, and
 // executors that return with 7 serve again.
 #[test]
-fn back_in_the_middle_ends_at_the_old_version() {
+fn a_rollback_while_closing_ends_at_the_old_version() {
     let alive: BTreeSet<Holder> = [holder(1), holder(2)].into();
     let mut s = fleet(true, &alive);
     assert!(s.apply(Command::Close(s.step()), &alive));
-    assert!(s.apply(s.word_of(holder(1), |_| false).unwrap(), &alive));
-    assert!(s.apply(Command::Back(s.step()), &alive));
+    assert!(s.apply(s.pending_confirmation(holder(1), |_| false).unwrap(), &alive));
+    assert!(s.apply(Command::RollBack(s.step()), &alive));
     assert_eq!((s.starts(None), s.window().ends()), (vec![7], Some(8)));
-    linger(&mut s);
-    assert!(s.apply(s.word_of(holder(1), |_| false).unwrap(), &alive));
-    assert_eq!(s.window().ends(), Some(8), "a word on 7 is none on 8");
-    assert!(s.apply(tell("m0", 7, 3), &alive));
-    assert!(s.apply(s.word_of(holder(2), |_| false).unwrap(), &alive));
+    wait_for_linger(&mut s);
+    assert!(s.apply(s.pending_confirmation(holder(1), |_| false).unwrap(), &alive));
+    assert_eq!(s.window().ends(), Some(8), "a confirmation for 7 does not count for 8");
+    assert!(s.apply(set_version("m0", 7, 3), &alive));
+    assert!(s.apply(s.pending_confirmation(holder(2), |_| false).unwrap(), &alive));
     assert_eq!(s.window(), &Window::Closed(7));
     assert_eq!((s.executors().version("m0"), s.executors().version("m1")), (Some(7), Some(8)));
 }
@@ -108,13 +110,13 @@
 // version, and with an open window under none once the fleet could have ended either. A jump of a leader's
 // clock must not shorten the wait.
 #[test]
-fn who_is_cut_off_stops_before_a_version_can_end() {
+fn a_dispatcher_that_is_cut_off_stops_before_a_version_can_end() {
     let alive: BTreeSet<Holder> = [holder(1)].into();
     let mut s = fleet(true, &alive);
     assert_eq!((s.starts(Some(S / 2 - 1)), s.starts(Some(S / 2))), (vec![7, 8], vec![]));
     s.apply(Command::Close(s.step()), &alive);
     assert_eq!((s.starts(Some(0)), s.starts(Some(S))), (vec![8], vec![]));
-    assert!(s.apply(s.word_of(holder(1), |_| false).unwrap(), &alive));
+    assert!(s.apply(s.pending_confirmation(holder(1), |_| false).unwrap(), &alive));
     assert!([50, 0, 90, 91].map(|at| s.sweep(at * S / 2)) == [true; 4] && s.window().ends() == Some(7));
     assert!(s.sweep(46 * S) && s.window() == &Window::Closed(8));
     assert_eq!(s.starts(Some(900 * S)), [8]);
@@ -123,33 +125,42 @@
 // An executor that comes back with the wrong version must not serve until the dispute is resolved, and a late
 // report about a former process must change nothing.
 #[test]
-fn an_executor_whose_answers_contradict_is_disputed_until_settled() {
+fn contradicting_versions_of_an_executor_are_disputed_until_resolved() {
     let alive = BTreeSet::new();
     let mut s = fleet(true, &alive);
-    let says = |v, at| Command::Says("m0".into(), v, at);
-    assert!(!s.apply(says(8, 2), &alive) && !s.apply(says(7, 1), &alive) && s.apply(says(7, 2), &alive));
+    let reports = |v, at| Command::ReportVersion("m0".into(), v, at);
+    assert!(
+        !s.apply(reports(8, 2), &alive) && !s.apply(reports(7, 1), &alive) && s.apply(reports(7, 2), &alive)
+    );
     assert_eq!(s.executors().held("m0"), Some(Held::Disputed { told: 8, said: 7 }));
-    assert_eq!((s.executors().version("m0"), s.apply(says(8, 2), &alive)), (None, false));
+    assert_eq!((s.executors().version("m0"), s.apply(reports(8, 2), &alive)), (None, false));
     assert!(s.status().contains("1 disputed: m0 (told 8, says 7)"), "{}", s.status());
-    assert!(!s.apply(Command::Settle("m0".into(), 7, 1), &alive));
-    assert!(s.apply(Command::Settle("m0".into(), 7, 2), &alive));
+    assert!(!s.apply(Command::ResolveDispute("m0".into(), 7, 1), &alive));
+    assert!(s.apply(Command::ResolveDispute("m0".into(), 7, 2), &alive));
     assert_eq!(s.executors().version("m0"), Some(7));
-    assert!(s.apply(says(9, 5), &alive) && s.apply(tell("m0", 8, 6), &alive), "a new process is told anew");
+    assert!(
+        s.apply(reports(9, 5), &alive) && s.apply(set_version("m0", 8, 6), &alive),
+        "a new process resolves the dispute"
+    );
     assert_eq!(s.executors().version("m0"), Some(8));
-    assert!(s.apply(tell("m0", 7, 6), &alive), "two lists that differ");
+    assert!(s.apply(set_version("m0", 7, 6), &alive), "two lists disagree about one process");
     assert_eq!(s.executors().version("m0"), None);
     assert!(
-        !s.apply(Command::Gone("m0".into(), 5), &alive) && s.apply(Command::Gone("m0".into(), 6), &alive)
+        !s.apply(Command::Remove("m0".into(), 5), &alive) && s.apply(Command::Remove("m0".into(), 6), &alive)
     );
 }
 
 // The state is part of every snapshot, so an endless list of executors must not make it grow without bound.
 #[test]
-fn the_executors_known_are_bounded() {
+fn the_number_of_known_executors_is_bounded() {
     let (mut s, alive) = (fleet(false, &BTreeSet::new()), BTreeSet::new());
-    let taken = (0..MAX_EXECUTORS).filter(|n| s.apply(tell(&format!("x{n}"), 7, 1), &alive)).count();
-    assert_eq!((taken, s.executors().len()), (MAX_EXECUTORS - 4, MAX_EXECUTORS));
-    assert!(s.apply(Command::Gone("x0".into(), 1), &alive) && !s.apply(tell(&"y".repeat(200), 7, 1), &alive));
+    let accepted =
+        (0..MAX_EXECUTORS).filter(|n| s.apply(set_version(&format!("x{n}"), 7, 1), &alive)).count();
+    assert_eq!((accepted, s.executors().len()), (MAX_EXECUTORS - 4, MAX_EXECUTORS));
+    assert!(
+        s.apply(Command::Remove("x0".into(), 1), &alive)
+            && !s.apply(set_version(&"y".repeat(200), 7, 1), &alive)
+    );
 }
 
 // Taking out the next executor too early would leave clients that support only one version short of capacity.
--- a/crates/fleet/tests/schema/world.rs
+++ b/crates/fleet/tests/schema/world.rs
@@ -22,7 +22,7 @@
 struct Peer {
     view: (Schema, BTreeSet<Holder>),
     seen: usize,
-    hand: BTreeMap<Version, u32>,
+    in_progress: BTreeMap<Version, u32>,
     term: u32,
 }
 
@@ -31,11 +31,11 @@
     log: Vec<(Micros, Entry)>,
     state: (Schema, BTreeSet<Holder>),
     peers: [Peer; 3],
-    posted: Vec<Command>,
+    submitted: Vec<Command>,
     now: Micros,
 }
 
-fn take((schema, alive): &mut (Schema, BTreeSet<Holder>), entry: &Entry) {
+fn apply_entry((schema, alive): &mut (Schema, BTreeSet<Holder>), entry: &Entry) {
     let before = schema.clone();
     let changed = match entry {
         Entry::Command(c) => schema.apply(c.clone(), alive),
@@ -55,16 +55,19 @@
 
     fn append(&mut self, entry: Entry) {
         let before = self.state.0.window().clone();
-        take(&mut self.state, &entry);
+        apply_entry(&mut self.state, &entry);
         if let (Some(ended), Window::Closed(_)) = (before.ends(), self.state.0.window()) {
             for p in (0..3).filter(|p| self.state.1.contains(&self.holder(*p))) {
-                assert!(!self.peers[p].hand.contains_key(&ended), "{ended} ended in the hands of {p}");
+                assert!(
+                    !self.peers[p].in_progress.contains_key(&ended),
+                    "{ended} ended with work in progress at {p}"
+                );
             }
-            let goal = match before {
+            let expected = match before {
                 Window::Back { old, .. } => old,
                 _ => before.versions()[1],
             };
-            assert_eq!(self.state.0.window(), &Window::Closed(goal));
+            assert_eq!(self.state.0.window(), &Window::Closed(expected));
         }
         self.log.push((self.now, entry));
     }
@@ -72,37 +75,38 @@
     fn catch_up(&mut self, p: usize, entries: usize) {
         let peer = &mut self.peers[p];
         for (_, entry) in self.log.iter().skip(peer.seen).take(entries) {
-            take(&mut peer.view, entry);
+            apply_entry(&mut peer.view, entry);
             peer.seen += 1;
         }
     }
 
-    fn begin(&mut self, p: usize, draw: u8) {
+    fn begin(&mut self, p: usize, choice: u8) {
         // Its state is as old as the first entry that it has not seen.
         let peer = &mut self.peers[p];
-        let silent = self.log.get(peer.seen).map(|(at, _)| self.now - at);
+        let cut_off_for = self.log.get(peer.seen).map(|(at, _)| self.now - at);
         // It learns of a lease from the log, and of its expiry by its own clock before the others do.
         let holder = Holder { incarnation: incarnation(p as u8 + 1, 1), term: peer.term };
         let alive = self.state.1.contains(&holder) && peer.view.1.contains(&holder);
-        let starts = peer.view.0.starts(silent.filter(|_| !alive));
-        let Some(&v) = starts.get(draw as usize % starts.len().max(1)) else { return };
+        let starts = peer.view.0.starts(cut_off_for.filter(|_| !alive));
+        let Some(&v) = starts.get(choice as usize % starts.len().max(1)) else { return };
         if alive || !matches!(peer.view.0.window(), Window::Closed(_)) {
-            assert!(self.state.0.window().versions().contains(&v), "{v} began after its end");
+            assert!(self.state.0.window().versions().contains(&v), "work started under {v} after its end");
         }
-        *peer.hand.entry(v).or_default() += 1;
+        *peer.in_progress.entry(v).or_default() += 1;
     }
 
-    fn end(&mut self, p: usize, draw: u8) {
-        let hand = &mut self.peers[p].hand;
-        if let Some(&v) = hand.keys().nth(draw as usize % hand.len().max(1)) {
-            hand.entry(v).and_modify(|n| *n -= 1);
-            hand.retain(|_, n| *n > 0);
+    fn end(&mut self, p: usize, choice: u8) {
+        let in_progress = &mut self.peers[p].in_progress;
+        if let Some(&v) = in_progress.keys().nth(choice as usize % in_progress.len().max(1)) {
+            in_progress.entry(v).and_modify(|n| *n -= 1);
+            in_progress.retain(|_, n| *n > 0);
         }
     }
 
-    fn post_word(&mut self, p: usize) {
+    fn submit_confirmation(&mut self, p: usize) {
         let (peer, holder) = (&self.peers[p], self.holder(p));
-        self.posted.extend(peer.view.0.word_of(holder, |v| peer.hand.contains_key(&v)));
+        self.submitted
+            .extend(peer.view.0.pending_confirmation(holder, |v| peer.in_progress.contains_key(&v)));
     }
 
     fn sweep(&mut self, time: Micros) {
@@ -117,22 +121,24 @@
         let step = self.peers[p].view.0.step();
         let (id, version) = (format!("m{}", b % 4), Version::from(1 + a % 4));
         match op {
-            0 | 1 => self.posted.push(Command::Open(self.peers[p].view.0.window().versions()[0] + 1, step)),
-            2 => self.posted.push(Command::Close(step)),
-            3 => self.posted.push(Command::Back(step)),
-            4 => self.append(Entry::Command(Command::Tell(id, version, u64::from(a / 16)))),
-            5 => self.append(Entry::Command(Command::Says(id, version, u64::from(a / 16)))),
-            6 => self.append(Entry::Command(Command::Settle(id, version, u64::from(a / 16)))),
-            7 => self.append(Entry::Command(Command::Gone(id, u64::from(a / 16)))),
+            0 | 1 => {
+                self.submitted.push(Command::Open(self.peers[p].view.0.window().versions()[0] + 1, step))
+            }
+            2 => self.submitted.push(Command::Close(step)),
+            3 => self.submitted.push(Command::RollBack(step)),
+            4 => self.append(Entry::Command(Command::SetVersion(id, version, u64::from(a / 16)))),
+            5 => self.append(Entry::Command(Command::ReportVersion(id, version, u64::from(a / 16)))),
+            6 => self.append(Entry::Command(Command::ResolveDispute(id, version, u64::from(a / 16)))),
+            7 => self.append(Entry::Command(Command::Remove(id, u64::from(a / 16)))),
             8..=11 => self.catch_up(p, b as usize % 16),
             12..=14 => self.begin(p, b),
             15 | 16 => self.end(p, b),
-            17 | 18 => self.post_word(p),
+            17 | 18 => self.submit_confirmation(p),
             // Submitted commands arrive, some of them late or repeatedly.
-            19..=23 if !self.posted.is_empty() => {
-                let back = if op == 23 { b as usize } else { b as usize % 3 };
-                let i = self.posted.len() - 1 - back % self.posted.len();
-                self.append(Entry::Command(self.posted[i].clone()));
+            19..=23 if !self.submitted.is_empty() => {
+                let age = if op == 23 { b as usize } else { b as usize % 3 };
+                let i = self.submitted.len() - 1 - age % self.submitted.len();
+                self.append(Entry::Command(self.submitted[i].clone()));
             }
             24 => {
                 let mut alive = self.state.1.clone();
@@ -156,20 +162,20 @@
         steps in prop::collection::vec((0u8..32, any::<u8>(), any::<u8>()), 1..400),
     ) {
         let mut w = World::default();
-        w.append(Entry::Command(Command::Found(1, LINGER)));
+        w.append(Entry::Command(Command::Initialize(1, LINGER)));
         (0..3).for_each(|p| { w.catch_up(p, 1); w.step((24, p as u8, 0)); });
         // One executor holds version 2, so that the first window can close.
-        w.append(Entry::Command(Command::Tell("m9".into(), 2, 1)));
+        w.append(Entry::Command(Command::SetVersion("m9".into(), 2, 1)));
         steps.into_iter().for_each(|s| w.step(s));
         let bytes = postcard::to_stdvec(&w.state.0).unwrap();
         prop_assert!(bytes.len() < 400, "{}", bytes.len());
         prop_assert_eq!(postcard::from_bytes::<Schema>(&bytes).unwrap(), w.state.0.clone());
-        let mut again = (Schema::default(), BTreeSet::new());
-        w.log.iter().for_each(|(_, e)| take(&mut again, e));
-        prop_assert_eq!(&again, &w.state);
+        let mut replayed = (Schema::default(), BTreeSet::new());
+        w.log.iter().for_each(|(_, e)| apply_entry(&mut replayed, e));
+        prop_assert_eq!(&replayed, &w.state);
         // Roll back from any state: the fleet continues and every dispatcher finishes its work.
         let window = w.state.0.window().clone();
-        w.append(Entry::Command(Command::Back(w.state.0.step())));
+        w.append(Entry::Command(Command::RollBack(w.state.0.step())));
         for p in 0..3 {
             if !w.state.1.contains(&w.holder(p)) {
                 w.step((24, p as u8, 0));
@@ -177,10 +183,10 @@
         }
         for p in 0..3 {
             w.catch_up(p, usize::MAX);
-            w.peers[p].hand.clear();
-            w.post_word(p);
-            if let Some(word) = w.posted.pop().filter(|c| matches!(c, Command::Clear(..))) {
-                w.append(Entry::Command(word));
+            w.peers[p].in_progress.clear();
+            w.submit_confirmation(p);
+            if let Some(confirmation) = w.submitted.pop().filter(|c| matches!(c, Command::Confirm(..))) {
+                w.append(Entry::Command(confirmation));
             }
         }
         (0..30).for_each(|_| w.sweep(S));
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -65,8 +65,8 @@
         Command::Work(ledger::Command::Close(holder(2, 1), 22, served)),
         Command::Plan(plan::Command::Add(vec!["s-1".into(), "s-2".into()])),
         Command::Policy(proposal),
-        Command::Schema(schema::Command::Found(7, 500)),
-        Command::Schema(schema::Command::Tell("s-1".into(), 7, 50)),
+        Command::Schema(schema::Command::Initialize(7, 500)),
+        Command::Schema(schema::Command::SetVersion("s-1".into(), 7, 50)),
         Command::Slots(lend::Command::Set(terms)),
         Command::Slots(lend::Command::Hold { holder: holder(1, 1), number: 1, back: 0, want: 2, most: 3 }),
     ]
--- a/src/schema/market.rs
+++ b/src/schema/market.rs
@@ -112,7 +112,7 @@
     /// What is to be proposed to the fleet, until it is in the log.
     pub fn proposals(&mut self, schema: &Schema) -> Vec<Command> {
         self.forget(schema);
-        self.said.iter().map(|(id, &(version, at))| Command::Says(id.clone(), version, at)).collect()
+        self.said.iter().map(|(id, &(version, at))| Command::ReportVersion(id.clone(), version, at)).collect()
     }
 
     fn forget(&mut self, schema: &Schema) {
--- a/src/schema/tests.rs
+++ b/src/schema/tests.rs
@@ -21,10 +21,10 @@
 /// Four executors of 4 cores: the first `new` of them at 8, the rest at 7; the window opened.
 fn opening(new: usize) -> Schema {
     let mut s = Schema::default();
-    apply(&mut s, Command::Found(7, 2 * S));
+    apply(&mut s, Command::Initialize(7, 2 * S));
     for n in 0..4 {
         let version = if n < new { 8 } else { 7 };
-        assert!(apply(&mut s, Command::Tell(format!("m{n}"), version, 1)));
+        assert!(apply(&mut s, Command::SetVersion(format!("m{n}"), version, 1)));
     }
     let step = s.step();
     assert!(apply(&mut s, Command::Open(8, step)));
@@ -102,7 +102,7 @@
     words.said(&s, "m0", 7, 1);
     assert_eq!(market(&s, &words, true).of(8).executors, 0);
     let says = words.proposals(&s);
-    assert_eq!(says, [Command::Says("m0".into(), 7, 1)]);
+    assert_eq!(says, [Command::ReportVersion("m0".into(), 7, 1)]);
     says.into_iter().for_each(|c| assert!(apply(&mut s, c)));
     assert_eq!((words.proposals(&s), market(&s, &words, true).of(8).executors), (vec![], 0));
 }
@@ -152,18 +152,18 @@
             let (mut s, mut n) = (Schema::default(), Negotiator::new(TERMS, seed));
             let (mut words, mut verdicts) = (Words::default(), Vec::new());
             let mut sessions = [(); 4].map(|()| (Session::default(), None::<(Version, Version)>));
-            apply(&mut s, Command::Found(7, S));
+            apply(&mut s, Command::Initialize(7, S));
             versions.iter().enumerate().for_each(|(i, v)| {
-                apply(&mut s, Command::Tell(format!("m{i}"), v.0, 1));
+                apply(&mut s, Command::SetVersion(format!("m{i}"), v.0, 1));
             });
             for (i, &(op, who, from, more, field)) in steps.iter().enumerate() {
                 let (now, step) = (i as u64 * S / 4, s.step());
                 match op {
                     0 => {
-                        let calls = [Command::Open(8, step), Command::Close(step), Command::Back(step)];
+                        let calls = [Command::Open(8, step), Command::Close(step), Command::RollBack(step)];
                         calls.into_iter().nth(who).map(|c| apply(&mut s, c));
                         s.sweep(now);
-                        s.word_of(holder(), |_| false).map(|c| apply(&mut s, c));
+                        s.pending_confirmation(holder(), |_| false).map(|c| apply(&mut s, c));
                     }
                     1 => words.said(&s, &format!("m{who}"), from, 1 + u64::from(more)),
                     _ => {}
