--- a/crates/fleet/src/schema/capacity.rs
+++ b/crates/fleet/src/schema/capacity.rs
@@ -8,11 +8,11 @@
 use std::fmt;
 
 /// The range of versions that a client supports: oldest and newest.
-pub type Span = (Version, Version);
+pub type VersionRange = (Version, Version);
 
 /// Usage by the clients of one version range.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Use {
+pub struct Usage {
     /// Cores busy for them now.
     pub busy: f64,
     /// Their sessions, including idle ones.
@@ -21,39 +21,40 @@
 
 /// Why an executor must stay in service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Short {
+pub enum Shortfall {
     /// Clients limited to these versions would have too few cores.
     Cores {
         /// The executor.
         id: String,
         /// The versions they support, restricted to the window.
-        span: Span,
+        range: VersionRange,
         /// Cores that would remain.
         left: f64,
         /// Cores they need.
         needed: f64,
     },
     /// Clients limited to these versions would have no executor left.
-    Last {
+    NoExecutor {
         /// The executor.
         id: String,
         /// The versions they support, restricted to the window.
-        span: Span,
+        range: VersionRange,
         /// Number of their sessions.
         sessions: usize,
     },
 }
 
-impl fmt::Display for Short {
+impl fmt::Display for Shortfall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words =
-            |(a, b): &Span| if a == b { format!("schema {a}") } else { format!("schemas {a} to {b}") };
+        let label = |(a, b): &VersionRange| {
+            if a == b { format!("schema {a}") } else { format!("schemas {a} to {b}") }
+        };
         match self {
-            Short::Cores { id, span, left, needed } => {
-                write!(f, "{id}: {} would be left {left:.1} of the {needed:.1} cores needed", words(span))
+            Shortfall::Cores { id, range, left, needed } => {
+                write!(f, "{id}: {} would be left {left:.1} of the {needed:.1} cores needed", label(range))
             }
-            Short::Last { id, span, sessions } => {
-                write!(f, "{id}: {} would have no motor left for {sessions} sessions", words(span))
+            Shortfall::NoExecutor { id, range, sessions } => {
+                write!(f, "{id}: {} would have no motor left for {sessions} sessions", label(range))
             }
         }
     }
@@ -64,14 +65,14 @@
 /// holding a version of that range have. `demand` is keyed by the range that clients support. Versions under
 /// which no work may start are ignored, and so are clients that support only those: they are refused
 /// regardless of executors.
-pub fn may_leave(
+pub fn can_leave(
     id: &str,
     schema: &Schema,
     plan: &Plan,
     executors: &BTreeMap<String, ExecutorInfo>,
-    demand: &BTreeMap<Span, Use>,
+    demand: &BTreeMap<VersionRange, Usage>,
     budget: &Budget,
-) -> Result<(), Short> {
+) -> Result<(), Shortfall> {
     let starts = schema.starts(None);
     let stays = |m: &str| m != id && !plan.step(m).is_some_and(Step::missing);
     let mut cores: BTreeMap<Version, f64> = BTreeMap::new();
@@ -80,32 +81,32 @@
             *cores.entry(version).or_default() += executor.cores;
         }
     }
-    let clipped = |&(a, b): &Span| {
+    let clamped = |&(a, b): &VersionRange| {
         let mut within = starts.iter().copied().filter(|v| (a..=b).contains(v));
         within.next().map(|first| (first, within.next_back().unwrap_or(first)))
     };
-    let mut needs: BTreeMap<Span, Use> = BTreeMap::new();
-    for (span, used) in demand {
-        if let Some(span) = clipped(span) {
-            let all = needs.entry(span).or_default();
+    let mut needs: BTreeMap<VersionRange, Usage> = BTreeMap::new();
+    for (range, used) in demand {
+        if let Some(range) = clamped(range) {
+            let all = needs.entry(range).or_default();
             (all.busy, all.sessions) = (all.busy + used.busy.max(0.0), all.sessions + used.sessions);
         }
     }
     // Ranges are intervals, so all demand fits at once exactly if, for each interval, the demand of the
     // ranges inside it fits into it.
-    let ends: BTreeSet<Version> = needs.keys().flat_map(|&(a, b)| [a, b]).collect();
-    for &from in &ends {
-        for &to in ends.range(from..) {
+    let bounds: BTreeSet<Version> = needs.keys().flat_map(|&(a, b)| [a, b]).collect();
+    for &from in &bounds {
+        for &to in bounds.range(from..) {
             let inside = needs.iter().filter(|((a, b), _)| *a >= from && *b <= to).map(|(_, used)| used);
             let (busy, sessions) = inside.fold((0.0, 0), |(b, s), u| (b + u.busy, s + u.sessions));
-            let left: f64 = cores.range(from..=to).map(|(_, c)| c).sum();
+            let remaining: f64 = cores.range(from..=to).map(|(_, c)| c).sum();
             let needed = busy * budget.headroom;
-            let (id, span) = (id.to_string(), (from, to));
-            if sessions > 0 && left <= 0.0 {
-                return Err(Short::Last { id, span, sessions });
+            let (id, range) = (id.to_string(), (from, to));
+            if sessions > 0 && remaining <= 0.0 {
+                return Err(Shortfall::NoExecutor { id, range, sessions });
             }
-            if left < needed {
-                return Err(Short::Cores { id, span, left, needed });
+            if remaining < needed {
+                return Err(Shortfall::Cores { id, range, left: remaining, needed });
             }
         }
     }
--- a/crates/fleet/src/schema/executors.rs
+++ b/crates/fleet/src/schema/executors.rs
@@ -13,32 +13,32 @@
 
 /// What is known about an executor's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Held {
+pub enum HeldVersion {
     /// It holds this version; nothing contradicts that.
     Holds(Version),
     /// There are contradicting statements about one process: it serves no versioned work until the dispute is
     /// resolved.
     Disputed {
         /// The configured version.
-        told: Version,
+        configured: Version,
         /// The contradicting version.
-        said: Version,
+        reported: Version,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Executor {
-    told: Version,
-    /// Start time of the process that `told` is about.
+    configured: Version,
+    /// Start time of the process that `configured` is about.
     started: Micros,
     /// The contradicting version, and the start time of the process it is about.
-    against: Option<(Version, Micros)>,
+    contradiction: Option<(Version, Micros)>,
 }
 
 impl Executor {
     /// The latest start time known for this executor.
     fn latest(&self) -> Micros {
-        self.against.map_or(self.started, |(_, at)| at.max(self.started))
+        self.contradiction.map_or(self.started, |(_, at)| at.max(self.started))
     }
 }
 
@@ -50,23 +50,23 @@
 
 impl Executors {
     /// The known version of an executor; `None` if it is unknown.
-    pub fn held(&self, id: &str) -> Option<Held> {
-        self.all.get(id).map(|m| match m.against {
-            Some((said, _)) => Held::Disputed { told: m.told, said },
-            None => Held::Holds(m.told),
+    pub fn held(&self, id: &str) -> Option<HeldVersion> {
+        self.all.get(id).map(|m| match m.contradiction {
+            Some((reported, _)) => HeldVersion::Disputed { configured: m.configured, reported },
+            None => HeldVersion::Holds(m.configured),
         })
     }
 
     /// The version an executor holds; `None` if it is unknown or disputed.
     pub fn version(&self, id: &str) -> Option<Version> {
         match self.held(id)? {
-            Held::Holds(version) => Some(version),
-            Held::Disputed { .. } => None,
+            HeldVersion::Holds(version) => Some(version),
+            HeldVersion::Disputed { .. } => None,
         }
     }
 
     /// All executors, in order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, Held)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, HeldVersion)> {
         self.all.keys().filter_map(|id| Some((id.as_str(), self.held(id)?)))
     }
 
@@ -85,33 +85,37 @@
     /// between versions stays disputed.
     pub fn is_new(&self, id: &str, version: Version, started: Micros) -> bool {
         self.all.get(id).is_some_and(|m| {
-            let newer = m.against.is_none_or(|(_, at)| started > at);
-            started >= m.started && newer && (version != m.told || m.against.is_some())
+            let newer = m.contradiction.is_none_or(|(_, at)| started > at);
+            started >= m.started && newer && (version != m.configured || m.contradiction.is_some())
         })
     }
 
     /// Start time of the process that a dispute is about.
     pub fn disputed_since(&self, id: &str) -> Option<Micros> {
-        self.all.get(id)?.against.map(|(_, at)| at)
+        self.all.get(id)?.contradiction.map(|(_, at)| at)
     }
 
     /// Sets the configured version, from a list or a plan, of the process started at `started`.
     pub(super) fn set_version(&mut self, id: String, version: Version, started: Micros) -> bool {
         let Some(m) = self.all.get_mut(&id) else {
             let fits = self.all.len() < MAX_EXECUTORS && !id.is_empty() && id.len() <= MAX_ID_BYTES;
-            return fits && self.all.insert(id, Executor { told: version, started, against: None }).is_none();
+            return fits
+                && self
+                    .all
+                    .insert(id, Executor { configured: version, started, contradiction: None })
+                    .is_none();
         };
         if started < m.started {
             return false;
         }
         if started == m.started {
             // Two endpoint lists disagree.
-            let differs = version != m.told && m.against.is_none();
-            m.against = m.against.or(differs.then_some((version, started)));
+            let differs = version != m.configured && m.contradiction.is_none();
+            m.contradiction = m.contradiction.or(differs.then_some((version, started)));
             return differs;
         }
-        let against = m.against.filter(|&(said, at)| at >= started && said != version);
-        *m = Executor { told: version, started, against };
+        let contradiction = m.contradiction.filter(|&(reported, at)| at >= started && reported != version);
+        *m = Executor { configured: version, started, contradiction };
         true
     }
 
@@ -119,7 +123,7 @@
     pub(super) fn report_version(&mut self, id: &str, version: Version, started: Micros) -> bool {
         let new = self.is_new(id, version, started);
         if let Some(m) = self.all.get_mut(id).filter(|_| new) {
-            m.against = (version != m.told).then_some((version, started));
+            m.contradiction = (version != m.configured).then_some((version, started));
         }
         new
     }
@@ -127,8 +131,8 @@
     /// Resolves a dispute by an operator's decision.
     pub(super) fn resolve_dispute(&mut self, id: &str, version: Version, started: Micros) -> bool {
         match self.all.get_mut(id) {
-            Some(m) if m.against.is_some_and(|(_, at)| at == started) => {
-                *m = Executor { told: version, started: m.latest(), against: None };
+            Some(m) if m.contradiction.is_some_and(|(_, at)| at == started) => {
+                *m = Executor { configured: version, started: m.latest(), contradiction: None };
                 true
             }
             _ => false,
--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::state_machine::StateMachine;
 use crate::{Holder, Micros};
-use executors::{Executors, Held};
+use executors::{Executors, HeldVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use window::Window;
@@ -104,8 +104,8 @@
         holder: Holder,
         has_work: impl Fn(Version) -> bool,
     ) -> Option<Command> {
-        let (version, ending) = (self.window.ends()?, self.window.ending()?);
-        let due = ending.waits().contains(&holder) && !has_work(version);
+        let (version, ending) = (self.window.ending_version()?, self.window.ending()?);
+        let due = ending.unconfirmed().contains(&holder) && !has_work(version);
         due.then_some(Command::Confirm(holder, version, self.step))
     }
 
@@ -115,13 +115,13 @@
             true => Ok(()),
             false => Err(format!("the window has moved since: it is at step {}, not {s}", self.step)),
         };
-        let known = |v: Version| match (1..=MAX_VERSION).contains(&v) {
+        let in_range = |v: Version| match (1..=MAX_VERSION).contains(&v) {
             true => Ok(()),
             false => Err(format!("versions go from 1 to {MAX_VERSION}")),
         };
         match (command, &self.window) {
             (Command::Initialize(v, linger), Window::Unset) => {
-                known(*v)?;
+                in_range(*v)?;
                 if *linger > MAX_LINGER { Err("linger is too long".into()) } else { Ok(()) }
             }
             (Command::Initialize(..), _) => Err("the fleet has a version already".into()),
@@ -129,7 +129,7 @@
                 Err("the fleet has no version yet".into())
             }
             (Command::Open(to, s), Window::Closed(v)) => {
-                known(*to)?;
+                in_range(*to)?;
                 if *to != v.saturating_add(1) {
                     return Err(format!("after schema {v} comes {}, not {to}", v.saturating_add(1)));
                 }
@@ -137,12 +137,12 @@
             }
             (Command::Open(..), w) => {
                 let [old, new] = self.window.versions()[..] else { return Err("no window".into()) };
-                let how = if matches!(w, Window::Back { .. }) { "back" } else { "on" };
+                let how = if matches!(w, Window::RollingBack { .. }) { "back" } else { "on" };
                 Err(format!("an upgrade from {old} to {new} is under way, on its way {how}: one at a time"))
             }
             (Command::Close(s), Window::Opening { old }) => {
                 let new = old.saturating_add(1);
-                if !self.executors.iter().any(|(_, held)| held == Held::Holds(new)) {
+                if !self.executors.iter().any(|(_, held)| held == HeldVersion::Holds(new)) {
                     return Err(format!("no motor holds schema {new}"));
                 }
                 step(*s)
@@ -150,14 +150,14 @@
             (Command::Close(_), _) => Err("no window is opening".into()),
             (Command::RollBack(s), Window::Opening { .. } | Window::Closing { .. }) => step(*s),
             (Command::RollBack(_), _) => Err("no window is opening or closing".into()),
-            (Command::Confirm(_, v, s), w) if w.ends() == Some(*v) => step(*s),
+            (Command::Confirm(_, v, s), w) if w.ending_version() == Some(*v) => step(*s),
             (Command::Confirm(..), _) => Err("that version does not end".into()),
             (
                 Command::SetVersion(_, v, _)
                 | Command::ReportVersion(_, v, _)
                 | Command::ResolveDispute(_, v, _),
                 _,
-            ) => known(*v),
+            ) => in_range(*v),
             (Command::Remove(..), _) => Ok(()),
         }
     }
@@ -169,17 +169,19 @@
             Window::Closed(v) => format!("closed {v}"),
             Window::Opening { old } => format!("opening {old} to {}", old.saturating_add(1)),
             Window::Closing { old, .. } => format!("closing on {}, {old} ends", old.saturating_add(1)),
-            Window::Back { old, .. } => format!("back to {old}, {} ends", old.saturating_add(1)),
+            Window::RollingBack { old, .. } => format!("back to {old}, {} ends", old.saturating_add(1)),
         };
-        let waits = self.window.ending().map(|e| {
+        let waiting = self.window.ending().map(|e| {
             let left = self.linger.saturating_sub(e.waited()).div_ceil(1_000);
-            format!("; waits for {} holders and {left} ms", e.waits().len())
+            format!("; waits for {} holders and {left} ms", e.unconfirmed().len())
         });
         let (mut holds, mut disputed) = (BTreeMap::<Version, usize>::new(), Vec::new());
         for (id, held) in self.executors.iter() {
             match held {
-                Held::Holds(v) => *holds.entry(v).or_default() += 1,
-                Held::Disputed { told, said } => disputed.push(format!("{id} (told {told}, says {said})")),
+                HeldVersion::Holds(v) => *holds.entry(v).or_default() += 1,
+                HeldVersion::Disputed { configured, reported } => {
+                    disputed.push(format!("{id} (told {configured}, says {reported})"))
+                }
             }
         }
         let holds: String = holds.iter().map(|(v, n)| format!("; {n} motores hold {v}")).collect();
@@ -188,7 +190,7 @@
             0 => String::new(),
             n => format!("; {n} disputed: {shown}"),
         };
-        format!("schema {how}, step {}{}{holds}{disputed}", self.step, waits.unwrap_or_default())
+        format!("schema {how}, step {}{}{holds}{disputed}", self.step, waiting.unwrap_or_default())
     }
 
     fn close_if_done(&mut self) -> bool {
@@ -225,7 +227,7 @@
     }
 
     fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
-        self.window.leases(alive) | self.close_if_done()
+        self.window.update_holders(alive) | self.close_if_done()
     }
 
     fn sweep(&mut self, now: Micros) -> bool {
--- a/crates/fleet/src/schema/window.rs
+++ b/crates/fleet/src/schema/window.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ending {
     /// Holders that have confirmed in this step that they have no work under the version.
-    clear: BTreeSet<Holder>,
+    confirmed: BTreeSet<Holder>,
     /// Holders that have not confirmed yet.
-    waits: BTreeSet<Holder>,
+    unconfirmed: BTreeSet<Holder>,
     /// Waiting time so far, as counted by sweeps.
     waited: Micros,
     /// Time of the last sweep in this step.
@@ -25,12 +25,12 @@
 
 impl Ending {
     fn new(alive: &BTreeSet<Holder>) -> Ending {
-        Ending { waits: alive.clone(), ..Ending::default() }
+        Ending { unconfirmed: alive.clone(), ..Ending::default() }
     }
 
     /// Holders that have not confirmed yet that they have no work under the version.
-    pub fn waits(&self) -> &BTreeSet<Holder> {
-        &self.waits
+    pub fn unconfirmed(&self) -> &BTreeSet<Holder> {
+        &self.unconfirmed
     }
 
     /// Waiting time so far, in microseconds.
@@ -38,24 +38,24 @@
         self.waited
     }
 
-    fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
-        let clear: BTreeSet<Holder> = self.clear.intersection(alive).copied().collect();
-        let waits: BTreeSet<Holder> = alive.difference(&clear).copied().collect();
-        let changed = (&clear, &waits) != (&self.clear, &self.waits);
-        (self.clear, self.waits) = (clear, waits);
+    fn update_holders(&mut self, alive: &BTreeSet<Holder>) -> bool {
+        let confirmed: BTreeSet<Holder> = self.confirmed.intersection(alive).copied().collect();
+        let unconfirmed: BTreeSet<Holder> = alive.difference(&confirmed).copied().collect();
+        let changed = (&confirmed, &unconfirmed) != (&self.confirmed, &self.unconfirmed);
+        (self.confirmed, self.unconfirmed) = (confirmed, unconfirmed);
         changed
     }
 
     fn sweep(&mut self, now: Micros) -> bool {
         let last = self.swept.replace(now);
-        let more = last.map_or(0, |last| now.saturating_sub(last));
-        self.waited = self.waited.saturating_add(if more <= MAX_SWEEP_INTERVAL { more } else { 0 });
+        let elapsed = last.map_or(0, |last| now.saturating_sub(last));
+        self.waited = self.waited.saturating_add(if elapsed <= MAX_SWEEP_INTERVAL { elapsed } else { 0 });
         last != Some(now)
     }
 
     /// Without lease holders nobody can confirm, so the wait continues.
-    fn over(&self, linger: Micros) -> bool {
-        self.waits.is_empty() && !self.clear.is_empty() && self.waited >= linger
+    fn is_over(&self, linger: Micros) -> bool {
+        self.unconfirmed.is_empty() && !self.confirmed.is_empty() && self.waited >= linger
     }
 }
 
@@ -80,7 +80,7 @@
         ending: Ending,
     },
     /// Rolled back: work starts only under the older version; the newer one is ending.
-    Back {
+    RollingBack {
         /// The older version.
         old: Version,
         /// What the end of the newer version waits for.
@@ -94,7 +94,7 @@
         match self {
             Window::Unset => vec![],
             Window::Closed(v) => vec![*v],
-            Window::Opening { old } | Window::Closing { old, .. } | Window::Back { old, .. } => {
+            Window::Opening { old } | Window::Closing { old, .. } | Window::RollingBack { old, .. } => {
                 vec![*old, old.saturating_add(1)]
             }
         }
@@ -104,15 +104,15 @@
     /// version of [`Window::versions`].
     pub fn starts(&self) -> Vec<Version> {
         let mut versions = self.versions();
-        versions.retain(|v| self.ends() != Some(*v));
+        versions.retain(|v| self.ending_version() != Some(*v));
         versions
     }
 
     /// The version that is ending.
-    pub fn ends(&self) -> Option<Version> {
+    pub fn ending_version(&self) -> Option<Version> {
         match self {
             Window::Closing { old, .. } => Some(*old),
-            Window::Back { old, .. } => Some(old.saturating_add(1)),
+            Window::RollingBack { old, .. } => Some(old.saturating_add(1)),
             _ => None,
         }
     }
@@ -120,14 +120,14 @@
     /// What the ending version waits for, if one is ending.
     pub fn ending(&self) -> Option<&Ending> {
         match self {
-            Window::Closing { ending, .. } | Window::Back { ending, .. } => Some(ending),
+            Window::Closing { ending, .. } | Window::RollingBack { ending, .. } => Some(ending),
             _ => None,
         }
     }
 
     fn ending_mut(&mut self) -> Option<&mut Ending> {
         match self {
-            Window::Closing { ending, .. } | Window::Back { ending, .. } => Some(ending),
+            Window::Closing { ending, .. } | Window::RollingBack { ending, .. } => Some(ending),
             _ => None,
         }
     }
@@ -140,18 +140,18 @@
 
     pub(super) fn roll_back(&mut self, alive: &BTreeSet<Holder>) {
         if let Window::Opening { old } | Window::Closing { old, .. } = *self {
-            *self = Window::Back { old, ending: Ending::new(alive) };
+            *self = Window::RollingBack { old, ending: Ending::new(alive) };
         }
     }
 
     /// Records a holder's confirmation that it has no work under the ending version.
     pub(super) fn confirm(&mut self, holder: Holder) -> bool {
         let Some(ending) = self.ending_mut() else { return false };
-        ending.waits.remove(&holder) && ending.clear.insert(holder)
+        ending.unconfirmed.remove(&holder) && ending.confirmed.insert(holder)
     }
 
-    pub(super) fn leases(&mut self, alive: &BTreeSet<Holder>) -> bool {
-        self.ending_mut().is_some_and(|e| e.leases(alive))
+    pub(super) fn update_holders(&mut self, alive: &BTreeSet<Holder>) -> bool {
+        self.ending_mut().is_some_and(|e| e.update_holders(alive))
     }
 
     pub(super) fn sweep(&mut self, now: Micros) -> bool {
@@ -161,8 +161,8 @@
     /// Closes the window once the ending version has nothing left to wait for.
     pub(super) fn close_if_done(&mut self, linger: Micros) -> bool {
         let next = match self {
-            Window::Closing { old, ending } if ending.over(linger) => old.saturating_add(1),
-            Window::Back { old, ending } if ending.over(linger) => *old,
+            Window::Closing { old, ending } if ending.is_over(linger) => old.saturating_add(1),
+            Window::RollingBack { old, ending } if ending.is_over(linger) => *old,
             _ => return false,
         };
         *self = Window::Closed(next);
--- a/crates/fleet/tests/schema.rs
+++ b/crates/fleet/tests/schema.rs
@@ -2,8 +2,8 @@
 //! leases and delays.
 
 use fleet::plan::{self, Budget, Plan};
-use fleet::schema::capacity::{Short, Use, may_leave};
-use fleet::schema::executors::{Held, MAX_EXECUTORS};
+use fleet::schema::capacity::{Shortfall, Usage, can_leave};
+use fleet::schema::executors::{HeldVersion, MAX_EXECUTORS};
 use fleet::schema::window::Window;
 use fleet::schema::{Command, Schema};
 use fleet::{Holder, Micros, StateMachine, incarnation};
@@ -48,13 +48,16 @@
     assert_eq!(refused, "an upgrade from 7 to 8 is under way, on its way on: one at a time");
     let close = Command::Close(s.step());
     assert!(s.apply(close.clone(), &alive) && !s.apply(close, &alive));
-    assert_eq!((s.starts(None), s.window().ends(), s.window().versions()), (vec![8], Some(7), vec![7, 8]));
+    assert_eq!(
+        (s.starts(None), s.window().ending_version(), s.window().versions()),
+        (vec![8], Some(7), vec![7, 8])
+    );
     wait_for_linger(&mut s);
     assert_eq!(s.pending_confirmation(holder(1), |v| v == 7), None, "it has work in progress under 7");
     let confirmation = s.pending_confirmation(holder(1), |_| false).unwrap();
     assert!(s.apply(confirmation.clone(), &alive) && !s.apply(confirmation, &alive));
     alive = [holder(1), holder(3)].into();
-    assert!(s.on_lease_change(&alive) && s.window().ending().unwrap().waits().contains(&holder(3)));
+    assert!(s.on_lease_change(&alive) && s.window().ending().unwrap().unconfirmed().contains(&holder(3)));
     assert!(!s.apply(Command::Confirm(holder(2), 7, s.step()), &alive), "the holder has no lease");
     assert!(
         !s.on_lease_change(&alive) && s.status().contains("waits for 1 holders and 0 ms"),
@@ -84,7 +87,7 @@
     assert!(s.apply(Command::RollBack(s.step()), &alive));
     wait_for_linger(&mut s);
     assert!(!s.apply(late, &alive));
-    assert_eq!(s.window().ends(), Some(8));
+    assert_eq!(s.window().ending_version(), Some(8));
 }
 
 // Half of the executors hold 8 when the operator rolls back while the window is closing: 8 must end, and
@@ -96,10 +99,10 @@
     assert!(s.apply(Command::Close(s.step()), &alive));
     assert!(s.apply(s.pending_confirmation(holder(1), |_| false).unwrap(), &alive));
     assert!(s.apply(Command::RollBack(s.step()), &alive));
-    assert_eq!((s.starts(None), s.window().ends()), (vec![7], Some(8)));
+    assert_eq!((s.starts(None), s.window().ending_version()), (vec![7], Some(8)));
     wait_for_linger(&mut s);
     assert!(s.apply(s.pending_confirmation(holder(1), |_| false).unwrap(), &alive));
-    assert_eq!(s.window().ends(), Some(8), "a confirmation for 7 does not count for 8");
+    assert_eq!(s.window().ending_version(), Some(8), "a confirmation for 7 does not count for 8");
     assert!(s.apply(set_version("m0", 7, 3), &alive));
     assert!(s.apply(s.pending_confirmation(holder(2), |_| false).unwrap(), &alive));
     assert_eq!(s.window(), &Window::Closed(7));
@@ -117,7 +120,9 @@
     s.apply(Command::Close(s.step()), &alive);
     assert_eq!((s.starts(Some(0)), s.starts(Some(S))), (vec![8], vec![]));
     assert!(s.apply(s.pending_confirmation(holder(1), |_| false).unwrap(), &alive));
-    assert!([50, 0, 90, 91].map(|at| s.sweep(at * S / 2)) == [true; 4] && s.window().ends() == Some(7));
+    assert!(
+        [50, 0, 90, 91].map(|at| s.sweep(at * S / 2)) == [true; 4] && s.window().ending_version() == Some(7)
+    );
     assert!(s.sweep(46 * S) && s.window() == &Window::Closed(8));
     assert_eq!(s.starts(Some(900 * S)), [8]);
 }
@@ -132,7 +137,7 @@
     assert!(
         !s.apply(reports(8, 2), &alive) && !s.apply(reports(7, 1), &alive) && s.apply(reports(7, 2), &alive)
     );
-    assert_eq!(s.executors().held("m0"), Some(Held::Disputed { told: 8, said: 7 }));
+    assert_eq!(s.executors().held("m0"), Some(HeldVersion::Disputed { configured: 8, reported: 7 }));
     assert_eq!((s.executors().version("m0"), s.apply(reports(8, 2), &alive)), (None, false));
     assert!(s.status().contains("1 disputed: m0 (told 8, says 7)"), "{}", s.status());
     assert!(!s.apply(Command::ResolveDispute("m0".into(), 7, 1), &alive));
@@ -172,19 +177,22 @@
     let executors: BTreeMap<String, _> = (0..4).map(|n| (format!("m{n}"), executor(n))).collect();
     let budget =
         Budget { min_executors: 1, headroom: 1.25, at_once: 1, drain_limit: S, out_limit: S, ramp: S };
-    let both = ((7, 8), Use { busy: 12.0, sessions: 9 });
-    let ask = |id: &str, plan: &Plan, old: f64, more: Use| {
-        let demand = [((1, 7), Use { busy: old, sessions: 1 }), ((8, 8), more), both].into();
-        may_leave(id, &s, plan, &executors, &demand, &budget)
+    let both = ((7, 8), Usage { busy: 12.0, sessions: 9 });
+    let check = |id: &str, plan: &Plan, old: f64, more: Usage| {
+        let demand = [((1, 7), Usage { busy: old, sessions: 1 }), ((8, 8), more), both].into();
+        can_leave(id, &s, plan, &executors, &demand, &budget)
     };
-    let (none, mut plan) = (Use::default(), Plan::default());
-    assert_eq!(ask("m3", &plan, 6.4, none), Ok(()));
-    let short = ask("m3", &plan, 6.5, none).unwrap_err();
+    let (none, mut plan) = (Usage::default(), Plan::default());
+    assert_eq!(check("m3", &plan, 6.4, none), Ok(()));
+    let short = check("m3", &plan, 6.5, none).unwrap_err();
     assert_eq!(short.to_string(), "m3: schema 7 would be left 8.0 of the 8.1 cores needed");
-    let all = Short::Cores { id: "m0".into(), span: (7, 8), left: 24.0, needed: 26.25 };
-    assert_eq!(ask("m0", &plan, 5.0, Use { busy: 4.0, sessions: 1 }), Err(all));
+    let all = Shortfall::Cores { id: "m0".into(), range: (7, 8), left: 24.0, needed: 26.25 };
+    assert_eq!(check("m0", &plan, 5.0, Usage { busy: 4.0, sessions: 1 }), Err(all));
     plan.apply(plan::Command::Add(vec!["m0".into()]), &BTreeSet::new());
     plan.apply(plan::Command::StartDrain("m0".into(), 1, 1), &BTreeSet::new());
-    let idle = Use { busy: 0.0, sessions: 3 };
-    assert_eq!(ask("m1", &plan, 0.0, idle), Err(Short::Last { id: "m1".into(), span: (8, 8), sessions: 3 }));
+    let idle = Usage { busy: 0.0, sessions: 3 };
+    assert_eq!(
+        check("m1", &plan, 0.0, idle),
+        Err(Shortfall::NoExecutor { id: "m1".into(), range: (8, 8), sessions: 3 })
+    );
 }
--- a/crates/fleet/tests/schema/world.rs
+++ b/crates/fleet/tests/schema/world.rs
@@ -56,7 +56,7 @@
     fn append(&mut self, entry: Entry) {
         let before = self.state.0.window().clone();
         apply_entry(&mut self.state, &entry);
-        if let (Some(ended), Window::Closed(_)) = (before.ends(), self.state.0.window()) {
+        if let (Some(ended), Window::Closed(_)) = (before.ending_version(), self.state.0.window()) {
             for p in (0..3).filter(|p| self.state.1.contains(&self.holder(*p))) {
                 assert!(
                     !self.peers[p].in_progress.contains_key(&ended),
@@ -64,7 +64,7 @@
                 );
             }
             let expected = match before {
-                Window::Back { old, .. } => old,
+                Window::RollingBack { old, .. } => old,
                 _ => before.versions()[1],
             };
             assert_eq!(self.state.0.window(), &Window::Closed(expected));
--- a/src/schema/market.rs
+++ b/src/schema/market.rs
@@ -70,10 +70,10 @@
         let leads_to = match schema.window() {
             Window::Unset | Window::Closed(_) => None,
             Window::Opening { .. } | Window::Closing { .. } => schema.window().versions().last().copied(),
-            Window::Back { old, .. } => Some(*old),
+            Window::RollingBack { old, .. } => Some(*old),
         };
         let unset = *schema.window() == Window::Unset;
-        Market { unset, starts, ends: schema.window().ends(), leads_to, supply, dispatchers }
+        Market { unset, starts, ends: schema.window().ending_version(), leads_to, supply, dispatchers }
     }
 
     /// What there is of a version.
