--- a/crates/fleet/tests/control_plane/follower_node.rs
+++ b/crates/fleet/tests/control_plane/follower_node.rs
@@ -21,9 +21,9 @@
     /// It finds a fault in policies that contain an unknown class.
     pub faulty: bool,
     /// It does not read from its connection.
-    pub deaf: bool,
+    pub not_reading: bool,
     pub last_revision: Option<(u64, u64)>,
-    pub acts: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
 impl FollowerNode {
@@ -36,7 +36,8 @@
         self.part.gate(self.follower.holds(self.clock(now)))
     }
 
-    pub fn look(&mut self, now: Micros) {
+    /// Applies a change of the agreed state, if there is one, and submits the answers to it.
+    pub fn process_changes(&mut self, now: Micros) {
         let now = self.clock(now);
         if !self.follower.take_changed() && self.part.caught_up() {
             return;
@@ -47,16 +48,16 @@
             let bad = faulty && policy.text.contains("unknown");
             if bad { vec!["unknown class".to_string()] } else { Vec::new() }
         };
-        let acts = self.part.poll(now, 0, holder, self.follower.policies(), &mut check);
+        let actions = self.part.poll(now, 0, holder, self.follower.policies(), &mut check);
         self.follower.mark_applied(self.part.number());
-        for act in acts {
-            match act {
+        for action in actions {
+            match action {
                 Action::Submit(command) => {
                     if !self.follower.submit(now, command) {
                         self.part.submit_failed();
                     }
                 }
-                act => self.acts.push(act),
+                action => self.actions.push(action),
             }
         }
     }
--- a/crates/fleet/tests/control_plane/watch.rs
+++ b/crates/fleet/tests/control_plane/helpers.rs
@@ -14,17 +14,17 @@
     }
 
     /// Advances the world until `holds` returns true; panics after `within` of virtual time.
-    pub fn until(&mut self, within: Micros, what: &str, holds: impl Fn(&World) -> bool) -> Micros {
-        let begun = self.now;
+    pub fn run_until(&mut self, within: Micros, what: &str, holds: impl Fn(&World) -> bool) -> Micros {
+        let start = self.now;
         while !holds(self) {
-            assert!(self.now < begun + within, "not within {} ms: {what}", within / MS);
+            assert!(self.now < start + within, "not within {} ms: {what}", within / MS);
             self.step();
         }
-        self.now - begun
+        self.now - start
     }
 
-    pub fn formed(&mut self) {
-        self.until(20_000 * MS, "all have a lease", World::all_admit);
+    pub fn wait_until_formed(&mut self) {
+        self.run_until(20_000 * MS, "all have a lease", World::all_admit);
     }
 
     /// Whether every follower admits requests.
@@ -59,7 +59,7 @@
             }
             self.step();
         }
-        panic!("nobody could propose");
+        panic!("no member could submit the proposal");
     }
 
     /// The member a follower is subscribed to.
--- a/crates/fleet/tests/control_plane/storm.rs
+++ b/crates/fleet/tests/control_plane/random_faults.rs
@@ -5,11 +5,11 @@
 use super::world::*;
 use fleet::Peer;
 
-fn strike(w: &mut World) {
-    let member = 1 + w.draw(u64::from(w.count)) as Peer;
-    let follower = w.draw(w.followers.len() as u64) as usize;
-    let until = w.now + (200 + w.draw(2_500)) * MS;
-    match w.draw(9) {
+fn inject_fault(w: &mut World) {
+    let member = 1 + w.random(u64::from(w.count)) as Peer;
+    let follower = w.random(w.followers.len() as u64) as usize;
+    let until = w.now + (200 + w.random(2_500)) * MS;
+    match w.random(9) {
         0 => {
             w.kill_member(member);
         }
@@ -17,7 +17,7 @@
             w.paused_members.insert(member, until);
         }
         2 => {
-            let other = 1 + w.draw(u64::from(w.count)) as Peer;
+            let other = 1 + w.random(u64::from(w.count)) as Peer;
             w.cut.insert((member, other));
         }
         3 => {
@@ -34,7 +34,7 @@
         }
         7 => {
             if let Some(f) = w.followers.get_mut(&follower) {
-                f.deaf = !f.deaf;
+                f.not_reading = !f.not_reading;
             }
         }
         _ => {
@@ -44,22 +44,22 @@
     }
 }
 
-fn mend_members(w: &mut World) {
+fn restart_members(w: &mut World) {
     // Keeps a majority running: a group that loses it also loses its state, which other tests cover.
     for peer in 1..=w.count {
-        if !w.members.contains_key(&peer) && w.draw(3) == 0 {
+        if !w.members.contains_key(&peer) && w.random(3) == 0 {
             w.start_member(peer);
         }
     }
 }
 
-fn storm(count: u8, followers: usize, seed: u64) -> [u64; 3] {
+fn random_faults(count: u8, followers: usize, seed: u64) -> [u64; 3] {
     let mut w = World::new(count, followers, seed);
-    w.formed();
+    w.wait_until_formed();
     for round in 0..40 {
         let down = usize::from(w.count) - w.members.len();
-        if down == 0 || w.draw(2) == 0 {
-            strike(&mut w);
+        if down == 0 || w.random(2) == 0 {
+            inject_fault(&mut w);
         }
         // At most one member is down at a time.
         if usize::from(w.count) - w.members.len() > 1 {
@@ -70,11 +70,11 @@
             });
         }
         let peers: Vec<Peer> = w.members.keys().copied().collect();
-        let at = peers[w.draw(peers.len() as u64) as usize];
+        let at = peers[w.random(peers.len() as u64) as usize];
         w.propose(at, &format!("round {round}"));
-        let span = (50 + w.draw(800)) * MS;
+        let span = (50 + w.random(800)) * MS;
         w.run(span, |_| ());
-        mend_members(&mut w);
+        restart_members(&mut w);
     }
     w.cut.clear();
     w.silent.clear();
@@ -85,29 +85,29 @@
         w.start_member(p);
         w.run(6_000 * MS, |_| ());
     });
-    w.followers.values_mut().for_each(|f| f.deaf = false);
-    w.until(60_000 * MS, "all admit alike in the end", |w| {
+    w.followers.values_mut().for_each(|f| f.not_reading = false);
+    w.run_until(60_000 * MS, "all admit under the same policy in the end", |w| {
         let newest = w.followers.values().map(|f| f.part.number()).max().unwrap_or(0);
         let idle =
             w.members.values().all(|n| n.fleet.state().is_some_and(|a| a.policy().pending().is_none()));
         idle && w.all_at(newest)
     });
-    w.gates
+    w.decisions
 }
 
 #[test]
-fn no_two_policies_hold_at_once_under_faults() {
+fn no_two_policies_are_in_force_at_once_under_faults() {
     let mut admitted = 0;
     for seed in 0..24 {
-        let gates = storm(3, 6, 1_000 + seed);
-        admitted += gates[0];
+        let decisions = random_faults(3, 6, 1_000 + seed);
+        admitted += decisions[0];
     }
-    assert!(admitted > 100_000, "the storms leave room for requests: {admitted}");
+    assert!(admitted > 100_000, "the faults leave room for requests: {admitted}");
 }
 
 #[test]
-fn no_two_policies_hold_at_once_in_a_larger_group() {
+fn no_two_policies_are_in_force_at_once_in_a_larger_group() {
     for seed in 0..6 {
-        storm(5, 16, 2_000 + seed);
+        random_faults(5, 16, 2_000 + seed);
     }
 }
--- a/crates/fleet/tests/control_plane/turns.rs
+++ b/crates/fleet/tests/control_plane/steps.rs
@@ -1,6 +1,6 @@
 //! The work of each process within one step of the world.
 
-use super::wires::{Payload, Wire};
+use super::transit::{InTransit, Payload};
 use super::world::{MS, World};
 use fleet::Peer;
 use fleet::control_plane::follower::ConnectionAction;
@@ -9,7 +9,7 @@
 use fleet::wire::encode_frame;
 
 impl World {
-    pub fn turn_member(&mut self, peer: Peer) {
+    pub fn step_member(&mut self, peer: Peer) {
         let now = self.now;
         let Some(node) = self.members.get_mut(&peer) else { return };
         node.fleet.tick(now);
@@ -23,27 +23,27 @@
         let closing = std::mem::take(&mut node.member.closing);
         self.snapshots_seen = self.snapshots_seen.max(node.member.unacknowledged_snapshots());
         for (to, message) in messages {
-            let lost = self.cut.contains(&(peer, to)) || self.draw(200) == 0;
-            let at = now + self.delay + self.draw(4) * MS;
+            let lost = self.cut.contains(&(peer, to)) || self.random(200) == 0;
+            let at = now + self.delay + self.random(4) * MS;
             if !lost {
-                self.peer_wires.push_back((at, peer, to, encode_frame(&message)));
+                self.peers_in_transit.push_back((at, peer, to, encode_frame(&message)));
             }
         }
         for (session, message) in outgoing {
-            let at = now + self.draw(4) * MS;
+            let at = now + self.random(4) * MS;
             let payload = Payload::ToFollower(FRAMING.encode(&message));
-            self.wires.push(Wire { at, session, payload });
+            self.in_transit.push(InTransit { at, session, payload });
         }
         closing.into_iter().for_each(|s| self.close(s));
     }
 
-    pub fn turn_follower(&mut self, index: usize) {
+    pub fn step_follower(&mut self, index: usize) {
         let now = self.now;
         let Some(f) = self.followers.get_mut(&index) else { return };
         let clock = f.clock(now);
-        f.look(now);
+        f.process_changes(now);
         f.follower.tick(clock);
-        f.look(now);
+        f.process_changes(now);
         f.follower.tick(clock);
         let actions = std::mem::take(&mut f.follower.connection_actions);
         for action in actions {
@@ -53,9 +53,9 @@
         let outgoing = std::mem::take(&mut f.follower.outgoing);
         if let Some((_, session)) = f.connection {
             for message in outgoing {
-                let at = now + self.draw(4) * MS;
+                let at = now + self.random(4) * MS;
                 let payload = Payload::ToMember(FRAMING.encode(&message));
-                self.wires.push(Wire { at, session, payload });
+                self.in_transit.push(InTransit { at, session, payload });
             }
         }
     }
@@ -65,7 +65,7 @@
         let Some(f) = self.followers.get_mut(&index) else { return };
         let clock = f.clock(now);
         if let Some((peer, session)) = f.connection.take() {
-            // The follower closes its side at once, and the member is told in the same step.
+            // The follower closes its side at once, and the member sees that in the same step.
             if let Some(node) = self.members.get_mut(&peer) {
                 node.member.disconnected(session);
             }
@@ -92,16 +92,20 @@
     }
 
     /// A request arrives; asserts that it is not admitted under an older policy than any earlier request.
-    pub fn arrives(&mut self, index: usize) {
+    pub fn request_arrives(&mut self, index: usize) {
         match self.followers.get(&index).map(|f| f.gate(self.now)) {
             Some(Gate::Admit(number)) => {
-                self.gates[0] += 1;
+                self.decisions[0] += 1;
                 let newest = self.admitted;
-                assert!(number >= newest, "at {} d{index} admits by {number} after {newest}", self.now);
+                assert!(
+                    number >= newest,
+                    "at {} d{index} admits under policy {number} after {newest}",
+                    self.now
+                );
                 self.admitted = number;
             }
-            Some(Gate::Hold) => self.gates[1] += 1,
-            _ => self.gates[2] += 1,
+            Some(Gate::Hold) => self.decisions[1] += 1,
+            _ => self.decisions[2] += 1,
         }
     }
 }
--- a/crates/fleet/tests/control_plane/wires.rs
+++ b/crates/fleet/tests/control_plane/transit.rs
@@ -14,7 +14,8 @@
     Closed,
 }
 
-pub struct Wire {
+/// A message on a connection between a follower and a member.
+pub struct InTransit {
     pub at: Micros,
     pub session: SessionId,
     pub payload: Payload,
@@ -23,12 +24,12 @@
 impl World {
     pub fn deliver_between_members(&mut self) {
         let now = self.now;
-        let mut due: Vec<_> = self.peer_wires.iter().filter(|w| w.0 <= now).cloned().collect();
-        self.peer_wires.retain(|w| w.0 > now);
+        let mut due: Vec<_> = self.peers_in_transit.iter().filter(|w| w.0 <= now).cloned().collect();
+        self.peers_in_transit.retain(|w| w.0 > now);
         due.sort_by_key(|w| w.0);
         for (at, from, to, bytes) in due {
             if self.paused_members.contains_key(&to) {
-                self.peer_wires.push_back((at + 5 * MS, from, to, bytes));
+                self.peers_in_transit.push_back((at + 5 * MS, from, to, bytes));
             } else if let Some(node) = self.members.get_mut(&to) {
                 let (_, message) = decode_frame(&bytes, 64 << 20).unwrap().unwrap();
                 node.fleet.handle_message(now, from, message);
@@ -39,33 +40,33 @@
     /// Delivers messages in order per connection and direction; those on stalled connections are kept back.
     pub fn deliver_to_followers_and_members(&mut self) {
         let now = self.now;
-        let wires = std::mem::take(&mut self.wires);
+        let in_transit = std::mem::take(&mut self.in_transit);
         let mut held = BTreeSet::new();
-        for wire in wires {
-            let Some((follower, peer)) = self.sessions.get(&wire.session).copied() else { continue };
-            let stalls = match wire.payload {
+        for message in in_transit {
+            let Some((follower, peer)) = self.sessions.get(&message.session).copied() else { continue };
+            let stalls = match message.payload {
                 Payload::ToMember(_) => self.paused_members.contains_key(&peer),
                 Payload::ToFollower(_) => {
                     self.paused_followers.contains_key(&follower)
-                        || self.followers.get(&follower).is_some_and(|f| f.deaf)
+                        || self.followers.get(&follower).is_some_and(|f| f.not_reading)
                 }
                 Payload::Closed => false,
             };
-            let towards_member = matches!(wire.payload, Payload::ToMember(_));
-            let way = (wire.session, towards_member);
-            let silent = self.silent.contains(&follower) && !matches!(wire.payload, Payload::Closed);
-            if wire.at > now || stalls || silent || held.contains(&way) {
-                held.insert(way);
-                self.wires.push(wire);
+            let towards_member = matches!(message.payload, Payload::ToMember(_));
+            let stream = (message.session, towards_member);
+            let silent = self.silent.contains(&follower) && !matches!(message.payload, Payload::Closed);
+            if message.at > now || stalls || silent || held.contains(&stream) {
+                held.insert(stream);
+                self.in_transit.push(message);
                 continue;
             }
-            self.deliver(wire, follower, peer);
+            self.deliver(message, follower, peer);
         }
     }
 
-    fn deliver(&mut self, wire: Wire, follower: usize, peer: Peer) {
-        let (now, session) = (self.now, wire.session);
-        match wire.payload {
+    fn deliver(&mut self, message: InTransit, follower: usize, peer: Peer) {
+        let (now, session) = (self.now, message.session);
+        match message.payload {
             Payload::ToMember(bytes) => {
                 let Some(node) = self.members.get_mut(&peer) else { return };
                 let read = FRAMING.decode::<FollowerMessage>(&bytes, MAX_FOLLOWER_FRAME);
--- a/crates/fleet/tests/control_plane/world.rs
+++ b/crates/fleet/tests/control_plane/world.rs
@@ -1,9 +1,9 @@
 //! A control group and its followers in virtual time, with delayed messages, cut links, paused, killed and
-//! restarted processes, and drifting clocks. `wires` has the messages in transit, `turns` the work of each
-//! process per step, and `watch` the helpers for tests.
+//! restarted processes, and drifting clocks. `transit` has the messages in transit, `steps` the work of each
+//! process per step, and `helpers` what tests call.
 
 use super::follower_node::{FollowerNode, faster};
-use super::wires::{Payload, Wire};
+use super::transit::{InTransit, Payload};
 use fleet::control_plane::{Follower, FollowerConfig, Member, MemberConfig, SessionId, Timing};
 use fleet::ledger::Limits;
 use fleet::policy::Participant;
@@ -31,8 +31,8 @@
     pub members: BTreeMap<Peer, MemberNode>,
     pub followers: BTreeMap<usize, FollowerNode>,
     /// Messages in transit between members: arrival time, sender, receiver, frame.
-    pub peer_wires: VecDeque<(Micros, Peer, Peer, Vec<u8>)>,
-    pub wires: Vec<Wire>,
+    pub peers_in_transit: VecDeque<(Micros, Peer, Peer, Vec<u8>)>,
+    pub in_transit: Vec<InTransit>,
     /// The follower and the member of each connection.
     pub sessions: BTreeMap<SessionId, (usize, Peer)>,
     pub next_session: SessionId,
@@ -46,7 +46,7 @@
     pub delay: Micros,
     pub admitted: u64,
     /// Numbers of requests admitted, held and refused.
-    pub gates: [u64; 3],
+    pub decisions: [u64; 3],
     pub max_followers: usize,
     pub max_snapshots: usize,
     /// The highest number of unacknowledged snapshots seen at any member.
@@ -63,8 +63,8 @@
             count,
             members: BTreeMap::new(),
             followers: BTreeMap::new(),
-            peer_wires: VecDeque::new(),
-            wires: Vec::new(),
+            peers_in_transit: VecDeque::new(),
+            in_transit: Vec::new(),
             sessions: BTreeMap::new(),
             next_session: 1,
             cut: BTreeSet::new(),
@@ -73,7 +73,7 @@
             paused_followers: BTreeMap::new(),
             delay: MS,
             admitted: 0,
-            gates: [0; 3],
+            decisions: [0; 3],
             max_followers: 1_000,
             max_snapshots: 4,
             snapshots_seen: 0,
@@ -84,7 +84,7 @@
         world
     }
 
-    pub fn draw(&mut self, below: u64) -> u64 {
+    pub fn random(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below.max(1)
     }
 
@@ -133,7 +133,7 @@
             same_region: vec![false; usize::from(self.count)],
             timing: self.timing,
         };
-        let (drift, offset) = (self.draw(41) as i64 - 20, self.draw(1_000_000_000));
+        let (drift, offset) = (self.random(41) as i64 - 20, self.random(1_000_000_000));
         let clock = faster(self.now, drift) + offset;
         let node = FollowerNode {
             follower: Follower::new(config, self.rng.next_u64(), clock),
@@ -142,16 +142,16 @@
             drift,
             offset,
             faulty: false,
-            deaf: false,
+            not_reading: false,
             last_revision: None,
-            acts: Vec::new(),
+            actions: Vec::new(),
         };
         self.followers.insert(index, node);
     }
 
     pub fn close(&mut self, session: SessionId) {
         let at = self.now + MS;
-        self.wires.push(Wire { at, session, payload: Payload::Closed });
+        self.in_transit.push(InTransit { at, session, payload: Payload::Closed });
     }
 
     pub fn step(&mut self) {
@@ -163,12 +163,12 @@
         self.deliver_to_followers_and_members();
         let peers: Vec<Peer> =
             self.members.keys().copied().filter(|p| !self.paused_members.contains_key(p)).collect();
-        peers.into_iter().for_each(|p| self.turn_member(p));
+        peers.into_iter().for_each(|p| self.step_member(p));
         let followers: Vec<usize> =
             self.followers.keys().copied().filter(|f| !self.paused_followers.contains_key(f)).collect();
         for index in followers {
-            self.turn_follower(index);
-            self.arrives(index);
+            self.step_follower(index);
+            self.request_arrives(index);
         }
     }
 }
