--- a/crates/fleet/tests/policy_model/dispatcher.rs
+++ b/crates/fleet/tests/policy_model/dispatcher.rs
@@ -1,7 +1,7 @@
 //! One dispatcher: the log entries it has seen, its view of its lease, and its real participant in policy
 //! changes.
 
-use crate::model::{Break, Checks};
+use crate::model::{Checks, Defect};
 use crate::view::{Entry, View};
 use fleet::policy::{Action, Command, Gate, Participant};
 use fleet::{Holder, Incarnation, Peer, incarnation};
@@ -35,14 +35,14 @@
 
     /// Its lease expires. Without a lease it submits and admits nothing and reads the current state when it
     /// gets the next one, so the model delivers no entries to it until it requests a lease.
-    pub fn lose(&mut self) {
+    pub fn lose_lease(&mut self) {
         (self.holder, self.asked) = (None, false);
         (self.seen, self.view) = (0, Arc::default());
     }
 
     /// Restarts it as a new incarnation without state; `lost` drops the commands in transit.
-    pub fn die(&mut self, lost: bool) {
-        self.lose();
+    pub fn restart(&mut self, lost: bool) {
+        self.lose_lease();
         self.start += 1;
         (self.asks, self.part) = (0, Participant::default());
         if lost {
@@ -63,7 +63,7 @@
     pub fn admits(&self, checks: &Checks) -> Option<u64> {
         match self.part.gate(self.holder) {
             Gate::Admit(number) => Some(number),
-            Gate::Hold if checks.broken == Break::AdmitsWhileClosing => Some(self.part.number()),
+            Gate::Hold if checks.defect == Defect::AdmitsWhileClosing => Some(self.part.number()),
             _ => None,
         }
     }
@@ -73,7 +73,7 @@
         self.holder == Some(h) || (self.asked && self.incarnation() == h.incarnation)
     }
 
-    pub fn see(&mut self, entries: &[Entry], checks: &Checks) {
+    pub fn read_log(&mut self, entries: &[Entry], checks: &Checks) {
         let own = self.incarnation();
         for entry in entries {
             let view = Arc::make_mut(&mut self.view);
@@ -94,13 +94,13 @@
             true => vec!["unknown".to_string()],
             false => Vec::new(),
         };
-        for act in self.part.poll(0, self.me, self.holder, Some(&self.view.policies), &mut check) {
-            if let Action::Submit(command) = act {
+        for action in self.part.poll(0, self.me, self.holder, Some(&self.view.policies), &mut check) {
+            if let Action::Submit(command) = action {
                 self.out.push(command);
             }
         }
         if !self.follows() {
-            self.lose();
+            self.lose_lease();
         }
     }
 }
--- a/crates/fleet/tests/policy_model/main.rs
+++ b/crates/fleet/tests/policy_model/main.rs
@@ -8,43 +8,48 @@
 mod view;
 mod world;
 
-use model::{Bounds, Break, Checks};
+use model::{Bounds, Checks, Defect};
 use stateright::{Checker, HasDiscoveries, Model};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
 /// Bounds on proposals, aborts, sweeps, crashes, and leases that expire by their holder's clock.
-const fn at_most([proposals, aborts, sweeps, crashes, ends]: [u8; 5]) -> Bounds {
-    Bounds { proposals, aborts, sweeps, crashes, ends }
+const fn at_most([proposals, aborts, sweeps, crashes, lease_expiries]: [u8; 5]) -> Bounds {
+    Bounds { proposals, aborts, sweeps, crashes, lease_expiries }
 }
 
-fn fit(bounds: Bounds) -> Checks {
+fn without_faults(bounds: Bounds) -> Checks {
     Checks {
-        broken: Break::Nothing,
+        defect: Defect::None,
         bounds,
-        befall: 2,
+        first_affected: 2,
         faulty: None,
-        reached: properties::reached_by_the_fit(),
+        reached: properties::reachable_without_faults(),
     }
 }
 
-fn faulty(bounds: Bounds) -> Checks {
-    Checks { befall: 1, faulty: Some((3, 1)), reached: properties::reached_by_the_faulty(), ..fit(bounds) }
+fn with_a_fault(bounds: Bounds) -> Checks {
+    Checks {
+        first_affected: 1,
+        faulty: Some((3, 1)),
+        reached: properties::reachable_with_a_fault(),
+        ..without_faults(bounds)
+    }
 }
 
 /// Explores all states within each of the bounds and asserts that every required state is reached within some
 /// of them.
-fn hold(all: &[Checks]) {
+fn check_all(all: &[Checks]) {
     let mut reached = BTreeSet::new();
     for checks in all {
         let (begun, bounds) = (Instant::now(), checks.bounds);
         let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(4));
         let done = checks.clone().checker().threads(threads).spawn_bfs().join();
-        let who = if checks.faulty.is_some() { "one has a fault to find" } else { "nobody has" };
+        let case = if checks.faulty.is_some() { "one dispatcher finds a fault" } else { "no faults" };
         let (unique, steps, depth) = (done.unique_state_count(), done.state_count(), done.max_depth());
-        let took = begun.elapsed().as_secs_f64();
-        println!("{who}: {unique} states, {steps} steps, depth {depth}, {took:.1} s: {bounds:?}");
-        assert!(done.is_done(), "every state was looked at");
+        let seconds = begun.elapsed().as_secs_f64();
+        println!("{case}: {unique} states, {steps} steps, depth {depth}, {seconds:.1} s: {bounds:?}");
+        assert!(done.is_done(), "every state was checked");
         properties::always().iter().for_each(|p| done.assert_no_discovery(p.name));
         reached.extend(done.discoveries().into_keys());
     }
@@ -54,59 +59,63 @@
 }
 
 /// Finds a shortest path to a violation of the property.
-fn fails(broken: Break, property: &'static str, base: Checks) {
+fn finds_violation(defect: Defect, property: &'static str, base: Checks) {
     let begun = Instant::now();
-    let checks = Checks { broken, reached: Vec::new(), ..base };
+    let checks = Checks { defect, reached: Vec::new(), ..base };
     let only = HasDiscoveries::AnyOf([property].into());
     let done = checks.checker().finish_when(only).spawn_bfs().join();
-    let way = done.assert_any_discovery(property).into_actions();
-    let (states, took) = (done.unique_state_count(), begun.elapsed().as_secs_f64());
+    let path = done.assert_any_discovery(property).into_actions();
+    let (states, seconds) = (done.unique_state_count(), begun.elapsed().as_secs_f64());
     println!(
-        "{broken:?}: {property}: not so after {} steps, {states} states, {took:.1} s: {way:?}",
-        way.len()
+        "{defect:?}: {property}: violated after {} steps, {states} states, {seconds:.1} s: {path:?}",
+        path.len()
     );
 }
 
 // Guards against a change that is in force at one dispatcher while another still admits under the old policy,
 // in an order of votes, lease expiries and requests that no example test covers.
 #[test]
-fn a_change_takes_hold_everywhere_or_nowhere() {
-    hold(&[[1, 0, 0, 0, 1], [2, 1, 0, 0, 0], [2, 0, 1, 0, 0]].map(|b| fit(at_most(b))));
+fn a_change_is_in_force_everywhere_or_nowhere() {
+    check_all(&[[1, 0, 0, 0, 1], [2, 1, 0, 0, 0], [2, 0, 1, 0, 0]].map(|b| without_faults(at_most(b))));
 }
 
 // The same with a crash of a dispatcher at any moment; its submitted commands are lost or arrive late.
 #[test]
 fn a_crash_at_any_moment_leaves_no_two_policies() {
-    hold(&[Checks { reached: Vec::new(), ..fit(at_most([1, 0, 0, 1, 0])) }]);
+    check_all(&[Checks { reached: Vec::new(), ..without_faults(at_most([1, 0, 0, 1, 0])) }]);
 }
 
 // The same where one dispatcher cannot apply the first proposal: the change must not come into force over its
 // vote, nor stay in force there after it was given up.
 #[test]
-fn a_change_that_one_cannot_do_takes_hold_only_without_it() {
-    hold(&[[1, 0, 0, 0, 1], [2, 1, 0, 0, 0], [2, 0, 1, 0, 0]].map(|b| faulty(at_most(b))));
+fn a_change_that_one_cannot_apply_is_in_force_only_without_it() {
+    check_all(&[[1, 0, 0, 0, 1], [2, 1, 0, 0, 0], [2, 0, 1, 0, 0]].map(|b| with_a_fault(at_most(b))));
 }
 
 // Combinations of the above beyond the bounds of the other tests.
 #[test]
-fn combinations_of_what_may_go_wrong_leave_no_two_policies() {
-    hold(
+fn combined_faults_leave_no_two_policies() {
+    check_all(
         &[[2, 1, 1, 0, 0], [1, 1, 0, 0, 1], [1, 0, 1, 0, 1]]
-            .map(|b| Checks { reached: Vec::new(), ..fit(at_most(b)) }),
+            .map(|b| Checks { reached: Vec::new(), ..without_faults(at_most(b)) }),
     );
-    hold(&[Checks { reached: Vec::new(), ..faulty(at_most([1, 0, 0, 1, 0])) }]);
+    check_all(&[Checks { reached: Vec::new(), ..with_a_fault(at_most([1, 0, 0, 1, 0])) }]);
 }
 
-// Guards against a model that finds no fault in a wrong protocol: each broken variant must violate its
+// Guards against a model that finds no fault in a wrong protocol: each defective variant must violate its
 // property.
 #[test]
-fn wrong_protocols_are_found_out() {
-    use properties::{ALL_ALIKE, ALL_FIT, NEVER_BACK};
-    let [quiet, ends] = [0, 1].map(|n| at_most([1, 0, 0, 0, n]));
-    fails(Break::AdmitsWhileClosing, ALL_ALIKE, fit(quiet));
-    fails(Break::AdmitsWhileClosing, NEVER_BACK, fit(quiet));
-    fails(Break::ExpiresEarly, ALL_ALIKE, fit(quiet));
-    fails(Break::ExpiresEarly, NEVER_BACK, fit(quiet));
-    fails(Break::CountsVoters, ALL_FIT, Checks { befall: 2, ..faulty(ends) });
-    fails(Break::CountsThoseOfTheProposal, ALL_ALIKE, fit(ends));
+fn defective_protocols_are_detected() {
+    use properties::{NO_FAULT_OVERRULED, NO_OLDER_POLICY, SAME_POLICY};
+    let [no_expiry, one_expiry] = [0, 1].map(|n| at_most([1, 0, 0, 0, n]));
+    finds_violation(Defect::AdmitsWhileClosing, SAME_POLICY, without_faults(no_expiry));
+    finds_violation(Defect::AdmitsWhileClosing, NO_OLDER_POLICY, without_faults(no_expiry));
+    finds_violation(Defect::ExpiresEarly, SAME_POLICY, without_faults(no_expiry));
+    finds_violation(Defect::ExpiresEarly, NO_OLDER_POLICY, without_faults(no_expiry));
+    finds_violation(
+        Defect::CountsVoters,
+        NO_FAULT_OVERRULED,
+        Checks { first_affected: 2, ..with_a_fault(one_expiry) },
+    );
+    finds_violation(Defect::CountsHoldersAtProposal, SAME_POLICY, without_faults(one_expiry));
 }
--- a/crates/fleet/tests/policy_model/model.rs
+++ b/crates/fleet/tests/policy_model/model.rs
@@ -6,8 +6,8 @@
 
 /// A deliberate defect of the protocol that the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
-    Nothing,
+pub enum Defect {
+    None,
     /// A dispatcher reports that it has stopped, but admits requests until the change is in force.
     AdmitsWhileClosing,
     /// A lease is declared expired before its holder knows.
@@ -15,7 +15,7 @@
     /// Closing waits only for the holders that have voted.
     CountsVoters,
     /// Voting and closing wait only for the holders that had a lease when the change was proposed.
-    CountsThoseOfTheProposal,
+    CountsHoldersAtProposal,
 }
 
 /// How many more times each event may happen.
@@ -26,17 +26,17 @@
     pub sweeps: u8,
     pub crashes: u8,
     /// Leases that expire by their holder's clock.
-    pub ends: u8,
+    pub lease_expiries: u8,
 }
 
 /// One model configuration with its bounds.
 #[derive(Clone)]
 pub struct Checks {
-    pub broken: Break,
+    pub defect: Defect,
     pub bounds: Bounds,
     /// Crashes and lease expiries happen only to dispatchers from this index on; the others are symmetric to
     /// them.
-    pub befall: usize,
+    pub first_affected: usize,
     /// This peer cannot apply the policy of this number.
     pub faulty: Option<(Peer, u64)>,
     /// Properties that must be reachable.
@@ -57,7 +57,7 @@
     /// A dispatcher's next submitted command is appended to the log.
     Append(usize),
     /// A dispatcher's lease expires by its own clock.
-    LeaseOut(usize),
+    LeaseExpires(usize),
     /// A lease is declared expired in the log.
     Expire(Holder),
     /// A dispatcher crashes and restarts; its submitted commands are lost if the flag is set, and arrive late
@@ -68,7 +68,7 @@
     Propose,
     Abort,
     /// A change is given up because a deadline has passed.
-    Late,
+    TimeOut,
     /// A request is admitted under a higher number than any before.
     Admit(usize),
 }
@@ -82,22 +82,22 @@
     }
 
     fn actions(&self, w: &World, to: &mut Vec<Action>) {
-        for (n, d) in w.each.iter().enumerate() {
+        for (n, d) in w.dispatchers.iter().enumerate() {
             if d.follows() {
                 to.extend((1..=w.log.len() - d.seen).map(|k| Action::Deliver(n, k)));
             }
             if !d.out.is_empty() {
                 to.push(Action::Append(n));
             }
-            if n >= self.befall && d.follows() && w.left.ends > 0 {
-                to.push(Action::LeaseOut(n));
+            if n >= self.first_affected && d.follows() && w.remaining.lease_expiries > 0 {
+                to.push(Action::LeaseExpires(n));
             }
-            if n >= self.befall && w.left.crashes > 0 {
+            if n >= self.first_affected && w.remaining.crashes > 0 {
                 to.push(Action::Crash(n, true));
                 to.extend((!d.out.is_empty()).then_some(Action::Crash(n, false)));
             }
             // A dispatcher's expired lease has to be ended in the log before it requests another one.
-            let gone = w.end.leases.alive().iter().all(|h| h.incarnation != d.incarnation());
+            let gone = w.latest.leases.alive().iter().all(|h| h.incarnation != d.incarnation());
             if !d.follows() && gone {
                 to.push(Action::Register(n));
             }
@@ -105,12 +105,12 @@
                 to.push(Action::Admit(n));
             }
         }
-        to.extend(w.over(self).map(Action::Expire));
+        to.extend(w.expirable(self).map(Action::Expire));
         match w.pending() {
-            None => to.extend((w.left.proposals > 0).then_some(Action::Propose)),
+            None => to.extend((w.remaining.proposals > 0).then_some(Action::Propose)),
             Some(_) => {
-                to.extend((w.left.aborts > 0).then_some(Action::Abort));
-                to.extend((w.left.sweeps > 0).then_some(Action::Late));
+                to.extend((w.remaining.aborts > 0).then_some(Action::Abort));
+                to.extend((w.remaining.sweeps > 0).then_some(Action::TimeOut));
             }
         }
     }
--- a/crates/fleet/tests/policy_model/view.rs
+++ b/crates/fleet/tests/policy_model/view.rs
@@ -1,6 +1,6 @@
 //! The agreed state at one position of the log: the real leases and the real policies.
 
-use crate::model::{Break, Checks};
+use crate::model::{Checks, Defect};
 use fleet::leases::Leases;
 use fleet::policy::{Command, Policies, Stage};
 use fleet::{Holder, Incarnation, Micros, StateMachine, peer_of};
@@ -24,8 +24,8 @@
     pub leases: Leases,
     pub policies: Policies,
     /// A change came into force while a lease holder had found a fault in it.
-    pub unfit: bool,
-    /// Lease holders when the pending change was proposed; used by [`Break::CountsThoseOfTheProposal`].
+    pub fault_overruled: bool,
+    /// Lease holders when the pending change was proposed; used by [`Defect::CountsHoldersAtProposal`].
     proposed: BTreeSet<Holder>,
 }
 
@@ -33,7 +33,7 @@
     fn hash<H: Hasher>(&self, to: &mut H) {
         // The set of lease holders is not serialized, but follows from the serialized fields.
         postcard::to_stdvec(&self.leases).expect("leases can be written").hash(to);
-        (&self.policies, self.unfit, &self.proposed).hash(to);
+        (&self.policies, self.fault_overruled, &self.proposed).hash(to);
     }
 }
 
@@ -51,7 +51,7 @@
                 }
             }
             Entry::Policy(command) => {
-                if checks.broken == Break::CountsThoseOfTheProposal && self.policies.pending().is_none() {
+                if checks.defect == Defect::CountsHoldersAtProposal && self.policies.pending().is_none() {
                     self.proposed = self.leases.alive().clone();
                 }
                 self.policies.apply(command.clone(), &self.counted(checks));
@@ -62,20 +62,20 @@
         }
         let now = self.policies.current().number;
         let faulty = |h: &Holder| checks.fault(peer_of(h.incarnation), now);
-        self.unfit |= now != before && self.leases.alive().iter().any(faulty);
+        self.fault_overruled |= now != before && self.leases.alive().iter().any(faulty);
     }
 
     fn changed_leases(&mut self, checks: &Checks) {
         self.policies.on_lease_change(&self.counted(checks));
     }
 
-    /// Holders whose votes and stops are required: all lease holders, except in the broken variants.
+    /// Holders whose votes and stops are required: all lease holders, except in the defective variants.
     fn counted(&self, checks: &Checks) -> BTreeSet<Holder> {
         let alive = self.leases.alive();
         let of = |those: &dyn Fn(&Holder) -> bool| alive.iter().filter(|h| those(h)).copied().collect();
-        match (checks.broken, self.policies.pending()) {
-            (Break::CountsVoters, Some(p)) if p.stage == Stage::Closing => of(&|h| p.votes.contains_key(h)),
-            (Break::CountsThoseOfTheProposal, Some(_)) => of(&|h| self.proposed.contains(h)),
+        match (checks.defect, self.policies.pending()) {
+            (Defect::CountsVoters, Some(p)) if p.stage == Stage::Closing => of(&|h| p.votes.contains_key(h)),
+            (Defect::CountsHoldersAtProposal, Some(_)) => of(&|h| self.proposed.contains(h)),
             _ => alive.clone(),
         }
     }
