--- a/crates/fleet/tests/fleet/policy.rs
+++ b/crates/fleet/tests/fleet/policy.rs
@@ -18,7 +18,7 @@
     w.fleets.get_mut(&p).is_some_and(|f| f.propose(now, Command::Policy(command)))
 }
 
-fn say(w: &mut World, p: Peer, command: policy::Command) -> bool {
+fn submit(w: &mut World, p: Peer, command: policy::Command) -> bool {
     let now = w.now;
     w.fleets.get_mut(&p).is_some_and(|f| f.propose(now, Command::Policy(command)))
 }
@@ -34,56 +34,59 @@
 
 // Without failures, a change is in force everywhere within a few round trips, and no request is refused.
 #[test]
-fn a_change_takes_hold_everywhere_and_refuses_nothing() {
+fn a_change_is_in_force_everywhere_and_refuses_nothing() {
     let mut w = World::new(3, 1);
     w.formed();
     let refused = w.gates[2];
     assert!(propose(&mut w, 2, "policy one"));
     w.run(400 * MS, |_| ());
     assert_eq!((numbers(&w), w.admitted), (BTreeSet::from([1]), 1));
-    assert!(w.gates[1] > 0, "while all stop, what arrives waits");
+    assert!(w.gates[1] > 0, "requests are held while admission is closed");
     assert_eq!(w.gates[2], refused, "nothing was refused");
     let now = w.now;
-    assert!(say(&mut w, 1, policy::Command::Back(1, now, LIMITS)));
+    assert!(submit(&mut w, 1, policy::Command::Back(1, now, LIMITS)));
     w.run(400 * MS, |_| ());
-    assert_eq!(numbers(&w), BTreeSet::from([2]), "back is a change of its own number");
+    assert_eq!(numbers(&w), BTreeSet::from([2]), "reverting is a change with a number of its own");
     assert_eq!(policies(&w, 3).current().text, "");
 }
 
 // If one peer cannot apply a policy, the change is given up everywhere, and every peer learns the faults.
 #[test]
-fn one_vote_against_it_and_it_takes_hold_nowhere() {
+fn a_single_vote_against_gives_a_change_up_everywhere() {
     let mut w = World::new(3, 2);
     w.faulty.insert(3);
     w.formed();
     assert!(propose(&mut w, 1, "policy with an unknown class"));
     w.run(600 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([0]));
-    let told = policies(&w, 2);
-    let ended = told.outcomes().next().unwrap();
-    assert_eq!((ended.number, &ended.faults[..]), (1, &[(3, vec!["unknown class".to_string()])][..]));
-    assert!(w.acts.iter().filter(|(_, a)| matches!(a, Action::GivenUp(1, ..))).count() >= 3, "all log it");
+    let agreed = policies(&w, 2);
+    let outcome = agreed.outcomes().next().unwrap();
+    assert_eq!((outcome.number, &outcome.faults[..]), (1, &[(3, vec!["unknown class".to_string()])][..]));
+    assert!(
+        w.acts.iter().filter(|(_, a)| matches!(a, Action::GivenUp(1, ..))).count() >= 3,
+        "every peer reports it"
+    );
     assert!(propose(&mut w, 1, "policy two"));
     w.run(600 * MS, |_| ());
-    assert_eq!(numbers(&w), BTreeSet::from([2]), "a number is never given twice");
+    assert_eq!(numbers(&w), BTreeSet::from([2]), "a number is never assigned twice");
 }
 
 // If a peer is cut off during a change, the others wait until its lease has expired and it admits nothing
 // after that. It must return under the new policy.
 #[test]
-fn one_that_is_cut_off_holds_it_up_no_longer_than_its_lease() {
+fn a_peer_that_is_cut_off_delays_a_change_no_longer_than_its_lease() {
     let mut w = World::new(3, 3);
     w.formed();
     w.cut = [(1, 2), (3, 2), (2, 1), (2, 3)].into();
     let follower = if w.fleets[&1].is_leader() { 3 } else { 1 };
     w.run(20 * MS, |_| ());
-    let begun = w.now;
+    let start = w.now;
     while !propose(&mut w, follower, "policy one") {
         w.run(50 * MS, |_| ());
     }
     while w.admitted == 0 {
         w.run(10 * MS, |_| ());
-        assert!(w.now < begun + 5_000 * MS, "it took hold within two leases and an election");
+        assert!(w.now < start + 5_000 * MS, "the change came into force within two leases and an election");
     }
     assert_eq!(w.parts[&2].number(), 0);
     w.cut.clear();
@@ -93,7 +96,7 @@
 
 // Of two concurrent proposals one is accepted. A change can be aborted while votes are missing.
 #[test]
-fn of_two_at_once_one_is_taken() {
+fn of_two_concurrent_proposals_one_is_accepted() {
     let mut w = World::new(5, 4);
     w.formed();
     assert!(propose(&mut w, 1, "policy a") && propose(&mut w, 4, "policy b"));
@@ -104,7 +107,7 @@
     w.paused.insert(slow, w.now + 700 * MS);
     assert!(propose(&mut w, 1, "policy c"));
     w.run(200 * MS, |_| ());
-    assert!(say(&mut w, 2, policy::Command::Abort(2)));
+    assert!(submit(&mut w, 2, policy::Command::Abort(2)));
     w.run(2_000 * MS, |_| ());
     assert_eq!(numbers(&w), BTreeSet::from([1]));
     assert!(policies(&w, 3).outcomes().next().unwrap().why.as_deref().unwrap().contains("called off"));
@@ -114,7 +117,7 @@
 // and admits nothing until that policy is back. The peer that knows it proposes it again; if that peer has
 // died, an operator has to propose one.
 #[test]
-fn a_policy_outlives_the_fleets_record() {
+fn a_policy_survives_the_loss_of_the_fleets_state() {
     for survives in [true, false] {
         let mut w = World::new(3, 6);
         w.formed();
@@ -123,7 +126,7 @@
         w.restart(1);
         w.restart(2);
         if !survives {
-            // The peer has told its policy number to the others, and dies before it can propose the policy
+            // The peer has sent its policy number to the others, and dies before it can propose the policy
             // again.
             while w.fleets[&1].state().is_none_or(|a| a.policy().caught_up()) {
                 w.run(5 * MS, |_| ());
@@ -132,7 +135,7 @@
             let lost = w.now;
             while w.fleets[&1].holds(w.now).is_none() {
                 w.run(100 * MS, |_| ());
-                assert!(w.now < lost + 30_000 * MS, "the two that are left have a fleet");
+                assert!(w.now < lost + 30_000 * MS, "the two remaining peers form a fleet");
             }
             let holder = w.fleets[&1].holds(w.now);
             assert_eq!(w.parts[&1].gate(holder), Gate::Refuse);
@@ -149,7 +152,7 @@
 // With fleet ids derived from the same seed the paused peer took the new fleet for its own and kept its old
 // policy.
 #[test]
-fn one_that_stood_still_takes_the_policy_of_the_fleet_that_was_founded_meanwhile() {
+fn a_paused_peer_adopts_the_policy_of_a_fleet_founded_meanwhile() {
     let mut w = World::new(3, 12);
     w.formed();
     let id = |w: &World| {
@@ -172,22 +175,25 @@
     w.run(25_000 * MS, |_| ());
     let texts: BTreeSet<String> = (1..=3).map(|p| policies(&w, p).current().text.clone()).collect();
     assert_eq!((texts.len(), numbers(&w).len()), (1, 1), "{texts:?}");
-    let acts: Vec<&Action> = w.acts.iter().filter(|(p, _)| *p == 3).map(|(_, a)| a).collect();
-    assert!(acts.iter().any(|a| matches!(a, Action::InForce(p) if p.text == "policy another")), "{acts:?}");
+    let actions: Vec<&Action> = w.acts.iter().filter(|(p, _)| *p == 3).map(|(_, a)| a).collect();
+    assert!(
+        actions.iter().any(|a| matches!(a, Action::InForce(p) if p.text == "policy another")),
+        "{actions:?}"
+    );
 }
 
 /// Proposes changes under random faults, then heals all. Returns the hash of the trace.
-fn changes(n: u8, seed: u64) -> u64 {
+fn random_changes(n: u8, seed: u64) -> u64 {
     let mut w = World::new(n, seed);
     w.formed();
     for round in 0..40_u64 {
         let p = 1 + w.draw(u64::from(n)) as Peer;
         let now = w.now;
         match w.draw(8) {
-            0 => drop(say(&mut w, p, policy::Command::Back(p, now, LIMITS))),
+            0 => drop(submit(&mut w, p, policy::Command::Back(p, now, LIMITS))),
             1 => {
                 let number = policies(&w, p).pending().map_or(0, |x| x.policy.number);
-                say(&mut w, p, policy::Command::Abort(number));
+                submit(&mut w, p, policy::Command::Abort(number));
             }
             _ => drop(propose(&mut w, p, &format!("policy {round}"))),
         }
@@ -200,22 +206,22 @@
     w.heal_all();
     w.run(10_000 * MS, |_| ());
     let all: Vec<Policies> = (1..=n).map(|p| policies(&w, p)).collect();
-    assert!(all.iter().all(|p| *p == all[0]), "seed {seed}: one state in the end");
-    assert_eq!(all[0].pending(), None, "seed {seed}: nothing is under way for good");
+    assert!(all.iter().all(|p| *p == all[0]), "seed {seed}: all peers end with the same state");
+    assert_eq!(all[0].pending(), None, "seed {seed}: no change stays pending");
     assert_eq!(numbers(&w), BTreeSet::from([all[0].current().number]), "seed {seed}");
-    assert!(all[0].current().number > 3, "seed {seed}: changes took hold");
+    assert!(all[0].current().number > 3, "seed {seed}: changes came into force");
     w.trace.finish()
 }
 
 // Under any faults no request is admitted under an older policy than an earlier request (asserted by the
 // world at each step), and all peers end with the same policy.
 #[test]
-fn any_faults_leave_one_policy_and_never_two_at_once() {
+fn random_faults_leave_one_policy_and_never_two_at_once() {
     for seed in 0..14 {
-        changes(3, 1_000 + seed);
+        random_changes(3, 1_000 + seed);
     }
     for seed in 0..7 {
-        changes(5, 2_000 + seed);
+        random_changes(5, 2_000 + seed);
     }
-    assert_eq!(changes(3, 77), changes(3, 77));
+    assert_eq!(random_changes(3, 77), random_changes(3, 77));
 }
