--- a/crates/fleet/src/schema/mod.rs
+++ b/crates/fleet/src/schema/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::state_machine::StateMachine;
 use crate::{Holder, Micros};
-use executors::{Executors, Held};
+use executors::{Executors, HeldVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use window::Window;
@@ -35,24 +35,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Sets the first version of a fleet and its `linger`, from the proposer's settings.
-    Found(Version, Micros),
+    Initialize(Version, Micros),
     /// Opens the window to this version; names the step the operator saw.
     Open(Version, u64),
     /// Ends the older version.
     Close(u64),
     /// Rolls back: ends the newer version.
-    Back(u64),
+    RollBack(u64),
     /// A holder confirms, in this step, that it has no work under a version and starts none.
-    Clear(Holder, Version, u64),
+    Confirm(Holder, Version, u64),
     /// A list or a plan sets the version of an executor, with the start time of its process.
-    Tell(String, Version, Micros),
+    SetVersion(String, Version, Micros),
     /// An executor reports its own version, with the start time of its process.
-    Says(String, Version, Micros),
+    ReportVersion(String, Version, Micros),
     /// An operator resolves a dispute about an executor's version, naming the start time of the disputed
     /// process.
-    Settle(String, Version, Micros),
+    ResolveDispute(String, Version, Micros),
     /// A process was removed from the endpoint list.
-    Gone(String, Micros),
+    Remove(String, Micros),
 }
 
 /// The replicated schema state.
@@ -85,24 +85,28 @@
         &self.executors
     }
 
-    /// Versions under which a dispatcher may start work, oldest first. `without_word` is how long it has been
+    /// Versions under which a dispatcher may start work, oldest first. `cut_off_for` is how long it has been
     /// cut off from the fleet, if it is. With an open window, a dispatcher that is cut off stops after half
     /// of `linger`, because either version may have ended since. With a closed window, the version it knows
     /// is the best it can use.
-    pub fn starts(&self, without_word: Option<Micros>) -> Vec<Version> {
+    pub fn starts(&self, cut_off_for: Option<Micros>) -> Vec<Version> {
         let closed = matches!(self.window, Window::Closed(_));
-        match without_word {
+        match cut_off_for {
             Some(time) if !closed && time >= self.linger / 2 => vec![],
             _ => self.window.starts(),
         }
     }
 
-    /// The confirmation a holder should propose, if the end of a version waits for it. `in_hand` returns
+    /// The confirmation a holder should propose, if the end of a version waits for it. `has_work` returns
     /// whether the holder has work under a version.
-    pub fn word_of(&self, holder: Holder, in_hand: impl Fn(Version) -> bool) -> Option<Command> {
-        let (version, ending) = (self.window.ends()?, self.window.ending()?);
-        let due = ending.waits().contains(&holder) && !in_hand(version);
-        due.then_some(Command::Clear(holder, version, self.step))
+    pub fn pending_confirmation(
+        &self,
+        holder: Holder,
+        has_work: impl Fn(Version) -> bool,
+    ) -> Option<Command> {
+        let (version, ending) = (self.window.ending_version()?, self.window.ending()?);
+        let due = ending.unconfirmed().contains(&holder) && !has_work(version);
+        due.then_some(Command::Confirm(holder, version, self.step))
     }
 
     /// Checks whether a command applies to the current state; the error is shown to the operator.
@@ -111,21 +115,21 @@
             true => Ok(()),
             false => Err(format!("the window has moved since: it is at step {}, not {s}", self.step)),
         };
-        let known = |v: Version| match (1..=MAX_VERSION).contains(&v) {
+        let in_range = |v: Version| match (1..=MAX_VERSION).contains(&v) {
             true => Ok(()),
             false => Err(format!("versions go from 1 to {MAX_VERSION}")),
         };
         match (command, &self.window) {
-            (Command::Found(v, linger), Window::Unset) => {
-                known(*v)?;
+            (Command::Initialize(v, linger), Window::Unset) => {
+                in_range(*v)?;
                 if *linger > MAX_LINGER { Err("linger is too long".into()) } else { Ok(()) }
             }
-            (Command::Found(..), _) => Err("the fleet has a version already".into()),
-            (Command::Open(..) | Command::Close(_) | Command::Back(_), Window::Unset) => {
+            (Command::Initialize(..), _) => Err("the fleet has a version already".into()),
+            (Command::Open(..) | Command::Close(_) | Command::RollBack(_), Window::Unset) => {
                 Err("the fleet has no version yet".into())
             }
             (Command::Open(to, s), Window::Closed(v)) => {
-                known(*to)?;
+                in_range(*to)?;
                 if *to != v.saturating_add(1) {
                     return Err(format!("after schema {v} comes {}, not {to}", v.saturating_add(1)));
                 }
@@ -133,23 +137,28 @@
             }
             (Command::Open(..), w) => {
                 let [old, new] = self.window.versions()[..] else { return Err("no window".into()) };
-                let how = if matches!(w, Window::Back { .. }) { "back" } else { "on" };
+                let how = if matches!(w, Window::RollingBack { .. }) { "back" } else { "on" };
                 Err(format!("an upgrade from {old} to {new} is under way, on its way {how}: one at a time"))
             }
             (Command::Close(s), Window::Opening { old }) => {
                 let new = old.saturating_add(1);
-                if !self.executors.iter().any(|(_, held)| held == Held::Holds(new)) {
+                if !self.executors.iter().any(|(_, held)| held == HeldVersion::Holds(new)) {
                     return Err(format!("no motor holds schema {new}"));
                 }
                 step(*s)
             }
             (Command::Close(_), _) => Err("no window is opening".into()),
-            (Command::Back(s), Window::Opening { .. } | Window::Closing { .. }) => step(*s),
-            (Command::Back(_), _) => Err("no window is opening or closing".into()),
-            (Command::Clear(_, v, s), w) if w.ends() == Some(*v) => step(*s),
-            (Command::Clear(..), _) => Err("that version does not end".into()),
-            (Command::Tell(_, v, _) | Command::Says(_, v, _) | Command::Settle(_, v, _), _) => known(*v),
-            (Command::Gone(..), _) => Ok(()),
+            (Command::RollBack(s), Window::Opening { .. } | Window::Closing { .. }) => step(*s),
+            (Command::RollBack(_), _) => Err("no window is opening or closing".into()),
+            (Command::Confirm(_, v, s), w) if w.ending_version() == Some(*v) => step(*s),
+            (Command::Confirm(..), _) => Err("that version does not end".into()),
+            (
+                Command::SetVersion(_, v, _)
+                | Command::ReportVersion(_, v, _)
+                | Command::ResolveDispute(_, v, _),
+                _,
+            ) => in_range(*v),
+            (Command::Remove(..), _) => Ok(()),
         }
     }
 
@@ -160,17 +169,19 @@
             Window::Closed(v) => format!("closed {v}"),
             Window::Opening { old } => format!("opening {old} to {}", old.saturating_add(1)),
             Window::Closing { old, .. } => format!("closing on {}, {old} ends", old.saturating_add(1)),
-            Window::Back { old, .. } => format!("back to {old}, {} ends", old.saturating_add(1)),
+            Window::RollingBack { old, .. } => format!("back to {old}, {} ends", old.saturating_add(1)),
         };
-        let waits = self.window.ending().map(|e| {
+        let waiting = self.window.ending().map(|e| {
             let left = self.linger.saturating_sub(e.waited()).div_ceil(1_000);
-            format!("; waits for {} holders and {left} ms", e.waits().len())
+            format!("; waits for {} holders and {left} ms", e.unconfirmed().len())
         });
         let (mut holds, mut disputed) = (BTreeMap::<Version, usize>::new(), Vec::new());
         for (id, held) in self.executors.iter() {
             match held {
-                Held::Holds(v) => *holds.entry(v).or_default() += 1,
-                Held::Disputed { told, said } => disputed.push(format!("{id} (told {told}, says {said})")),
+                HeldVersion::Holds(v) => *holds.entry(v).or_default() += 1,
+                HeldVersion::Disputed { configured, reported } => {
+                    disputed.push(format!("{id} (told {configured}, says {reported})"))
+                }
             }
         }
         let holds: String = holds.iter().map(|(v, n)| format!("; {n} motores hold {v}")).collect();
@@ -179,11 +190,11 @@
             0 => String::new(),
             n => format!("; {n} disputed: {shown}"),
         };
-        format!("schema {how}, step {}{}{holds}{disputed}", self.step, waits.unwrap_or_default())
+        format!("schema {how}, step {}{}{holds}{disputed}", self.step, waiting.unwrap_or_default())
     }
 
-    fn settle(&mut self) -> bool {
-        let moved = self.window.settle(self.linger);
+    fn close_if_done(&mut self) -> bool {
+        let moved = self.window.close_if_done(self.linger);
         self.step += u64::from(moved);
         moved
     }
@@ -197,27 +208,29 @@
             return false;
         }
         match command {
-            Command::Found(v, linger) => (self.window, self.linger) = (Window::Closed(v), linger),
+            Command::Initialize(v, linger) => (self.window, self.linger) = (Window::Closed(v), linger),
             Command::Open(to, _) => self.window = Window::Opening { old: to - 1 },
             Command::Close(_) => self.window.close(alive),
-            Command::Back(_) => self.window.back(alive),
-            Command::Clear(holder, ..) => {
-                return alive.contains(&holder) && self.window.clear(holder) | self.settle();
+            Command::RollBack(_) => self.window.roll_back(alive),
+            Command::Confirm(holder, ..) => {
+                return alive.contains(&holder) && self.window.confirm(holder) | self.close_if_done();
+            }
+            Command::SetVersion(id, v, started) => return self.executors.set_version(id, v, started),
+            Command::ReportVersion(id, v, started) => return self.executors.report_version(&id, v, started),
+            Command::ResolveDispute(id, v, started) => {
+                return self.executors.resolve_dispute(&id, v, started);
             }
-            Command::Tell(id, v, started) => return self.executors.tell(id, v, started),
-            Command::Says(id, v, started) => return self.executors.say(&id, v, started),
-            Command::Settle(id, v, started) => return self.executors.settle(&id, v, started),
-            Command::Gone(id, started) => return self.executors.gone(&id, started),
+            Command::Remove(id, started) => return self.executors.remove(&id, started),
         }
         self.step += 1;
         true
     }
 
     fn on_lease_change(&mut self, alive: &BTreeSet<Holder>) -> bool {
-        self.window.leases(alive) | self.settle()
+        self.window.update_holders(alive) | self.close_if_done()
     }
 
     fn sweep(&mut self, now: Micros) -> bool {
-        self.window.sweep(now) | self.settle()
+        self.window.sweep(now) | self.close_if_done()
     }
 }
