--- a/crates/slots/src/flow.rs
+++ b/crates/slots/src/flow.rs
@@ -1,38 +1,38 @@
-//! Start tags by tenant and the virtual time: start-time fair queueing over slots, fed by what the whole fleet
-//! charged.
+//! Start-time fair queueing over slots: a start tag per tenant and the virtual time, based on the service charged in
+//! the whole fleet.
 //!
-//! A tenant's tag is the slot time that it was charged, over its weight. The tenant with the lowest tag is next.
-//! The virtual time is the lowest tag of those that wait anywhere; where nobody waits it is the highest, for nobody
-//! was denied anything. All tags stay within a window around it: so many seconds of the tenant's own share behind
-//! (credit), so many ahead (debt).
+//! A tenant's tag is its charged slot time divided by its weight. The tenant with the lowest tag is served next.
+//! The virtual time is the lowest tag of all backlogged tenants in the fleet. If none is backlogged it is the highest
+//! tag, as no tenant was denied service. All tags stay within a window around it, measured in seconds of the tenant's
+//! own share: behind by the credit at most, ahead by the debt at most.
 
 use crate::Tenant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far what is learned of a tenant's estimates may move its next charge, and the weight of one outcome.
+/// Range of the learned correction of a tenant's estimates, and the weight of one outcome in it.
 const BIAS: [f64; 2] = [0.1, 10.0];
 const LEARN: f64 = 0.2;
 
-/// A tenant here.
+/// State of a tenant at this dispatcher.
 #[derive(Debug, Clone)]
 pub struct Flow {
     /// Its weight.
     pub weight: f64,
     /// Its start tag, slot seconds over weight.
     pub tag: f64,
-    /// Requests that may run next, by their order of arrival.
+    /// Requests that may start, by sequence number.
     pub ready: BTreeSet<u64>,
-    /// Requests that wait, those behind one of their key counted.
+    /// Waiting requests, including those blocked by an earlier one of their key.
     pub waiting: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Slot seconds charged here in all.
+    /// Total slot seconds charged at this dispatcher.
     pub charged: f64,
-    /// Actual over estimated cost, as learned.
+    /// Learned ratio of actual to estimated cost.
     pub bias: f64,
-    /// Some peer has something of it waiting.
+    /// A peer has waiting requests of it.
     pub waits_elsewhere: bool,
-    /// Some peer has something of it waiting or running.
+    /// A peer has waiting or running requests of it.
     pub active_elsewhere: bool,
 }
 
@@ -59,36 +59,36 @@
         self.waits() || self.running > 0 || self.active_elsewhere
     }
 
-    /// A request of an estimate had this outcome, both in slot seconds.
+    /// Updates the bias with a finished request; both values in slot seconds.
     pub fn learn(&mut self, estimate: f64, actual: f64) {
         let seen = (actual / estimate.max(1e-3)).clamp(BIAS[0], BIAS[1]);
-        // In logarithms, as it is a ratio.
+        // Averaged in logarithms, as it is a ratio.
         self.bias = (self.bias.ln() * (1.0 - LEARN) + seen.ln() * LEARN).exp().clamp(BIAS[0], BIAS[1]);
     }
 }
 
-/// All tenants, and the virtual time.
+/// All tenants and the virtual time.
 #[derive(Debug, Clone, Default)]
 pub struct Flows {
-    /// By tenant; bounded by [`crate::TENANTS`].
+    /// State by tenant; at most [`crate::TENANTS`] entries.
     pub all: BTreeMap<Tenant, Flow>,
     weights: BTreeMap<Tenant, f64>,
     time: f64,
 }
 
 impl Flows {
-    /// A tenant's weight: 1 if none was set.
+    /// A tenant's weight; 1 if none was set.
     pub fn weight(&self, tenant: Tenant) -> f64 {
         self.weights.get(&tenant).copied().unwrap_or(1.0)
     }
 
-    /// The tenant's, made where there was none.
+    /// The state of a tenant, created if missing.
     pub fn get(&mut self, tenant: Tenant) -> &mut Flow {
         let (weight, time) = (self.weight(tenant), self.time);
         self.all.entry(tenant).or_insert_with(|| Flow::new(weight, time))
     }
 
-    /// New weights. What a tenant is ahead or behind in slot time stays as it is.
+    /// Sets the weights. How far a tenant is ahead or behind, in slot time, is preserved.
     pub fn set_weights(&mut self, weights: BTreeMap<Tenant, f64>) {
         self.weights = weights;
         let time = self.time;
@@ -104,17 +104,17 @@
         self.time
     }
 
-    /// Charges slot seconds, less than none where too much was charged before; `here` if they were used here.
+    /// Charges slot seconds, negative to correct an overcharge; `here` if they were used at this dispatcher.
     pub fn charge(&mut self, tenant: Tenant, slot_s: f64, here: bool) {
         let flow = self.get(tenant);
         flow.tag += slot_s / flow.weight;
         flow.charged += if here { slot_s } else { 0.0 };
     }
 
-    /// Moves the virtual time on and keeps all tags in their window. `total` are the fleet's slots.
+    /// Advances the virtual time and clamps all tags to their window. `total` is the number of the fleet's slots.
     pub fn settle(&mut self, total: f64, credit_s: f64, debt_s: f64) {
         let weights: f64 = self.all.values().filter(|f| f.active()).map(|f| f.weight).sum();
-        // What one second of a share is in tags, with those at work.
+        // One second of a tenant's share in units of tags, given the active tenants.
         let second = |f: &Flow| {
             let others = if f.active() { weights } else { weights + f.weight };
             total.max(1.0) / others.max(f.weight)
@@ -125,7 +125,7 @@
         };
         let highest = self.all.values().map(|f| f.tag).max_by(f64::total_cmp);
         let anywhere = lowest(Flow::waits).map(|l| l.0).or(highest).unwrap_or(self.time);
-        // One that waits elsewhere and gets nothing there must not hold the window back from those that wait here.
+        // A tenant that waits elsewhere without service must not hold back the window of those that wait here.
         let here = lowest(|f| f.waiting > 0).map_or(anywhere, |(tag, s)| tag - debt_s * s / 2.0);
         let time = self.time.max(anywhere).max(here);
         let bounds: Vec<f64> = self.all.values().map(second).collect();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The tenant whose request runs next: the lowest tag, then the oldest request.
+    /// The tenant and sequence number to serve next: the lowest tag, then the oldest request.
     pub fn next(&self) -> Option<(Tenant, u64)> {
         let heads = self.all.iter().filter_map(|(t, f)| f.ready.first().map(|&s| (f.tag, s, *t)));
         heads.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, s, t)| (t, s))
--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -1,15 +1,15 @@
-//! Slow queries, queued fairly by a whole fleet: the queue and the share-out at one dispatcher. Sans-I/O.
+//! Fair queueing of slow queries over a fleet: the queue and the allocation of slots at one dispatcher. Sans-I/O.
 //!
-//! A query that is predicted to be expensive runs in a slot. Slots are lent to dispatchers by the fleet's record;
-//! this crate says which of the waiting queries gets the next one here, how many slots this dispatcher should ask
-//! for, and which query can't be served in its wanted time and is refused at once. Times are microseconds; the same
-//! inputs and seed give the same outputs. Why it is done so: docs/slow-slots.md.
+//! A query that is predicted to be expensive needs a slot to run. Slots are leased to dispatchers by the fleet's log.
+//! This crate decides which waiting query gets the next slot here, how many slots this dispatcher should request,
+//! and which query can't meet its latency objective and is refused at once. Times are microseconds; the same
+//! inputs and seed give the same outputs. The design is explained in docs/slow-slots.md.
 //!
-//! - [`predict`]: when what waits will have ended, and how many slots should be here.
-//! - [`queue`]: what waits and runs here, offers, ends and ticks.
-//! - [`flow`]: start tags by tenant and the virtual time.
-//! - [`news`]: what dispatchers tell each other.
-//! - [`split`]: the share-out of the fleet's slots by tenants' weights.
+//! - [`predict`]: predicted completion times, and the number of slots to request.
+//! - [`queue`]: waiting and running queries.
+//! - [`flow`]: start tags of tenants and the virtual time.
+//! - [`news`]: demand and usage reports between dispatchers.
+//! - [`split`]: weighted max-min allocation of the fleet's slots to tenants.
 
 pub mod flow;
 mod moves;
@@ -24,34 +24,34 @@
 
 /// Microseconds.
 pub type Micros = u64;
-/// A tenant's index. Those from [`TENANTS`] on count as one.
+/// A tenant's index. Indexes from [`TENANTS`] on share one tenant.
 pub type Tenant = u16;
-/// A dispatcher's place in the fleet.
+/// A dispatcher's number in the fleet.
 pub type Peer = u8;
-/// A query; unique among those that wait or run.
+/// A query's id; unique among the waiting and running queries.
 pub type Id = u64;
 
-/// Tenants told apart, at most.
+/// Maximum number of distinct tenants.
 pub const TENANTS: Tenant = 1024;
-/// Tenants named one by one in a message to the peers, at most.
+/// Maximum number of tenants listed individually in a report to the peers.
 pub const NAMED: usize = 48;
 
 const SECOND: f64 = 1e6;
 
-/// What the queue is bound by.
+/// Limits of the queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Terms {
-    /// Queries that wait here at most; more are refused, and one tenant's from as many as there is room left.
+    /// Maximum number of waiting queries. A tenant is refused as soon as it has as many waiting as there is room left.
     pub waiting: usize,
-    /// Predicted cost in thread-seconds from which a query is slow and comes here.
+    /// Predicted cost in thread-seconds from which a query is slow and queued here.
     pub slow_s: f64,
-    /// How far a tenant's service may count as behind its share, in seconds of that share. Nobody saves more.
+    /// How far a tenant may count as behind its share, in seconds of that share; it saves up no more than this.
     pub credit_s: f64,
-    /// How far it may count as ahead, in the same measure. More is forgiven.
+    /// How far it may count as ahead, in the same unit; any excess is forgiven.
     pub debt_s: f64,
-    /// Age from which a peer's news counts for nothing.
+    /// Age from which a peer's report is ignored.
     pub stale: Micros,
-    /// The longest time that a refused query is told to stay away, in milliseconds.
+    /// Maximum retry delay told on refusal, in milliseconds.
     pub after_most_ms: u64,
 }
 
@@ -69,73 +69,73 @@
 }
 
 impl Terms {
-    /// Whether a query of this predicted cost, in thread-seconds, comes here at all.
+    /// Whether a query of this predicted cost, in thread-seconds, is queued here.
     pub fn slow(&self, cost_s: f64) -> bool {
         cost_s >= self.slow_s
     }
 }
 
-/// A slow query that asks for a slot.
+/// A slow query that needs a slot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Its name.
+    /// Its id.
     pub id: Id,
-    /// Whose it is.
+    /// Its tenant.
     pub tenant: Tenant,
-    /// Of queries with one key, the next runs once the one before has ended.
+    /// Queries with the same key run one at a time, in order of arrival.
     pub key: Option<u64>,
     /// Predicted cost in thread-seconds.
     pub cost_s: f64,
-    /// Threads that it runs on.
+    /// Number of threads it runs on.
     pub threads: u32,
-    /// When its answer is wanted, a point in time.
+    /// Latency objective, as a point in time.
     pub aim: Micros,
-    /// When its client gives up, a point in time.
+    /// When its client times out, as a point in time.
     pub deadline: Micros,
 }
 
 impl Job {
-    /// Seconds that it holds a slot, by the prediction.
+    /// Predicted time in its slot, in seconds.
     fn span_s(&self) -> f64 {
         sane(self.cost_s / f64::from(self.threads.max(1)))
     }
 }
 
-/// What becomes of an offered query.
+/// The decision on an offered query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It runs now.
+    /// Run it now.
     Run,
-    /// It waits; a tick says when it runs or that it can't.
+    /// It was queued; a later tick runs or refuses it.
     Wait,
-    /// It can't be served in its wanted time, or there is no room.
+    /// It can't meet its latency objective, or the queue is full.
     Refuse {
-        /// When it may be offered again, in milliseconds from now.
+        /// Delay before it may be offered again, in milliseconds.
         after_ms: u64,
     },
 }
 
-/// What is to be done after a tick.
+/// An action after a tick.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// It runs now.
+    /// Run it now.
     Run(Id),
-    /// It can't be served in its wanted time any more; it may be offered again after so many milliseconds.
+    /// It can no longer meet its latency objective; it may be offered again after this many milliseconds.
     Refuse(Id, u64),
 }
 
-/// The slots of the moment.
+/// The slots at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Lent {
-    /// Lent to this dispatcher.
+    /// Leased to this dispatcher.
     pub mine: u32,
     /// Of the whole fleet.
     pub total: u32,
-    /// Dispatchers in the fleet, this one counted.
+    /// Dispatchers in the fleet, this one included.
     pub peers: u32,
 }
 
-/// Seconds as counted: neither negative nor without end.
+/// Clamps a duration in seconds to a positive, finite range.
 fn sane(s: f64) -> f64 {
     if s.is_finite() { s.clamp(0.001, 3600.0) } else { 3600.0 }
 }
--- a/crates/slots/src/moves.rs
+++ b/crates/slots/src/moves.rs
@@ -1,4 +1,4 @@
-//! How a request moves: it begins, it is gone, the next of its key may run.
+//! State changes of a request: start, removal, and release of the next one of its key.
 
 use crate::queue::Queue;
 use crate::{Id, Micros, sane};
@@ -19,7 +19,7 @@
         self.settle();
     }
 
-    /// It is gone, and the next of its key may run.
+    /// Removes a request and releases the next one of its key.
     pub(crate) fn forget(&mut self, id: Id) {
         let Some(e) = self.jobs.remove(&id) else { return };
         let flow = self.flows.get(e.tenant);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Milliseconds until one that came `late` too late may come back, spread so that not all do at once.
+    /// Retry delay in milliseconds for a request that would be late by `late`, with jitter against synchronized retries.
     pub(crate) fn later(&mut self, late: Micros) -> u64 {
         let ms = (late / 1_000).max(1);
         let spread = self.rng.next_u64() % (ms / 4 + 1);
--- a/crates/slots/src/news.rs
+++ b/crates/slots/src/news.rs
@@ -1,37 +1,37 @@
-//! What dispatchers tell each other, a few times a second: demand and use by tenant.
+//! Reports that dispatchers exchange a few times a second: demand and usage by tenant.
 
 use crate::{Micros, NAMED, Peer, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One tenant's, or several tenants' together.
+/// Demand and usage of one tenant, or the sum of several.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that run, one slot each.
+    /// Running requests, one slot each.
     pub running: u32,
-    /// Slot time charged in all since the sender began, in milliseconds. It may go down where too much was charged.
+    /// Total slot time charged since the sender started, in milliseconds. It decreases when an overcharge is corrected.
     pub used_ms: i64,
 }
 
-/// One dispatcher's word.
+/// One dispatcher's report.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shares {
-    /// The sender's incarnation; its counts begin anew with it.
+    /// The sender's incarnation; its counters restart with it.
     pub incarnation: u64,
-    /// When it was written, by the sender's clock.
+    /// When it was made, by the sender's clock.
     pub at: Micros,
-    /// The tenants with the most demand, [`NAMED`] at most.
+    /// The tenants with the most demand, at most [`NAMED`].
     pub tenants: Vec<(Tenant, Part)>,
-    /// All others together.
+    /// The sum of all others.
     pub rest: Part,
-    /// How many the others are that have something waiting or running.
+    /// The number of other tenants with waiting or running requests.
     pub rest_tenants: u16,
 }
 
 impl Shares {
-    /// Of these parts: those with the most demand named, the others summed.
+    /// Lists the tenants with the most demand individually and sums up the others.
     pub fn of(incarnation: u64, at: Micros, mut parts: Vec<(Tenant, Part)>) -> Shares {
         parts.sort_by_key(|(t, p)| (std::cmp::Reverse(p.waiting.saturating_add(p.running)), *t));
         let mut shares = Shares { incarnation, at, ..Shares::default() };
@@ -46,27 +46,27 @@
         shares
     }
 
-    /// Whether it keeps its bounds.
+    /// Whether it is within its limits.
     pub fn fits(&self) -> bool {
         self.tenants.len() <= NAMED
     }
 
-    /// Slots in use by its own word.
+    /// Slots in use according to the sender.
     pub fn running(&self) -> f64 {
         f64::from(self.rest.running) + self.tenants.iter().map(|(_, p)| f64::from(p.running)).sum::<f64>()
     }
 }
 
-/// What the peers said last.
+/// The last report of each peer.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Heard {
-    /// With the time it came in.
+    /// By peer, with the time of arrival.
     last: BTreeMap<Peer, (Micros, Shares)>,
 }
 
 impl Heard {
-    /// Takes a word; for each tenant the slot seconds that were charged since the one before. Older words, and
-    /// those out of bounds, change nothing.
+    /// Stores a report. Returns the slot seconds charged since the previous one, by tenant. Reports older than
+    /// the stored one or out of limits are ignored.
     pub fn take(&mut self, now: Micros, peer: Peer, shares: Shares) -> Vec<(Tenant, f64)> {
         if !shares.fits()
             || self
@@ -86,7 +86,7 @@
                     grown.push((*t, part.used_ms.saturating_sub(was) as f64 / 1e3));
                 }
             }
-            // One that is not named this time keeps its count, so that nothing is lost once it is again.
+            // A tenant missing from this report keeps its counter, so that its usage is charged once it is listed again.
             let missing = before.tenants.iter().filter(|(t, _)| used(&shares, *t).is_none());
             let kept = missing.map(|(t, p)| (*t, Part { used_ms: p.used_ms, ..Part::default() }));
             let kept: Vec<_> = kept.take(2 * NAMED - shares.tenants.len()).collect();
@@ -96,7 +96,7 @@
         grown
     }
 
-    /// Words that are fresh.
+    /// The reports that are not stale.
     pub fn fresh(&self, now: Micros, stale: Micros) -> impl Iterator<Item = (Peer, &Shares)> {
         let young = move |at: Micros| now.saturating_sub(at) <= stale;
         self.last.iter().filter(move |(_, (came, s))| young(*came) && young(s.at)).map(|(p, (_, s))| (*p, s))
--- a/crates/slots/src/predict.rs
+++ b/crates/slots/src/predict.rs
@@ -1,32 +1,33 @@
-//! What the queue expects: when each request that waits will have ended, and how many slots should be here.
+//! Predictions of the queue: when each waiting request will finish, and how many slots to request.
 
 use crate::queue::{Entry, Queue};
 use crate::split::{Demand, Due, dues};
 use crate::{Id, Micros, SECOND, Tenant};
 use std::collections::BTreeMap;
 
-/// Part of its wanted time by which a request that waits may be expected late before it is refused: the pace swings.
+/// A waiting request is refused when it is predicted late by more than this fraction (1/n) of its time to the
+/// objective; the tolerance covers fluctuations of the service rate.
 const SLACK: u64 = 10;
-/// Slots that a tenant is expected to have at least, on average.
+/// Lower bound of the average number of slots assumed for a tenant.
 const LEAST_PACE: f64 = 0.02;
-/// What is left of a request that has run longer than predicted, as a part of that.
+/// Assumed remaining time of a request that has run longer than predicted, as a fraction of its time so far.
 const OVERRUN: f64 = 0.25;
-/// Time over which the wanted slots are smoothed, and how far they move before another number is asked for.
+/// Time constant for smoothing the wanted slots, and the change needed before another number is requested.
 const SMOOTH_S: f64 = 2.0;
 const MOVE: f64 = 0.7;
 
-/// How many slots a dispatcher asks the fleet for.
+/// How many slots a dispatcher requests from the fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Want {
-    /// Its share, by all that is known.
+    /// Its share according to the known reports.
     pub firm: u32,
-    /// What it could fill, for as long as nobody lacks any of its share. Not over `firm` while news are missing.
+    /// What it could use while no other dispatcher lacks its share. Equal to `firm` while reports are missing.
     pub most: u32,
 }
 
 impl Queue {
-    /// Slots to ask for. With news missing, those dispatchers' equal parts are left to them; with all missing, no
-    /// more than the own equal part is wanted (one slot at least).
+    /// Slots to request. Dispatchers without a fresh report are left their equal parts; if all reports are missing, at
+    /// most the own equal part is requested, but at least one slot.
     pub fn want(&mut self, now: Micros) -> Want {
         let demand = self.running() + self.waiting() as u32;
         let heard = self.heard.fresh(now, self.terms.stale).count() as u32 + 1;
@@ -36,7 +37,7 @@
         let weight = 1.0 - (-(now.saturating_sub(before.1) as f64 / SECOND) / SMOOTH_S).exp();
         let mean = before.0 + (wanted - before.0) * weight;
         self.smooth = Some((mean, now));
-        // What is not wanted now is not kept for later, as others wait for it.
+        // Slots that are not needed now are not kept for later, as others wait for them.
         if (mean - f64::from(self.firm)).abs() > MOVE {
             self.firm = mean.round() as u32;
         }
@@ -49,7 +50,7 @@
         Want { firm, most }
     }
 
-    /// What each tenant with a request here is due, by its weight in the fleet and where its requests are.
+    /// The allocation of each tenant with requests here, by its weight and by where its requests are.
     fn dues(&self, now: Micros) -> BTreeMap<Tenant, Due> {
         let mut mine: BTreeMap<Tenant, f64> = BTreeMap::new();
         for (t, f) in self.flows.all.iter().filter(|(_, f)| f.waiting + f.running > 0) {
@@ -62,7 +63,7 @@
             let next = tenants.len();
             tenants.entry(t).or_insert(next);
         }
-        // All that are not named stand as one, of as many tenants as the peer with the most of them has.
+        // Tenants that are not listed count as one, with the largest number of such tenants that any peer reports as weight.
         let rest = tenants.len();
         let mut weights = vec![1.0; rest + 1];
         tenants.iter().for_each(|(t, &i)| weights[i] = self.flows.weight(*t));
@@ -81,13 +82,13 @@
         mine.into_keys().map(|t| (t, given[tenants[&t]])).collect()
     }
 
-    /// When each that waits is expected to have ended, in order of arrival.
+    /// Predicted completion of each waiting request, in order of arrival.
     pub(crate) fn ends(&self, now: Micros) -> Vec<(Id, Micros)> {
         self.expect(now, |_, _| false)
     }
 
-    /// Those that can't be served in their wanted time any more, and by how much they would be late. Who is refused
-    /// is out of the way of those behind.
+    /// Requests that can no longer meet their latency objective, and by how much they would be late. A refused request
+    /// leaves no work ahead of those behind it.
     pub(crate) fn late(&self, now: Micros) -> Vec<(Id, Micros)> {
         let limit = |id: Id| {
             let limit = |e: &Entry| e.job.aim.saturating_add(e.job.aim.saturating_sub(e.arrived) / SLACK);
@@ -97,11 +98,11 @@
         all.into_iter().filter(|&(id, end)| end > limit(id)).map(|(id, end)| (id, end - limit(id))).collect()
     }
 
-    /// Expected ends in order of arrival; those that `drops` says go leave no work to those behind.
+    /// Predicted completions in order of arrival. Requests for which `drops` is true leave no work ahead of the others.
     fn expect(&self, now: Micros, drops: impl Fn(Id, Micros) -> bool) -> Vec<(Id, Micros)> {
         let dues = self.dues(now);
         let sum: f64 = dues.values().map(|d| d.here).sum();
-        // Slots that were just asked for come soon.
+        // Slots that were just requested arrive soon.
         let slots = f64::from(self.lent.mine).max(sum / 2.0);
         let mut left: BTreeMap<Tenant, f64> = BTreeMap::new();
         let mut key_ends: BTreeMap<u64, f64> = BTreeMap::new();
@@ -124,14 +125,14 @@
             let bias = self.flows.all.get(&e.tenant).map_or(1.0, |f| f.bias);
             let span = e.job.span_s() * bias;
             let due = dues.get(&e.tenant).copied().unwrap_or_default();
-            // One within its share goes before those that are not.
+            // A tenant within its share is served before those that are not.
             let part =
                 if due.content { slots.min(due.here.max(1.0)) } else { due.here * slots / sum.max(1e-9) };
             let pace = part.max(LEAST_PACE);
             let work = left.entry(e.tenant).or_default();
-            // With several slots the last of those ahead still run when it begins.
+            // With several slots, the last of the requests ahead are still running when it starts.
             let ahead = (*work - (pace - 1.0).max(0.0) * span / 2.0).max(0.0) / pace;
-            // What the tenant is ahead of its share in the whole fleet has to pass first, too.
+            // If the tenant is ahead of its share in the fleet, that lead has to be worked off first.
             let lead = if free { 0.0 } else { self.ahead_s(e.tenant) / due.fleet.max(LEAST_PACE) };
             let blocked = e.job.key.and_then(|k| key_ends.get(&k).copied()).unwrap_or(0.0);
             let starts = ahead.max(lead).max(soonest).max(blocked);
--- a/crates/slots/src/queue.rs
+++ b/crates/slots/src/queue.rs
@@ -1,4 +1,4 @@
-//! What waits and runs at one dispatcher.
+//! The waiting and running requests at one dispatcher.
 
 use crate::flow::Flows;
 use crate::news::{Heard, Part, Shares};
@@ -13,35 +13,35 @@
     pub tenant: Tenant,
     pub seq: u64,
     pub arrived: Micros,
-    /// Since when it runs, and the slot seconds charged for it so far.
+    /// When it started, and the slot seconds charged for it so far; `None` while it waits.
     pub runs: Option<(Micros, f64)>,
 }
 
-/// The queue of slow requests at one dispatcher. The host calls [`Queue::tick`] after anything that frees or brings
-/// slots, and every 100 ms or so besides.
+/// The queue of slow requests at one dispatcher. The host calls [`Queue::tick`] after anything that frees or adds
+/// slots, and about every 100 ms in addition.
 #[derive(Debug, Clone)]
 pub struct Queue {
     pub(crate) terms: Terms,
     pub(crate) rng: Pcg64Mcg,
     incarnation: u64,
     pub(crate) jobs: BTreeMap<Id, Entry>,
-    /// Those that wait, by arrival.
+    /// Waiting requests by sequence number.
     pub(crate) order: BTreeMap<u64, Id>,
-    /// Of each key the one that runs or is next, and those behind it.
+    /// For each key the request that runs or is next, and those behind it.
     pub(crate) keys: BTreeMap<u64, VecDeque<Id>>,
     pub(crate) flows: Flows,
     pub(crate) heard: Heard,
     pub(crate) lent: Lent,
     pub(crate) running: u32,
     seq: u64,
-    /// Slots that should be here, smoothed: the mean and when it was taken; and the last whole number.
+    /// Smoothed number of wanted slots and when it was updated; `firm` is the last number requested.
     pub(crate) smooth: Option<(f64, Micros)>,
     pub(crate) firm: u32,
 }
 
 impl Queue {
-    /// An empty one, without slots. `seed` spreads the times at which refused requests come back; it also names this
-    /// incarnation in the news, so that it has to grow from incarnation to incarnation.
+    /// An empty queue without slots. `seed` sets the jitter of retry delays. It is also the incarnation in reports to the
+    /// peers and has to increase with every restart.
     pub fn new(terms: Terms, seed: u64) -> Queue {
         Queue {
             terms,
@@ -60,30 +60,30 @@
         }
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.order.len()
     }
 
-    /// Slots lent here that stand empty.
+    /// Slots leased to this dispatcher that are unused.
     pub fn idle(&self) -> u32 {
         self.lent.mine.saturating_sub(self.running)
     }
 
-    /// A tenant's start tag less the virtual time, in slot seconds: what it counts as ahead of its share, or behind
+    /// A tenant's start tag minus the virtual time, in slot seconds: how far it counts as ahead of its share, or behind
     /// if negative.
     pub fn ahead_s(&self, tenant: Tenant) -> f64 {
         self.flows.all.get(&tenant.min(TENANTS - 1)).map_or(0.0, |f| (f.tag - self.flows.time()) * f.weight)
     }
 
-    /// Takes a slow request.
+    /// Offers a slow request.
     pub fn offer(&mut self, now: Micros, job: Job) -> Verdict {
-        // Nobody may have more waiting than there is room left: so a tenant that fills the queue leaves some to all.
+        // No tenant may have more requests waiting than there is room left, so that one tenant can't fill the queue.
         let room = self.terms.waiting.saturating_sub(self.order.len());
         let mine = self.flows.get(job.tenant.min(TENANTS - 1)).waiting as usize;
         if self.jobs.contains_key(&job.id) || mine >= room {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// A request that ran has ended, having cost so many thread-seconds. What was charged wrongly is put right.
+    /// A running request finished with this cost in thread-seconds. Corrects its charge.
     pub fn finished(&mut self, now: Micros, id: Id, actual_s: f64) {
         let Some(e) = self.jobs.get(&id) else { return };
         if let Some((_, charged)) = e.runs {
@@ -133,7 +133,8 @@
         self.settle();
     }
 
-    /// The client of a request has left: it waits no longer, or was ended where it ran and costs what it held.
+    /// The client of a request disconnected. A waiting request is removed; a running one was cancelled and is charged the
+    /// time that it held its slot.
     pub fn left(&mut self, now: Micros, id: Id) {
         let Some(e) = self.jobs.get(&id) else { return };
         if let Some((since, charged)) = e.runs {
@@ -144,8 +145,8 @@
         self.settle();
     }
 
-    /// Time passes: what runs longer than predicted is charged as it goes, what can't be served in its wanted time
-    /// any more is refused, and free slots are filled.
+    /// Advances the clock: charges requests that overrun their prediction, refuses those that can no longer meet their
+    /// latency objective, and fills free slots.
     pub fn tick(&mut self, now: Micros) -> Vec<Next> {
         for e in self.jobs.values_mut() {
             if let Some((since, charged)) = &mut e.runs {
@@ -173,7 +174,7 @@
         next
     }
 
-    /// A peer's word. One that is out of bounds or older than the last is ignored.
+    /// Handles a peer's report. One that is out of limits or older than the last is ignored.
     pub fn news(&mut self, now: Micros, peer: Peer, shares: Shares) {
         for (tenant, slot_s) in self.heard.take(now, peer, shares) {
             self.flows.charge(tenant.min(TENANTS - 1), slot_s, false);
@@ -182,7 +183,7 @@
         self.settle();
     }
 
-    /// This dispatcher's word for its peers, some hundred bytes; sent a few times a second.
+    /// This dispatcher's report to its peers, some hundred bytes; sent a few times a second.
     pub fn share(&self, now: Micros) -> Shares {
         let part = |f: &crate::flow::Flow| Part {
             waiting: f.waiting,
@@ -192,14 +193,14 @@
         Shares::of(self.incarnation, now, self.flows.all.iter().map(|(t, f)| (*t, part(f))).collect())
     }
 
-    /// The slots of the moment. Fewer than run stop nothing: no other begins until enough have ended.
+    /// Sets the present slots. If more requests run than that, none is stopped, and none starts until enough have finished.
     pub fn set_slots(&mut self, now: Micros, lent: Lent) {
         let _ = now;
         self.lent = lent;
         self.settle();
     }
 
-    /// Tenants' weights, from now on; 1 where none is given, and never below 0.001 or over 1000.
+    /// Sets the tenants' weights, clamped to 0.001..1000; 1 for tenants not given.
     pub fn set_weights(&mut self, now: Micros, weights: &[(Tenant, f64)]) {
         let _ = now;
         let kept = weights.iter().filter(|(t, w)| *t < TENANTS && w.is_finite());
@@ -207,7 +208,7 @@
         self.settle();
     }
 
-    /// Which tenants have something at peers whose news are fresh.
+    /// Marks the tenants with requests at peers, according to the fresh reports.
     fn mark(&mut self, now: Micros) {
         self.flows.all.values_mut().for_each(|f| (f.waits_elsewhere, f.active_elsewhere) = (false, false));
         for (_, s) in self.heard.fresh(now, self.terms.stale) {
--- a/crates/slots/tests/cases.rs
+++ b/crates/slots/tests/cases.rs
@@ -1,4 +1,4 @@
-//! The queue at one dispatcher: shares, bounds, charges put right, refusals, keys, weights.
+//! The queue at one dispatcher: shares, limits, corrected charges, refusals, keys and weights.
 
 use proptest::prelude::*;
 use slots::{Id, Job, Lent, Micros, Next, Part, Queue, Shares, Tenant, Terms, Verdict};
@@ -17,7 +17,7 @@
     Job { id, tenant, key: None, cost_s, threads: 1, aim, deadline: aim + aim_ms * MS }
 }
 
-/// Runs what was offered until `until`, each request for `actual(tenant)`; slot seconds by tenant.
+/// Runs requests of these tenants until `until`, each for `actual(tenant)` seconds. Returns the slot seconds by tenant.
 fn serve(
     q: &mut Queue,
     until: Micros,
@@ -33,7 +33,7 @@
         done.iter().for_each(|(_, i, t)| q.finished(now, *i, actual(*t)));
         let mut starts = Vec::new();
         for (t, cost) in brought {
-            // Each always has some waiting, the first more than all others together.
+            // Every tenant always has requests waiting, the first one more than all others together.
             let deep = if *t == 0 { brought.len().max(8) } else { 8.min(400 / brought.len()) };
             for _ in waits[usize::from(*t)]..deep {
                 id += 1;
@@ -67,8 +67,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Guards against a tenant that falls behind its share: of two that always wait, whatever the weights, costs
-    /// and wrong estimates, neither is further ahead than (2 D + 1) of the longest requests over their weights.
+    /// Guards against a tenant that falls behind its share: of two backlogged tenants, for any weights, costs and
+    /// estimation errors, neither is ahead by more than (2 D + 1) of the longest requests over their weights.
     #[test]
     fn nobody_falls_further_behind_than_the_bound(
         weights in prop::array::uniform2(1..5u8), costs in prop::array::uniform2(1..8u8),
@@ -80,15 +80,15 @@
         let actual = costs.map(|c| f64::from(c) * 0.1);
         let told = [0, 1].map(|t| actual[t] * f64::from(wrong[t]) / 10.0);
         let got = serve(&mut q, START + 20_000 * MS, &[(0, told[0]), (1, told[1])], |t| actual[usize::from(t)]);
-        // The longest that is charged, and a step of 50 ms more where it ends between two looks.
+        // The longest charge, plus a step of 50 ms as requests finish between two steps.
         let most = |t: usize| (actual[t].max(told[t]) + 0.05) / w[t];
         let apart = (got[0] / w[0] - got[1] / w[1]).abs();
         let bound = f64::from(2 * slots + 1) * (most(0) + most(1));
         prop_assert!(apart <= bound, "{apart} over {bound}: {got:?}");
     }
 
-    /// Guards against a peer that says it needs everything: whatever it says, it is due no more than what it uses,
-    /// an equal part, and what nobody else wants.
+    /// Guards against a peer that overstates its demand: it is allocated no more than what it uses, an equal part, and
+    /// what no other wants.
     #[test]
     fn a_peer_that_lies_gains_its_part_at_most(
         claims in prop::collection::vec(0..1_000_000u32, 1..6), uses in 0..20u32, mine in 0..200u32, peers in 2..12u32,
@@ -100,7 +100,7 @@
         let liar = Demand { wants, used: f64::from(uses) };
         let cap = total / f64::from(peers) + f64::from(uses);
         prop_assert!(believed(total, f64::from(peers), &weights, &liar).iter().sum::<f64>() <= cap + 1e-6);
-        // So the others keep the rest, as far as they want it.
+        // The others keep the rest, as far as they want it.
         let honest = Demand { wants: vec![f64::from(mine); n], used: 60.0 };
         let all = vec![honest; peers as usize - 1].into_iter().chain([liar]).collect::<Vec<_>>();
         let kept: f64 = dues(total, f64::from(peers), &weights, &all).iter().map(|d| d.here).sum();
@@ -109,25 +109,25 @@
     }
 }
 
-/// Guards against estimates ten times too low, by which one would get ten times its share.
+/// Guards against a tenant that gets ten times its share through estimates that are ten times too low.
 #[test]
 fn estimates_ten_times_too_low_gain_nothing() {
     let got = serve(&mut queue(4), START + 60_000 * MS, &[(0, 0.06), (1, 0.6)], |_| 0.6);
     assert!((got[0] / got[1] - 1.0).abs() < 0.05, "{got:?}");
 }
 
-/// Guards against one of a hundred that sends half of everything, and slots that stand empty meanwhile.
+/// Guards against excess service to one of a hundred tenants that sends half of the load, and against unused slots.
 #[test]
 fn one_of_a_hundred_that_sends_half_gets_a_hundredth() {
     let brought: Vec<(Tenant, f64)> = (0..100).map(|t| (t, 0.3)).collect();
     let mut q = queue(20);
     let got = serve(&mut q, START + 20_000 * MS, &brought, |_| 0.3);
     let all: f64 = got.iter().sum();
-    // The first to come finds all slots empty and fills them once.
+    // The first tenant finds all slots free and fills them once.
     assert!(got[0] - 20.0 * 0.3 < all / 100.0 * 1.1 && all > 0.97 * 20.0 * 20.0, "{} of {all}", got[0]);
 }
 
-/// Guards against shares that go on by old weights, and against a jump where they change.
+/// Guards against shares that still follow old weights, and against a jump when the weights change.
 #[test]
 fn weights_changed_in_the_middle_hold_from_then_on() {
     let mut q = queue(4);
@@ -138,8 +138,8 @@
     assert!((got[0] / got[1] - 3.0).abs() < 0.25, "{got:?}");
 }
 
-/// Guards against credit saved while idle: a tenant that comes back is behind by the stated seconds of its share,
-/// whatever was served meanwhile.
+/// Guards against unlimited credit saved while idle: a returning tenant is behind by at most `credit_s` seconds of its
+/// share, whatever was served meanwhile.
 #[test]
 fn an_hour_idle_saves_no_more_than_the_credit() {
     let mut q = queue(4);
@@ -151,8 +151,8 @@
     assert!(q.ahead_s(7) >= -4.01, "{}", q.ahead_s(7));
 }
 
-/// Guards against holding what can't be served in time: it is refused at once with a time, and what was let in is
-/// refused by the first tick after slots are lost, long before its deadline.
+/// Guards against queueing requests that can't be served in time: they are refused at once with a retry delay, and
+/// queued ones are refused by the first tick after slots are lost, long before their deadlines.
 #[test]
 fn what_cant_be_served_in_time_is_refused_at_once() {
     let mut q = queue(2);
@@ -161,7 +161,7 @@
     let waits = verdicts.iter().filter(|v| **v == Verdict::Wait).count();
     assert!((4..=7).contains(&waits), "{verdicts:?}");
     assert!(matches!(verdicts[19], Verdict::Refuse { after_ms } if (1..10_000).contains(&after_ms)));
-    // Executors are lost: nothing that runs is stopped, nothing more begins, the last ones in line go.
+    // Slots are lost: nothing that runs is stopped, nothing more starts, and the last ones in the queue are refused.
     q.set_slots(START, Lent { mine: 1, total: 1, peers: 1 });
     let next = q.tick(START + 100 * MS);
     assert!(!next.is_empty() && next.iter().all(|n| matches!(n, Next::Refuse(_, ms) if *ms > 0)), "{next:?}");
@@ -172,7 +172,7 @@
     assert!(q.tick(START + 1_100 * MS).iter().any(|n| matches!(n, Next::Run(_))));
 }
 
-/// Guards against two loads of one key at once or out of order, across tenants and clients that leave.
+/// Guards against concurrent or reordered loads of one key, across tenants and clients that disconnect.
 #[test]
 fn loads_of_a_key_run_one_after_the_other() {
     let mut q = queue(4);
@@ -187,7 +187,7 @@
     assert_eq!(q.tick(START + 600 * MS), [Next::Run(3)]);
 }
 
-/// Guards against more than the own part where nothing is heard of the peers, and against news without bound.
+/// Guards against requesting more than the own part without reports of the peers, and against reports of unlimited size.
 #[test]
 fn without_news_no_more_than_the_own_part_is_wanted() {
     let mut q = Queue::new(Terms::default(), 1);
@@ -199,7 +199,7 @@
     assert_eq!((want.firm, want.most), (10, 10));
     let size = postcard::to_stdvec(&q.share(START)).unwrap().len();
     assert!(size < 600, "{size} bytes");
-    // Peers with nothing to do leave theirs, until their word is too old.
+    // Idle peers leave their parts to others until their reports are stale.
     let quiet = |p| Shares { incarnation: p, at: START, ..Shares::default() };
     (2..5).for_each(|p| q.news(START, p as u8, quiet(p)));
     let most = |q: &mut Queue, at| q.want(at).most;
--- a/crates/slots/tests/fleet.rs
+++ b/crates/slots/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Whole fleets in virtual time: one tenant at ten times its share, three at eight tenths of theirs, 60 slots.
+//! Fleets in simulated time: one tenant at ten times its share, three at eight tenths of theirs, 60 slots.
 
 mod sim;
 
@@ -10,7 +10,7 @@
     run(&World { seed: 1, dispatchers, slots: 60, tenants, news, seconds: 30 })
 }
 
-/// Shares by weight, no slot twice, few empty, and neighbours' waits and refusals bounded.
+/// Checks fair shares, no slot used twice, few unused slots, and bounded waits and refusals of the other tenants.
 fn hold(name: &str, f: &Figures, idle: f64, refused: f64) {
     assert_eq!(f.twice, 0, "{name}: {f:?}");
     assert!(f.jain > 0.97 && f.idle < idle, "{name}: {f:?}");
@@ -25,7 +25,7 @@
     hold("a light one's clients at one", &world(n, false, true, news), idle, 0.12);
 }
 
-/// Guards against unfair shares, lost capacity and slots lent twice in a small fleet.
+/// Guards against unfair shares, unused capacity and slots leased twice in a small fleet.
 #[test]
 fn three_share_by_weight() {
     with_news(3, 0.03);
@@ -37,19 +37,19 @@
     with_news(10, 0.03);
 }
 
-/// The same in a fleet of thirty with two slots each, where they move most.
+/// The same in a fleet of thirty with two slots each, where slots move most often.
 #[test]
 fn thirty_share_by_weight() {
     with_news(30, 0.035);
 }
 
-/// Guards against dispatchers without news that take more than their parts, or whose own shares are unfair.
+/// Guards against dispatchers without reports that take more than their parts or share their own slots unfairly.
 #[test]
 fn without_news_each_keeps_its_part_fairly() {
     for n in [3, 10, 30] {
         hold("cut", &world(n, false, false, None), 0.03, 0.08);
     }
-    // The price of it: parts that a dispatcher without clients has are not used by others.
+    // Known cost: the part of a dispatcher without clients stays unused.
     let f = world(3, true, false, None);
     assert!(f.twice == 0 && f.jain > 0.8 && f.idle < 0.3, "{f:?}");
 }
--- a/crates/slots/tests/sim/mod.rs
+++ b/crates/slots/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: dispatchers with this crate's queues, the record that lends slots, news that come late.
+//! A fleet in simulated time: dispatchers with this crate's queues, the log that leases slots, and delayed reports.
 
 use fleet::lend::{Borrower, Command, Slots, Terms as Lending};
 use fleet::{Holder, StateMachine, incarnation};
@@ -15,29 +15,29 @@
 const SETTLED: Micros = 10_000 * MS;
 const WINDOW: usize = 5;
 
-/// What is run.
+/// Parameters of a run.
 pub struct World {
     pub seed: u64,
     pub dispatchers: usize,
     pub slots: u16,
-    /// Load of each tenant, in fair shares, and whether all its clients are at one dispatcher.
+    /// Load of each tenant in units of its fair share, and whether all its clients are at one dispatcher.
     pub tenants: Vec<(f64, bool)>,
-    /// Lateness of news; none come at all if it is none.
+    /// Delay of reports; `None` if there are no reports.
     pub news: Option<Micros>,
     pub seconds: u64,
 }
 
 #[derive(Debug, Default)]
 pub struct Figures {
-    /// The least of all windows.
+    /// The lowest Jain index of all windows.
     pub jain: f64,
-    /// Empty slots while anybody waits, as a part.
+    /// Fraction of slots unused while any request waits.
     pub idle: f64,
-    /// The longest wait of a request that ran, and the 99th of 100, by tenant.
+    /// The longest and the 99th percentile wait of requests that ran, by tenant.
     pub waits: Vec<(Micros, Micros)>,
-    /// Part of requests refused, by tenant.
+    /// Fraction of requests refused, by tenant.
     pub refused: Vec<f64>,
-    /// Times that more ran than slots are, or more at one dispatcher than were lent to it.
+    /// Number of times that more requests ran than there are slots, or more at one dispatcher than were leased to it.
     pub twice: u32,
 }
 
@@ -49,10 +49,10 @@
     asked: Micros,
 }
 
-/// One request: whose, slot time in microseconds, where, and when it came.
+/// By request: tenant, slot time in microseconds, dispatcher, and time of arrival.
 type Known = BTreeMap<Id, (usize, u64, usize, Micros)>;
 
-/// Slot seconds by tenant in each second: brought, and served.
+/// Slot seconds by tenant in each second: offered, and served.
 type Account = Vec<(Vec<f64>, Vec<f64>)>;
 
 fn jain(account: &[(Vec<f64>, Vec<f64>)], slots: f64) -> f64 {
@@ -118,7 +118,7 @@
             touched[d] = true;
         }
         for (t, (load, one)) in w.tenants.iter().enumerate() {
-            // Half a second of slot time each, on average.
+            // Mean slot time of half a second.
             while came[t] <= now {
                 came[t] += (-(1.0 - draw()).ln() * 0.5e6 / (load * share)) as Micros + 1;
                 let d = if *one { t % n } else { (draw() * n as f64) as usize };
@@ -170,11 +170,11 @@
                     want.firm as u16,
                     want.most as u16,
                 );
-                // What is given back is not used from here on.
+                // Slots given back are not used from here on.
                 x.queue.set_slots(now, Lent { mine: u32::from(x.borrower.usable(now, &record)), ..lent });
                 log.extend(asks.map(|c| (now + LOG, c)));
             }
-            // The news of all at different times, four a second.
+            // Each dispatcher reports four times a second, at different times.
             if let Some(late) = w.news
                 && (now / STEP + d as u64 * 7) % 50 == 0
             {
--- a/src/net/control_plane/calls.rs
+++ b/src/net/control_plane/calls.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a member.
+//! Operators' calls to a member of a control group.
 
 use super::member::ControlMember;
 use crate::api::Micros;
@@ -9,7 +9,7 @@
 use std::fmt::Write as _;
 
 impl ControlMember {
-    /// Carries out a call: its answer, or none as long as it waits to be agreed.
+    /// Handles a call. Returns its answer, or `None` while the change waits to be committed.
     pub(super) fn call(&mut self, caller: Key, now: Micros, line: Result<Call, Fault>) -> Option<String> {
         match line {
             Err(fault) => Some(ops::refusal(&fault)),
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Answers the calls that have come to be agreed, and those whose time is up.
+    /// Answers the calls whose changes were committed, and those that timed out.
     pub(super) fn answer_calls(&mut self, now: Micros) {
         if self.policy.calls.is_empty() {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The member's figures, in Prometheus' text format.
+    /// The member's metrics in the Prometheus text format.
     fn figures(&self, now: Micros) -> String {
         let counters = self.member.counters;
         let [bytes_in, bytes_out] = self.server.bytes();
--- a/src/net/control_plane/link.rs
+++ b/src/net/control_plane/link.rs
@@ -11,19 +11,19 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A follower with its connection.
+/// A follower and its connection.
 pub struct ControlLink {
-    /// Its decisions.
+    /// The protocol state.
     pub follower: Follower,
     members: Vec<(String, SocketAddr)>,
     connection: Option<FrameStream>,
     up: bool,
-    /// Bytes in and out over connections that are over.
+    /// Bytes received and sent over closed connections.
     past_bytes: [u64; 2],
 }
 
 impl ControlLink {
-    /// Not connected yet; the first tick dials. `name` is the dispatcher's own.
+    /// Starts disconnected; the first tick dials. `name` is the dispatcher's own name.
     pub fn new(settings: &Control, name: &str, seed: u64, now: Micros) -> ControlLink {
         let near = |region: &Option<String>| settings.region.is_some() && *region == settings.region;
         let config = FollowerConfig {
@@ -41,18 +41,18 @@
         }
     }
 
-    /// Bytes in and out so far.
+    /// Bytes received and sent so far.
     pub fn bytes(&self) -> [u64; 2] {
         let now = self.connection.as_ref().map_or([0; 2], |c| c.bytes);
         [self.past_bytes[0] + now[0], self.past_bytes[1] + now[1]]
     }
 
-    /// The key of its socket, while it has one.
+    /// The poll key of its socket, if it has one.
     pub fn key(&self) -> Option<Key> {
         self.connection.as_ref().map(FrameStream::key)
     }
 
-    /// Whether a key is its socket.
+    /// Whether a poll key belongs to its socket.
     pub fn owns(&self, key: Key) -> bool {
         self.connection.as_ref().is_some_and(|c| c.key() == key)
     }
@@ -62,7 +62,7 @@
         self.follower.next_due()
     }
 
-    /// Its socket is ready: takes what came. The host looks at the policy before it calls [`ControlLink::flush`].
+    /// Handles readiness of its socket. The host applies the policy before it calls [`ControlLink::flush`].
     pub fn ready(&mut self, now: Micros, poll: &Poll) {
         let Some(connection) = &mut self.connection else { return };
         if !self.up {
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock.
     pub fn tick(&mut self, now: Micros) {
         if self.next_due() <= now {
             self.follower.tick(now);
         }
     }
 
-    /// Carries out what the follower wants: dials, closes, writes.
+    /// Carries out the follower's pending actions: dials, closes and writes.
     pub fn flush(&mut self, now: Micros, poll: &Poll) {
         for action in std::mem::take(&mut self.follower.connection_actions) {
             self.close(poll);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// It ends: the member is told that nothing more is admitted here.
+    /// Shuts down: tells the member that nothing more is admitted here.
     pub fn leave(&mut self, now: Micros, poll: &Poll) {
         self.follower.leave();
         self.flush(now, poll);
--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -1,4 +1,4 @@
-//! The process of one member of a control group: it takes part in the log and serves followers, and no clients.
+//! The process of a control group member: it replicates the log and serves followers. It serves no clients.
 
 use super::server::{FollowerServer, Heard};
 use crate::api::{Micros, Settings};
@@ -20,12 +20,12 @@
 use std::io;
 use std::time::Duration;
 
-/// How long a follower's connection that is ending may take to be written out.
+/// Time to flush a follower's connection before it is closed.
 const LAST_WORDS: Micros = 1_000_000;
-/// A look at least this often.
+/// Longest sleep of the event loop.
 const LOOK: Micros = 1_000_000;
 
-/// What policies are checked against, and the calls that wait.
+/// The settings that policies are validated against, and the pending operators' calls.
 pub(super) struct MemberPolicy {
     pub(super) terms: PolicyTerms,
     pub(super) base: Settings,
@@ -33,7 +33,7 @@
     pub(super) calls: PolicyCalls,
 }
 
-/// A member that is set up and does not run yet.
+/// A member, set up to run.
 pub struct ControlMember {
     pub(super) poll: Poll,
     pub(super) clock: Clock,
@@ -44,14 +44,14 @@
     pub(super) server: FollowerServer,
     pub(super) operators: Option<AdminListener>,
     pub(super) policy: MemberPolicy,
-    /// When followers' leases are over, once it was told to end.
+    /// After SIGTERM: the time by which the followers' leases have ended.
     pub(super) stopping: Option<Micros>,
-    /// The member's own lease: as long as it may take to end.
+    /// The lease duration: the longest time that a shutdown may take.
     pub(super) lease: Micros,
 }
 
 impl ControlMember {
-    /// Runs until SIGTERM, and then until the leases of its followers are over.
+    /// Runs until SIGTERM, and then until the leases of its followers have ended.
     pub fn run(&mut self) -> io::Result<()> {
         let mut events = polling::Events::new();
         loop {
@@ -62,7 +62,7 @@
             let wait = self.next_due(now).saturating_sub(now);
             self.poll.wait(&mut events, Duration::from_micros(wait)).map_err(context("poller"))?;
             let woke = self.clock.now();
-            // A lease that ran out while this process stood still is over before it is acted on.
+            // Drops a lease that expired while the process was stalled before anything is done under it.
             self.advance(woke);
             for event in events.iter() {
                 self.ready(event.key, woke);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What followers' connections came to.
+    /// Handles events of the followers' connections.
     fn hear(&mut self, heard: Vec<Heard>, now: Micros) {
         for one in heard {
             match one {
@@ -129,7 +129,7 @@
         self.member.closing.push(session);
     }
 
-    /// Lets time pass and lets all that came take effect, until nothing moves.
+    /// Advances the clock and processes all input until nothing is left to do.
     fn advance(&mut self, now: Micros) {
         let heard = self.server.tick(now, &self.poll);
         self.hear(heard, now);
@@ -160,7 +160,7 @@
         self.answer_calls(now);
     }
 
-    /// Looks at what is agreed.
+    /// Handles fleet events and polls the member state machine.
     fn look(&mut self, now: Micros) {
         while let Some(event) = self.fleet.events.pop_front() {
             match event {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Sends what followers are to get.
+    /// Sends pending messages to followers and closes connections.
     fn send(&mut self, now: Micros) -> Vec<Heard> {
         let mut heard = self.server.send(std::mem::take(&mut self.member.outgoing), &self.poll);
         for session in std::mem::take(&mut self.member.closing) {
@@ -190,7 +190,8 @@
         heard
     }
 
-    /// Ends. The lease goes back only if no follower acts under it any more; else the others see it run out.
+    /// Shuts down. The lease is returned only if no follower acts under it any more; otherwise the others wait until it
+    /// expires.
     fn end(&mut self) {
         let now = self.clock.now();
         if self.member.leases(now) == 0 {
@@ -204,7 +205,7 @@
     }
 }
 
-/// Tells of a step of a change.
+/// Logs a step of a policy change.
 fn tell(act: &Action) {
     match act {
         Action::Submit(_) => {}
--- a/src/net/control_plane/mod.rs
+++ b/src/net/control_plane/mod.rs
@@ -1,10 +1,10 @@
-//! The control group on sockets: a dispatcher's connection to the member that it follows, and the member's process.
+//! Network side of the control group: a dispatcher's connection to the member that it follows, and the member's process.
 //!
-//! Nothing of this runs unless our settings have a `control` block. The decisions are the [`fleet::control_plane`] module's.
+//! None of this runs without a `control` block in the settings. The protocol is in [`fleet::control_plane`].
 //!
 //! - [`link`]: a follower's connection.
 //! - `server`: a member's connections to its followers.
-//! - [`member`]: the loop of a member's process, which serves no clients.
+//! - [`member`]: the event loop of a member's process, which serves no clients.
 
 mod calls;
 pub mod link;
--- a/src/net/control_plane/node.rs
+++ b/src/net/control_plane/node.rs
@@ -1,10 +1,10 @@
-//! What a dispatcher does with the member that it follows, in the turns of its loop.
+//! The follower's part of a dispatcher's event loop.
 
 use crate::api::Micros;
 use crate::net::DispatcherServer;
 
 impl DispatcherServer {
-    /// The connection to the member is ready: what came is heeded before anything more is admitted.
+    /// Handles readiness of the connection to the member. Received messages take effect before anything more is admitted.
     pub(in crate::net) fn control_ready(&mut self, now: Micros) {
         if let Some(control) = &mut self.control {
             control.ready(now, &self.poll);
@@ -12,8 +12,8 @@
         self.heed_control(now);
     }
 
-    /// Lets time pass on the lease and the connection. Called before anything else of a turn and after all: a lease
-    /// that ran out while this process stood still is over before it is acted on.
+    /// Advances the lease and the connection. Called first and last in each turn of the loop, so that a lease that expired
+    /// while the process was stalled is dropped before anything is done under it.
     pub(in crate::net) fn tick_control(&mut self, now: Micros) {
         let Some(control) = self.control.as_mut().filter(|c| c.next_due() <= now) else { return };
         control.tick(now);
@@ -26,13 +26,13 @@
         }
         self.tick_policy(now);
         if let Some(control) = &mut self.control {
-            // A snapshot or a lease that was heeded just now is told of at once.
+            // Acknowledges a snapshot or lease that was applied just now without delay.
             control.tick(now);
             control.flush(now, &self.poll);
         }
     }
 
-    /// At the end: the member waits for this follower no longer.
+    /// At shutdown: tells the member not to wait for this follower.
     pub(in crate::net) fn leave_control(&mut self, now: Micros) {
         if let Some(control) = &mut self.control {
             control.leave(now, &self.poll);
--- a/src/net/control_plane/server.rs
+++ b/src/net/control_plane/server.rs
@@ -10,47 +10,47 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections taken in one turn at most.
+/// Maximum number of connections accepted in one turn.
 const ACCEPTS: usize = 64;
-/// With more than this to be written, a follower is sent nothing new: it reads slowly.
+/// Unsent bytes above which a follower counts as a slow reader and gets nothing new.
 const BLOCKED: usize = 64 << 10;
-/// A message that has begun has to be here whole within this time: the longest one in a lease's length.
+/// A partly received message has to be complete within this time: the longest message within one lease.
 const PART: Micros = 3_000_000;
 
-/// What came of a connection.
+/// An event of a connection.
 pub(super) enum Heard {
-    /// It came up.
+    /// It was accepted.
     Connected(SessionId),
-    /// Its follower says something.
+    /// Its follower sent a message.
     Said(SessionId, FollowerMessage),
-    /// It takes nothing more for now, or takes more again.
+    /// Its send buffer became full, or has room again.
     Blocked(SessionId, bool),
-    /// It is over.
+    /// It was closed.
     Over(SessionId),
 }
 
 /// Counters.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServerTally {
-    /// Frames that could not be used.
+    /// Invalid frames.
     pub(super) bad_frames: u64,
-    /// Connections turned away, as there are as many as may be.
+    /// Connections refused because the limit was reached.
     pub(super) refused: u64,
-    /// Bytes in and out over connections that are over.
+    /// Bytes received and sent over closed connections.
     pub(super) past_bytes: [u64; 2],
 }
 
 struct Served {
     frames: FrameStream,
     blocked: bool,
-    /// It ends once what was sent is written, or then.
+    /// Closing: it is closed once its buffer is flushed, and at this time at the latest.
     ending: Option<Micros>,
-    /// Since when a message is here in part.
+    /// When the message that is partly received began.
     part_since: Option<Micros>,
 }
 
 impl Served {
-    /// When its time is up, if it runs.
+    /// When it times out, if a timeout is running.
     fn due(&self) -> Option<Micros> {
         self.ending.into_iter().chain(self.part_since.map(|t| t + PART)).min()
     }
@@ -61,14 +61,14 @@
     listener: TcpListener,
     key: Key,
     served: BTreeMap<Key, Served>,
-    /// Those whose time runs: they end, or a message is here in part.
+    /// Connections with a running timeout: closing, or with a partly received message.
     timed: BTreeSet<Key>,
     most: usize,
     pub(super) tally: ServerTally,
 }
 
 impl FollowerServer {
-    /// Listens, for so many connections at once.
+    /// Listens and accepts at most this many connections at once.
     pub(super) fn bind(at: SocketAddr, most: usize, poll: &Poll) -> io::Result<FollowerServer> {
         let listener = listen::bind(at)?;
         let key = poll.add(&listener, false)?;
@@ -90,13 +90,13 @@
         key == self.key || self.served.contains_key(&key)
     }
 
-    /// Bytes in and out so far.
+    /// Bytes received and sent so far.
     pub(super) fn bytes(&self) -> [u64; 2] {
         let sum = |i: usize| self.served.values().map(|s| s.frames.bytes[i]).sum::<u64>();
         [self.tally.past_bytes[0] + sum(0), self.tally.past_bytes[1] + sum(1)]
     }
 
-    /// A socket is ready.
+    /// Handles readiness of a socket.
     pub(super) fn ready(&mut self, key: Key, now: Micros, poll: &Poll) -> Vec<Heard> {
         if key == self.key {
             return self.accept(now, poll);
@@ -143,7 +143,7 @@
         heard
     }
 
-    /// Writes messages, each to its follower.
+    /// Sends each message to its follower.
     pub(super) fn send(&mut self, messages: Vec<(SessionId, MemberMessage)>, poll: &Poll) -> Vec<Heard> {
         let mut touched: Vec<Key> = Vec::with_capacity(messages.len());
         for (session, message) in messages {
@@ -175,7 +175,7 @@
         vec![Heard::Blocked(key as SessionId, blocked)]
     }
 
-    /// Ends a connection once what was sent is written, at the latest then.
+    /// Closes a connection once its buffer is flushed, at `by` at the latest.
     pub(super) fn end(&mut self, session: SessionId, by: Micros, poll: &Poll) -> Vec<Heard> {
         let key = session as Key;
         if let Some(served) = self.served.get_mut(&key) {
@@ -185,12 +185,12 @@
         self.write(key, poll)
     }
 
-    /// When a connection is to be looked at.
+    /// The next timeout of a connection.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.timed.iter().filter_map(|key| self.served.get(key)).filter_map(Served::due).min()
     }
 
-    /// Closes connections whose time is up.
+    /// Closes connections that timed out.
     pub(super) fn tick(&mut self, now: Micros, poll: &Poll) -> Vec<Heard> {
         let served = &self.served;
         self.timed.retain(|key| served.get(key).is_some_and(|s| s.due().is_some()));
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -1,4 +1,4 @@
-//! How a member's process is set up.
+//! Sets up a member's process.
 
 use super::member::{ControlMember, MemberPolicy};
 use super::server::FollowerServer;
@@ -19,17 +19,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Without a leader for this long, a group whose majority has started anew is given up: as many leases.
+/// A group whose majority restarted without its state is abandoned after this long without a leader, in leases.
 const GIVE_UP_LEASES: u64 = 10;
 
-/// The longest message between members: a record has policies and changes that wait, which are bounded.
+/// The longest message between members: a snapshot with its policies and pending changes, whose size is limited.
 const MOST_MEMBER_MESSAGE: usize = 16 << 20;
 
-/// Callers at the operators' address; a burst of changes has a caller each.
+/// Connections at the operators' address; in a burst of changes each call has its own.
 const CALLERS: usize = 128;
 
 impl ControlMember {
-    /// Listens for members, followers and operators.
+    /// Binds the addresses for members, followers and operators.
     pub fn new(config: Config, settings: &Control, signals: Signals) -> io::Result<ControlMember> {
         let seed = config.seed();
         let operator = config.operator().map_err(context("configuration: operator"))?;
@@ -59,7 +59,7 @@
             settings.followers.ok_or_else(|| io::Error::other("control: followers is missing"))?;
         let peers = Peers::bind(listen, &others, MOST_MEMBER_MESSAGE, now, &poll)
             .map_err(context(&format!("control: listen on {listen}")))?;
-        // Those beyond the bound are told so, which takes a connection.
+        // Followers beyond the limit get a rejection, which takes a connection.
         let connections = settings.most_followers + settings.most_followers / 8 + 8;
         let server = FollowerServer::bind(at_followers, connections, &poll)
             .map_err(context(&format!("control: listen on {at_followers}")))?;
--- a/src/net/control_plane/stream.rs
+++ b/src/net/control_plane/stream.rs
@@ -1,4 +1,4 @@
-//! One connection of the control group: frames in, frames out, never blocking.
+//! A non-blocking connection of the control group that sends and receives frames.
 
 use crate::net::event_loop::poll::{Key, Poll};
 use fleet::control_plane::messages::FRAMING;
@@ -8,21 +8,21 @@
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
 
-/// Bytes read in one go.
+/// Bytes per read call.
 const PIECE: usize = 16 << 10;
-/// A buffer that is empty keeps this much memory at most: thousands of connections rest most of the time.
+/// Capacity that an empty buffer keeps at most: thousands of connections are idle most of the time.
 const KEPT: usize = 4 << 10;
 
-/// Why a connection is over.
+/// Why a connection ended.
 #[derive(Debug)]
 pub(super) enum Ended {
-    /// The other side closed it, or the system did.
+    /// It was closed by the peer or by the operating system.
     Closed,
-    /// What came is no frame.
+    /// The peer sent an invalid frame.
     Fault(Fault),
 }
 
-/// A connection.
+/// A framed connection.
 pub(super) struct FrameStream {
     pub(super) stream: TcpStream,
     key: Key,
@@ -30,14 +30,14 @@
     outgoing: Vec<u8>,
     written: usize,
     watched: bool,
-    /// The longest message that is taken.
+    /// The longest message accepted.
     most: usize,
-    /// Bytes in and out so far.
+    /// Bytes received and sent so far.
     pub(super) bytes: [u64; 2],
 }
 
 impl FrameStream {
-    /// Of a socket under watch; `connecting` if it is watched for writing until it is up.
+    /// Wraps a socket that is registered with the poller; `connecting` if it is watched for writing until it is connected.
     pub(super) fn new(stream: TcpStream, key: Key, most: usize, connecting: bool) -> FrameStream {
         FrameStream {
             stream,
@@ -55,7 +55,8 @@
         self.key
     }
 
-    /// Reads what is there: the messages that became whole. The end comes after what was read before it.
+    /// Reads once and returns the complete messages, and why the connection ended, if it did. Messages read before the
+    /// end are still returned.
     pub(super) fn read<M: DeserializeOwned>(&mut self) -> (Vec<M>, Option<Ended>) {
         let mut piece = [0; PIECE];
         let ended = match self.stream.read(&mut piece) {
@@ -87,22 +88,22 @@
         (messages, fault.or(ended))
     }
 
-    /// Adds a message to what is written next.
+    /// Appends a message to the send buffer.
     pub(super) fn push(&mut self, message: &impl Serialize) {
         self.outgoing.extend_from_slice(&FRAMING.frame(message));
     }
 
-    /// Bytes that wait to be written.
+    /// Unsent bytes.
     pub(super) fn waiting(&self) -> usize {
         self.outgoing.len() - self.written
     }
 
-    /// Whether a frame has begun that is not whole yet.
+    /// Whether a frame is partly received.
     pub(super) fn in_part(&self) -> bool {
         !self.incoming.is_empty() && self.incoming.len() < HEAD + self.most
     }
 
-    /// Writes what the socket takes. An error is the connection's end.
+    /// Writes as much as the socket accepts. After an error the connection has to be closed.
     pub(super) fn flush(&mut self, poll: &Poll) -> io::Result<()> {
         while self.written < self.outgoing.len() {
             match self.stream.write(&self.outgoing[self.written..]) {
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// Closes it.
+    /// Closes the connection.
     pub(super) fn close(self, poll: &Poll) {
         poll.remove(&self.stream);
         let _ = self.stream.shutdown(Shutdown::Both);
--- a/src/net/peers/incoming.rs
+++ b/src/net/peers/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that peers made: accepted, read, and closed.
+//! Incoming connections from peers.
 
 use super::Peers;
 use crate::api::Micros;
@@ -8,29 +8,29 @@
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
 
-/// Who connects has to say who it is within this time.
+/// A new connection has to identify its peer within this time.
 const FIRST: Micros = 1_000_000;
-/// A peer says something several times a second: an incoming connection this long without a word is over.
+/// A peer sends several messages a second: an incoming connection that is silent for this long is closed.
 const SILENCE: Micros = 10_000_000;
-/// A message that has begun has to be here whole within this time.
+/// A partly received message has to be complete within this time.
 const PART: Micros = 5_000_000;
-/// Bytes read from a peer in one go.
+/// Bytes per read call.
 pub(super) const PIECE: usize = 64 * 1024;
-/// Incoming connections for each peer at most.
+/// Maximum number of incoming connections per configured peer.
 const EACH: usize = 4;
 
-/// A connection that a peer made.
+/// An incoming connection.
 pub(super) struct Incoming {
     stream: TcpStream,
     bytes: Vec<u8>,
     from: Option<Peer>,
     heard: Micros,
-    /// When the message that is here in part began.
+    /// When the message that is partly received began.
     part_since: Option<Micros>,
 }
 
 impl Incoming {
-    /// When it is over unless something comes.
+    /// When it times out unless something arrives.
     pub(super) fn ends(&self) -> Micros {
         let silent = self.heard + if self.from.is_some() { SILENCE } else { FIRST };
         self.part_since.map_or(silent, |t| silent.min(t + PART))
@@ -41,7 +41,7 @@
     pub(super) fn accept(&mut self, now: Micros, poll: &Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
             if self.incoming.len() >= EACH * (self.links.len() + 1) {
-                // A peer that was cut off may have left some behind: the one longest silent goes.
+                // A peer that was cut off may have left stale connections: close the one that has been silent longest.
                 let oldest = self.incoming.iter().min_by_key(|(_, c)| c.heard).map(|(k, _)| *k);
                 oldest.into_iter().for_each(|k| self.close(k, poll));
             }
@@ -74,7 +74,7 @@
                 Ok(Some((n, message))) => {
                     used += n;
                     if let Message::Hello { from, .. } = &message {
-                        // Whoever speaks for a peer that is not named here, or for this one, is none.
+                        // Reject a sender that claims to be an unknown peer or changes its identity.
                         if !self.links.contains_key(from) || c.from.is_some_and(|p| p != *from) {
                             self.tally.bad_frames += 1;
                             return self.close(key, poll);
--- a/src/net/peers/links.rs
+++ b/src/net/peers/links.rs
@@ -1,4 +1,4 @@
-//! The ways out: dialed, written to, and dialed again.
+//! Outgoing connections to peers, with reconnection.
 
 use super::Peers;
 use super::incoming::PIECE;
@@ -9,31 +9,31 @@
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A dial that is not up by then is begun again, after a pause.
+/// Connect timeout, and the pause before the next attempt.
 const DIAL: Micros = 500_000;
 const PAUSE: Micros = 100_000;
-/// A link that takes nothing for this long is begun anew.
+/// A link with unsent bytes that accepts none for this long is reconnected.
 const STUCK: Micros = 3_000_000;
-/// Bytes that wait for a peer at most, before what comes further is dropped: the log sends it again.
+/// Unsent bytes per peer above which further messages are dropped: the replicated log sends them again.
 pub(super) const MOST_WAITING: usize = 16 << 20;
 
-/// The way to one peer.
+/// The outgoing connection to one peer.
 pub(super) struct Link {
     address: SocketAddr,
     pub(super) conn: Option<(Key, TcpStream)>,
     pub(super) up: bool,
     watched: bool,
-    /// Something was added since it was last written.
+    /// Something was appended since the last write.
     pub(super) added: bool,
-    /// What waits, from `at` on.
+    /// Send buffer; the bytes from `at` on are unsent.
     pub(super) waiting: Vec<u8>,
     pub(super) at: usize,
-    /// When it was dialed, last took something, or is to be dialed again.
+    /// When it was dialed or last accepted bytes; while disconnected, when to dial next.
     pub(super) since: Micros,
 }
 
 impl Link {
-    /// Not dialed yet.
+    /// Starts disconnected.
     pub(super) fn new(address: SocketAddr, now: Micros) -> Link {
         Link {
             address,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// When it is to be looked at; `None` if nothing of it is due.
+    /// Its next timeout or dial; `None` if nothing is due.
     pub(super) fn due(&self) -> Option<Micros> {
         match (&self.conn, self.up) {
             (None, _) => Some(self.since),
@@ -58,7 +58,7 @@
 }
 
 impl Peers {
-    /// The socket of a link is ready.
+    /// Handles readiness of a link's socket.
     pub(super) fn link_ready(&mut self, key: Key, now: Micros, poll: &Poll) {
         let at = |l: &Link| l.conn.as_ref().is_some_and(|(k, _)| *k == key);
         let Some(peer) = self.links.iter().find(|(_, l)| at(l)).map(|(p, _)| *p) else { return };
@@ -74,7 +74,7 @@
                 Err(_) => return self.cut(peer, now, poll),
             }
         }
-        // Nothing ever comes this way but its end.
+        // The peer never sends on this connection; only its end can be read.
         let mut bytes = [0; 64];
         match stream.read(&mut bytes) {
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
@@ -83,7 +83,7 @@
         self.write(peer, now, poll);
     }
 
-    /// Dials links that are down and cuts those that are stuck.
+    /// Dials disconnected links and disconnects those that time out.
     pub(super) fn keep_links(&mut self, now: Micros, poll: &Poll) {
         let peers: Vec<Peer> = self.links.keys().copied().collect();
         for peer in peers {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The link is over; it is dialed again after a pause.
+    /// Disconnects a link; it is dialed again after a pause.
     fn cut(&mut self, peer: Peer, now: Micros, poll: &Poll) {
         let Some(link) = self.links.get_mut(&peer) else { return };
         if let Some((_, stream)) = link.conn.take() {
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -1,6 +1,6 @@
-//! The links to other dispatchers, where our settings name any: one connection each way between two peers.
+//! Connections to the other dispatchers, if the settings name any: one in each direction between two peers.
 //!
-//! `links` are the ways out, `incoming` the connections that peers made.
+//! `links` has the outgoing connections, `incoming` the accepted ones.
 
 mod incoming;
 mod links;
@@ -20,33 +20,33 @@
 /// Counters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Dials begun.
+    /// Connection attempts.
     pub dials: u64,
-    /// Frames that could not be used.
+    /// Invalid frames.
     pub bad_frames: u64,
-    /// Messages dropped because too much waited.
+    /// Messages dropped because the send buffer was full.
     pub dropped: u64,
     /// Bytes written.
     pub written: u64,
 }
 
-/// The links to all peers.
+/// The connections to all peers.
 pub struct Peers {
     listener: TcpListener,
     key: Key,
     links: BTreeMap<Peer, Link>,
     incoming: BTreeMap<Key, Incoming>,
     most_frame: usize,
-    /// What peers said, in order.
+    /// Messages received, in order.
     pub heard: Vec<(Peer, Message)>,
-    /// What is said first on every connection.
+    /// The first message on every connection, encoded.
     pub hello: Vec<u8>,
     /// Counters.
     pub tally: Tally,
 }
 
 impl Peers {
-    /// Listens; the links are dialed as time passes.
+    /// Listens; the links are dialed by later ticks.
     pub fn bind(
         at: SocketAddr,
         others: &[(Peer, SocketAddr)],
@@ -68,13 +68,13 @@
         })
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Adds a message to what waits for a peer, or drops it where the peer is not there: whoever needs it says
-    /// it again.
+    /// Appends a message to a peer's send buffer, or drops it if the peer is not connected or its buffer is full: the
+    /// sender repeats what is needed.
     pub fn send(&mut self, to: Peer, message: &Message, now: Micros) {
         let Some(link) = self.links.get_mut(&to).filter(|l| l.up) else { return };
         if link.waiting.len() - link.at > MOST_WAITING {
@@ -88,14 +88,14 @@
         link.added = true;
     }
 
-    /// Writes what was added for any peer.
+    /// Writes the appended messages of all peers.
     pub fn flush(&mut self, now: Micros, poll: &Poll) {
         let added = |l: &mut Link| std::mem::take(&mut l.added);
         let peers: Vec<Peer> = self.links.iter_mut().filter_map(|(p, l)| added(l).then_some(*p)).collect();
         peers.into_iter().for_each(|p| self.write(p, now, poll));
     }
 
-    /// A socket is ready.
+    /// Handles readiness of a socket.
     pub fn ready(&mut self, key: Key, now: Micros, poll: &Poll) {
         if key == self.key {
             return self.accept(now, poll);
--- a/src/policies/apply.rs
+++ b/src/policies/apply.rs
@@ -1,4 +1,4 @@
-//! What a policy makes of one dispatcher's settings, and whether it fits them.
+//! Applies a policy to one dispatcher's settings and validates it against them.
 
 use super::Policy;
 use crate::api::{self, Micros, Settings};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The digest by which a policy's text is known.
+/// The SHA-256 digest that identifies a policy's text.
 pub fn digest(text: &str) -> [u8; 32] {
     Sha256::digest(text.as_bytes()).into()
 }
@@ -63,7 +63,7 @@
         let mut bound = Vec::new();
         for (place, wanted, known, platform) in places {
             let found = wanted.as_ref().map(|names| self.indices(place, names, known));
-            // The platform's own bounds stay: a policy may narrow them.
+            // The platform's restrictions stay in force: a policy may only narrow them.
             if let (Some(found), Some(platform)) = (&found, platform)
                 && !found.iter().all(|i| platform.contains(i))
             {
@@ -77,7 +77,7 @@
     }
 }
 
-/// The settings of a dispatcher under a policy; else all that is wrong with it here.
+/// The settings of a dispatcher under a policy, or all errors found.
 pub fn applied(policy: &Policy, base: &Settings, names: &Names) -> Result<Settings, Vec<String>> {
     let mut s = base.clone();
     let mut check = Check { base, names, faults: Vec::new() };
@@ -108,7 +108,7 @@
             window: a.span.map_or(own.window, micros),
             send_delay: own.send_delay,
         };
-        // A ration of the platform may be made tighter, not wider; where there is none, this is one.
+        // A policy may only tighten the platform's retry budget; if there is none, it sets one.
         if base.retry_budget.is_some()
             && (budget.base_retries > own.base_retries
                 || budget.retries_per_request > own.retries_per_request
@@ -131,7 +131,7 @@
     if check.faults.is_empty() { Ok(s) } else { Err(check.faults) }
 }
 
-/// The settings under a policy of the fleet, by its text and that text's digest; else all that is wrong.
+/// Verifies the digest of a replicated policy, parses it and applies it. Returns the settings, or all errors found.
 pub fn ready(
     policy: &fleet::policy::Policy,
     base: &Settings,
--- a/src/policies/mod.rs
+++ b/src/policies/mod.rs
@@ -1,9 +1,9 @@
-//! Policies that a whole fleet holds alike: what of the settings is policy, how its file reads, and what it makes of
-//! one dispatcher's settings. How a change takes hold everywhere or nowhere is the [`fleet`] crate's.
+//! Policies shared by a whole fleet: which settings they cover, their file format, and how they apply to one
+//! dispatcher's settings. The atomic switch of a fleet to a new policy is in the [`fleet`] crate.
 //!
-//! Policy is what an operator tunes while the fleet serves: a class's wanted and longest time, its worth and where
-//! it may go; tenants' shares; attempts and their ration. What says whether a class may repeat or keeps order, which
-//! machines there are and the rules of the platform is not: that takes a start with other settings.
+//! A policy has what an operator tunes at run time: a class's latency objective, deadline, priority weight and
+//! placement, tenants' quotas, the attempt limit and the retry budget. A class's idempotency and ordering, the set of
+//! executors and the rules of the platform are not covered; changing those takes a restart.
 
 mod apply;
 mod stricter;
--- a/src/policies/stricter.rs
+++ b/src/policies/stricter.rs
@@ -1,8 +1,8 @@
-//! The stricter of two policies, as settings: what both allow. For a dispatcher that can't know which of them holds.
+//! Intersection of two policies, as settings, for a dispatcher that can't know which of them is in force.
 
 use crate::api::{RetryBudget, Settings};
 
-/// What both allow of a choice; `None` allows all.
+/// Intersection of two sets of allowed values; `None` allows all.
 fn both(a: &Option<Vec<usize>>, b: &Option<Vec<usize>>) -> Option<Vec<usize>> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.iter().copied().filter(|x| b.contains(x)).collect()),
@@ -10,8 +10,8 @@
     }
 }
 
-/// Settings that allow nothing which either of these does not. Where they differ in what is no limit (worths, wanted
-/// times), the first one's hold.
+/// Settings that allow only what both allow. Where they differ in values that are no limits (priority weights, latency
+/// objectives), those of the first apply.
 pub fn stricter(a: &Settings, b: &Settings) -> Settings {
     let mut s = a.clone();
     for (to, other) in s.classes.iter_mut().zip(&b.classes) {
--- a/src/policies/tests.rs
+++ b/src/policies/tests.rs
@@ -32,11 +32,11 @@
     wanted.classes[0].only_kinds = Some(vec![1]);
     (wanted.tenants[1].quota_per_s, wanted.max_attempts) = (20.0, 2);
     assert_eq!(s, wanted);
-    assert_eq!(under("").unwrap(), base().0, "an empty text is what the settings say");
+    assert_eq!(under("").unwrap(), base().0, "an empty text changes nothing");
 }
 
-// Each of these was a vote that one dispatcher must cast against a policy that others could take: all that is wrong
-// is told, and what the platform's settings forbid is not opened by a policy.
+// A dispatcher has to vote against a policy that does not fit its settings even if the others accept it. All errors
+// are reported, and a policy can't permit what the platform's settings forbid.
 #[test]
 fn what_does_not_fit_here_is_told_whole() {
     let text = "policy \"x\" {\n  class \"raed\" { worth = 1 }\n  class \"read\" {\n    kinds = [\"newer\"]\n    deadline = \"60s\"\n  }\n  \
@@ -87,7 +87,7 @@
 }
 
 proptest! {
-    // A dispatcher that can't know which of two policies holds acts by neither against the other.
+    // A dispatcher that can't know which of two policies is in force violates neither.
     #[test]
     fn the_stricter_of_two_allows_nothing_that_either_forbids(a in settings(), b in settings()) {
         let s = stricter(&a, &b);
--- a/src/policies/text.rs
+++ b/src/policies/text.rs
@@ -1,61 +1,61 @@
-//! A policy's file, in HCL.
+//! Parses policy files (HCL).
 
 use crate::settings::hcl::{self, Fault, Table, Text};
 use std::time::Duration;
 
-/// What a policy says of a class; what it does not name stays as the settings have it.
+/// A policy's settings for a class; `None` leaves a setting unchanged.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// An answer within this time earns the whole worth.
+    /// An answer within this time earns the full priority weight.
     pub latency_objective: Option<Duration>,
-    /// It is given up after this time, where its client would wait longer.
+    /// Requests fail after this time, even if the client would wait longer.
     pub deadline: Option<Duration>,
-    /// Worth of one answer.
+    /// Priority weight of one answer.
     pub priority_weight: Option<f64>,
-    /// Share of the worth that a late answer earns.
+    /// Fraction of the priority weight that a late answer earns.
     pub late_priority_weight: Option<f64>,
-    /// The only kinds of machine allowed.
+    /// The only kinds of executor allowed.
     pub kinds: Option<Vec<String>>,
     /// The only zones allowed.
     pub zones: Option<Vec<String>>,
 }
 
-/// Attempts, and the ration of further ones.
+/// The attempt limit and the retry budget.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Attempts {
-    /// For a request, at most.
+    /// Maximum number of attempts for a request.
     pub most: Option<u32>,
-    /// Further ones allowed in every span whatever the traffic.
+    /// Retries allowed in each window regardless of traffic.
     pub free: Option<f64>,
-    /// Further ones for each request taken in the span.
+    /// Additional retries for each request accepted in the window.
     pub ratio: Option<f64>,
-    /// The span.
+    /// Length of the window.
     pub span: Option<Duration>,
 }
 
-/// A policy as its file has it.
+/// A parsed policy file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Policy {
-    /// Its name, for people.
+    /// Its name, for operators only.
     pub name: String,
-    /// Classes that it names.
+    /// Per-class settings.
     pub classes: Vec<Class>,
-    /// Requests a second inside its share, by tenant.
+    /// Quota by tenant, in requests per second.
     pub tenants: Vec<(String, f64)>,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
+    /// Weight of a request over its tenant's quota, as a fraction of its normal weight.
     pub over_quota_weight: Option<f64>,
-    /// Attempts.
+    /// Attempt limit and retry budget.
     pub attempts: Attempts,
 }
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-/// Longer than any class waits.
+/// Upper bound for durations, above any class's timeout.
 const LONGEST: Duration = Duration::from_secs(3_600);
 
 impl Policy {
-    /// Reads a text; all that is wrong with it is told. An empty one changes nothing of the settings.
+    /// Parses a policy and reports all errors. An empty text changes no settings.
     pub fn parse(file: &str, text: &str) -> Result<Policy, Vec<Fault>> {
         if text.trim().is_empty() {
             return Ok(Policy::default());
--- a/src/schema/claim.rs
+++ b/src/schema/claim.rs
@@ -1,28 +1,29 @@
-//! What a client says that it speaks: the field `schema` in its statement's comment, `schema=8` or `schema=7..8`.
+//! The schema versions that a client supports: the field `schema` in its statement's comment, `schema=8` or
+//! `schema=7..8`.
 
 use fleet::schema::{MAX_VERSION, Version};
 use std::fmt;
 
 /// The name of the field.
 pub const FIELD: &str = "schema";
-/// Versions that a client may claim at most.
+/// Maximum number of versions that a client may claim.
 pub const WIDEST: Version = 16;
 
-/// The versions that a client speaks, all from the oldest to the newest.
+/// The range of versions that a client supports, both ends included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
     oldest: Version,
     newest: Version,
 }
 
-/// Why a field is no claim; its text is for the client.
+/// Why a field can't be parsed. The text is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Neither `N` nor `N..N`, in digits without a sign or zeros ahead.
+    /// Neither `N` nor `N..N` in decimal digits without a sign or leading zeros.
     Form,
-    /// A version is 0 or larger than any.
+    /// A version is 0 or above the maximum.
     Range,
-    /// It ends before it begins.
+    /// The range ends before it begins.
     Reversed,
     /// More versions than a client may claim.
     Wide,
@@ -46,12 +47,12 @@
     if text.len() > 1 && text.starts_with('0') {
         return Err(Fault::Form);
     }
-    // Digits alone fail to be a number only where they are too many.
+    // A string of digits fails to parse only when it overflows.
     text.parse().ok().filter(|v| (1..=MAX_VERSION).contains(v)).ok_or(Fault::Range)
 }
 
 impl Claim {
-    /// Reads the field's value.
+    /// Parses the field's value.
     pub fn parse(text: &str) -> Result<Claim, Fault> {
         let (oldest, newest) = text.split_once("..").unwrap_or((text, text));
         let (oldest, newest) = (version(oldest)?, version(newest)?);
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Whether its client speaks this one.
+    /// Whether the client supports this version.
     pub fn speaks(&self, version: Version) -> bool {
         (self.oldest..=self.newest).contains(&version)
     }
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -1,20 +1,20 @@
-//! Loads keep the order of their key over the border between two versions, and what is in hand of each version is
-//! counted. Bounded; this dispatcher's loads only.
+//! Keeps loads of one key in order across a change of version, and counts the requests in flight of each version.
+//! Bounded; covers this dispatcher's loads only.
 
 use fleet::schema::Version;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A load, by the request's id; never used twice.
+/// The request id of a load; never reused.
 pub type Ticket = u64;
 
 /// Whether a load may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// At once, as far as versions go; the order among loads of one version is not kept here.
+    /// It may start, as far as versions are concerned. The order among loads of one version is kept elsewhere.
     Go,
-    /// Once [`Keys::over`] names it: loads of its key under another version come first.
+    /// It may start once [`Keys::over`] returns it: loads of its key under another version come first.
     Wait,
-    /// Too many loads are known: it is refused.
+    /// The table is full: the load is refused.
     Full,
 }
 
@@ -25,8 +25,8 @@
     line: VecDeque<(Ticket, Version)>,
 }
 
-/// Guards keys: while a load of one is in hand under a version, none starts under another, and none passes one that
-/// waits for that.
+/// Orders loads by key: while a load of a key runs under one version, none starts under another, and no load
+/// overtakes one that waits for this.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Keys {
     most: usize,
@@ -35,12 +35,12 @@
 }
 
 impl Keys {
-    /// Knows so many loads at most.
+    /// Tracks at most this many loads.
     pub fn new(most: usize) -> Keys {
         Keys { most, ..Keys::default() }
     }
 
-    /// A load comes, under the version that was chosen for it. One that comes twice is told where it stands.
+    /// Registers a load under the version chosen for it. Calling it again returns the load's present state.
     pub fn ask(&mut self, ticket: Ticket, key: u64, version: Version) -> Gate {
         if let Some(key) = self.tickets.get(&ticket).and_then(|k| self.keys.get(k)) {
             return if key.in_hand.contains(&ticket) { Gate::Go } else { Gate::Wait };
@@ -61,7 +61,8 @@
         Gate::Wait
     }
 
-    /// A load is over, or its client has left while it waited. Those that may start now, in their order.
+    /// Removes a load that finished, or whose client disconnected while it waited. Returns the loads that may start
+    /// now, in order.
     pub fn over(&mut self, ticket: Ticket) -> Vec<Ticket> {
         let Some(number) = self.tickets.remove(&ticket) else { return vec![] };
         let Some(key) = self.keys.get_mut(&number) else { return vec![] };
@@ -83,30 +84,30 @@
         free
     }
 
-    /// Loads known, those that wait included.
+    /// Number of loads tracked, waiting ones included.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether none is known.
+    /// Whether no load is tracked.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 }
 
-/// Requests in hand by version: from the choice to the final answer, those that wait included.
+/// Requests in flight by version, counted from the choice of the version to the final answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Hands {
     count: BTreeMap<Version, u64>,
 }
 
 impl Hands {
-    /// A request has its version.
+    /// Counts a request whose version was chosen.
     pub fn begin(&mut self, version: Version) {
         *self.count.entry(version).or_default() += 1;
     }
 
-    /// It has its final answer.
+    /// Counts its final answer.
     pub fn end(&mut self, version: Version) {
         let left = self.count.get_mut(&version).map(|n| {
             *n = n.saturating_sub(1);
@@ -118,12 +119,12 @@
         }
     }
 
-    /// Whether any is in hand under this version.
+    /// Whether any request is in flight under this version.
     pub fn has(&self, version: Version) -> bool {
         self.count.contains_key(&version)
     }
 
-    /// How many are in hand, by version.
+    /// Number of requests in flight, by version.
     pub fn by_version(&self) -> impl Iterator<Item = (Version, u64)> + '_ {
         self.count.iter().map(|(v, n)| (*v, *n))
     }
--- a/src/schema/market.rs
+++ b/src/schema/market.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher has to offer: the versions that may begin, and what the executors of each can take.
+//! The schema versions available at a dispatcher, and the capacity of the executors of each.
 
 use crate::api::Micros;
 use fleet::schema::executors::MAX_EXECUTORS;
@@ -9,47 +9,47 @@
 /// An executor as a dispatcher sees it, its version left out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Executor<'a> {
-    /// Its id, as the fleet's log knows it.
+    /// Its id in the fleet's log.
     pub id: &'a str,
-    /// It takes work at all: up, not banned, not drained.
+    /// It accepts work: up, not ejected, not drained.
     pub usable: bool,
-    /// It has room for one more now.
+    /// It has room for one more request now.
     pub room: bool,
-    /// Cores that it serves with at present: fewer than it has while it is cold.
+    /// Effective cores: fewer than it has while it is in slow start.
     pub warm: f64,
 }
 
-/// What the usable executors of one version can take.
+/// Capacity of the usable executors of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Supply {
-    /// Usable ones.
+    /// Number of usable executors.
     pub executors: usize,
-    /// Of these, with room.
+    /// Of these, the ones with room.
     pub room: usize,
-    /// Cores that they serve with at present.
+    /// Sum of their effective cores.
     pub warm: f64,
 }
 
-/// What there is to offer now.
+/// The versions available now.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Market {
-    /// The fleet never named a version: nothing is negotiated.
+    /// The fleet has never set a version: nothing is negotiated.
     pub unset: bool,
-    /// Versions that may begin, oldest first.
+    /// Versions under which requests may begin, oldest first.
     pub starts: Vec<Version>,
-    /// The version that ends.
+    /// The version that is being retired.
     pub ends: Option<Version>,
-    /// The version that an open window leads to; what begins under it is paced, as its executors are new.
+    /// The target version of an open window. Sessions that begin under it are rate-limited, as its executors are new.
     pub leads_to: Option<Version>,
-    /// The executors by version; only versions that may begin.
+    /// Executors by version, for versions under which requests may begin.
     pub supply: BTreeMap<Version, Supply>,
-    /// Dispatchers that share the executors, this one included; 0 counts as one.
+    /// Number of dispatchers that share the executors, this one included; 0 counts as one.
     pub dispatchers: usize,
 }
 
 impl Market {
-    /// From the agreed state, how long nothing was heard of the fleet, what answers have said beyond the log, and
-    /// the executors.
+    /// Builds it from the replicated state, the time since the fleet was last heard of, the executors' answers that are
+    /// not in the log yet, and the executors.
     pub fn new<'a>(
         schema: &Schema,
         without_word: Option<Micros>,
@@ -76,21 +76,21 @@
         Market { unset, starts, ends: schema.window().ends(), leads_to, supply, dispatchers }
     }
 
-    /// What there is of a version.
+    /// The capacity of a version.
     pub fn of(&self, version: Version) -> Supply {
         self.supply.get(&version).copied().unwrap_or_default()
     }
 }
 
-/// What executors' answers have said that the log does not know yet. Such an executor is left alone here from its
-/// answer on, before the fleet has agreed that it is disputed.
+/// Versions reported in executors' answers that are not in the log yet. Such an executor gets no requests from here
+/// from that answer on, before the fleet has committed the dispute.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Words {
     said: BTreeMap<String, (Version, Micros)>,
 }
 
 impl Words {
-    /// An answer of the process that began at `started` says which version it holds.
+    /// Records the version in an answer of the executor process that started at `started`.
     pub fn said(&mut self, schema: &Schema, id: &str, version: Version, started: Micros) {
         if !schema.executors().is_new(id, version, started) {
             return;
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Whether an executor has said what the log does not know yet.
+    /// Whether an executor has reported a version that is not in the log yet.
     pub fn doubt(&self, schema: &Schema, id: &str) -> bool {
         self.said.get(id).is_some_and(|&(version, started)| schema.executors().is_new(id, version, started))
     }
 
-    /// What is to be proposed to the fleet, until it is in the log.
+    /// Commands to propose to the fleet, repeated until they are in the log.
     pub fn proposals(&mut self, schema: &Schema) -> Vec<Command> {
         self.forget(schema);
         self.said.iter().map(|(id, &(version, at))| Command::Says(id.clone(), version, at)).collect()
--- a/src/schema/mod.rs
+++ b/src/schema/mod.rs
@@ -1,11 +1,11 @@
 //! Which version of the schema each request runs under, while executors are upgraded in turn. Sans-I/O and
-//! deterministic; what is agreed by the fleet is [`fleet::schema`]'s.
+//! deterministic. The replicated state is in [`fleet::schema`].
 //!
-//! - [`claim`]: what a client says that it speaks.
-//! - [`market`]: what there is to offer, and what executors' answers say against the log.
-//! - [`negotiate`]: the choice, for each request of a session.
-//! - [`pace`]: sessions move no faster than new executors can take them.
-//! - [`keys`]: loads keep the order of their key over the border, and what is in hand is counted by version.
+//! - [`claim`]: the versions that a client declares to support.
+//! - [`market`]: the versions available here, and executors whose answers contradict the log.
+//! - [`negotiate`]: the choice of a version for each request of a session.
+//! - [`pace`]: limits how fast sessions move to executors that were just upgraded.
+//! - [`keys`]: keeps loads of one key in order across versions, and counts requests in flight by version.
 
 pub mod claim;
 pub mod keys;
--- a/src/schema/negotiate.rs
+++ b/src/schema/negotiate.rs
@@ -1,5 +1,5 @@
-//! Which version a request runs under: the newest that its client speaks, that may begin, and that an executor with
-//! room holds. A session keeps its version, and moves only between two requests.
+//! Chooses the version of a request: the newest that its client supports, that may begin, and that an executor with
+//! room has. A session keeps its version and moves only between two requests.
 
 use super::claim::{Claim, Fault};
 use super::market::Market;
@@ -10,75 +10,75 @@
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
 
-/// What is kept of a client's session.
+/// Negotiation state of a client's session.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Session {
-    /// What it said last that it speaks; holds until it says something else.
+    /// Its last claim; valid until it sends another.
     claim: Option<Claim>,
-    /// The version that its requests run under.
+    /// The version of its requests.
     version: Option<Version>,
-    /// When it moves on, where it could and need not.
+    /// When it moves to a newer version, if it could but need not.
     due: Option<Micros>,
 }
 
 impl Session {
-    /// The version that its last request ran under.
+    /// The version of its last request.
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// What it said last that it speaks.
+    /// Its last claim.
     pub fn claim(&self) -> Option<Claim> {
         self.claim
     }
 
-    /// What its client speaks, for the count of capacity: without a word of its own the oldest that may begin.
+    /// The client's versions for capacity accounting; without a claim, the oldest that may begin.
     pub fn span(&self, market: &Market) -> Option<(Version, Version)> {
         let oldest = || market.starts.first().map(|&v| (v, v));
         self.claim.map(|c| c.span()).or_else(oldest)
     }
 }
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// The fleet has no version and the client claims none: it runs as if there were no such thing.
+    /// The fleet has no version and the client claims none: it runs without negotiation.
     Free,
-    /// It runs under this version, at executors that hold it.
+    /// It runs under this version, at executors that have it.
     Run(Version),
-    /// The same, but none of them has room now: it waits or is refused as any request is that finds none.
+    /// The same, but none of them has room now: it is queued or refused like any request without a free executor.
     Wait(Version),
-    /// It is refused. Trying again is harmless.
+    /// It is refused and has not run, so that a retry is safe.
     Refuse(Refusal),
 }
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Why {
-    /// Its field is no claim. The session is as it was.
+    /// Its field is invalid. The session is unchanged.
     Fault(Fault),
-    /// The fleet has no version at all.
+    /// The fleet has no version.
     Unset,
-    /// The fleet was not heard of for too long to begin under any.
+    /// The fleet has not been heard of for too long to begin under any version.
     NoWord,
-    /// None of those claimed is in the window.
+    /// None of the claimed versions is in the window.
     Unknown(Claim),
-    /// What its client speaks ends.
+    /// The client's version is being retired.
     Ends(Version),
-    /// No usable executor holds this one.
+    /// No usable executor has this version.
     NoExecutor(Version),
-    /// This one would do, and its executors are to be filled slowly.
+    /// This version fits, but its executors are new and the rate limit is reached.
     Slowly(Version),
 }
 
-/// A refusal, with what is to be had; its text is for the client.
+/// A refusal with the available versions. The text is sent to the client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub why: Why,
-    /// Versions that may begin and that a usable executor holds, oldest first.
+    /// Versions that may begin and that a usable executor has, oldest first.
     pub to_be_had: Vec<Version>,
-    /// How long the client should wait; 0 where waiting helps nothing.
+    /// How long the client should wait; 0 if waiting does not help.
     pub backoff: Micros,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// Negotiates for one dispatcher. The same requests with the same seed get the same verdicts.
+/// Negotiates for one dispatcher. Deterministic for a given seed and sequence of requests.
 #[derive(Debug, Clone)]
 pub struct Negotiator {
     terms: Terms,
@@ -111,12 +111,12 @@
 }
 
 impl Negotiator {
-    /// One that has moved nobody yet.
+    /// Starts without any moved sessions.
     pub fn new(terms: Terms, seed: u64) -> Negotiator {
         Negotiator { terms, pace: Pace::default(), rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// A request begins: `field` is the value of its `schema`, if it came with one.
+    /// Decides on a request; `field` is the value of its `schema` field, if present.
     pub fn request(
         &mut self,
         now: Micros,
@@ -151,7 +151,7 @@
         Verdict::Refuse(Refusal { why, to_be_had: had.copied().collect(), backoff })
     }
 
-    /// The version, or `None` where nothing is negotiated.
+    /// The version, or `None` if nothing is negotiated.
     fn choose(&mut self, now: Micros, s: &mut Session, m: &Market) -> Result<Option<Version>, Why> {
         if m.unset {
             return if s.claim.is_some() { Err(Why::Unset) } else { Ok(None) };
@@ -174,11 +174,11 @@
             return Ok(Some(better.filter(|b| self.moves(now, s, *b, m)).unwrap_or(kept)));
         }
         s.due = None;
-        // Those with room go first, and the newest of them.
+        // Versions with room first, the newest of them first.
         let (roomy, full): (Vec<_>, Vec<_>) = held.iter().rev().partition(|v| m.of(**v).room > 0);
         let mut slowly = None;
         for v in roomy.into_iter().chain(full) {
-            // A session that must leave another version comes with all its work.
+            // A session that is forced off another version brings all of its load, so that it is rate-limited too.
             let paced = m.leads_to == Some(v) || s.version.is_some_and(|was| was != v);
             if !paced || self.take(now, v, m) {
                 return Ok(Some(v));
@@ -188,7 +188,7 @@
         Err(slowly.map_or(Why::NoExecutor(newest), Why::Slowly))
     }
 
-    /// Whether a session that could go on as it is moves now.
+    /// Whether a session that could keep its version moves now.
     fn moves(&mut self, now: Micros, s: &mut Session, to: Version, m: &Market) -> bool {
         let due = *s.due.get_or_insert_with(|| now.saturating_add(drawn(&mut self.rng, self.terms.spread)));
         if now < due {
--- a/src/schema/pace.rs
+++ b/src/schema/pace.rs
@@ -1,23 +1,23 @@
-//! How fast sessions begin under a version whose executors are new: no faster than their present capacity takes.
+//! Limits how fast sessions begin under a version whose executors are new, by their effective capacity.
 
 use crate::api::Micros;
 use fleet::schema::Version;
 use rand_core::RngCore;
 
-/// What bounds the moves, and spreads them.
+/// Limits and spread of session moves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
-    /// Sessions that a core takes a second.
+    /// Sessions per core and second.
     pub per_core_s: f64,
-    /// So many seconds' worth of moves may come at once; one move always may.
+    /// Burst size, in seconds of the rate; at least one move.
     pub burst_s: f64,
-    /// A session that could go on as it is moves at a time drawn from this span.
+    /// A session that need not move does so after a random delay below this span.
     pub spread: Micros,
-    /// The shortest wait that a refusal tells; the longest is twice that.
+    /// Minimum backoff of a refusal; the maximum is twice this.
     pub backoff: Micros,
 }
 
-/// Moves to one version; begins anew with the next.
+/// Token bucket of moves to one version; reset when the version changes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Pace {
     version: Version,
@@ -26,8 +26,8 @@
 }
 
 impl Pace {
-    /// Whether one more may begin under this version now; `cores` is this dispatcher's share of what its executors
-    /// serve with at present.
+    /// Takes a token if one more session may begin under this version now. `cores` is this dispatcher's share of its
+    /// executors' effective cores.
     pub fn take(&mut self, now: Micros, version: Version, cores: f64, terms: &Terms) -> bool {
         if self.version != version {
             *self = Pace { version, tokens: 0.0, at: now };
@@ -42,7 +42,7 @@
     }
 }
 
-/// A time below `span`, at least 0.
+/// A random time from 0 up to `span`.
 pub(super) fn drawn(rng: &mut impl RngCore, span: Micros) -> Micros {
     let unit = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
     (unit * span as f64) as Micros
--- a/src/schema/tests.rs
+++ b/src/schema/tests.rs
@@ -1,4 +1,4 @@
-//! Negotiation under stories and under any order of requests, windows and executors.
+//! Negotiation in fixed scenarios and under random sequences of requests, windows and executors.
 
 use super::*;
 use crate::api::Micros;
@@ -50,7 +50,7 @@
     }
 }
 
-// A field that is no claim must not be guessed at: a query would run under what its client does not speak.
+// Guards against guessing at a malformed field: a query would run under a version that its client does not support.
 #[test]
 fn a_claim_is_read_strictly() {
     use claim::Fault::*;
@@ -67,7 +67,8 @@
     assert_eq!((read("8..7"), read("1..17")), (Err(Reversed), Err(Wide)));
 }
 
-// Who claims 9, nonsense, or what ends is told what is to be had; a change of mind holds from the next request on.
+// A client that claims an unknown version, an invalid range or a retiring version is told the available versions; a
+// changed claim applies from the next request on.
 #[test]
 fn every_client_gets_an_answer_that_names_what_is_to_be_had() {
     let (mut n, mut s, words) = (Negotiator::new(TERMS, 1), opening(2), Words::default());
@@ -78,8 +79,8 @@
     assert_eq!(ask(&mut n, S, &mut a, "7", &m), "run 7");
     assert_eq!(ask(&mut n, S, &mut a, "8", &m), "schema 8 is filled slowly: schema=7..8");
     assert_eq!(ask(&mut n, 2 * S, &mut a, "8", &m), "run 8");
-    assert_eq!(ask(&mut n, 2 * S, &mut a, "", &m), "run 8", "what it said last holds");
-    assert_eq!(ask(&mut n, 2 * S, &mut b, "", &m), "run 7", "without a field the oldest");
+    assert_eq!(ask(&mut n, 2 * S, &mut a, "", &m), "run 8", "the last claim stays valid");
+    assert_eq!(ask(&mut n, 2 * S, &mut b, "", &m), "run 7", "without a claim the oldest version");
     assert_eq!(ask(&mut n, 2 * S, &mut c, "7", &market(&s, &words, false)), "wait 7");
     close(&mut s);
     let m = market(&s, &words, true);
@@ -92,7 +93,7 @@
     assert_eq!(ask(&mut n, 3 * S, &mut a, "8", &unset), "no schema is agreed on here:");
 }
 
-// An executor whose answer contradicts the log must get nothing more at once, not only once the fleet has agreed.
+// An executor whose answer contradicts the log must get no further requests at once, not only after the commit.
 #[test]
 fn an_executor_in_doubt_is_left_alone_from_its_answer_on() {
     let (mut s, mut words) = (opening(1), Words::default());
@@ -107,8 +108,8 @@
     assert_eq!((words.proposals(&s), market(&s, &words, true).of(8).executors), (vec![], 0));
 }
 
-// All sessions could move as the window opens: they do so spread, within what the new executors take, and the same
-// seed moves the same ones.
+// All sessions could move when the window opens. They move spread over time, within the capacity of the new
+// executors, and the same seed moves the same sessions.
 #[test]
 fn sessions_move_no_faster_than_new_executors_take_them() {
     let run = |seed| {
@@ -131,8 +132,8 @@
     let moves = run(7);
     assert_eq!(moves, run(7));
     assert_ne!(moves, run(8));
-    assert_eq!(moves.len(), 100, "all in the end");
-    // Four cores take four a second, and a second's worth at once.
+    assert_eq!(moves.len(), 100, "all sessions moved");
+    // Four cores accept four sessions a second, plus a burst of one second.
     for (i, (from, _)) in moves.iter().enumerate() {
         let within = moves[i..].iter().filter(|(t, _)| t - from < 10).count();
         assert!(within <= 8, "{within} in the second from {from}");
@@ -140,8 +141,9 @@
 }
 
 proptest! {
-    // Whatever the window, the executors, their room and the clients: what is chosen is spoken, may begin, and is held
-    // by a usable executor; a session that could go on never goes back; the same seed gives the same verdicts.
+    // For any window, executors, room and clients: the chosen version is supported by the client, may begin, and is
+    // available at a usable executor; a session that could keep its version never goes back; the same seed gives the
+    // same verdicts.
     #[test]
     fn a_choice_is_spoken_may_begin_and_is_held(
         versions in prop::collection::vec((6u16..10, any::<bool>(), any::<bool>()), 4),
@@ -192,8 +194,8 @@
         prop_assert_eq!(run(), run());
     }
 
-    // Loads of one key: never two versions of it in hand, none passes one that waits, none is left waiting, and no
-    // more are known than the bound.
+    // Loads of one key: never two versions at once, none overtakes one that waits, none is left waiting, and no more are
+    // tracked than the limit.
     #[test]
     fn loads_keep_the_order_of_their_key(
         steps in prop::collection::vec((any::<bool>(), 0u64..3, 7u16..9, any::<prop::sample::Index>()), 1..120),
@@ -221,10 +223,10 @@
             for (t, (key, version)) in &known {
                 let others = || known.iter().filter(|(_, (k, _))| k == key);
                 let other = others().any(|(o, (_, v))| v != version && going.contains(o));
-                prop_assert!(!(going.contains(t) && other), "two versions of one key");
+                prop_assert!(!(going.contains(t) && other), "two versions of one key at once");
                 let passed = others().any(|(o, _)| o > t && going.contains(o));
-                prop_assert!(going.contains(t) || !passed, "it was passed");
-                prop_assert!(others().any(|(o, _)| going.contains(o)), "nobody goes");
+                prop_assert!(going.contains(t) || !passed, "overtaken by a later load");
+                prop_assert!(others().any(|(o, _)| going.contains(o)), "no load of the key runs");
             }
         }
     }
--- a/src/takeover/answers.rs
+++ b/src/takeover/answers.rs
@@ -1,4 +1,4 @@
-//! Requests that end: their answers, and what becomes of those that waited for the same.
+//! Finished requests: their replies, and the tries that waited for the same ask.
 
 use super::Takeover;
 use super::types::{Local, Move, Pages, Past, Reply, Stage};
@@ -6,7 +6,7 @@
 use fleet::ledger::Outcome;
 
 impl Takeover {
-    /// The decisions have answered a request.
+    /// The balancer gave its final answer to a request.
     pub fn answered(&mut self, now: Micros, rid: u64, reply: Reply) {
         let Some(ask) = self.asks.remove(&rid) else { return };
         let Some(local) = self.local.get(&ask) else { return };
@@ -35,7 +35,7 @@
         };
         let asked_for = !local.waiting.is_empty();
         if let (true, false, Reply::Served(pages)) = (adopted, asked_for, &reply) {
-            // Nobody is here for it yet: it waits as long as its client does.
+            // The client has not retried here yet: keep the result until the request's deadline.
             let until = self.fleet.ledger().and_then(|l| l.open(ask)).map_or(now, |(r, _)| r.deadline);
             if self.adopted < self.bounds.adopted && until > now {
                 self.adopted += 1;
@@ -49,7 +49,7 @@
         self.answer_all(&mut local, &reply);
     }
 
-    /// The client of a request has left. What must not run twice goes on; the rest was called off.
+    /// The client of a request disconnected. A non-idempotent request continues; any other has been cancelled.
     pub fn left(&mut self, now: Micros, rid: u64) {
         let Some(ask) = self.asks.get(&rid).copied() else { return };
         let Some(local) = self.local.get_mut(&ask) else { return };
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A request whose client had left is over.
+    /// A request whose client had disconnected is finished.
     pub fn over(&mut self, now: Micros, rid: u64, past: Past) {
         let Some(ask) = self.asks.remove(&rid) else { return };
         let Some(mut local) = self.local.remove(&ask) else { return };
@@ -100,7 +100,7 @@
         (pages.iter().map(Vec::len).sum::<usize>() <= self.bounds.result).then(|| pages.clone())
     }
 
-    /// One that waited waits no more. A record that is being opened for it goes to the next, or is closed.
+    /// Removes a waiting try. A record that is being opened for it goes to the next one that waits, or is closed.
     fn waiter_gone(&mut self, ask: u64, rid: u64) {
         let Some(local) = self.local.get_mut(&ask) else { return };
         local.waiting.retain(|w| w.rid != rid);
@@ -122,7 +122,7 @@
         self.answer_all(local, &reply);
     }
 
-    /// The ask is free: the first that waits for it, if any, has it put on record as its own.
+    /// Nobody owns the ask any more: records it for the first try that waits for it, if there is one.
     pub(super) fn open_again(&mut self, now: Micros, ask: u64) {
         let Some(local) = self.local.get_mut(&ask) else { return };
         let Some(first) = local.waiting.front() else {
--- a/src/takeover/arrivals.rs
+++ b/src/takeover/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive and go out: who may run, who waits, and what is put on record for it.
+//! Arriving and sent requests: which may run, which wait, and what is recorded for them.
 
 use super::types::{Gate, Local, Reply, Stage, Try, Waiting};
 use super::{Takeover, reply};
@@ -7,10 +7,10 @@
 use std::collections::{BTreeSet, VecDeque};
 
 impl Takeover {
-    /// A request arrives.
+    /// Handles an arriving request.
     pub fn arrives(&mut self, now: Micros, mut attempt: Try) -> Gate {
         let (rid, repeats) = (attempt.record.rid, attempt.record.repeats);
-        // Without a name nobody can come back for it: what may repeat needs no record then.
+        // Without an ask id its client can't retry it, so that an idempotent request needs no record.
         let ask = match attempt.ask {
             Some(ask) => ask,
             None if repeats => return Gate::Go,
@@ -51,7 +51,8 @@
                 false => self.unrecorded(Gate::Go),
             };
         }
-        // A young fleet may follow one that lost its record, and with it that of this one.
+        // A fleet without its full history may have replaced one that lost its ledger, and the record of this request
+        // with it.
         if !repeats && attempt.again && !self.fleet.has_full_history(now) && attempt.ask.is_some() {
             return self.unrecorded(self.later());
         }
@@ -81,7 +82,7 @@
         local.stage = Stage::Mine { rid, repeats, adopted, fenced: false };
     }
 
-    /// Whether an attempt of a request may go out now. One that may not is to be let go.
+    /// Whether an attempt of a request may be sent now. A request that may not send has to be given up.
     pub fn may_send(&self, now: Micros, rid: u64) -> bool {
         let Some(local) = self.asks.get(&rid).and_then(|a| self.local.get(a)) else { return true };
         match local.stage {
@@ -90,19 +91,19 @@
         }
     }
 
-    /// An attempt of a request went out.
+    /// Records that an attempt of a request was sent.
     pub fn sent(&mut self, now: Micros, rid: u64, executor: u32) {
         if let Some(ask) = self.asks.get(&rid).copied() {
             self.fleet.record_attempt(now, ask, executor);
         }
     }
 
-    /// Whether what becomes of a request after its client left matters here.
+    /// Whether the outcome of a request still matters after its client has disconnected.
     pub fn follows(&self, rid: u64) -> bool {
         self.asks.contains_key(&rid)
     }
 
-    /// Whether the result of a request is needed beside its client's answer.
+    /// Whether the result of a request is needed for more than its client's answer.
     pub fn keeps_result(&self, rid: u64) -> bool {
         let local = self.asks.get(&rid).and_then(|a| self.local.get(a));
         local.is_some_and(|l| match l.stage {
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -1,4 +1,4 @@
-//! What the fleet tells: what is on record, what another has taken, whose lease is over.
+//! Handles events of the fleet: records opened, reassigned and closed, and leases that ended.
 
 use super::types::{Local, Move, Pages, Reply, Stage};
 use super::{Takeover, reply};
@@ -26,7 +26,7 @@
                 FleetEvent::ResultReceived(ask, pages) => self.result(ask, pages),
                 FleetEvent::StateChanged(StateKind::Plan) => self.planned = true,
                 FleetEvent::StateChanged(StateKind::Policy) => self.ruled = true,
-                // Nothing of these is acted on yet.
+                // Not used yet.
                 FleetEvent::StateChanged(StateKind::Schema | StateKind::Slots) => {}
                 FleetEvent::LeaseLost(holder) => self.lost(holder),
                 FleetEvent::LeaseAcquired(h) => tracing::info!(term = h.term, "fleet: lease held"),
@@ -51,7 +51,7 @@
 
     fn opened(&mut self, now: Micros, ask: u64) {
         let Some(local) = self.local.get_mut(&ask) else {
-            // Its client left before it was agreed: it never went out.
+            // Its client disconnected before the record was committed, so that it was never sent.
             return self.fleet.close(now, ask, Outcome::Removed);
         };
         if local.stage != Stage::Opening {
@@ -69,7 +69,7 @@
     fn taken(&mut self, now: Micros, ask: u64) {
         let Some(local) = self.local.get_mut(&ask) else { return };
         if local.stage != Stage::Opening {
-            // It was sent before this was known, and goes on here; the other has the record.
+            // It was sent before this was known and continues here; another peer holds the record.
             self.tally.overlaps += 1;
             return;
         }
@@ -124,7 +124,7 @@
             "fleet: taken over"
         );
         if let Some(local) = self.local.get_mut(&ask) {
-            // Its client is here already: that try takes its place.
+            // Its client has retried here already: that try takes its place.
             if let Some(first) = local.waiting.pop_front() {
                 self.keep(ask, first.rid, first.attempt.record.repeats, false);
                 self.moves.push_back(Move::Admit(first.rid));
@@ -172,7 +172,7 @@
             }
             Some(_) => {}
             None => {
-                // On record as this peer's, and not in its hands: nothing will come of it here.
+                // Recorded as owned by this peer, but unknown here: it will never have an outcome.
                 let holder = self.fleet.holds(now);
                 let own =
                     self.fleet.ledger().and_then(|l| l.open(ask)).is_some_and(|(_, h)| Some(h) == holder);
@@ -191,8 +191,8 @@
         }
     }
 
-    /// The lease is over. What may repeat is another's from now on; what must not run twice will never be run
-    /// again by anybody, so that an answer that still comes may go to the client that waits for it here.
+    /// The lease ended. Idempotent requests belong to another peer from now on. Non-idempotent ones are never run again
+    /// by any peer, so that an answer that still arrives may go to the client that waits here.
     fn lost(&mut self, holder: Holder) {
         tracing::warn!(
             term = holder.term,
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,11 +1,11 @@
-//! Work in hand that survives its dispatcher: which requests are on the fleet's record, who may act on them, and
-//! what becomes of those whose owner was lost. Sans-I/O; the record itself is the [`fleet`] crate's.
+//! Takeover of requests from lost dispatchers: which requests are recorded in the replicated ledger, which
+//! dispatcher owns each, and what happens when an owner is lost. Sans-I/O; the ledger itself is in the [`fleet`] crate.
 //!
-//! A request is known over all tries of its client by its `ask`. What must not run twice is on record before it
-//! is sent; what may repeat is put on record beside being sent, and only where a client could come back for it.
-//! A try that finds its ask on record waits for what comes of that: it never runs beside it.
+//! A request keeps one `ask` id over all tries of its client. A non-idempotent request is recorded before it is
+//! sent. An idempotent one is recorded while it is being sent, and only if its client could retry it.
+//! A try whose ask is already recorded waits for that outcome and never runs concurrently with it.
 //!
-//! `arrivals` has the requests that come, `answers` those that end, and `fleet_events` what the fleet tells of them.
+//! `arrivals` handles incoming requests, `answers` finished ones, and `fleet_events` the events of the fleet.
 
 mod answers;
 mod arrivals;
@@ -23,29 +23,29 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use types::{Local, Stage};
 
-/// Work in hand.
+/// The requests that this dispatcher owns or that wait here.
 pub struct Takeover {
-    /// The fleet.
+    /// The replicated state of the fleet.
     pub fleet: Fleet,
     bounds: Bounds,
     local: BTreeMap<u64, Local>,
-    /// The ask of each request that the decisions have or that waits.
+    /// Ask id of each request, by request id: those given to the balancer and those that wait.
     asks: BTreeMap<u64, u64>,
     adopted: usize,
-    /// The plan of machines that are taken out for work has changed since this was last asked.
+    /// The maintenance plan has changed since the host last cleared this flag.
     pub planned: bool,
-    /// The same of what all admit requests by, or this peer's lease.
+    /// The same for the admission policy and for this peer's lease.
     pub ruled: bool,
-    /// When something that is another's, or kept for a client, is to be looked at; some may no longer be.
+    /// Due times of asks owned by another peer or with a parked result. Entries may be stale.
     due: BTreeSet<(Micros, u64)>,
-    /// What is to be done.
+    /// Actions for the host, in order.
     pub moves: VecDeque<Move>,
     /// Counters.
     pub tally: Tally,
 }
 
 impl Takeover {
-    /// Nothing in hand.
+    /// Starts without any requests.
     pub fn new(fleet: Fleet, bounds: Bounds) -> Takeover {
         Takeover {
             fleet,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A message of a peer.
+    /// Handles a message from a peer.
     pub fn hears(&mut self, now: Micros, from: Peer, message: Message) {
         self.fleet.handle_message(now, from, message);
         self.take_fleet_events(now);
@@ -72,8 +72,8 @@
         self.due.first().map_or(self.fleet.next_due(), |(at, _)| self.fleet.next_due().min(*at))
     }
 
-    /// Lets time pass. Called before anything else of a turn: a lease that ran out while this process stood
-    /// still is over before it acts on it.
+    /// Advances the clock. Called first in each turn of the loop, so that a lease that expired while the process was
+    /// stalled is dropped before anything is done under it.
     pub fn tick(&mut self, now: Micros) {
         self.fleet.tick(now);
         self.take_fleet_events(now);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// All that came at one moment was handled: what is to be agreed first goes out.
+    /// Called once all events of a turn are handled; sends the pending proposals.
     pub fn flush(&mut self, now: Micros) {
         if self.next_due() <= now {
             self.tick(now);
@@ -104,11 +104,11 @@
     }
 }
 
-/// What a try is answered that finds its ask ended on record.
+/// The reply to a try whose ask already has a recorded outcome.
 fn reply(end: &Outcome) -> Reply {
     match end {
         Outcome::Served(Some(pages)) => Reply::Served(pages.clone()),
-        // It ran, and its result is no longer there; or whether it ran is not known.
+        // It ran and its result is gone, or it is unknown whether it ran.
         Outcome::Served(None) | Outcome::Failed | Outcome::Unknown | Outcome::Removed => Reply::Failed,
     }
 }
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -4,7 +4,7 @@
 
 const MS: Micros = 1_000;
 
-/// Three dispatchers whose messages pass at once, but for those of peers that are gone.
+/// Three dispatchers with immediate message delivery; messages to removed peers are dropped.
 struct Three {
     all: BTreeMap<Peer, Takeover>,
     now: Micros,
@@ -94,8 +94,8 @@
     vec![b"a\tb\tc\n".to_vec()]
 }
 
-// A load goes to the decisions only once it is agreed; its owner dies, and whoever is asked for it again says
-// at once that it may have run. It is never handed to the decisions a second time.
+// A load is passed to the balancer only once its record is committed. After its owner dies, every other dispatcher
+// answers a retry at once that the load may have run. Guards against passing it to a balancer a second time.
 #[test]
 fn a_load_of_a_dead_dispatcher_is_never_run_again() {
     let mut three = Three::formed();
@@ -104,7 +104,7 @@
     three.pass(50);
     assert_eq!(three.moved(&Move::Admit(10)), [1]);
     three.all.remove(&1);
-    // Its client is back before anybody knows: it waits for the record.
+    // Its client retries before the loss is detected: it waits for the record.
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(2_000);
     assert_eq!(three.moved(&Move::Answer(11, Reply::Failed)), [2]);
@@ -112,13 +112,13 @@
     assert!(three.moves.iter().all(|(p, m)| *p == 1 || !matches!(m, Move::Admit(_) | Move::Adopt(_))));
 }
 
-// A read of a dead dispatcher is taken over by one other, and its result waits there for the client, who may
-// come to any.
+// A read of a dead dispatcher is taken over by exactly one other, which keeps the result for the client. The client
+// may retry at any dispatcher.
 #[test]
 fn a_read_of_a_dead_dispatcher_is_answered_wherever_its_client_comes_back() {
     for back_at in [2, 3] {
         let mut three = Three::formed();
-        assert_eq!(three.asks(1, 10, 5, true, false), Gate::Go, "what may repeat does not wait");
+        assert_eq!(three.asks(1, 10, 5, true, false), Gate::Go, "idempotent requests do not wait");
         three.pass(100);
         three.all.remove(&1);
         three.pass(2_000);
@@ -143,8 +143,8 @@
     }
 }
 
-// The client lost its connection and not its dispatcher: the load goes on, and its result is on record for the
-// next try, wherever that comes.
+// The client loses its connection while its dispatcher lives: the load continues, and its result is recorded for the
+// next try at any dispatcher.
 #[test]
 fn a_load_whose_client_was_cut_off_is_answered_from_the_record() {
     let mut three = Three::formed();
@@ -154,7 +154,7 @@
     three.at(1).left(now, 10);
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(300);
-    assert!(three.moved(&Move::Answer(11, Reply::Failed)).is_empty(), "it waits while the load runs");
+    assert!(three.moved(&Move::Answer(11, Reply::Failed)).is_empty(), "the retry waits while the load runs");
     let now = three.now;
     three.at(1).over(now, 10, Past::Served(rows()));
     three.pass(300);
@@ -162,8 +162,8 @@
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Served(rows())));
 }
 
-// A dispatcher that stood still for longer than its lease may send nothing more of what it had in hand, and
-// lets its reads go; without a lease it takes reads, which may repeat, and refuses loads with a time.
+// A dispatcher that was stalled for longer than its lease must send no further attempts of its requests, and gives
+// its reads up. Without a lease it accepts reads, which are idempotent, and refuses loads with a backoff.
 #[test]
 fn a_dispatcher_without_a_lease_lets_go() {
     let mut three = Three::formed();
@@ -181,7 +181,7 @@
     assert_eq!(three.asks(1, 31, 8, false, false), Gate::Answer(Reply::Refused(1_000)));
 }
 
-// Two tries of one ask at one dispatcher: the second never runs beside the first and gets the same answer.
+// Two tries of one ask at one dispatcher: the second never runs concurrently and gets the same answer.
 #[test]
 fn a_second_try_waits_for_the_first() {
     let mut three = Three::formed();
@@ -191,7 +191,7 @@
     three.at(1).answered(now, 10, Reply::Served(rows()));
     three.pass(20);
     assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [1]);
-    // The first's client leaves: the second takes its place.
+    // The client of the first try disconnects: the second takes its place.
     three.asks(1, 20, 6, true, false);
     three.asks(1, 21, 6, true, true);
     let now = three.now;
@@ -200,7 +200,7 @@
     assert_eq!(three.moved(&Move::Admit(21)), [1]);
 }
 
-// Nothing is kept of what is over.
+// Guards against state that leaks after requests have finished.
 #[test]
 fn what_is_over_leaves_nothing() {
     let mut three = Three::formed();
--- a/src/takeover/types.rs
+++ b/src/takeover/types.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of work in hand, and what is kept of each request.
+//! Inputs and outputs of the takeover module, and the state kept for each request.
 
 use crate::api::Micros;
 use fleet::Peer;
@@ -8,31 +8,31 @@
 /// The pages of a result.
 pub type Pages = Vec<Vec<u8>>;
 
-/// What bounds it, besides the fleet's own terms.
+/// Limits, besides those of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The longest statement kept on record, in bytes: a longer one is not sent again by another.
+    /// The longest statement that is recorded, in bytes. A request with a longer one is not sent again by another peer.
     pub statement: usize,
-    /// The largest result of what must not run twice that is kept for tries that come back, in bytes.
+    /// The largest result of a non-idempotent request that is recorded for later tries, in bytes.
     pub result: usize,
-    /// Requests of lost peers in hand, and results that wait for their clients, each at most.
+    /// Maximum number of requests taken over from lost peers, counting parked results.
     pub adopted: usize,
-    /// Most attempts for a request, by all dispatchers together.
+    /// Maximum number of attempts of a request, over all dispatchers.
     pub attempts: usize,
-    /// What a refusal for want of a lease tells a client to wait, in milliseconds.
+    /// Wait that a client is told when it is refused for lack of a lease, in milliseconds.
     pub backoff_ms: u64,
-    /// How often the result of a request that another has in hand is asked for.
+    /// Interval at which the result of a request owned by another peer is requested.
     pub fetch: Micros,
 }
 
-/// A request as it arrives, as far as it matters here.
+/// An arriving try of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Try {
-    /// The name that its client keeps over all tries, where it has one.
+    /// The id that its client keeps over all tries, if it sends one.
     pub ask: Option<u64>,
-    /// Its client says that it asked before.
+    /// Its client says that this is a retry.
     pub again: bool,
-    /// What would be on record of it.
+    /// The record that would be opened for it.
     pub record: Record,
 }
 
@@ -41,37 +41,37 @@
 pub enum Reply {
     /// The result.
     Served(Pages),
-    /// Trying again is harmless, after so many milliseconds.
+    /// It did not run; the client may retry after this many milliseconds.
     Refused(u64),
     /// Failed; it may have run.
     Failed,
 }
 
-/// What to do with a request that arrives.
+/// What to do with an arriving request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Gate {
-    /// It goes to the decisions.
+    /// Pass it to the balancer.
     Go,
-    /// It waits; a [`Move`] says how it goes on.
+    /// Hold it until a [`Move`] says how it continues.
     Hold,
-    /// It has its answer.
+    /// Answer it at once.
     Answer(Reply),
 }
 
-/// What is to be done, in order.
+/// An action for the host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Move {
-    /// A request that waited goes to the decisions.
+    /// Pass a held request to the balancer.
     Admit(u64),
-    /// A request that waited has its answer.
+    /// Answer a held request.
     Answer(u64, Reply),
-    /// A request of a lost peer goes to the decisions, with no client here.
+    /// Pass a request of a lost peer to the balancer; it has no client here.
     Adopt(Record),
-    /// The right to act on this request is lost: what is out of it is called off, and its client told.
+    /// This dispatcher no longer owns the request: cancel its attempts and tell its client.
     LetGo(u64),
 }
 
-/// What became of a request whose client had left, once none of its attempts is out.
+/// Outcome of a request whose client had disconnected, once none of its attempts is in flight.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Past {
     /// It was served.
@@ -84,20 +84,20 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Stage {
-    /// The record is asked to be opened for the first that waits.
+    /// A record has been proposed for the first waiting try.
     Opening,
-    /// In the hands of the decisions here.
+    /// Owned by this dispatcher's balancer.
     Mine {
         rid: u64,
         repeats: bool,
-        /// No client here has it.
+        /// Taken over from a lost peer, with no client here.
         adopted: bool,
-        /// The lease that it was taken under is over.
+        /// The lease under which it was recorded has ended.
         fenced: bool,
     },
-    /// Served with no client here, and kept until one comes.
+    /// Served without a client here; the result is kept until the client retries.
     Parked { pages: Pages, until: Micros },
-    /// In another's hands.
+    /// Owned by another peer.
     Theirs { fetch_at: Micros },
 }
 
@@ -110,29 +110,29 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Local {
     pub(super) stage: Stage,
-    /// Tries of it that wait here.
+    /// Tries that wait here for the outcome.
     pub(super) waiting: VecDeque<Waiting>,
-    /// Peers that want its result.
+    /// Peers that requested its result.
     pub(super) wanted: BTreeSet<Peer>,
 }
 
 /// Counters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Requests that were put on record.
+    /// Requests recorded.
     pub recorded: u64,
-    /// Requests that could not be.
+    /// Requests that could not be recorded.
     pub unrecorded: u64,
-    /// Requests of lost peers that went to this one.
+    /// Requests of lost peers reassigned to this one.
     pub claimed: u64,
-    /// Of these, sent again.
+    /// Of these, the ones sent again.
     pub adopted: u64,
-    /// Tries that found their ask on record.
+    /// Tries whose ask was recorded already.
     pub joined: u64,
-    /// Of these, answered from it or by another dispatcher.
+    /// Of these, the ones answered from the record or by another dispatcher.
     pub answered: u64,
-    /// Requests given up with a lease.
+    /// Requests given up when a lease was lost.
     pub let_go: u64,
-    /// Tries of one ask that ran here and elsewhere, as the second came before the first was on record.
+    /// Tries of one ask that ran both here and elsewhere, because the second arrived before the first was recorded.
     pub overlaps: u64,
 }
--- a/tests/control_group/group.rs
+++ b/tests/control_group/group.rs
@@ -1,4 +1,4 @@
-//! Members and followers as processes, two old executors and two new ones, and clients.
+//! Test harness: member and follower processes, two old and two new executors, and clients.
 
 use super::members::MemberProcess;
 use standins::asks::{Ask, PATIENCE, call};
@@ -13,13 +13,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// One zone, two kinds of executor; the class may go to both.
+/// One zone, two kinds of executor; the class may run on both.
 pub const SETTINGS: &str = r#"{"areas":["a"],"balancers":3,"kinds":["old","new"],"domain":{"kindCores":[8,8],"memoryByKindMb":[16384,16384],"parallelism":[1]},"permissions":{"cancel":true,"maxAttempts":3,"probes":true,"retryAfter":true,"maxRetryAfter":1.0,"dialTimeout":0.25},"report":{"how":"on_probe"},"requestClasses":[{"name":"read","promise":5.0,"hardLimit":20.0,"effect":"read_like","boundTo":["old","new"]}],"rules":{"stopSendingWithin":0.5,"coldFrom":0.0,"rampTime":1,"fall":1,"fallMultiple":3}}"#;
-/// Which executors a test looks at.
+/// Indices of the executors of kind `old`.
 pub const OLD: [usize; 2] = [0, 1];
-/// See [`OLD`].
+/// Indices of the executors of kind `new`.
 pub const NEW: [usize; 2] = [2, 3];
-/// Long enough that a machine that stalls for a while does not end it.
+/// Long enough that a short stall of the machine does not end it.
 const LEASE: &str = "3s";
 const LIMITS: &str = "  policy {\n    vote_limit = \"30s\"\n    close_limit = \"30s\"\n  }\n";
 
@@ -51,7 +51,7 @@
         Group::with(lines, [SETTINGS; 3], SETTINGS)
     }
 
-    /// Three followers with these settings of the platform, and members with theirs.
+    /// Starts three followers and the members, each with the given platform settings.
     pub fn with(lines: &str, settings: [&str; 3], member_settings: &str) -> Group {
         let work = |_: &Pull| Duration::from_millis(20);
         let process = |_| MemberProcess {
@@ -94,17 +94,17 @@
         order.into_iter().enumerate().map(block).collect()
     }
 
-    /// Where followers reach a member.
+    /// A member's address for followers.
     pub fn followers_address(&self, i: usize) -> SocketAddr {
         self.members[i].followers.address
     }
 
-    /// Starts a dispatcher that follows a group of this name.
+    /// Starts a dispatcher that follows the group of this name.
     pub fn start_follower(&self, group: &str, settings: &str, i: usize) -> (Dispatcher, SocketAddr) {
         self.start_follower_at(group, settings, i, [0, 1, 2])
     }
 
-    /// The same with the members' addresses in this order.
+    /// The same, with the members' addresses in the given order.
     pub fn start_follower_at(
         &self,
         group: &str,
@@ -131,7 +131,7 @@
         (dispatcher, operators)
     }
 
-    /// A policy's file, which binds reads to a kind; `further` is text beside that.
+    /// Writes a policy file that binds reads to a kind; `further` is additional text.
     pub fn file(&self, kind: &str, further: &str) -> String {
         let text = format!(
             "policy \"{kind}\" {{\n  class \"read\" {{\n    kinds = [\"{kind}\"]\n  }}\n{further}}}\n"
@@ -151,7 +151,7 @@
         self.call_follower(follower, "POLICY STATUS")
     }
 
-    /// Proposes a policy for a kind at a member, once that one has a lease.
+    /// Proposes a policy for a kind at a member; repeats it until the member has a lease.
     pub fn propose(&self, member: usize, kind: &str) -> String {
         let line = format!("POLICY PROPOSE {}", self.file(kind, ""));
         let begun = Instant::now();
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Has a policy for this kind take hold at all followers.
+    /// Brings a policy for this kind into force at all followers.
     pub fn call_in_force(&self, member: usize, kind: &str, number: u64) {
         let told = self.propose(member, kind);
         assert!(told.starts_with(&format!("+OK proposed {number}")), "{told}");
@@ -187,7 +187,7 @@
     }
 }
 
-/// A dispatcher without a group.
+/// A dispatcher without a control group.
 pub fn alone() -> (Dispatcher, SocketAddr) {
     let (launch, coordinator) = (launch(), Coordinator::new());
     let config =
--- a/tests/control_group/main.rs
+++ b/tests/control_group/main.rs
@@ -1,4 +1,4 @@
-//! Three members of a control group and three dispatchers that follow them, all of them real processes, with clients.
+//! Tests of a control group with three member processes, three dispatcher processes that follow them, and clients.
 
 mod group;
 mod members;
@@ -11,8 +11,8 @@
 use std::thread;
 use std::time::{Duration, SystemTime};
 
-// From the moment that a request is admitted by the new policy at any dispatcher, none is by the old one, wherever it
-// is asked; what waits for the change is served, not refused.
+// Guards against two policies in force at once: after any dispatcher has admitted a request by the new policy, none
+// admits one by the old policy. Requests that wait for the change are served, not refused.
 #[test]
 fn followers_serve_through_a_change() {
     let mut group = Group::start("");
@@ -34,7 +34,7 @@
     assert!(told.starts_with("-ERR this dispatcher follows a control group"), "{told}");
 }
 
-// A member that is killed takes no dispatcher with it: its followers go to others, and a change goes on without it.
+// A killed member: its followers connect to others, and a change completes without it.
 #[test]
 fn a_member_that_is_killed_is_not_needed() {
     let mut group = Group::start("");
@@ -53,7 +53,7 @@
     }
 }
 
-// A dispatcher that stands still through a change serves by no policy but the new one once it goes on.
+// A dispatcher that is stopped during a change serves only by the new policy once it resumes.
 #[test]
 fn a_dispatcher_that_stood_still_admits_nothing_old() {
     let mut group = Group::start("");
@@ -72,7 +72,7 @@
     assert_eq!(group.late_old(switch), []);
 }
 
-// A dispatcher that can't do a policy: it takes hold nowhere, and the operator reads at a member which one and why.
+// A policy that one dispatcher can't apply comes into force nowhere, and each member reports which dispatcher and why.
 #[test]
 fn a_policy_that_one_dispatcher_cannot_do_is_told_at_the_members() {
     let with = SETTINGS.replace(
@@ -88,7 +88,7 @@
     assert!(status.starts_with("+OK policy 0 in force"), "{status}");
 }
 
-// Changes that are called while one is under way are all taken; the last of them is in force in the end.
+// Changes proposed while another is in progress are all accepted; the last of them is in force in the end.
 #[test]
 fn of_changes_that_are_called_at_once_the_last_is_in_force() {
     let group = Group::start("");
@@ -100,7 +100,7 @@
     assert_eq!(status.lines().find(other), None, "{status}");
 }
 
-// All members end one by one, told to, and are started anew: the record stays, and dispatchers serve meanwhile.
+// Rolling restart of all members: the log is kept, and the dispatchers serve meanwhile.
 #[test]
 fn members_are_replaced_one_by_one() {
     let mut group = Group::start("");
@@ -117,7 +117,7 @@
     assert_eq!(group.ask(0).got, Some(Answer::Rows));
 }
 
-// Bytes that are no frame, one that is too long, and another group's follower: that connection ends, and nobody else's.
+// An invalid frame, an oversized one, and a follower of another group: only the connection concerned is closed.
 #[test]
 fn bad_bytes_end_their_own_connection_alone() {
     let group = Group::start("");
@@ -139,11 +139,11 @@
     assert_eq!(group.ask(1).got, Some(Answer::Rows));
 }
 
-// Whoever listens where a member is expected and is none is not believed.
+// A follower rejects a process that answers at a member's address but is not that member.
 #[test]
 fn whoever_is_not_the_listed_member_is_not_believed() {
     let group = Group::start("");
-    // The three members' addresses change places: each answers as another than the one that was dialed.
+    // The three members' addresses are permuted, so that each answers as another member than the one dialed.
     let mut follower = group.start_follower_at("control", SETTINGS, 9, [1, 2, 0]);
     let line = follower.0.logs("member lost");
     assert!(line.contains("WrongMember"), "{line}");
@@ -151,7 +151,7 @@
     assert!(told.starts_with("-ERR "), "it knows nothing: {told}");
 }
 
-// Without the block nothing of it is there, and with it a member serves no clients.
+// Without the `control` block there is no call, metric or socket of a control group.
 #[test]
 fn without_the_block_nothing_of_it_runs() {
     let (mut dispatcher, operators) = alone();
@@ -162,7 +162,7 @@
         let fds = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten();
         fds.filter(|f| std::fs::read_link(f.path()).is_ok_and(|l| l.starts_with("socket:"))).count()
     };
-    // Clients, operators, the two ends of the signals' stream, and the feed.
+    // Clients, operators, the two ends of the signal stream, and the feed.
     assert!(sockets() <= 6, "{}", sockets());
     dispatcher.signal("TERM");
     assert!(dispatcher.ends());
--- a/tests/control_group/members.rs
+++ b/tests/control_group/members.rs
@@ -1,4 +1,4 @@
-//! The members of a group as processes.
+//! Member processes of a control group.
 
 use super::group::{Group, said};
 use standins::asks::PATIENCE;
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A member's process and where it is reached.
+/// A member's process and its addresses.
 pub struct MemberProcess {
     pub child: Option<Child>,
-    /// Ways to it that stay where they are when it is started anew.
+    /// Proxies to it, whose addresses stay the same when it is restarted.
     pub peers: Link,
     pub followers: Link,
     pub operators: Option<SocketAddr>,
@@ -29,7 +29,7 @@
 }
 
 impl Group {
-    /// Starts a member, anew or for the first time.
+    /// Starts or restarts a member.
     pub fn start_member(&mut self, i: usize) {
         let own = self.launch.file(&format!(
             "control {{\n  role = \"member\"\n  me = \"m{i}\"\n  listen = \"127.0.0.1:0\"\n  followers = \"127.0.0.1:0\"\n{}{}}}\n",
@@ -55,7 +55,7 @@
         member.peers.leads_to(address("members' address "));
         member.followers.leads_to(address("followers' address "));
         member.operators = Some(address("operators' address "));
-        // Its log is read to its end, so that it never waits for a reader.
+        // Drains its log, so that it never blocks on a full pipe.
         thread::spawn(move || log.lines().map_while(Result::ok).for_each(drop));
     }
 
@@ -65,7 +65,7 @@
         child.wait().unwrap();
     }
 
-    /// Tells a member to end, and waits until it has.
+    /// Sends SIGTERM to a member and waits until it has exited.
     pub fn end_member(&mut self, i: usize) {
         let mut child = self.members[i].child.take().unwrap();
         let pid = child.id().to_string();
@@ -73,15 +73,15 @@
         let begun = Instant::now();
         loop {
             if let Some(status) = child.try_wait().unwrap() {
-                assert!(status.success(), "it ends in order");
+                assert!(status.success(), "exit status {status}");
                 return;
             }
-            assert!(begun.elapsed() < PATIENCE, "it does not end");
+            assert!(begun.elapsed() < PATIENCE, "member did not exit in time");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Until a member's status satisfies this.
+    /// Waits until a member's status satisfies `done`.
     pub fn until_member(&self, i: usize, done: impl Fn(&str) -> bool) -> String {
         let begun = Instant::now();
         loop {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Until a member has a lease of its own.
+    /// Waits until a member has a lease.
     pub fn until_leased(&self, i: usize) {
         let begun = Instant::now();
         while !self.call_member(i, "DUMP").contains("control_lease_held 1\n") {
--- a/tests/control_group/requests.rs
+++ b/tests/control_group/requests.rs
@@ -1,4 +1,4 @@
-//! Clients of the dispatchers, and where their requests came to.
+//! Clients of the dispatchers, and the executors that their requests reached.
 
 use super::group::{Group, NEW, OLD};
 use standins::asks::{Ask, PATIENCE, ask, table};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 impl Group {
-    /// A client at a dispatcher that asks all the time, until that is gone or [`Group::rest`].
+    /// Starts a client that sends requests to a dispatcher until it is gone or [`Group::rest`] is called.
     pub fn client(&mut self, at: usize) {
         let (to, asks, stop) = (self.dispatchers[at].0.address, self.asks.clone(), self.stop.clone());
         self.clients.push(thread::spawn(move || {
@@ -18,12 +18,12 @@
         }));
     }
 
-    /// Asks once.
+    /// Sends one request.
     pub fn ask(&self, at: usize) -> Ask {
         ask(at, self.dispatchers[at].0.address, &self.asks)
     }
 
-    /// Lets the clients end.
+    /// Stops the clients.
     pub fn rest(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|c| c.join().unwrap());
@@ -35,7 +35,7 @@
         self.asks.lock().unwrap().clone()
     }
 
-    /// When requests that satisfy this reached these executors, with the requests, in order of time.
+    /// Requests matching `of` that reached these executors, with their times, in order of time.
     pub fn reached(&self, executors: [usize; 2], of: impl Fn(&Ask) -> bool) -> Vec<(SystemTime, Ask)> {
         let asks: Vec<Ask> = self.asks().into_iter().filter(|a| of(a)).collect();
         let pulls = executors.iter().flat_map(|m| self.executors[*m].pulls());
@@ -45,19 +45,19 @@
         all
     }
 
-    /// Until a request of those asked since then reached a new executor; when it did.
+    /// Waits until a request sent after `since` reaches a new executor. Returns that time.
     pub fn first_new(&self, since: SystemTime) -> SystemTime {
         let begun = Instant::now();
         loop {
             if let Some((at, _)) = self.reached(NEW, |a| a.asked > since).first() {
                 return *at;
             }
-            assert!(begun.elapsed() < PATIENCE, "nothing reached a new executor in time");
+            assert!(begun.elapsed() < PATIENCE, "no request reached a new executor in time");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The requests that were asked after a moment and reached an old executor all the same.
+    /// Requests that were sent after `since` and still reached an old executor.
     pub fn late_old(&self, since: SystemTime) -> Vec<u64> {
         self.reached(OLD, |a| a.asked > since).into_iter().map(|(_, a)| a.rid).collect()
     }
--- a/tests/fleet/loads.rs
+++ b/tests/fleet/loads.rs
@@ -1,16 +1,16 @@
-//! Loads, which are lost where they fail: what keeps them from executors that would lose them.
+//! Loads are not retried, so that a failed attempt loses them: tests that they avoid executors that would fail them.
 
 use crate::common::*;
 use ottercroft::api::*;
 
-/// Found on `zone+mass` (160 dispatchers): executors that fail at once look idle, and each dispatcher learned of each of
-/// them by itself, often by a load, which is lost then. A request that may be tried again is the one to find out.
+/// Guards against a fault found with 160 dispatchers (`zone+mass`): executors that fail at once look idle, and each
+/// dispatcher detected each of them on its own, often by losing a load. An idempotent request has to try them first.
 #[test]
 fn what_may_not_run_twice_goes_where_something_was_served_before() {
     let mut s = Settings { reports: Reports::OnProbe, probes: false, ..settings() };
     s.classes[1].idempotency = Idempotency::NotIdempotent;
     let mut rig = Rig::new(s, 2);
-    // Executor 2 turns all away, so that nothing is known against it and nothing for it.
+    // Executor 2 refuses everything without running it, so that nothing is known for or against it.
     let mut first = |class| {
         let (q, actions) = rig.arrive(class, 0.1);
         let executor = sent_to(&actions).expect("sent");
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! What is harmless at one dispatcher and harmful at a hundred. Each story drives the decisions of one dispatcher as
-//! thin or as busy as it would be in a small or a large fleet, or several of them that share nothing.
+//! Behaviour that is harmless at one dispatcher and harmful at a hundred. Each test drives the balancer of one
+//! dispatcher with the request rate that it would have in a small or a large fleet, or several independent ones.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -8,7 +8,7 @@
 use common::*;
 use ottercroft::api::*;
 
-/// Reports come with probes alone, and probes have a price, as where many dispatchers stand before many executors.
+/// Reports come with probes only, and probes have a price, as with many dispatchers and many executors.
 fn priced() -> Settings {
     Settings { reports: Reports::OnProbe, probe_price: 0.1, dispatchers: 100, ..settings() }
 }
@@ -17,8 +17,8 @@
     rig.log.iter().filter(|(_, a)| matches!(a, Action::Probe { .. })).count()
 }
 
-/// Found on the days at size: with five requests a second no report was still fresh at the next one, so nearly
-/// each request had an executor probed, and a hundred dispatchers paid eight points of service for it.
+/// Found in simulated days of full-size fleets: with five requests a second no report was still fresh at the next one,
+/// so that nearly each request caused a probe, which cost a hundred dispatchers eight points of service.
 #[test]
 fn probes_of_thin_traffic_stay_within_what_its_requests_pay_for() {
     let mut rig = Rig::new(priced(), 30);
@@ -28,12 +28,12 @@
         rig.pass(200 * MS);
         rig.finish(q, 0, e, Outcome::Ok, 0.2);
     }
-    // A tenth of a probe for each request, and what the probe budget has saved up.
+    // A tenth of a probe for each request, plus the saved probe budget.
     assert!(probes(&rig) <= 40, "{} probes for 300 requests", probes(&rig));
     assert!(probes(&rig) >= 15, "what is paid for is used: {}", probes(&rig));
 }
 
-/// The same mechanism at a small fleet: a hundred requests a second pay for all the probes that they want.
+/// The same mechanism in a small fleet: a hundred requests a second pay for all the probes that they need.
 #[test]
 fn busy_traffic_probes_as_often_as_reports_grow_old() {
     let mut rig = Rig::new(Settings { probe_price: 0.01, dispatchers: 3, ..priced() }, 6);
@@ -45,7 +45,7 @@
     assert!((12..=60).contains(&probes(&rig)), "{} probes in 5 s", probes(&rig));
 }
 
-/// Dear requests gain most by a report: cheap ones leave them half of what there is.
+/// Expensive requests gain most from a report: cheap ones leave them half of the probe budget.
 #[test]
 fn cheap_requests_leave_probes_for_dear_ones() {
     let mut rig = Rig::new(priced(), 30);
@@ -59,8 +59,8 @@
     assert!(probes(&rig) >= before + 2, "{} probes for an expensive request", probes(&rig) - before);
 }
 
-/// A fleet of dispatchers that share nothing, each with a request every 200 ms, four of five light. Eighteen of thirty
-/// executors start anew at once. Returns the work that each of these was sent, by seconds since.
+/// A fleet of independent dispatchers, each with a request every 200 ms, four of five light. Eighteen of thirty
+/// executors restart at once. Returns the work sent to each of these, by second since the restart.
 fn replaced(dispatchers: u32, seconds: usize) -> Vec<Vec<f64>> {
     let s = Settings { dispatchers, probe_price: 0.1, reports: Reports::OnProbe, ..settings() };
     let mut sent = vec![vec![0.0; seconds]; 18];
@@ -85,16 +85,16 @@
     sent
 }
 
-/// Found on the days at size: a hundredth of an executor's budget is less than any request, so a hundred dispatchers
-/// that each saved it up sent eighteen cold executors a tenth of a thread each, while the twelve others held
-/// forty. And none of them may be pushed over by all together.
+/// Found in simulated days of full-size fleets: a hundredth of an executor's budget is less than any request, so that a
+/// hundred dispatchers that each saved it up sent eighteen cold executors a tenth of a thread each, while the twelve
+/// others held forty. All dispatchers together must not overload any of them either.
 #[test]
 fn a_hundred_dispatchers_use_cold_executors_and_push_none_over() {
     let cold = settings().slow_start;
     let (window, cores) = (cold.overload_window as f64 / 1e6, 8.0);
     let sent = replaced(100, 6);
     let mean = sent.iter().flatten().sum::<f64>() / (18.0 * 6.0);
-    // A part of what they can do from the first second on, in thread-seconds a second.
+    // A fraction of their capacity from the first second on, in thread-seconds per second.
     assert!(
         mean > 0.3 * cold.initial_fraction * cores,
         "{mean:.2} a second of {:.2}",
@@ -106,7 +106,7 @@
     assert!(most < budget, "{most:.2} within the window, {budget:.2} push it over");
 }
 
-/// The same for three dispatchers: one mechanism, whatever the size.
+/// The same mechanism with three dispatchers.
 #[test]
 fn three_dispatchers_push_no_cold_executor_over_either() {
     let cold = settings().slow_start;
@@ -117,7 +117,7 @@
     );
 }
 
-/// Serves a request wherever executor 1, which fails all that it gets, does not have it. Whether it was sent there.
+/// Runs a request; executor 1 fails it, any other serves it. Returns whether it was sent to executor 1.
 fn met_the_bad_one(rig: &mut Rig, class: ClassId) -> bool {
     let (q, actions) = rig.arrive(class, 0.2);
     let Some(mut e) = sent_to(&actions) else { return false };
@@ -133,8 +133,9 @@
     met
 }
 
-/// Found on the days at size: each dispatcher had to see six errors of its own before it left a bad executor out, and
-/// a hundred dispatchers spent 1,400 attempts on learning it. What another executor then served was no bad statement.
+/// Found in simulated days of full-size fleets: each dispatcher had to see six errors of its own before it ejected a
+/// bad executor, which cost a hundred dispatchers 1,400 attempts. If another executor serves the request, the statement
+/// was not at fault.
 #[test]
 fn two_errors_that_another_executor_does_not_make_are_proof() {
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..priced() }, 4);
@@ -142,7 +143,7 @@
     assert!(met <= 2, "{met} requests sent to it within a second");
 }
 
-/// A statement that fails everywhere is no executor's fault: nobody is left out for it.
+/// A statement that fails at every executor is no executor's fault: none is ejected.
 #[test]
 fn errors_that_every_executor_makes_blame_nobody() {
     let mut rig = Rig::new(Settings { reports: Reports::Off, ..priced() }, 4);
@@ -159,8 +160,8 @@
     assert!(!rig.log.iter().any(|(_, a)| ejected(a)));
 }
 
-/// Found on the days at size: what may not run twice fails with its first error, so it is no trial for an
-/// executor that was left out, and one proven error keeps it away.
+/// Found in simulated days of full-size fleets: a non-idempotent request fails with its first error, so that it must
+/// not be the trial for an ejected executor, and one proven error keeps it away.
 #[test]
 fn what_may_not_run_twice_avoids_an_executor_that_failed_others() {
     let mut s = Settings { reports: Reports::Off, ..priced() };
@@ -171,9 +172,9 @@
     assert!(met <= 3, "{met} of 60 sent there");
 }
 
-/// Found on the days at size: a hundred dispatchers that each spread a few requests a second over all executors open
-/// a connection for nearly every second request. Where connections have a price, a dispatcher stays with the executors
-/// it has met while these have room, each dispatcher with others; where they have none it spreads at once.
+/// Found in simulated days of full-size fleets: a hundred dispatchers that each spread a few requests a second over all
+/// executors open a connection for nearly every second request. If connections have a price, a dispatcher keeps to
+/// executors that it has used while these have room, each dispatcher to different ones; if not, it spreads at once.
 #[test]
 fn thin_traffic_stays_with_executors_that_it_has_met() {
     let reached = |handshake_price: f64, seed: u64| {
@@ -194,8 +195,8 @@
     assert!(all.len() >= 28, "all dispatchers together reach {}", all.len());
 }
 
-/// Found on the days at size: a thin dispatcher hears of two or three executors at a time, and when these happened to
-/// be the busy ones it took the whole fleet to be full and refused what thirty others had room for.
+/// Found in simulated days of full-size fleets: a dispatcher with little traffic has reports of two or three executors
+/// at a time, and when these were the busy ones it refused requests that thirty others had room for.
 #[test]
 fn a_few_crowded_reports_do_not_close_a_large_fleet() {
     let refusals = |executors: u32| {
@@ -214,8 +215,9 @@
     assert!(refusals(30) <= 4, "two of thirty: {}", refusals(30));
 }
 
-/// Found on the days at size (seed 103): the loads of one hot key go one at a time, each at the lowest priority as
-/// it is dear, and those in line behind it were late: the class served 0.61 where others served 0.97.
+/// Found in simulated days of full-size fleets (seed 103): the loads of one hot key run one at a time, each at the
+/// lowest priority as it is expensive, so that those queued behind it were late: the class served 0.61 where others
+/// served 0.97.
 #[test]
 fn a_load_that_others_wait_behind_has_the_priority_of_a_lighter_one() {
     let mut s = priced();
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -1,4 +1,4 @@
-//! Three dispatchers with a link from each to each other, two old executors and two new ones, and clients.
+//! Test harness: three dispatchers with a link between each pair, two old and two new executors, and clients.
 
 use standins::asks::{Ask, PATIENCE, ask, call, table};
 use standins::executor::{Executor, Pull};
@@ -12,14 +12,14 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime};
 
-/// One zone, two kinds of executor; the class may go to both.
+/// One zone, two kinds of executor; the class may run on both.
 pub const SETTINGS: &str = r#"{"areas":["a"],"balancers":3,"kinds":["old","new"],"domain":{"kindCores":[8,8],"memoryByKindMb":[16384,16384],"parallelism":[1]},"permissions":{"cancel":true,"maxAttempts":3,"probes":true,"retryAfter":true,"maxRetryAfter":1.0,"dialTimeout":0.25},"report":{"how":"on_probe"},"requestClasses":[{"name":"read","promise":5.0,"hardLimit":20.0,"effect":"read_like","boundTo":["old","new"]}],"rules":{"stopSendingWithin":0.5,"coldFrom":0.0,"rampTime":1,"fall":1,"fallMultiple":3}}"#;
-/// Changes have all the time that a slow machine needs.
+/// Time limits that suffice on a slow machine.
 const BLOCK: &str = "  policy {\n    vote_limit = \"30s\"\n    close_limit = \"30s\"\n  }\n";
 
-/// Which executors a story looks at.
+/// Indices of the executors of kind `old`.
 pub const OLD: [usize; 2] = [0, 1];
-/// See [`OLD`].
+/// Indices of the executors of kind `new`.
 pub const NEW: [usize; 2] = [2, 3];
 
 pub struct Fleet {
@@ -45,12 +45,12 @@
 }
 
 impl Fleet {
-    /// Dispatchers with a policy block and this lease; `settings` are those of the platform for each.
+    /// Starts dispatchers with a policy block and this lease; `settings` are the platform settings of each.
     pub fn start(lease: &str, settings: [&str; 3]) -> Fleet {
         Fleet::with(&format!("  lease = \"{lease}\"\n{BLOCK}"), settings)
     }
 
-    /// The same with these lines among the peers' settings.
+    /// The same, with these lines in the `peers` block.
     pub fn with(lines: &str, settings: [&str; 3]) -> Fleet {
         let launch = launch();
         let work = |_: &Pull| Duration::from_millis(20);
@@ -96,7 +96,7 @@
         fleet
     }
 
-    /// Starts a dispatcher, anew or for the first time.
+    /// Starts or restarts a dispatcher.
     pub fn launch(&mut self, i: usize) {
         let (own, config) = &self.files[i];
         let mut d = self.launch.clone().with(&["--settings", &own.display().to_string()]).serving(config);
@@ -106,7 +106,7 @@
         self.dispatchers[i] = Some((d, operators));
     }
 
-    /// A policy's file, which binds reads to a kind; `further` is text beside that.
+    /// Writes a policy file that binds reads to a kind; `further` is additional text.
     pub fn file(&self, kind: &str, further: &str) -> String {
         let text = format!(
             "policy \"{kind}\" {{\n  class \"read\" {{\n    kinds = [\"{kind}\"]\n  }}\n{further}}}\n"
@@ -118,7 +118,7 @@
         call(self.dispatchers[at].as_ref().unwrap().1, line)
     }
 
-    /// Until the statuses of these dispatchers are the same and satisfy this.
+    /// Waits until the statuses of these dispatchers are equal and satisfy `done`.
     pub fn until(&self, those: &[usize], what: &str, done: impl Fn(&str) -> bool) -> String {
         let begun = Instant::now();
         loop {
@@ -131,26 +131,26 @@
         }
     }
 
-    /// Until the policy of this number is in force at these dispatchers, and nothing is under way.
+    /// Waits until the policy of this number is in force at these dispatchers, and no change is in progress.
     pub fn in_force(&self, those: &[usize], number: u64) -> String {
         let line = format!("+OK policy {number} in force\n");
         self.until(those, &line, |s| s.starts_with(&line) && !s.contains("\nproposed "))
     }
 
-    /// Has a policy for this kind take hold everywhere.
+    /// Brings a policy for this kind into force everywhere.
     pub fn binds(&self, kind: &str, number: u64) {
         let line = format!("POLICY PROPOSE {}", self.file(kind, ""));
         taken(&self.call(0, &line), number);
         self.in_force(&[0, 1, 2], number);
     }
 
-    /// Weather of all links of one dispatcher.
+    /// Sets the network conditions of all links of one dispatcher.
     pub fn weather(&self, of: usize, weather: Weather) {
         let touches = |(a, b): &(usize, usize)| *a == of || *b == of;
         self.links.iter().filter(|(p, _)| touches(p)).for_each(|(_, l)| l.set(weather));
     }
 
-    /// A client at a dispatcher that asks all the time, until that is gone or [`Fleet::rest`].
+    /// Starts a client that sends requests to a dispatcher until it is gone or [`Fleet::rest`] is called.
     pub fn client(&mut self, at: usize) {
         let (to, asks, stop) =
             (self.dispatchers[at].as_ref().unwrap().0.address, self.asks.clone(), self.stop.clone());
@@ -161,12 +161,12 @@
         }));
     }
 
-    /// Asks once.
+    /// Sends one request.
     pub fn ask(&self, at: usize) -> Ask {
         ask(at, self.dispatchers[at].as_ref().unwrap().0.address, &self.asks)
     }
 
-    /// Lets the clients end.
+    /// Stops the clients.
     pub fn rest(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|c| c.join().unwrap());
@@ -178,7 +178,7 @@
         self.asks.lock().unwrap().clone()
     }
 
-    /// When requests that satisfy this reached these executors, with the requests, in order of time.
+    /// Requests matching `of` that reached these executors, with their times, in order of time.
     pub fn reached(&self, executors: [usize; 2], of: impl Fn(&Ask) -> bool) -> Vec<(SystemTime, Ask)> {
         let asks: Vec<Ask> = self.asks().into_iter().filter(|a| of(a)).collect();
         let pulls = executors.iter().flat_map(|m| self.executors[*m].pulls());
@@ -188,30 +188,31 @@
         all
     }
 
-    /// Until a request of those asked since then reached a new executor; when it did.
+    /// Waits until a request sent after `since` reaches a new executor. Returns that time.
     pub fn first_new(&self, since: SystemTime) -> SystemTime {
         let begun = Instant::now();
         loop {
             if let Some((at, _)) = self.reached(NEW, |a| a.asked > since).first() {
                 return *at;
             }
-            assert!(begun.elapsed() < PATIENCE, "nothing reached a new motor in time");
+            assert!(begun.elapsed() < PATIENCE, "no request reached a new executor in time");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// What was asked after a moment and reached an old executor all the same.
+    /// Requests that were sent after `since` and still reached an old executor.
     pub fn late_old(&self, since: SystemTime) -> Vec<Ask> {
         self.reached(OLD, |a| a.asked > since).into_iter().map(|(_, a)| a).collect()
     }
 
-    /// How many of those asked after a moment reached a new executor.
+    /// Number of requests that were sent after `since` and reached a new executor.
     pub fn late_new(&self, since: SystemTime) -> usize {
         self.reached(NEW, |a| a.asked > since).len()
     }
 }
 
-/// A proposal was taken. One that a stalled machine did not agree on within the call's time may be taken still.
+/// Checks that a proposal was accepted. On a stalled machine the call may time out although the proposal is committed
+/// later.
 pub fn taken(told: &str, number: u64) {
     assert!(told == format!("+OK proposed {number}\n") || told.contains("not agreed in time"), "{told}");
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! One policy for a whole fleet, changed everywhere or nowhere: three real dispatchers and faults between them.
+//! Atomic policy changes of a fleet of three dispatcher processes, with network faults between them.
 
 mod fleet;
 
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 const ALL: [usize; 3] = [0, 1, 2];
-/// Long enough that a machine that stalls for a while does not end it.
+/// Long enough that a short stall of the machine does not end it.
 const LEASE: &str = "4s";
 
 fn timed(fleet: &Fleet, at: usize, line: &str) -> (String, Duration) {
@@ -19,8 +19,8 @@
     (fleet.call(at, line), begun.elapsed())
 }
 
-// A change takes hold at all three or it is two policies at once: a request asked after any other one was seen to go
-// by the new policy must not go by the old one, wherever it is asked. What waits for the switch is served, not refused.
+// Guards against two policies in force at once: a request sent after any other was seen to follow the new policy must
+// not follow the old one at any dispatcher. Requests that wait for the switch are served, not refused.
 #[test]
 fn a_policy_takes_hold_everywhere() {
     let mut fleet = Fleet::start(LEASE, [SETTINGS; 3]);
@@ -30,7 +30,7 @@
     let since = SystemTime::now();
     ALL.iter().chain(&ALL).for_each(|i| fleet.client(*i));
     thread::sleep(Duration::from_millis(500));
-    // One hears of each step later than the others: what it admitted meanwhile by the old policy would be seen.
+    // One dispatcher learns of each step later than the others, so that admissions by the old policy would show.
     fleet.weather(2, Weather::Late(60));
     let (told, second) = timed(&fleet, 1, &format!("POLICY PROPOSE {}", fleet.file("new", "")));
     taken(&told, 2);
@@ -51,13 +51,13 @@
         fleet.asks().into_iter().filter(|a| a.got != Some(Answer::Rows)).map(|a| a.got).collect::<Vec<_>>(),
         []
     );
-    // Calls that change something have 800 ms to be agreed; a stall of the machine hits one of two, not both.
+    // Calls that change something have 800 ms to be committed; a stall of the machine hits one of two, not both.
     assert!(first.min(second) < Duration::from_secs(1), "{first:?} {second:?}");
     assert!(status.iter().all(|t| *t < Duration::from_secs(1)), "{status:?}");
 }
 
-// One dispatcher that can't do a policy is enough for it to take hold nowhere; an operator reads at any other one what
-// is wrong and where. Otherwise that one would go on by the old policy, or by none.
+// A policy that one dispatcher can't apply comes into force nowhere, and an operator can read at any other dispatcher
+// what is wrong and where. Otherwise that one would continue with the old policy, or with none.
 #[test]
 fn a_policy_that_one_cannot_take_takes_hold_nowhere() {
     let more =
@@ -74,7 +74,7 @@
     assert!(status.starts_with("+OK policy 1 in force\n"), "{status}");
     let fault = status.lines().find(|l| l.starts_with("2 peer ")).unwrap_or_default();
     assert!(fault.contains("report") && fault.contains("unknown; known here: read"), "{status}");
-    // Where it can be seen at once it is told at once, and the fleet is not asked.
+    // A dispatcher that sees the error itself reports it at once, without a vote of the fleet.
     let here = fleet.call(2, &format!("POLICY PROPOSE {bad}"));
     assert!(here.starts_with("-ERR ") && here.contains("report"), "{here}");
     thread::sleep(Duration::from_millis(300));
@@ -83,8 +83,8 @@
     assert!(fleet.asks().iter().all(|a| a.got == Some(Answer::Rows)), "{:?}", fleet.asks());
 }
 
-// One that is cut off can't hear of a switch: it has to stop by its own clock before the others go on without it, and
-// must not come back to the policy that it knew.
+// A partitioned dispatcher can't learn of a switch: it has to stop by its own clock before the others switch without
+// it, and must not resume with the old policy.
 #[test]
 fn a_dispatcher_that_is_cut_off_refuses_until_it_knows() {
     let mut fleet = Fleet::start("2s", [SETTINGS; 3]);
@@ -93,7 +93,7 @@
     ALL.iter().chain(&ALL).for_each(|i| fleet.client(*i));
     thread::sleep(Duration::from_millis(300));
     fleet.weather(2, Weather::Silent);
-    // If it led, the others need an election before they can agree on anything.
+    // If it was the leader, the others need an election before they can commit anything.
     let begun = Instant::now();
     let line = format!("POLICY PROPOSE {}", fleet.file("new", ""));
     while !fleet.call(0, &line).starts_with("+OK") && !fleet.call(0, "POLICY STATUS").contains("\nproposed ")
@@ -123,14 +123,14 @@
     );
     assert_eq!(fleet.late_old(switch).iter().map(|a| (a.at, a.rid)).collect::<Vec<_>>(), []);
     let between = fleet.asks().into_iter().filter(|a| a.at == 2 && a.asked > switch && a.asked < healed);
-    // Those that were open as the links cleared may have waited for that.
+    // Requests that were open when the links recovered may have waited for that.
     let served = between.filter(|a| a.got == Some(Answer::Rows)).map(|a| a.rid).collect::<Vec<_>>();
     assert!(fleet.reached(OLD, |a| served.contains(&a.rid)).is_empty(), "{served:?}");
 }
 
-// The one that proposed dies before it could see its change through, with its answer and without: the others end it
-// alike, and it learns what is in force before it serves again. A proposer that is needed would leave a fleet stuck,
-// and one that starts by its settings would be a policy of its own.
+// The proposer dies before its change is complete, after and before its call was answered: the others reach the same
+// result, and it learns the policy in force before it serves again. If the proposer were needed, the fleet would be
+// stuck; if it restarted with its own settings, two policies would be in force.
 #[test]
 fn a_proposer_that_is_killed_is_not_needed() {
     for answered in [true, false] {
@@ -151,7 +151,7 @@
         fleet.launch(0);
         let restarted = SystemTime::now();
         fleet.client(0);
-        // Once it has a lease again, nothing of before is under way any more that could still begin.
+        // Once it has a lease again, no earlier proposal can still begin.
         fleet.dispatchers[0].as_mut().unwrap().0.logs("lease held");
         let status =
             fleet.until(&ALL, "at an end", |s| !s.contains("\nproposed ") && s.starts_with("+OK policy "));
@@ -177,8 +177,8 @@
     }
 }
 
-// An operator who was wrong goes back, or calls off what is under way; of two who propose at once one is told that it
-// is not his policy that comes. Otherwise either would believe in a policy that is not there.
+// An operator can go back to the previous policy or abort a change; of two concurrent proposals one is told that
+// another is in progress. Otherwise an operator would rely on a policy that is not in force.
 #[test]
 fn a_change_goes_back_is_called_off_and_excludes_another() {
     let fleet = Fleet::start("10s", [SETTINGS; 3]);
@@ -191,7 +191,7 @@
     let since = SystemTime::now();
     assert!(ALL.iter().all(|i| fleet.ask(*i).got == Some(Answer::Rows)));
     assert_eq!((fleet.reached(OLD, |a| a.asked > since).len(), fleet.late_new(since)), (3, 0));
-    // One that hears nothing holds every change up as long as its lease lasts.
+    // A partitioned dispatcher blocks every change until its lease has ended.
     fleet.weather(2, Weather::Silent);
     let line = format!("POLICY PROPOSE {}", fleet.file("new", ""));
     let begun = Instant::now();
@@ -223,8 +223,7 @@
     assert_eq!(fleet.late_new(since), 0);
 }
 
-// Whoever has not asked for policies has nothing of them: no call, no line in the figures, and no request that is
-// refused for want of a lease.
+// Without a policy block there is no call and no metric of policies, and no request is refused for lack of a lease.
 #[test]
 fn without_the_block_nothing_of_it_is_there() {
     let unknown = "-ERR unknown call \"POLICY\"\n";
--- a/tests/rules/checks.rs
+++ b/tests/rules/checks.rs
@@ -1,11 +1,11 @@
-//! What each action is held to.
+//! Checks of each action against the rules.
 
 use super::{Stream, WORK};
 use ottercroft::api::*;
 
 impl Stream {
     pub(super) fn end(&mut self, request: RequestId) {
-        let o = self.open.get_mut(&request).expect("a final answer for a known query");
+        let o = self.open.get_mut(&request).expect("a final answer for a known request");
         if !o.done {
             o.finals += 1;
             o.done = true;
@@ -22,22 +22,22 @@
             Action::Reject { request, retry_after, .. } => {
                 assert!(
                     retry_after.is_none() || self.s.max_retry_after.is_some(),
-                    "advice that nobody hears"
+                    "retry_after is set although the settings have no max_retry_after"
                 );
                 let o = &self.open[&request];
                 let never = o.attempts.iter().all(|a| a.2.is_some_and(Outcome::never_ran));
                 match self.s.classes[o.class].idempotency {
                     Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => {}
-                    _ => assert!(never, "refused what may have run"),
+                    _ => assert!(never, "rejected a request that may have run"),
                 }
                 self.end(request);
             }
             Action::Fail { request, .. } => self.end(request),
             Action::Cancel { request, attempt } => {
-                assert!(self.s.cancellation, "cancelled where that is not allowed");
+                assert!(self.s.cancellation, "cancelled although the settings forbid it");
                 assert!(
                     (attempt as usize) < self.open[&request].attempts.len(),
-                    "cancelled what was never sent"
+                    "cancelled an attempt that was never sent"
                 );
             }
             Action::SetTerms { priority, .. } => assert!(priority <= 3),
@@ -64,7 +64,7 @@
         match c.idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NotIdempotent => {
-                assert!(o.attempts.iter().find(may_have_run).is_none(), "unsafe repeated")
+                assert!(o.attempts.iter().find(may_have_run).is_none(), "non-idempotent request repeated")
             }
             Idempotency::IdempotencyKey { window, .. } => {
                 for a in o.attempts.iter().filter(may_have_run) {
@@ -79,7 +79,10 @@
                 assert!(over, "sent {request} while {id} of the same key is open");
             }
             if o.attempts.is_empty() {
-                assert!(self.quiet_until.get(&k).is_none_or(|t| now >= *t), "the key is quiet");
+                assert!(
+                    self.quiet_until.get(&k).is_none_or(|t| now >= *t),
+                    "sent during the quiet period of its key"
+                );
             }
         }
         if !o.attempts.is_empty() {
@@ -105,7 +108,7 @@
                 / 1e6;
             assert!(
                 work <= budget / f64::from(self.s.dispatchers),
-                "cold engine overfed: {work} of {budget}"
+                "cold executor overloaded: {work} of {budget}"
             );
         }
         self.open.get_mut(&request).unwrap().attempts.push((executor, now, None));
--- a/tests/rules/events.rs
+++ b/tests/rules/events.rs
@@ -1,4 +1,4 @@
-//! Random events, one step of the clock after another.
+//! Generates random events, step by step.
 
 use super::common::{self, MS, S, endpoint};
 use super::{Open, Stream, WORK};
@@ -89,7 +89,7 @@
         for (_, token) in due {
             self.event(Event::Timer { token });
         }
-        // Attempts out at the deadline time out, others end now and then.
+        // Attempts in flight at the deadline time out; others finish at random.
         let out: Vec<(RequestId, usize, bool)> = self
             .open
             .iter()
@@ -135,7 +135,7 @@
         if self.below(1000) < 6 {
             self.list_change();
         }
-        // Every request has its answer in time.
+        // Every request is answered in time.
         for (id, o) in &self.open {
             assert!(o.done || self.now <= o.deadline + 20 * MS, "request {id} is overdue");
         }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The seven rules under seeded random event streams, for several sets of settings.
+//! The balancer's seven rules under seeded random event streams, for several sets of settings.
 
 mod checks;
 #[path = "../common/mod.rs"]
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Work of a request of each class, as answers tell it: constant, so that the usual work is known.
+/// Work of a request of each class, as reported with answers: constant, so that the expected work is known.
 const WORK: [f64; 4] = [0.2, 2.0, 0.3, 0.4];
 
 fn many_kinds() -> Settings {
@@ -56,7 +56,7 @@
     retry_sends: u32,
     cold_count: u32,
     finals: u32,
-    /// Executors report requests held; else only a line that never forms.
+    /// Executors report requests in flight; if false, they only report an empty queue.
     telling: bool,
 }
 
@@ -70,7 +70,7 @@
             2 => s.progress_interval = Some(500 * MS),
             3 => s.cancellation = false,
             4 => {
-                // Nothing may be called off or copied, no advice is passed on, loads hold what others read.
+                // No cancellation, no hedging, no retry advice, and reads wait on tables that a load has locked.
                 (s.cancellation, s.hedging, s.max_retry_after) = (false, false, None);
                 (s.classes[3].loads, s.classes[0].yields_to_loads, s.classes[1].yields_to_loads) =
                     (true, true, true);
@@ -88,7 +88,7 @@
         finals += stream.finals;
         assert!(stream.open.values().all(|o| o.finals <= 1));
     }
-    // The streams reach what they are to test.
+    // The streams exercise what they are meant to test.
     assert!(
         sends > 3_000 && retries > 100 && cold > 200 && finals > 3_000,
         "{sends} {retries} {cold} {finals}"
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Several dispatchers with faults between them: what becomes of the work that one of them had in hand.
+//! Takeover of requests between dispatcher processes that are killed or partitioned.
 
 use standins::executor::{Executor, Pull};
 use standins::feed::Feed;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// No story takes this long unless something hangs.
+/// No test step takes this long unless something hangs.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Three dispatchers, two executors that take a second and a half, and a link from each peer to each other.
+/// Three dispatchers with a link between each pair, and two executors that take 1.5 s per statement.
 struct Fleet {
     executors: Vec<Executor>,
     dispatchers: Vec<Option<Dispatcher>>,
@@ -55,7 +55,7 @@
         for d in dispatchers.iter_mut().flatten() {
             d.logs("lease held");
         }
-        // Past its first second the fleet vouches for what it does not know.
+        // Once the fleet is older than `remember` (1 s), a missing record proves that a request never ran.
         std::thread::sleep(Duration::from_millis(1_200));
         Fleet { executors, dispatchers, links, _feed: feed }
     }
@@ -68,7 +68,7 @@
         self.dispatchers[i].as_ref().unwrap().address
     }
 
-    /// What the executors got of a statement.
+    /// The executions of statements that contain `text`.
     fn pulls(&self, text: &str) -> Vec<Pull> {
         self.executors.iter().flat_map(|e| e.pulls()).filter(|p| p.statement.contains(text)).collect()
     }
@@ -76,7 +76,7 @@
     fn until_pulled(&self, text: &str) {
         let begun = Instant::now();
         while self.pulls(text).is_empty() {
-            assert!(begun.elapsed() < PATIENCE, "no motor got it");
+            assert!(begun.elapsed() < PATIENCE, "no executor got it");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -90,7 +90,7 @@
     )
 }
 
-/// Asks again until there is an answer that is no refusal.
+/// Retries until the answer is not a refusal.
 fn until_answered(to: SocketAddr, class: &str, name: u64) -> Got {
     let begun = Instant::now();
     for attempt in 2.. {
@@ -103,8 +103,8 @@
     unreachable!()
 }
 
-// The dispatcher is killed with a load in hand: it may have run, so that whoever is asked again says so at once
-// and no executor ever gets it a second time.
+// A dispatcher is killed while a load is in flight. The load may have run, so that every other dispatcher answers a
+// retry at once, and no executor gets the load a second time.
 #[test]
 fn a_load_of_a_killed_dispatcher_runs_once_and_is_answered() {
     let mut fleet = Fleet::start();
@@ -118,28 +118,28 @@
     assert_eq!(fleet.pulls("t5x").len(), 1);
 }
 
-// It is killed with a read in hand: another takes it over before its client is back, and the client gets that
-// one's rows, wherever it asks.
+// A dispatcher is killed while a read is in flight: another one takes it over before the client retries, and the
+// client gets those rows at any dispatcher.
 #[test]
 fn a_read_of_a_killed_dispatcher_is_taken_over_once() {
     let mut fleet = Fleet::start();
     let mut client = Client::asks(fleet.address(0), &ask("read", 6, 1));
     fleet.until_pulled("t6x");
-    // What may repeat is put on record beside being sent.
+    // Idempotent requests are recorded while they are being sent.
     std::thread::sleep(Duration::from_millis(200));
     fleet.dispatchers[0] = None;
     assert_eq!(client.got(), Got::Closed);
     let begun = Instant::now();
     while fleet.pulls("t6x").len() < 2 {
-        assert!(begun.elapsed() < PATIENCE, "nobody took it over");
+        assert!(begun.elapsed() < PATIENCE, "no dispatcher took it over");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(matches!(until_answered(fleet.address(1), "read", 6), Got::Rows(_)));
     assert_eq!(fleet.pulls("t6x").len(), 2, "once at the one that died, once at the one that took it over");
 }
 
-// It is cut off from its peers and not from its client: it learns by its own clock that its lease is over, lets
-// its read go with a time to come back, and refuses loads until it has a lease again.
+// A dispatcher is partitioned from its peers but not from its client: it detects by its own clock that its lease has
+// ended, refuses its read with a backoff, and refuses loads until it has a lease again.
 #[test]
 fn a_dispatcher_that_is_cut_off_lets_go_and_comes_back() {
     let mut fleet = Fleet::start();
@@ -149,7 +149,7 @@
     fleet.links.iter().filter(|(p, _)| touches(p)).for_each(|(_, l)| l.set(Weather::Silent));
     let got = client.got();
     let refused = matches!(&got, Got::Error(1203, text) if text.contains("backoff="));
-    // On a slow machine the lease may outlast the read's second and a half; then it was served.
+    // On a slow machine the lease may outlast the read's 1.5 s; then the read was served.
     assert!(refused || matches!(got, Got::Rows(_)), "{got:?}");
     fleet.at(0).logs("lease lost");
     let load = Client::asks(fleet.address(0), &ask("load", 8, 1)).got();
@@ -162,7 +162,7 @@
     assert_eq!(fleet.pulls("t9x").len(), 1);
 }
 
-// The client's connection is cut and its dispatcher is well: the load goes on, and its rows wait on record.
+// The client's connection breaks while its dispatcher lives: the load continues, and its rows are recorded.
 #[test]
 fn a_load_whose_client_was_cut_off_gives_its_rows_to_the_next_try() {
     let fleet = Fleet::start();
@@ -173,7 +173,7 @@
     assert_eq!(fleet.pulls("t10x").len(), 1);
 }
 
-// Without a peers block nothing of all this is there: no socket but the client port is listened on.
+// Without a `peers` block no socket but the client port is listened on.
 #[test]
 fn without_peers_no_peer_socket_is_opened() {
     let (d, _coordinator) = launch().dispatcher(&[]);
@@ -182,7 +182,7 @@
     assert_eq!(listens(fleet.at(0).child.id()), 2);
 }
 
-/// Sockets that a process listens on, by its descriptors and the system's table.
+/// Number of TCP sockets that a process listens on, by its descriptors and the system's table.
 fn listens(pid: u32) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{pid}/net/tcp")).unwrap();
     let listening: Vec<&str> = table
