--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -6,7 +6,7 @@
 use crate::net::clients::request_intake::OpenRequest;
 use crate::net::event_loop::poll::Key;
 use crate::net::executors::{Job, Rows};
-use crate::takeover::Move;
+use crate::takeover::TakeoverAction;
 use fleet::ledger::Record;
 
 /// Placeholder key of a request without a client; poller keys count from 1.
@@ -41,15 +41,15 @@
                 in_flight.peers.send(to, &message, now);
             }
             in_flight.peers.flush(now, &self.poll);
-            let Some(next) = in_flight.takeover.moves.pop_front() else { return };
+            let Some(next) = in_flight.takeover.actions.pop_front() else { return };
             let commands = match next {
-                Move::Admit(rid) => self.admit_recorded(now, rid),
-                Move::Answer(rid, reply) => {
+                TakeoverAction::Admit(rid) => self.admit_recorded(now, rid),
+                TakeoverAction::Answer(rid, reply) => {
                     let answer = self.to_answer(reply);
                     self.dispatch.answer_held(now, rid, answer)
                 }
-                Move::Adopt(record) => self.adopt(now, &record),
-                Move::LetGo(rid) => self.dispatch.release(now, rid),
+                TakeoverAction::Adopt(record) => self.adopt(now, &record),
+                TakeoverAction::LetGo(rid) => self.dispatch.release(now, rid),
             };
             self.execute(commands);
         }
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -6,7 +6,7 @@
 use crate::net::DispatcherServer;
 use crate::net::executors::{Job, Rows};
 use crate::net::sockets::buffers::{Block, Pool};
-use crate::takeover::{Gate, Move, Pages, Past, Reply, Try};
+use crate::takeover::{Gate, Pages, Past, Reply, TakeoverAction, Try};
 use fleet::ledger::Record;
 
 impl InFlight {
@@ -72,7 +72,7 @@
         let may = in_flight.takeover.may_send(now, attempt_id.request);
         match may {
             true => in_flight.takeover.sent(now, attempt_id.request, executor),
-            false => in_flight.takeover.moves.push_back(Move::LetGo(attempt_id.request)),
+            false => in_flight.takeover.actions.push_back(TakeoverAction::LetGo(attempt_id.request)),
         }
         may
     }
--- a/src/takeover/answers.rs
+++ b/src/takeover/answers.rs
@@ -1,7 +1,7 @@
 //! Finished requests: their replies, and the tries that waited for the same ask.
 
 use super::Takeover;
-use super::types::{Local, Move, Pages, Past, Reply, Stage};
+use super::types::{Local, Pages, Past, Reply, Stage, TakeoverAction};
 use crate::api::Micros;
 use fleet::ledger::Outcome;
 
@@ -113,7 +113,7 @@
         for w in std::mem::take(&mut local.waiting) {
             self.asks.remove(&w.rid);
             self.tally.answered += 1;
-            self.moves.push_back(Move::Answer(w.rid, reply.clone()));
+            self.actions.push_back(TakeoverAction::Answer(w.rid, reply.clone()));
         }
     }
 
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -1,6 +1,6 @@
 //! Handles events of the fleet: records opened, reassigned and closed, and leases that ended.
 
-use super::types::{Local, Move, Pages, Reply, Stage};
+use super::types::{Local, Pages, Reply, Stage, TakeoverAction};
 use super::{Takeover, reply};
 use crate::api::Micros;
 use fleet::ledger::Outcome;
@@ -63,7 +63,7 @@
         };
         self.tally.recorded += 1;
         self.keep(ask, first.rid, first.attempt.record.repeats, false);
-        self.moves.push_back(Move::Admit(first.rid));
+        self.actions.push_back(TakeoverAction::Admit(first.rid));
     }
 
     fn taken(&mut self, now: Micros, ask: u64) {
@@ -100,7 +100,7 @@
         } else if let Some(mut local) = self.local.remove(&ask) {
             for w in std::mem::take(&mut local.waiting) {
                 self.asks.remove(&w.rid);
-                self.moves.push_back(Move::Admit(w.rid));
+                self.actions.push_back(TakeoverAction::Admit(w.rid));
             }
         }
     }
@@ -127,7 +127,7 @@
             // Its client has retried here already: that try takes its place.
             if let Some(first) = local.waiting.pop_front() {
                 self.keep(ask, first.rid, first.attempt.record.repeats, false);
-                self.moves.push_back(Move::Admit(first.rid));
+                self.actions.push_back(TakeoverAction::Admit(first.rid));
                 return;
             }
             if matches!(local.stage, Stage::Mine { .. } | Stage::Parked { .. }) {
@@ -143,7 +143,7 @@
         self.adopted += 1;
         self.tally.adopted += 1;
         self.keep(ask, record.rid, true, true);
-        self.moves.push_back(Move::Adopt(record));
+        self.actions.push_back(TakeoverAction::Adopt(record));
     }
 
     fn closed(&mut self, now: Micros, ask: u64, end: &Outcome) {
@@ -209,11 +209,12 @@
                     let mut waiting = std::mem::take(&mut local.waiting);
                     for w in waiting.drain(..) {
                         self.asks.remove(&w.rid);
-                        self.moves.push_back(Move::Answer(w.rid, Reply::Refused(self.bounds.backoff_ms)));
+                        self.actions
+                            .push_back(TakeoverAction::Answer(w.rid, Reply::Refused(self.bounds.backoff_ms)));
                     }
                     if repeats {
                         self.tally.let_go += 1;
-                        self.moves.push_back(Move::LetGo(rid));
+                        self.actions.push_back(TakeoverAction::LetGo(rid));
                     }
                 }
                 Stage::Opening | Stage::Theirs { .. } | Stage::Parked { .. } => {
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -14,7 +14,7 @@
 mod tests;
 mod types;
 
-pub use types::{Bounds, Gate, Move, Pages, Past, Reply, Tally, Try};
+pub use types::{Bounds, Gate, Pages, Past, Reply, TakeoverAction, Tally, Try};
 
 use crate::api::Micros;
 use fleet::ledger::Outcome;
@@ -39,7 +39,7 @@
     /// Due times of asks owned by another peer or with a parked result. Entries may be stale.
     due: BTreeSet<(Micros, u64)>,
     /// Actions for the host, in order.
-    pub moves: VecDeque<Move>,
+    pub actions: VecDeque<TakeoverAction>,
     /// Counters.
     pub tally: Tally,
 }
@@ -56,7 +56,7 @@
             planned: false,
             ruled: false,
             due: BTreeSet::new(),
-            moves: VecDeque::new(),
+            actions: VecDeque::new(),
             tally: Tally::default(),
         }
     }
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -8,7 +8,7 @@
 struct Three {
     all: BTreeMap<Peer, Takeover>,
     now: Micros,
-    moves: Vec<(Peer, Move)>,
+    actions: Vec<(Peer, TakeoverAction)>,
 }
 
 impl Three {
@@ -33,10 +33,10 @@
             fetch: 200 * MS,
         };
         let one = |me| (me, Takeover::new(Fleet::new(terms(me), u64::from(me), now), bounds));
-        let mut three = Three { all: (1..=3).map(one).collect(), now, moves: Vec::new() };
+        let mut three = Three { all: (1..=3).map(one).collect(), now, actions: Vec::new() };
         three.pass(40_000);
         assert!(three.all.values().all(|t| t.fleet.holds(three.now).is_some()));
-        three.moves.clear();
+        three.actions.clear();
         three
     }
 
@@ -51,7 +51,7 @@
                 for from in 1..=3 {
                     let Some(t) = self.all.get_mut(&from) else { continue };
                     t.flush(self.now);
-                    self.moves.extend(t.moves.drain(..).map(|m| (from, m)));
+                    self.actions.extend(t.actions.drain(..).map(|m| (from, m)));
                     for (to, message) in std::mem::take(&mut t.fleet.messages) {
                         if let Some(other) = self.all.get_mut(&to) {
                             other.hears(self.now, from, message);
@@ -85,8 +85,8 @@
         self.all.get_mut(&p).unwrap()
     }
 
-    fn moved(&self, what: &Move) -> Vec<Peer> {
-        self.moves.iter().filter(|(_, m)| m == what).map(|(p, _)| *p).collect()
+    fn peers_with_action(&self, what: &TakeoverAction) -> Vec<Peer> {
+        self.actions.iter().filter(|(_, m)| m == what).map(|(p, _)| *p).collect()
     }
 }
 
@@ -100,16 +100,21 @@
 fn a_load_of_a_dead_dispatcher_is_never_run_again() {
     let mut three = Three::formed();
     assert_eq!(three.asks(1, 10, 5, false, false), Gate::Hold);
-    assert!(three.moves.is_empty());
+    assert!(three.actions.is_empty());
     three.pass(50);
-    assert_eq!(three.moved(&Move::Admit(10)), [1]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Admit(10)), [1]);
     three.all.remove(&1);
     // Its client retries before the loss is detected: it waits for the record.
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(2_000);
-    assert_eq!(three.moved(&Move::Answer(11, Reply::Failed)), [2]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Failed)), [2]);
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Failed));
-    assert!(three.moves.iter().all(|(p, m)| *p == 1 || !matches!(m, Move::Admit(_) | Move::Adopt(_))));
+    assert!(
+        three
+            .actions
+            .iter()
+            .all(|(p, m)| *p == 1 || !matches!(m, TakeoverAction::Admit(_) | TakeoverAction::Adopt(_)))
+    );
 }
 
 // A read of a dead dispatcher is taken over by exactly one other, which keeps the result for the client. The client
@@ -123,9 +128,9 @@
         three.all.remove(&1);
         three.pass(2_000);
         let adopted: Vec<Peer> = three
-            .moves
+            .actions
             .iter()
-            .filter(|(_, m)| matches!(m, Move::Adopt(r) if r.rid == 10))
+            .filter(|(_, m)| matches!(m, TakeoverAction::Adopt(r) if r.rid == 10))
             .map(|(p, _)| *p)
             .collect();
         assert_eq!(adopted.len(), 1, "exactly one takes it over");
@@ -137,7 +142,10 @@
             gate => {
                 assert_eq!(gate, Gate::Hold);
                 three.pass(500);
-                assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [back_at]);
+                assert_eq!(
+                    three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))),
+                    [back_at]
+                );
             }
         }
     }
@@ -154,11 +162,14 @@
     three.at(1).left(now, 10);
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(300);
-    assert!(three.moved(&Move::Answer(11, Reply::Failed)).is_empty(), "the retry waits while the load runs");
+    assert!(
+        three.peers_with_action(&TakeoverAction::Answer(11, Reply::Failed)).is_empty(),
+        "the retry waits while the load runs"
+    );
     let now = three.now;
     three.at(1).over(now, 10, Past::Served(rows()));
     three.pass(300);
-    assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [2]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [2]);
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Served(rows())));
 }
 
@@ -174,7 +185,7 @@
     let mut one = three.all.remove(&1).unwrap();
     one.tick(later);
     assert!(!one.may_send(later, 10) && !one.may_send(later, 20));
-    assert_eq!(one.moves, [Move::LetGo(10)]);
+    assert_eq!(one.actions, [TakeoverAction::LetGo(10)]);
     three.all.insert(1, one);
     three.now = later;
     assert_eq!(three.asks(1, 30, 7, true, false), Gate::Go);
@@ -190,14 +201,14 @@
     let now = three.now;
     three.at(1).answered(now, 10, Reply::Served(rows()));
     three.pass(20);
-    assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [1]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [1]);
     // The client of the first try disconnects: the second takes its place.
     three.asks(1, 20, 6, true, false);
     three.asks(1, 21, 6, true, true);
     let now = three.now;
     three.at(1).left(now, 20);
     three.pass(100);
-    assert_eq!(three.moved(&Move::Admit(21)), [1]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Admit(21)), [1]);
 }
 
 // Guards against state that leaks after requests have finished.
--- a/src/takeover/types.rs
+++ b/src/takeover/types.rs
@@ -52,7 +52,7 @@
 pub enum Gate {
     /// Pass it to the balancer.
     Go,
-    /// Hold it until a [`Move`] says how it continues.
+    /// Hold it until a [`TakeoverAction`] says how it continues.
     Hold,
     /// Answer it at once.
     Answer(Reply),
@@ -60,7 +60,7 @@
 
 /// An action for the host.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Move {
+pub enum TakeoverAction {
     /// Pass a held request to the balancer.
     Admit(u64),
     /// Answer a held request.
