--- a/src/net/in_flight/moves.rs
+++ b/src/net/in_flight/moves.rs
@@ -32,7 +32,7 @@
         loop {
             let Some(in_flight) = &mut self.in_flight else { return };
             for (from, message) in std::mem::take(&mut in_flight.peers.heard) {
-                in_flight.takeover.hears(now, from, message);
+                in_flight.takeover.handle_message(now, from, message);
             }
             in_flight.takeover.flush(now);
             self.tick_policy(now);
--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -58,7 +58,7 @@
         let policy = self.policy_number();
         let Some(in_flight) = &mut self.in_flight else { return Gate::Go };
         let attempt = in_flight.attempt(now, request, job, policy);
-        in_flight.takeover.arrives(now, attempt)
+        in_flight.takeover.handle_request(now, attempt)
     }
 
     /// Whether an attempt may be sent under the lease; if not, the request is released.
@@ -71,7 +71,7 @@
         let Some(in_flight) = &mut self.in_flight else { return true };
         let may = in_flight.takeover.may_send(now, attempt_id.request);
         match may {
-            true => in_flight.takeover.sent(now, attempt_id.request, executor),
+            true => in_flight.takeover.record_attempt(now, attempt_id.request, executor),
             false => in_flight.takeover.actions.push_back(TakeoverAction::LetGo(attempt_id.request)),
         }
         may
@@ -79,7 +79,8 @@
 
     /// Records the final answer of a request.
     pub(in crate::net) fn end_in_flight(&mut self, now: Micros, request: u64, answer: &Answer<Rows>) {
-        let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.follows(request))
+        let Some(in_flight) =
+            self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.is_tracked(request))
         else {
             return;
         };
@@ -89,7 +90,7 @@
             Answer::Rejected(ms) => Reply::Refused(*ms),
             Answer::Failed => Reply::Failed,
         };
-        in_flight.takeover.answered(now, request, reply);
+        in_flight.takeover.handle_answer(now, request, reply);
     }
 
     /// Converts a recorded reply to an answer.
@@ -104,14 +105,14 @@
     /// Ends the record of a request that the dispatch logic did not accept.
     pub(in crate::net) fn end_unsubmitted_in_flight(&mut self, now: Micros, request: u64) {
         if let Some(in_flight) = &mut self.in_flight {
-            in_flight.takeover.answered(now, request, Reply::Refused(0));
+            in_flight.takeover.handle_answer(now, request, Reply::Refused(0));
         }
     }
 
     /// Records that the client of a request has disconnected.
     pub(in crate::net) fn record_client_left(&mut self, now: Micros, request: u64) {
         if let Some(in_flight) = &mut self.in_flight {
-            in_flight.takeover.left(now, request);
+            in_flight.takeover.handle_disconnect(now, request);
         }
     }
 
@@ -123,7 +124,8 @@
         served: Option<Rows>,
         never_ran: bool,
     ) {
-        let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.follows(request))
+        let Some(in_flight) =
+            self.in_flight.as_mut().filter(|in_flight| in_flight.takeover.is_tracked(request))
         else {
             return;
         };
@@ -132,6 +134,6 @@
             (None, true) => Past::NeverRan,
             (None, false) => Past::MayHaveRan,
         };
-        in_flight.takeover.over(now, request, past);
+        in_flight.takeover.handle_abandoned_outcome(now, request, past);
     }
 }
--- a/src/takeover/answers.rs
+++ b/src/takeover/answers.rs
@@ -7,7 +7,7 @@
 
 impl Takeover {
     /// The balancer gave its final answer to a request.
-    pub fn answered(&mut self, now: Micros, rid: u64, reply: Reply) {
+    pub fn handle_answer(&mut self, now: Micros, rid: u64, reply: Reply) {
         let Some(ask) = self.asks.remove(&rid) else { return };
         let Some(local) = self.local.get(&ask) else { return };
         let Stage::Mine { rid: own, repeats, adopted, fenced } = local.stage else {
@@ -50,7 +50,7 @@
     }
 
     /// The client of a request disconnected. A non-idempotent request continues; any other has been cancelled.
-    pub fn left(&mut self, now: Micros, rid: u64) {
+    pub fn handle_disconnect(&mut self, now: Micros, rid: u64) {
         let Some(ask) = self.asks.get(&rid).copied() else { return };
         let Some(local) = self.local.get_mut(&ask) else { return };
         match local.stage {
@@ -74,7 +74,7 @@
     }
 
     /// A request whose client had disconnected is finished.
-    pub fn over(&mut self, now: Micros, rid: u64, past: Past) {
+    pub fn handle_abandoned_outcome(&mut self, now: Micros, rid: u64, past: Past) {
         let Some(ask) = self.asks.remove(&rid) else { return };
         let Some(mut local) = self.local.remove(&ask) else { return };
         if matches!(local.stage, Stage::Mine { fenced: true, .. }) {
--- a/src/takeover/arrivals.rs
+++ b/src/takeover/arrivals.rs
@@ -8,7 +8,7 @@
 
 impl Takeover {
     /// Handles an arriving request.
-    pub fn arrives(&mut self, now: Micros, mut attempt: Try) -> Gate {
+    pub fn handle_request(&mut self, now: Micros, mut attempt: Try) -> Gate {
         let (rid, repeats) = (attempt.record.rid, attempt.record.repeats);
         // Without an ask id its client can't retry it, so that an idempotent request needs no record.
         let ask = match attempt.ask {
@@ -92,14 +92,14 @@
     }
 
     /// Records that an attempt of a request was sent.
-    pub fn sent(&mut self, now: Micros, rid: u64, executor: u32) {
+    pub fn record_attempt(&mut self, now: Micros, rid: u64, executor: u32) {
         if let Some(ask) = self.asks.get(&rid).copied() {
             self.fleet.record_attempt(now, ask, executor);
         }
     }
 
     /// Whether the outcome of a request still matters after its client has disconnected.
-    pub fn follows(&self, rid: u64) -> bool {
+    pub fn is_tracked(&self, rid: u64) -> bool {
         self.asks.contains_key(&rid)
     }
 
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -62,7 +62,7 @@
     }
 
     /// Handles a message from a peer.
-    pub fn hears(&mut self, now: Micros, from: Peer, message: Message) {
+    pub fn handle_message(&mut self, now: Micros, from: Peer, message: Message) {
         self.fleet.handle_message(now, from, message);
         self.take_fleet_events(now);
     }
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -54,7 +54,7 @@
                     self.actions.extend(t.actions.drain(..).map(|m| (from, m)));
                     for (to, message) in std::mem::take(&mut t.fleet.messages) {
                         if let Some(other) = self.all.get_mut(&to) {
-                            other.hears(self.now, from, message);
+                            other.handle_message(self.now, from, message);
                         }
                     }
                 }
@@ -78,7 +78,7 @@
             policy: 0,
         };
         let now = self.now;
-        self.at(at).arrives(now, Try { ask: Some(ask), again, record })
+        self.at(at).handle_request(now, Try { ask: Some(ask), again, record })
     }
 
     fn at(&mut self, p: Peer) -> &mut Takeover {
@@ -136,7 +136,7 @@
         assert_eq!(adopted.len(), 1, "exactly one takes it over");
         let (now, by) = (three.now, adopted[0]);
         assert!(three.at(by).keeps_result(10));
-        three.at(by).answered(now, 10, Reply::Served(rows()));
+        three.at(by).handle_answer(now, 10, Reply::Served(rows()));
         match three.asks(back_at, 11, 5, true, true) {
             Gate::Answer(reply) => assert_eq!((reply, by), (Reply::Served(rows()), back_at)),
             gate => {
@@ -159,7 +159,7 @@
     three.asks(1, 10, 5, false, false);
     three.pass(50);
     let now = three.now;
-    three.at(1).left(now, 10);
+    three.at(1).handle_disconnect(now, 10);
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(300);
     assert!(
@@ -167,7 +167,7 @@
         "the retry waits while the load runs"
     );
     let now = three.now;
-    three.at(1).over(now, 10, Past::Served(rows()));
+    three.at(1).handle_abandoned_outcome(now, 10, Past::Served(rows()));
     three.pass(300);
     assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [2]);
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Served(rows())));
@@ -199,14 +199,14 @@
     three.asks(1, 10, 5, true, false);
     assert_eq!(three.asks(1, 11, 5, true, true), Gate::Hold);
     let now = three.now;
-    three.at(1).answered(now, 10, Reply::Served(rows()));
+    three.at(1).handle_answer(now, 10, Reply::Served(rows()));
     three.pass(20);
     assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [1]);
     // The client of the first try disconnects: the second takes its place.
     three.asks(1, 20, 6, true, false);
     three.asks(1, 21, 6, true, true);
     let now = three.now;
-    three.at(1).left(now, 20);
+    three.at(1).handle_disconnect(now, 20);
     three.pass(100);
     assert_eq!(three.peers_with_action(&TakeoverAction::Admit(21)), [1]);
 }
@@ -221,11 +221,11 @@
         three.pass(30);
         let now = three.now;
         match n % 3 {
-            0 => three.at(at).answered(now, rid, Reply::Served(rows())),
-            1 => three.at(at).answered(now, rid, Reply::Refused(5)),
+            0 => three.at(at).handle_answer(now, rid, Reply::Served(rows())),
+            1 => three.at(at).handle_answer(now, rid, Reply::Refused(5)),
             _ => {
-                three.at(at).left(now, rid);
-                three.at(at).over(now, rid, Past::NeverRan);
+                three.at(at).handle_disconnect(now, rid);
+                three.at(at).handle_abandoned_outcome(now, rid, Past::NeverRan);
             }
         }
     }
