--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -4,11 +4,11 @@
 
 const MS: Micros = 1_000;
 
-/// Three dispatchers whose messages pass at once, but for those of peers that are gone.
+/// Three dispatchers with immediate message delivery; messages to removed peers are dropped.
 struct Three {
     all: BTreeMap<Peer, Takeover>,
     now: Micros,
-    moves: Vec<(Peer, Move)>,
+    actions: Vec<(Peer, TakeoverAction)>,
 }
 
 impl Three {
@@ -33,10 +33,10 @@
             fetch: 200 * MS,
         };
         let one = |me| (me, Takeover::new(Fleet::new(terms(me), u64::from(me), now), bounds));
-        let mut three = Three { all: (1..=3).map(one).collect(), now, moves: Vec::new() };
+        let mut three = Three { all: (1..=3).map(one).collect(), now, actions: Vec::new() };
         three.pass(40_000);
         assert!(three.all.values().all(|t| t.fleet.holds(three.now).is_some()));
-        three.moves.clear();
+        three.actions.clear();
         three
     }
 
@@ -51,10 +51,10 @@
                 for from in 1..=3 {
                     let Some(t) = self.all.get_mut(&from) else { continue };
                     t.flush(self.now);
-                    self.moves.extend(t.moves.drain(..).map(|m| (from, m)));
+                    self.actions.extend(t.actions.drain(..).map(|m| (from, m)));
                     for (to, message) in std::mem::take(&mut t.fleet.messages) {
                         if let Some(other) = self.all.get_mut(&to) {
-                            other.hears(self.now, from, message);
+                            other.handle_message(self.now, from, message);
                         }
                     }
                 }
@@ -78,15 +78,15 @@
             policy: 0,
         };
         let now = self.now;
-        self.at(at).arrives(now, Try { ask: Some(ask), again, record })
+        self.at(at).handle_request(now, Try { ask: Some(ask), again, record })
     }
 
     fn at(&mut self, p: Peer) -> &mut Takeover {
         self.all.get_mut(&p).unwrap()
     }
 
-    fn moved(&self, what: &Move) -> Vec<Peer> {
-        self.moves.iter().filter(|(_, m)| m == what).map(|(p, _)| *p).collect()
+    fn peers_with_action(&self, what: &TakeoverAction) -> Vec<Peer> {
+        self.actions.iter().filter(|(_, m)| m == what).map(|(p, _)| *p).collect()
     }
 }
 
@@ -94,76 +94,87 @@
     vec![b"a\tb\tc\n".to_vec()]
 }
 
-// A load goes to the decisions only once it is agreed; its owner dies, and whoever is asked for it again says
-// at once that it may have run. It is never handed to the decisions a second time.
+// A load is passed to the balancer only once its record is committed. After its owner dies, every other dispatcher
+// answers a retry at once that the load may have run. Guards against passing it to a balancer a second time.
 #[test]
 fn a_load_of_a_dead_dispatcher_is_never_run_again() {
     let mut three = Three::formed();
     assert_eq!(three.asks(1, 10, 5, false, false), Gate::Hold);
-    assert!(three.moves.is_empty());
+    assert!(three.actions.is_empty());
     three.pass(50);
-    assert_eq!(three.moved(&Move::Admit(10)), [1]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Admit(10)), [1]);
     three.all.remove(&1);
-    // Its client is back before anybody knows: it waits for the record.
+    // Its client retries before the loss is detected: it waits for the record.
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(2_000);
-    assert_eq!(three.moved(&Move::Answer(11, Reply::Failed)), [2]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Failed)), [2]);
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Failed));
-    assert!(three.moves.iter().all(|(p, m)| *p == 1 || !matches!(m, Move::Admit(_) | Move::Adopt(_))));
+    assert!(
+        three
+            .actions
+            .iter()
+            .all(|(p, m)| *p == 1 || !matches!(m, TakeoverAction::Admit(_) | TakeoverAction::Adopt(_)))
+    );
 }
 
-// A read of a dead dispatcher is taken over by one other, and its result waits there for the client, who may
-// come to any.
+// A read of a dead dispatcher is taken over by exactly one other, which keeps the result for the client. The client
+// may retry at any dispatcher.
 #[test]
 fn a_read_of_a_dead_dispatcher_is_answered_wherever_its_client_comes_back() {
     for back_at in [2, 3] {
         let mut three = Three::formed();
-        assert_eq!(three.asks(1, 10, 5, true, false), Gate::Go, "what may repeat does not wait");
+        assert_eq!(three.asks(1, 10, 5, true, false), Gate::Go, "idempotent requests do not wait");
         three.pass(100);
         three.all.remove(&1);
         three.pass(2_000);
         let adopted: Vec<Peer> = three
-            .moves
+            .actions
             .iter()
-            .filter(|(_, m)| matches!(m, Move::Adopt(r) if r.attempt_id == 10))
+            .filter(|(_, m)| matches!(m, TakeoverAction::Adopt(r) if r.attempt_id == 10))
             .map(|(p, _)| *p)
             .collect();
         assert_eq!(adopted.len(), 1, "exactly one takes it over");
         let (now, by) = (three.now, adopted[0]);
         assert!(three.at(by).keeps_result(10));
-        three.at(by).answered(now, 10, Reply::Served(rows()));
+        three.at(by).handle_answer(now, 10, Reply::Served(rows()));
         match three.asks(back_at, 11, 5, true, true) {
             Gate::Answer(reply) => assert_eq!((reply, by), (Reply::Served(rows()), back_at)),
             gate => {
                 assert_eq!(gate, Gate::Hold);
                 three.pass(500);
-                assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [back_at]);
+                assert_eq!(
+                    three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))),
+                    [back_at]
+                );
             }
         }
     }
 }
 
-// The client lost its connection and not its dispatcher: the load goes on, and its result is on record for the
-// next try, wherever that comes.
+// The client loses its connection while its dispatcher lives: the load continues, and its result is recorded for the
+// next try at any dispatcher.
 #[test]
 fn a_load_whose_client_was_cut_off_is_answered_from_the_record() {
     let mut three = Three::formed();
     three.asks(1, 10, 5, false, false);
     three.pass(50);
     let now = three.now;
-    three.at(1).left(now, 10);
+    three.at(1).handle_disconnect(now, 10);
     assert_eq!(three.asks(2, 11, 5, false, true), Gate::Hold);
     three.pass(300);
-    assert!(three.moved(&Move::Answer(11, Reply::Failed)).is_empty(), "it waits while the load runs");
+    assert!(
+        three.peers_with_action(&TakeoverAction::Answer(11, Reply::Failed)).is_empty(),
+        "the retry waits while the load runs"
+    );
     let now = three.now;
-    three.at(1).over(now, 10, Past::Served(rows()));
+    three.at(1).handle_abandoned_outcome(now, 10, Past::Served(rows()));
     three.pass(300);
-    assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [2]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [2]);
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Served(rows())));
 }
 
-// A dispatcher that stood still for longer than its lease may send nothing more of what it had in hand, and
-// lets its reads go; without a lease it takes reads, which may repeat, and refuses loads with a time.
+// A dispatcher that was stalled for longer than its lease must send no further attempts of its requests, and gives
+// its reads up. Without a lease it accepts reads, which are idempotent, and refuses loads with a backoff.
 #[test]
 fn a_dispatcher_without_a_lease_lets_go() {
     let mut three = Three::formed();
@@ -174,33 +185,33 @@
     let mut one = three.all.remove(&1).unwrap();
     one.tick(later);
     assert!(!one.may_send(later, 10) && !one.may_send(later, 20));
-    assert_eq!(one.moves, [Move::LetGo(10)]);
+    assert_eq!(one.actions, [TakeoverAction::LetGo(10)]);
     three.all.insert(1, one);
     three.now = later;
     assert_eq!(three.asks(1, 30, 7, true, false), Gate::Go);
     assert_eq!(three.asks(1, 31, 8, false, false), Gate::Answer(Reply::Refused(1_000)));
 }
 
-// Two tries of one ask at one dispatcher: the second never runs beside the first and gets the same answer.
+// Two tries of one ask at one dispatcher: the second never runs concurrently and gets the same answer.
 #[test]
 fn a_second_try_waits_for_the_first() {
     let mut three = Three::formed();
     three.asks(1, 10, 5, true, false);
     assert_eq!(three.asks(1, 11, 5, true, true), Gate::Hold);
     let now = three.now;
-    three.at(1).answered(now, 10, Reply::Served(rows()));
+    three.at(1).handle_answer(now, 10, Reply::Served(rows()));
     three.pass(20);
-    assert_eq!(three.moved(&Move::Answer(11, Reply::Served(rows()))), [1]);
-    // The first's client leaves: the second takes its place.
+    assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [1]);
+    // The client of the first try disconnects: the second takes its place.
     three.asks(1, 20, 6, true, false);
     three.asks(1, 21, 6, true, true);
     let now = three.now;
-    three.at(1).left(now, 20);
+    three.at(1).handle_disconnect(now, 20);
     three.pass(100);
-    assert_eq!(three.moved(&Move::Admit(21)), [1]);
+    assert_eq!(three.peers_with_action(&TakeoverAction::Admit(21)), [1]);
 }
 
-// Nothing is kept of what is over.
+// Guards against state that leaks after requests have finished.
 #[test]
 fn what_is_over_leaves_nothing() {
     let mut three = Three::formed();
@@ -210,11 +221,11 @@
         three.pass(30);
         let now = three.now;
         match n % 3 {
-            0 => three.at(at).answered(now, rid, Reply::Served(rows())),
-            1 => three.at(at).answered(now, rid, Reply::Refused(5)),
+            0 => three.at(at).handle_answer(now, rid, Reply::Served(rows())),
+            1 => three.at(at).handle_answer(now, rid, Reply::Refused(5)),
             _ => {
-                three.at(at).left(now, rid);
-                three.at(at).over(now, rid, Past::NeverRan);
+                three.at(at).handle_disconnect(now, rid);
+                three.at(at).handle_abandoned_outcome(now, rid, Past::NeverRan);
             }
         }
     }
