--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -1,4 +1,4 @@
-//! What a decision costs as the list and the open requests grow: processor time of an arrival and of a tick.
+//! Measures the processor time of an arrival and of a tick as the endpoint list and the number of open requests grow.
 
 use ottercroft::api::*;
 use ottercroft::{Balancer, Event, Settings};
@@ -56,8 +56,8 @@
     }
 }
 
-/// Mean time of an arrival, and the median of a tick, with so many executors listed, `cold` in a hundred of them just
-/// started, and so many requests open.
+/// Mean time of an arrival and median time of a tick with `executors` listed, `cold` percent of them just started,
+/// and `open` requests.
 fn measure(executors: u32, cold: u32, open: u64) -> Result<[Duration; 2], SettingsError> {
     let mut dispatcher = Balancer::new(settings(), 42)?;
     let (mut now, mut actions) = (1_000_000, Vec::new());
@@ -88,7 +88,7 @@
         );
     }
     let arrival = start.elapsed() / open as u32;
-    // Those that wait for probes go out now, so that all are out at executors.
+    // Ends the wait for probes, so that every request is sent to an executor.
     now += 50_000;
     dispatcher.handle(now, Event::Timer { token: 1 }, &mut actions);
     if cold == 0 {
@@ -106,10 +106,11 @@
     Ok([arrival, ticks[4]])
 }
 
-/// Keys with a line each.
+/// Ordering keys, each with its own queue of requests.
 const KEYS: u64 = 50;
 
-/// Median of a tick with so many requests in the lines of some keys, the first of each out at an executor that hangs.
+/// Median time of a tick with `waiting` requests queued behind their ordering keys; the first request of each key
+/// has been sent to an executor that never answers.
 fn measure_lines(waiting: u64) -> Result<Duration, SettingsError> {
     let mut settings = settings();
     (settings.classes[0].keep_order, settings.classes[0].idempotency) = (true, Idempotency::NotIdempotent);
--- a/examples/one_dispatcher.rs
+++ b/examples/one_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Builds settings, feeds a dispatcher a handful of events and prints what it wants done.
+//! Builds settings, passes a few events to a dispatcher and prints the resulting actions.
 
 use ottercroft::api::*;
 use ottercroft::{Balancer, Event, Settings};
@@ -88,9 +88,9 @@
     };
     play(1_000_000, list(EndpointListKind::Restored, &executors));
     play(1_020_000, Event::Arrival(request.clone()));
-    // The probes bring no answer within the wait: the request is sent all the same.
+    // The probes are not answered in time; the request is sent anyway.
     let first = play(1_060_000, Event::Timer { token: 1 }).expect("sent");
-    // The executor fails it at once: it is tried again elsewhere.
+    // The executor fails the attempt immediately; it is retried on another executor.
     let failed = AttemptFinished {
         request: 1,
         attempt: 0,
@@ -103,7 +103,7 @@
     };
     let second = play(1_065_000, Event::AttemptFinished(failed)).expect("sent again");
     assert_ne!(first, second);
-    // With no executor left a request is refused at once, with advice when to come back.
+    // With no executor left, a request is rejected immediately with a retry-after hint.
     play(1_200_000, list(EndpointListKind::Update, &gone));
     play(1_210_000, Event::Arrival(Arrival { request: 2, ..request }));
     Ok(())
--- a/examples/toy_executor.rs
+++ b/examples/toy_executor.rs
@@ -1,14 +1,14 @@
-//! Toy executors with their coordinator, to try the dispatcher by hand: they run nothing, and answer each request
-//! after 0.2 s with its class, its statement and the priority that it came with.
+//! Stub executors and a coordinator for trying out the dispatcher by hand. They execute nothing and answer each
+//! request after 0.2 s with its class, statement and priority.
 //!
-//! Without arguments one executor listens on 127.0.0.1:8444; each argument is the address of one more.
+//! Without arguments one executor listens on 127.0.0.1:8444; each argument is the address of an additional one.
 
 use standins::{executor::Executor, feed::Feed};
 use std::time::Duration;
 
 const EXECUTOR: &str = "127.0.0.1:8444";
 const COORDINATOR: &str = "127.0.0.1:7070";
-/// How long a request seems to run.
+/// Simulated execution time of a request.
 const WORK: Duration = Duration::from_millis(200);
 
 fn main() -> std::io::Result<()> {
--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -1,4 +1,4 @@
-//! `ottercroft lists`: work with executor lists without a dispatcher.
+//! `ottercroft lists`: works on executor lists without a running dispatcher.
 
 mod diff;
 mod show;
@@ -19,7 +19,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The largest list read where no settings say otherwise.
+/// The largest list read when no settings give a limit.
 const MOST_BYTES: u64 = 64 << 20;
 
 /// What to do with executor lists.
@@ -139,7 +139,7 @@
     tell(out, &faults, json, &told)
 }
 
-/// A list as it can be read, whatever its faults of content; a kept one too.
+/// Reads a list or a stored last good copy, ignoring validation errors in its content.
 fn read(path: &Path) -> io::Result<List> {
     let named = |e: String| io::Error::other(format!("{}: {e}", path.display()));
     if path.extension().is_some_and(|e| e == "last-good") {
@@ -160,7 +160,7 @@
     match list::renew_seal(&name, &text, confirm, next) {
         Err(faults) => tell(out, &faults, false, ""),
         Ok(text) => {
-            // The file behind a link is replaced, not the link.
+            // Replaces the target of a symbolic link rather than the link.
             let real = std::fs::canonicalize(file).map_err(named)?;
             storage::write_atomically(&real, text.as_bytes()).map_err(named)?;
             let (list, _) = ListFile::parse(&name, &name, &text);
--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -17,7 +17,7 @@
     list.executors().map(|(_, m, _)| (m.uid.clone(), m.clone())).collect()
 }
 
-/// What changed of an executor, in words.
+/// Describes the fields that differ between two versions of an executor.
 fn changes(old: &Executor, new: &Executor) -> Vec<String> {
     let pairs = [
         ("room", shown(&old.zone), shown(&new.zone)),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: serves, and checks what is to be served with.
+//! The command line: runs the server and checks its configuration.
 
 pub mod lists;
 pub mod policy;
@@ -37,7 +37,7 @@
     common: Common,
 }
 
-/// What all commands take.
+/// Arguments common to all commands.
 #[derive(Debug, Args)]
 pub struct Common {
     /// Our own settings, in HCL
@@ -69,14 +69,14 @@
     Policy(policy::Command),
 }
 
-/// How a command ends.
+/// The result of a command, which determines the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// All is in order.
+    /// No faults and no difference.
     Fine,
-    /// What was checked has faults or differs.
+    /// The checked input has faults or differs.
     Faulty,
-    /// Nothing could be checked.
+    /// The command could not be carried out.
     Impossible,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// Runs the program with the arguments of its process.
+/// Runs the program with the arguments of the process.
 pub fn run() -> ExitCode {
     let cli = Cli::parse();
     let mut out = io::stdout().lock();
@@ -102,7 +102,7 @@
     };
     match done {
         Ok(verdict) => verdict.into(),
-        // Whoever read the output has seen enough.
+        // The reader of the output closed the pipe early.
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("ottercroft: {e}");
@@ -121,7 +121,7 @@
 }
 
 fn serve(common: &Common) -> ExitCode {
-    // Before all else: the default for SIGHUP would end a program that is just starting.
+    // Handlers are installed first: the default action of SIGHUP would terminate a process that is still starting.
     let signals = Signals::new().map_err(|e| format!("signals: {e}"));
     let options = options(common);
     let told = options.as_ref().ok().and_then(|o| o.log_format);
@@ -154,12 +154,12 @@
     named.map_or_else(|| Ok(Options::default()), Options::load)
 }
 
-/// What a configuration knows of rooms and kinds.
+/// The zones and kinds that a configuration defines.
 fn catalog(config: &Path) -> Result<Catalog, Fault> {
     platform(config).map(|(settings, names)| Catalog::from_settings(&settings, &names))
 }
 
-/// The settings of a configuration, with the names in them.
+/// The settings of a configuration with the names defined in it.
 fn platform(config: &Path) -> Result<(Settings, Names), Fault> {
     let name = config.display().to_string();
     let text = std::fs::read_to_string(config).map_err(|e| Fault::of_file(&name, e))?;
@@ -169,7 +169,7 @@
     Ok((settings, names))
 }
 
-/// Writes faults, one a line or as one JSON list; the verdict that they come to.
+/// Writes faults, one per line or as a JSON object, and returns the resulting verdict.
 fn tell(out: &mut dyn Write, faults: &[Fault], json: bool, fine: &str) -> io::Result<Verdict> {
     if json {
         writeln!(out, "{}", serde_json::json!({"ok": faults.is_empty(), "faults": faults}))?;
--- a/src/cli/policy/call.rs
+++ b/src/cli/policy/call.rs
@@ -1,4 +1,4 @@
-//! Calls on the policy at a dispatcher's operators' address.
+//! Sends policy calls to the operators' address of a dispatcher.
 
 use super::Verdict;
 use crate::codec::operator::LONGEST_LINE;
@@ -8,14 +8,14 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long one address of a dispatcher is dialled.
+/// Connect timeout for each resolved address.
 const DIAL: Duration = Duration::from_secs(2);
-/// How long an answer is waited for; a dispatcher says something within a second.
+/// Timeout for the whole answer; a dispatcher starts to answer within a second.
 const ANSWER: Duration = Duration::from_secs(5);
 /// The longest answer read, in bytes.
 const MOST_ANSWER: u64 = 1 << 20;
 
-/// The line that proposes a file. The dispatcher has another working directory, so that the path is made whole.
+/// The line that proposes a file. The path is made absolute, as the dispatcher has another working directory.
 pub(super) fn proposal(file: &Path) -> io::Result<String> {
     let path = std::path::absolute(file).map_err(|e| io::Error::other(format!("{}: {e}", file.display())))?;
     let told = |what: String| Err(io::Error::other(format!("{}: {what}", path.display())));
@@ -31,7 +31,7 @@
 }
 
 fn dial(at: &str) -> io::Result<TcpStream> {
-    let mut last = io::Error::other("no address of that name");
+    let mut last = io::Error::other("the name resolves to no address");
     for address in at.to_socket_addrs()? {
         match TcpStream::connect_timeout(&address, DIAL) {
             Ok(stream) => return Ok(stream),
@@ -41,7 +41,7 @@
     Err(last)
 }
 
-/// Says one line at an operators' address: the whole answer.
+/// Sends one line to an operators' address and returns the whole answer.
 fn ask(at: &str, line: &str) -> io::Result<String> {
     let mut stream = dial(at)?;
     let until = Instant::now() + ANSWER;
@@ -50,12 +50,13 @@
     let (mut answer, mut piece) = (Vec::new(), [0; 4_096]);
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let late = || io::Error::other(format!("no whole answer in {}", humantime::format_duration(ANSWER)));
-        // A limit of nothing would be no limit.
+        let late =
+            || io::Error::other(format!("incomplete answer after {}", humantime::format_duration(ANSWER)));
+        // A zero timeout is an error in `set_read_timeout`, so at least 1 ms is set.
         stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
         match stream.read(&mut piece) {
             Ok(0) => {
-                return String::from_utf8(answer).map_err(|_| io::Error::other("an answer that is not text"));
+                return String::from_utf8(answer).map_err(|_| io::Error::other("answer is not valid UTF-8"));
             }
             Ok(n) => answer.extend_from_slice(&piece[..n]),
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -70,7 +71,7 @@
     }
 }
 
-/// Says one line at an operators' address, and prints the answer.
+/// Sends one line to an operators' address and prints the answer.
 pub(super) fn call(out: &mut dyn Write, at: &str, line: &str) -> io::Result<Verdict> {
     let answer = ask(at, line).map_err(|e| io::Error::other(format!("{at}: {e}")))?;
     let verdict = match answer.split_whitespace().next() {
@@ -78,7 +79,7 @@
         Some("-ERR") => Verdict::Faulty,
         _ => return Err(io::Error::other(format!("{at}: not an operators' address: {:?}", shown(&answer)))),
     };
-    // Nothing that comes from afar moves the terminal.
+    // Control characters in a remote answer are replaced, so that they cannot act on the terminal.
     let lines = answer.lines().map(|l| l.replace(char::is_control, "?"));
     lines.into_iter().try_for_each(|l| writeln!(out, "{l}"))?;
     Ok(verdict)
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -1,4 +1,4 @@
-//! `ottercroft policy`: check and compare policies without a dispatcher, and change a fleet's through one.
+//! `ottercroft policy`: checks and compares policies locally, and changes the policy of a fleet through a dispatcher.
 
 mod call;
 
@@ -63,7 +63,7 @@
     at: String,
 }
 
-/// Runs one command. An error means that nothing could be checked, or nobody asked.
+/// Runs one command. An error means that the input could not be read or the dispatcher could not be reached.
 pub fn run(out: &mut dyn Write, command: Command) -> io::Result<Verdict> {
     match command {
         Command::Check { file, config, json } => check(out, &file, config.as_deref(), json),
@@ -75,7 +75,7 @@
     }
 }
 
-/// A policy from its file; an error if there is none to be read, else all that is wrong with its text.
+/// Reads a policy file. The outer error is an I/O error; the inner one holds all faults of the text.
 fn read(path: &Path) -> io::Result<Result<Policy, Vec<Fault>>> {
     let name = path.display().to_string();
     let told = |e: io::Error| io::Error::other(format!("{name}: {e}"));
@@ -94,7 +94,7 @@
     platform(config).map_err(|f| io::Error::other(f.to_string()))
 }
 
-/// The settings under a policy, with faults that name its file.
+/// The settings with a policy applied; faults carry the name of the policy's file.
 fn under(path: &Path, (base, names): &(Settings, Names)) -> io::Result<Result<Settings, Vec<Fault>>> {
     let file = path.display().to_string();
     let faults = |all: Vec<String>| all.iter().map(|f| Fault::of_file(&file, f)).collect::<Vec<_>>();
@@ -112,7 +112,7 @@
     tell(out, &faults.unwrap_or_default(), json, "in order")
 }
 
-/// All of the settings that a policy can change, by field.
+/// All settings that a policy can change, by field name.
 fn fields(s: &Settings, names: &Names) -> BTreeMap<String, String> {
     let span = |t: Micros| humantime::format_duration(Duration::from_micros(t)).to_string();
     let some = |those: &Option<Vec<usize>>, known: &BTreeMap<String, usize>| match those {
--- a/src/cli/policy/tests.rs
+++ b/src/cli/policy/tests.rs
@@ -18,7 +18,7 @@
     command: Command,
 }
 
-/// A folder of its own with these files in it, gone at the end.
+/// A temporary directory with the given files, removed on drop.
 struct Folder(PathBuf);
 
 impl Drop for Folder {
@@ -34,7 +34,7 @@
     Folder(at)
 }
 
-/// Runs a command line, names of files in it taken from a folder.
+/// Runs a command line with file names resolved in a directory.
 fn done(folder: &Path, words: &[&str]) -> (Result<Verdict, String>, String) {
     let place = |w: &str| match w.contains('.') && !w.contains(':') {
         true => folder.join(w).display().to_string(),
@@ -46,7 +46,7 @@
     (verdict, String::from_utf8(out).unwrap())
 }
 
-// Someone who checks a file before he proposes it must be told all that a dispatcher would refuse it for, and where.
+// `policy check` reports every fault for which a dispatcher would reject the file, each with its position.
 #[test]
 fn all_faults_are_told_with_their_places() {
     let wrong = "policy \"x\" {\n  class \"read\" {\n    worht = 1\n    aim   = \"soon\"\n  }\n}\n";
@@ -74,7 +74,7 @@
     assert!(run(&["check", "a.hcl", "a.hcl"]).0.is_err(), "nor is a configuration that is none");
 }
 
-// What a change does is read off before it is proposed: a field left out here would take hold unseen.
+// `policy diff` lists every changed field: an omitted one would take effect without having been reviewed.
 #[test]
 fn a_difference_is_told_field_by_field() {
     let unfit = "policy \"x\" {\n  class \"raed\" { worth = 1 }\n}\n";
@@ -89,7 +89,7 @@
     assert!(verdict == Ok(Verdict::Faulty) && told.contains("u.hcl: class \"raed\": unknown"), "{told}");
 }
 
-/// An operators' address that answers one call; the line that it got.
+/// A stub operators' address that answers one call; the thread returns the line received.
 fn dispatcher(answer: &'static str) -> (String, thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap().to_string();
@@ -103,8 +103,8 @@
     (at, serves)
 }
 
-// A script goes by the exit code: a refusal must not pass for done, nor must a dispatcher that is not there. The path
-// goes out whole, as the dispatcher runs somewhere else.
+// Scripts rely on the exit code: neither a rejected call nor an unreachable dispatcher may count as success. The path
+// sent is absolute, as the dispatcher has another working directory.
 #[test]
 fn calls_print_their_answer_and_tell_it_by_the_verdict() {
     let all = folder("calls", &[("a.hcl", OLD)]);
@@ -123,13 +123,13 @@
     let (at, got) = dispatcher("HTTP/1.1 400\n");
     assert!(run(&["status", "--at", &at]).0.unwrap_err().contains("not an operators' address"));
     got.join().unwrap();
-    // Nobody listens there any more.
+    // The listener is closed.
     let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
     assert!(run(&["status", "--at", &at]).0.unwrap_err().starts_with(&at));
 }
 
-// A path that does not go into one line, or would be read as two words, is told here; the dispatcher could only say
-// that it does not understand.
+// A path that is too long for one line or would be split into two words is rejected before it is sent; the dispatcher
+// could only report a syntax error.
 #[test]
 fn a_path_that_cannot_be_told_is_refused() {
     let name = |n: usize| format!("/{}", "p".repeat(n - 1));
--- a/src/codec/coordinator.rs
+++ b/src/codec/coordinator.rs
@@ -1,28 +1,28 @@
-//! The coordinator's feed, sans-I/O: numbered events that change the list of executors, one JSON object a
-//! line, and each second a line that holds the last number alone.
+//! The coordinator's feed, sans-I/O: numbered events that change the list of executors, one JSON object per
+//! line, and every second a line with only the last event number.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a process does, as the list has it.
+/// The state of an executor in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes requests.
+    /// Accepts requests.
     Up,
-    /// Completes its work.
+    /// Accepts no new requests and finishes open ones.
     Draining,
-    /// Gone.
+    /// No longer part of the list.
     Removed,
 }
 
-/// An executor as the list has it.
+/// An executor as listed by the coordinator.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Target {
-    /// Which executor; a machine that replaces it has another.
+    /// The executor's unique id; a replacement machine gets a new one.
     pub uid: String,
-    /// Where it listens; may be missing once it is gone.
+    /// Address it listens on; may be missing for a removed executor.
     #[serde(default)]
     pub endpoint: Option<SocketAddr>,
     /// Its zone.
@@ -34,23 +34,23 @@
     /// Its cell.
     #[serde(default)]
     pub pod_group: u64,
-    /// What it does.
+    /// Its state.
     pub state: State,
     /// Relative size.
     #[serde(default)]
     pub capacity_hint: Option<f64>,
-    /// Unix millisecond of a late start; 0 for long ago.
+    /// Start time in Unix milliseconds if it started recently, else 0.
     #[serde(default)]
     pub boot_ms: u64,
-    /// Share of the work beside others of its kind; a list from files sets it, the coordinator never does.
+    /// Share of the work relative to others of its kind; set by list files, never by the coordinator.
     #[serde(skip)]
     pub weight: Option<f64>,
 }
 
-/// The list, or what changed of it.
+/// The whole list or a change to it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Endpoints {
-    /// The whole list: what it does not name is gone.
+    /// Whether this is the whole list, so that executors not named are removed.
     #[serde(default)]
     pub all: bool,
     /// The entries.
@@ -63,12 +63,12 @@
 pub struct Update {
     /// Its number, from 1.
     pub index: u64,
-    /// What it says.
+    /// The change to the list.
     #[serde(default)]
     pub endpoints: Option<Endpoints>,
 }
 
-/// The events of the start.
+/// The events known at start.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 pub struct Known {
     /// The last number.
@@ -79,9 +79,9 @@
 }
 
 impl Known {
-    /// The list that the events come to.
+    /// The list that results from the events.
     pub fn targets(&self) -> Vec<Target> {
-        // By uid, each with the place of its last mention: thousands of entries are told over many events.
+        // Keyed by uid with the position of the last mention, as thousands of entries can be spread over many events.
         let mut list: BTreeMap<&str, (usize, &Target)> = BTreeMap::new();
         let mut mentions = 0;
         for e in self.updates.iter().filter_map(|u| u.endpoints.as_ref()) {
@@ -102,13 +102,13 @@
 /// A line of the feed.
 #[derive(Debug, PartialEq)]
 pub enum Line {
-    /// The last number that there is.
+    /// The number of the last event.
     Last(u64),
     /// An event.
     Update(Update),
 }
 
-/// The line that asks for all that comes after event `held`.
+/// The line that requests all events after event `held`.
 pub fn follow(held: u64) -> String {
     format!("follow {held}\n")
 }
@@ -122,8 +122,8 @@
     }
 }
 
-/// The number of an executor, from its uid alone, so that all dispatchers and every later life have the same
-/// one: the eight hex digits that a uid ends in, as in `s-00c41f7a`; of any other uid its FNV-1a hash.
+/// The number of an executor, derived from its uid alone, so that it is the same at all dispatchers and after every
+/// restart: the eight hex digits at the end of a uid such as `s-00c41f7a`, else the FNV-1a hash of the uid.
 pub fn executor_id(uid: &str) -> u32 {
     let digits = uid.rsplit_once('-').map(|(_, d)| d).filter(|d| d.len() == 8);
     let number = digits.and_then(|d| u32::from_str_radix(d, 16).ok());
--- a/src/codec/coordinator/tests.rs
+++ b/src/codec/coordinator/tests.rs
@@ -17,7 +17,8 @@
 }
 
 proptest! {
-    // Each entry was looked for in the whole list so far: thousands of them took a start long enough to be late.
+    // Compares the indexed merge with a plain one. A linear search for every entry made the start with thousands of
+    // entries too slow.
     #[test]
     fn the_list_of_the_start_is_that_of_event_after_event(
         events in proptest::collection::vec((any::<bool>(), proptest::collection::vec((0..12u8, 0..9u64), 0..9)), 0..9),
--- a/src/codec/executor/answers.rs
+++ b/src/codec/executor/answers.rs
@@ -1,8 +1,8 @@
-//! What an executor says.
+//! Decodes the answers of an executor.
 
 use super::{LARGEST_BODY, LONGEST_LINE};
 
-/// A load report as executors word it.
+/// A load report in the executors' own fields.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
     /// Requests held.
@@ -11,29 +11,29 @@
     pub util: Option<f64>,
     /// Requests waiting for memory.
     pub queue: Option<f64>,
-    /// First value of the site's own.
+    /// First site-specific value.
     pub x0: Option<f64>,
-    /// Second value of the site's own.
+    /// Second site-specific value.
     pub x1: Option<f64>,
 }
 
-/// Word on a request that is not over.
+/// Progress of a request that is still open.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
-    /// Share done.
+    /// Completed share, 0 to 1.
     Done(f64),
-    /// Megabytes missing.
+    /// Memory missing, in MB; the request spills to disk.
     Spills(f64),
-    /// It waits.
+    /// The request is waiting.
     Waits,
 }
 
-/// An answer under a request's id.
+/// The kind of an answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Word {
-    /// Page 0 and the number of all pages, if it told a usable one.
+    /// Page 0 with the total number of pages, if that was valid.
     Ok {
-        /// All pages.
+        /// Total number of pages.
         pages: Option<u32>,
     },
     /// A further page.
@@ -41,42 +41,42 @@
         /// Its number.
         page: Option<u32>,
     },
-    /// It never ran.
+    /// Rejected before execution.
     Busy,
-    /// It may have run.
+    /// Failed; it may have been executed.
     Err,
-    /// It was over already and never ran.
+    /// The request was already over and never ran.
     Void,
-    /// Not yet over.
+    /// A progress report.
     Note(Option<Note>),
 }
 
-/// What an executor says.
+/// An answer from an executor.
 #[derive(Debug, PartialEq)]
 pub enum Answer<'a> {
-    /// Of a request.
+    /// An answer to a request.
     Request {
         /// The request.
         id: u64,
-        /// The word.
+        /// The kind of answer.
         word: Word,
-        /// The rows, or what an error says.
+        /// The rows or the error text.
         body: &'a [u8],
-        /// The executor's load report carried by the answer, where the settings name one (`gauges`).
+        /// The executor's load report, if the answer carries one (`gauges`).
         gauges: Option<Gauges>,
     },
-    /// Of a probe.
+    /// An answer to a probe.
     Probe {
-        /// As it was sent.
+        /// The tag sent with the probe.
         tag: u64,
         /// `UP`, not `DOWN`.
         up: bool,
-        /// The report, if there was one.
+        /// The load report, if any.
         gauges: Option<Gauges>,
     },
 }
 
-/// A line that can't be used.
+/// A line that violates the protocol.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -101,7 +101,7 @@
     g
 }
 
-/// The next answer and how many bytes it took; `None` while bytes are missing.
+/// The next answer and its length in bytes; `None` while it is incomplete.
 pub fn next(input: &[u8]) -> Result<Option<(usize, Answer<'_>)>, Malformed> {
     let Some(end) = input.iter().take(LONGEST_LINE).position(|b| *b == b'\n') else {
         return if input.len() < LONGEST_LINE { Ok(None) } else { Err(bad(input, "no line end")) };
@@ -136,13 +136,13 @@
     let number = |name: &str| field(name).and_then(|v| v.parse::<u32>().ok());
     if let "UP" | "DOWN" = word {
         let tag = id.strip_prefix('p').and_then(|t| u64::from_str_radix(t, 16).ok());
-        // A tag of another form is of no probe of ours, as is 0.
+        // This dispatcher sends no tag of another form and never 0.
         let answer =
             Answer::Probe { tag: tag.unwrap_or(0), up: word == "UP", gauges: field("gauges").map(gauges) };
         return Ok(Some((all, answer)));
     }
     let word = match word {
-        // Whether these do is for whoever knows if the id is open: an answer to an unknown one is not judged.
+        // Page numbers are validated by the caller, which knows whether the id is open; answers to unknown ids are ignored.
         "OK" => Word::Ok { pages: number("pages").filter(|n| *n > 0) },
         "ROWS" => Word::Rows { page: number("page") },
         "BUSY" => Word::Busy,
@@ -163,7 +163,7 @@
     Ok(Some((all, Answer::Request { id, word, body, gauges: field("gauges").map(gauges) })))
 }
 
-/// Whole rows of three columns of text each.
+/// Whether a page consists of complete rows of three text columns each.
 pub fn whole_rows(page: &[u8]) -> bool {
     let text =
         std::str::from_utf8(page).is_ok_and(|t| !t.contains(|c: char| c < ' ' && c != '\t' && c != '\n'));
--- a/src/codec/executor/requests.rs
+++ b/src/codec/executor/requests.rs
@@ -1,19 +1,19 @@
-//! What a dispatcher says to an executor.
+//! Encodes the commands sent to an executor.
 
 use std::io::Write;
 
-/// What a request asks of an executor.
+/// The parameters of a request sent to an executor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Terms<'a> {
     /// The class.
     pub kind: &'a str,
     /// How long the dispatcher will wait, in milliseconds.
     pub wait_ms: u64,
-    /// Memory granted in MB; 0 leaves it to the executor.
+    /// Memory granted, in MB; 0 leaves the amount to the executor.
     pub memory_mb: f64,
     /// Priority, 0 to 3.
     pub priority: u8,
-    /// The token by which repeats are known, if its client gave one.
+    /// The idempotency key, if the client sent one.
     pub token: Option<&'a str>,
 }
 
@@ -35,27 +35,27 @@
     line(out, format_args!("{statement}"));
 }
 
-/// `KILL`: gives a request up.
+/// `KILL`: cancels a request.
 pub fn kill(out: &mut Vec<u8>, id: u64) {
     line(out, format_args!("KILL {id:016x}"));
 }
 
-/// `BOOST`: a new priority.
+/// `BOOST`: changes the priority of a request.
 pub fn boost(out: &mut Vec<u8>, id: u64, priority: u8) {
     line(out, format_args!("BOOST {id:016x} {priority}"));
 }
 
-/// `SCROLL`: asks for a further page.
+/// `SCROLL`: requests another page.
 pub fn scroll(out: &mut Vec<u8>, id: u64, page: u32) {
     line(out, format_args!("SCROLL {id:016x} {page}"));
 }
 
-/// `DISCARD`: no more pages are wanted.
+/// `DISCARD`: releases the remaining pages.
 pub fn discard(out: &mut Vec<u8>, id: u64) {
     line(out, format_args!("DISCARD {id:016x}"));
 }
 
-/// `METER`: a probe that brings a load report.
+/// `METER`: a probe, answered with a load report.
 pub fn meter(out: &mut Vec<u8>, tag: u64) {
     line(out, format_args!("METER p{tag:x}"));
 }
--- a/src/codec/executor/tests.rs
+++ b/src/codec/executor/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(text, expected);
 }
 
-// Bytes come in pieces; a body may hold what looks like a line.
+// Answers arrive in fragments, and a body may contain text that looks like a line.
 #[test]
 fn answers_are_read_whole_or_not_at_all() {
     let input = b"00ab OK pages=2 6\r\na\tb\tc\n\r\np1f UP gauges=inflight:7;x1:0.5;new:1 0\r\n\r\n";
@@ -33,13 +33,13 @@
         note,
         Answer::Request { id: 1, word: Word::Note(Some(Note::Done(0.4))), body: b"", gauges: None }
     );
-    // Where answers carry load, each one of a request has it as a probe's would.
+    // Answers to requests may carry a load report in the same form as answers to probes.
     let (_, told) = next(b"1 OK pages=1,gauges=inflight:7;util:0.61 0\r\n\r\n").unwrap().unwrap();
     let gauges = Gauges { inflight: Some(7.0), util: Some(0.61), ..Gauges::default() };
     assert!(matches!(told, Answer::Request { gauges: Some(g), .. } if g == gauges));
 }
 
-// A bad line costs the connection, so each of these has to be told from a line that is not there yet.
+// A malformed line closes the connection, so it must be told apart from an incomplete one.
 #[test]
 fn bad_lines_are_told_from_short_ones() {
     let long = [b'x'; LONGEST_LINE];
--- a/src/codec/mod.rs
+++ b/src/codec/mod.rs
@@ -1,7 +1,7 @@
-//! The codecs, one for each protocol, all of them without I/O: bytes in, messages out, and the other way.
+//! One codec per protocol, all sans-I/O: bytes to messages and messages to bytes.
 //!
-//! - [`mysql`]: clients; [`statement`]: the fields and the table group of what they ask.
-//! - [`executor`]: the executors; [`coordinator`]: the list of them and their numbers.
+//! - [`mysql`]: clients; [`statement`]: the fields and the table group of their statements.
+//! - [`executor`]: executors; [`coordinator`]: the executor list and the executors' numbers.
 //! - [`operator`]: the lines of the operators' address.
 
 pub mod coordinator;
--- a/src/codec/mysql.rs
+++ b/src/codec/mysql.rs
@@ -1,6 +1,7 @@
-//! The server's side of the MySQL client protocol 4.1, sans-I/O: bytes in, requests out, and the reverse.
+//! The server side of the MySQL client protocol 4.1, sans-I/O.
 //!
-//! No encryption, no compression, an empty password, EOF packets. It knows neither loop nor decisions.
+//! No encryption, no compression, an empty password, EOF packets. Independent of the event loop and of dispatch
+//! decisions.
 
 mod answers;
 mod packets;
@@ -8,24 +9,24 @@
 use packets::{Reader, malformed, packet};
 use std::fmt;
 
-/// The most that the body of one packet from a client may hold.
+/// The largest packet body accepted from a client, in bytes.
 pub const MOST: usize = 15 * 1024;
 const USER: &str = "app";
 const DATABASE: &str = "main";
 
-/// An error as a client gets it.
+/// An error sent to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// MySQL's number.
+    /// MySQL error code.
     pub code: u16,
-    /// MySQL's state, five characters.
+    /// SQLSTATE, five characters.
     pub state: &'static str,
-    /// For people, and for `backoff=`.
+    /// Message text; may contain `backoff=`.
     pub text: String,
 }
 
 impl Error {
-    /// An error with its number and state.
+    /// Creates an error from its code, SQLSTATE and text.
     pub fn new(code: u16, state: &'static str, text: impl Into<String>) -> Error {
         Error { code, state, text: text.into() }
     }
@@ -39,10 +40,10 @@
 
 impl std::error::Error for Error {}
 
-/// What a client asks for.
+/// A command from a client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// It logged in.
+    /// The login succeeded.
     Login,
     /// COM_QUERY.
     Query(&'a str),
@@ -56,7 +57,7 @@
     Other(u8),
 }
 
-/// One client's conversation.
+/// The protocol state of one client connection.
 #[derive(Debug, Default)]
 pub struct Server {
     logged_in: bool,
@@ -64,8 +65,8 @@
 }
 
 impl Server {
-    /// The next command and how many bytes it took; `None` while bytes are missing. After an error nothing
-    /// more can be read.
+    /// The next command and its length in bytes; `None` while it is incomplete. After an error the input can't be
+    /// decoded any further.
     pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<Option<(usize, Command<'a>)>, Error> {
         let Some((sequence, body)) =
             packet(input).inspect_err(|_| self.sequence = input[3].wrapping_add(1))?
@@ -124,7 +125,7 @@
     }
 }
 
-/// Whether COM_INIT_DB or a login names the one database there is.
+/// Checks that COM_INIT_DB or a login names the only database.
 pub fn database_known(name: &[u8]) -> Result<(), Error> {
     match name {
         b"" => Ok(()),
--- a/src/codec/mysql/answers.rs
+++ b/src/codec/mysql/answers.rs
@@ -1,4 +1,4 @@
-//! What the server says: the greeting, OK, errors, result sets.
+//! Encodes the server's packets: handshake, OK, errors and result sets.
 
 use super::packets::text;
 use super::{DATABASE, Error, Server};
@@ -11,7 +11,7 @@
 const AUTOCOMMIT: u16 = 2;
 
 impl Server {
-    /// The greeting, with the connection's id; it is the first thing written.
+    /// The initial handshake packet with the connection id.
     pub fn greet(&mut self, id: u32, scramble: &[u8; 20], out: &mut Vec<u8>) {
         self.sequence = 0;
         self.put(out, |b| {
@@ -64,7 +64,7 @@
         });
     }
 
-    /// The head of a result set: its columns, all of text.
+    /// The column definitions of a result set; all columns are text.
     pub fn columns(&mut self, names: &[&str], out: &mut Vec<u8>) {
         self.put(out, |b| b.push(names.len() as u8));
         for name in names {
--- a/src/codec/mysql/packets.rs
+++ b/src/codec/mysql/packets.rs
@@ -1,8 +1,8 @@
-//! Packets and what stands in them.
+//! Packet framing and field decoding.
 
 use super::{Error, MOST};
 
-/// A packet's header with its body's place; `None` while bytes are missing.
+/// The sequence id and body of the next packet; `None` while it is incomplete.
 pub(super) fn packet(input: &[u8]) -> Result<Option<(u8, &[u8])>, Error> {
     let Some(head) = input.get(..4) else { return Ok(None) };
     let length = usize::from(head[0]) | usize::from(head[1]) << 8 | usize::from(head[2]) << 16;
@@ -16,7 +16,7 @@
     Error::new(1835, "HY000", format!("malformed packet: {what}"))
 }
 
-/// Reads from the front of a body.
+/// Reads fields from the front of a packet body.
 pub(super) struct Reader<'a>(pub(super) &'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A length-encoded string.
+/// Writes a length-encoded string.
 pub(super) fn text(out: &mut Vec<u8>, bytes: &[u8]) {
     match bytes.len() {
         n @ 0..=250 => out.push(n as u8),
--- a/src/codec/mysql/tests.rs
+++ b/src/codec/mysql/tests.rs
@@ -9,7 +9,7 @@
     bytes
 }
 
-// Clients may write login and first query in one go, and the bytes may come one at a time.
+// A client may send its login and first query together, and the bytes may arrive one at a time.
 #[test]
 fn login_and_query_are_read_from_bytes_in_pieces() {
     let mut bytes = login("app");
@@ -24,7 +24,7 @@
     assert_eq!(seen, ["Login", "Query(\"SELECT 1\")"]);
 }
 
-// Nothing from outside may panic or be taken for something else.
+// Malformed and oversized input is an error; it must neither panic nor be decoded as another command.
 #[test]
 fn what_is_malformed_or_too_large_is_an_error() {
     assert_eq!(Server::default().next(&login("root")).unwrap_err().code, 1045);
@@ -35,7 +35,7 @@
     assert_eq!(server.next(&[1, 0, 0, 0, 22]).unwrap(), Some((5, Command::Other(22))));
 }
 
-// A result of more than 256 packets goes round the one byte that numbers them.
+// Sequence ids are one byte and wrap in a result of more than 256 packets.
 #[test]
 fn sequence_ids_wrap_in_a_long_result() {
     let (mut server, mut out) = (Server::default(), Vec::new());
--- a/src/codec/operator.rs
+++ b/src/codec/operator.rs
@@ -1,56 +1,56 @@
-//! The lines of the operators' address.
+//! The line protocol of the operators' address.
 //!
-//! A connection carries one line and gets one answer: a line that starts with `+OK` or `-ERR`; `DUMP` is
-//! answered `+OK`, the figures and a line `.`. Everything here is sans-I/O: bytes and calls in, answers out.
+//! A connection carries one call line and one answer, which starts with `+OK` or `-ERR`; `DUMP` is answered with
+//! `+OK`, the metrics and a line `.`. Sans-I/O.
 
 pub mod policy;
 
 use std::fmt;
 
-/// The longest line taken, its end included, in bytes.
+/// The longest line accepted, in bytes, including the line end.
 pub const LONGEST_LINE: usize = 256;
 
-/// What an operator asks.
+/// A call from an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Returns whether this process is ready to serve.
     Health,
-    /// The figures.
+    /// Returns the metrics.
     Dump,
-    /// Nothing more to this executor, by its uid.
+    /// Stops sending to the executor with this uid.
     Offline(String),
-    /// This executor may serve again.
+    /// Allows sending to this executor again.
     Online(String),
-    /// Empty the dispatcher of clients.
+    /// Drains clients from this dispatcher.
     Leave,
-    /// Take clients again.
+    /// Accepts clients again.
     Join,
-    /// Take these executors out for work, by their uids, in an order that the fleet settles.
+    /// Takes these executors, by uid, out of service for maintenance in an order that the fleet determines.
     Plan(Vec<String>),
-    /// How far the plan is.
+    /// Returns the progress of the maintenance plan.
     PlanStatus,
-    /// No further executor.
+    /// Aborts the plan: no further executor is taken out.
     PlanAbort,
-    /// An executor that is out, or failed, is well again.
+    /// Marks an executor that is out of service or failed as repaired.
     PlanMend(String),
-    /// What all dispatchers of the fleet admit requests by.
+    /// A call on the admission policy of the fleet.
     Policy(policy::Ask),
 }
 
-/// Why a line is not a call; told after `-ERR`.
+/// Why a line is not a valid call; sent after `-ERR`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
     /// No such call.
     Unknown(String),
-    /// The call takes an id and none came.
+    /// A required argument is missing.
     Missing(&'static str),
-    /// More words than the call takes.
+    /// Too many arguments.
     Extra(&'static str),
     /// Longer than [`LONGEST_LINE`].
     TooLong,
     /// Bytes that are not printable text.
     NotText,
-    /// Nothing but white space.
+    /// Only white space.
     Empty,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Reads what the operator writes, in pieces of any size, until one whole line has come.
+/// Decodes one line from fragments of any size.
 #[derive(Debug, Default)]
 pub struct Decoder {
     pub(crate) line: Vec<u8>,
@@ -77,8 +77,8 @@
 }
 
 impl Decoder {
-    /// Takes bytes as they come. Once a line is whole, or can't become one, that is told, and nothing more
-    /// is read: a connection carries one line.
+    /// Adds received bytes. Returns the call or fault once the line is complete or too long and ignores all further
+    /// input, as a connection carries only one line.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, Fault>> {
         if self.done {
             return None;
@@ -96,14 +96,14 @@
         })
     }
 
-    /// Whether part of a line has come.
+    /// Whether part of a line has been received.
     pub fn begun(&self) -> bool {
         !self.line.is_empty()
     }
 }
 
-/// Reads one line, its end (`\n` or `\r\n`) included or not. Words are split by spaces or tabs; the call's
-/// name is read in any case.
+/// Parses one line with or without its end (`\n` or `\r\n`). Words are separated by spaces or tabs; call names are
+/// case-insensitive.
 pub fn parse(line: &[u8]) -> Result<Call, Fault> {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -142,7 +142,7 @@
     }
 }
 
-/// What follows `DRAIN`.
+/// Parses the arguments of `DRAIN`.
 fn drain<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Call, Fault> {
     let what = words.next().ok_or(Fault::Missing("DRAIN"))?.to_ascii_uppercase();
     let (id, more) = (words.next(), words.next().is_some());
@@ -167,19 +167,19 @@
     }
 }
 
-/// Whether a process serves, as `HEALTH` tells it.
+/// The readiness reported by `HEALTH`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes clients.
+    /// Accepts clients.
     Ready,
-    /// `LEAVE` was called and `JOIN` not yet.
+    /// `LEAVE` was called without a subsequent `JOIN`.
     Leaving,
-    /// SIGTERM came.
+    /// SIGTERM was received.
     Stopping,
 }
 
 impl Readiness {
-    /// The answer to `HEALTH`: yes only when ready.
+    /// The answer to `HEALTH`; positive only when ready.
     pub fn answer(self) -> String {
         match self {
             Readiness::Ready => "+OK ready".into(),
@@ -189,7 +189,7 @@
     }
 }
 
-/// The answer to a line that is not a call.
+/// The answer to an invalid line.
 pub fn refusal(fault: &Fault) -> String {
     format!("-ERR {fault}")
 }
--- a/src/codec/operator/policy.rs
+++ b/src/codec/operator/policy.rs
@@ -1,21 +1,21 @@
-//! Calls on the policy that the fleet holds alike.
+//! Calls on the policy shared by the fleet.
 
 use super::Fault;
 
-/// What an operator asks of it.
+/// A call on the policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ask {
-    /// The policy in this file is to take hold.
+    /// Proposes the policy in this file.
     Propose(String),
-    /// Which is in force, what is under way, and what came of earlier changes.
+    /// Returns the policy in force, the change in progress and the outcome of earlier changes.
     Status,
-    /// Call off what is under way.
+    /// Aborts the change in progress.
     Abort,
-    /// The policy before is to take hold again.
+    /// Proposes the previous policy.
     Back,
 }
 
-/// What follows `POLICY`.
+/// Parses the arguments of `POLICY`.
 pub(super) fn parse<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Ask, Fault> {
     let what = words.next().ok_or(Fault::Missing("POLICY"))?.to_ascii_uppercase();
     let (path, more) = (words.next(), words.next().is_some());
--- a/src/codec/statement.rs
+++ b/src/codec/statement.rs
@@ -1,17 +1,17 @@
-//! What a statement tells beside its text: the fields in the comment ahead of it, and the table group.
+//! Extracts the fields of a statement's leading comment and its table group.
 
 use std::collections::BTreeMap;
 
-/// A statement taken apart.
+/// A statement split into its leading comment's fields and its text.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Statement<'a> {
-    /// The fields of the leading comment; empty if there is none.
+    /// The fields of the leading comment; empty if there is no comment.
     pub fields: BTreeMap<&'a str, &'a str>,
     /// The statement without that comment.
     pub text: &'a str,
 }
 
-/// Takes the leading comment off, if there is one.
+/// Splits off the leading comment, if any.
 pub fn split(sql: &str) -> Statement<'_> {
     let sql = sql.trim_start();
     let parts = sql.strip_prefix("/*").and_then(|rest| rest.split_once("*/"));
@@ -22,7 +22,7 @@
     Statement { fields: pairs.map(|(k, v)| (k.trim(), v.trim())).collect(), text: text.trim_start() }
 }
 
-/// A piece of a statement that matters here.
+/// A lexical token relevant to finding table names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Token<'a> {
     Word(&'a str),
@@ -30,7 +30,7 @@
     Other,
 }
 
-/// Words, dots and the rest; strings and comments are passed over.
+/// Splits a statement into words, dots and other tokens; strings count as other, comments are skipped.
 fn tokens(sql: &str) -> Vec<Token<'_>> {
     let b = sql.as_bytes();
     let mut found = Vec::new();
@@ -44,7 +44,7 @@
             b'#' => i = until(i, "\n"),
             b'-' if next == Some(b'-') => i = until(i, "\n"),
             quote @ (b'\'' | b'"') => {
-                // A doubled quote reads as two strings side by side, which comes to the same.
+                // A doubled quote is read as two adjacent strings, which gives the same result.
                 i += 1;
                 while i < b.len() && b[i] != quote {
                     i += if b[i] == b'\\' { 2 } else { 1 };
@@ -79,15 +79,15 @@
     found
 }
 
-/// The number after the underscore in a schema's name; `staging` does not count.
+/// The number after the last underscore of a schema name; `staging` schemas have none.
 fn number(schema: &str) -> Option<u64> {
     let (name, digits) = schema.rsplit_once('_')?;
     let all_digits = !digits.is_empty() && digits.bytes().all(|c| c.is_ascii_digit());
     (all_digits && !name.eq_ignore_ascii_case("staging")).then(|| digits.parse().ok()).flatten()
 }
 
-/// The group of tables that a statement reads or writes: that of the first table named as such, else of the
-/// first name that could be a table's.
+/// The table group that a statement reads or writes: that of the first name after a table keyword, else that of the
+/// first name that could be a table.
 pub fn table_group(sql: &str) -> Option<u64> {
     const AHEAD: [&str; 6] = ["from", "join", "into", "update", "table", "exists"];
     let all = tokens(sql);
--- a/src/codec/statement/tests.rs
+++ b/src/codec/statement/tests.rs
@@ -9,7 +9,7 @@
     assert!(split("/* open").fields.is_empty());
 }
 
-// The group decides which executors are warm; a name in a string, a comment or an alias must not count.
+// The table group determines which executors have warm caches; names in strings, comments or aliases must not count.
 #[test]
 fn the_group_comes_from_the_schema_and_from_nothing_else() {
     let group = |s| table_group(s);
--- a/src/operator/bans.rs
+++ b/src/operator/bans.rs
@@ -1,22 +1,22 @@
-//! Executors that operators took out by hand (`OFFLINE`), and their hand-over to the next process.
+//! Executors banned by operators (`OFFLINE`), and the file that passes the bans to the next process.
 //!
-//! A ban is a mark, not a count: any number of `OFFLINE` calls are lifted by one `ONLINE`. Only executors on
-//! the list can be banned, so the set is bounded by the list and by [`MOST`].
+//! A ban is a flag, not a counter: one `ONLINE` call lifts any number of `OFFLINE` calls. Only listed executors can
+//! be banned, so the set is bounded by the list and by [`MAX_BANS`].
 
 use sha2::{Digest, Sha256};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Bans kept at the most, whatever the list.
-pub const MOST: usize = 4096;
+/// Maximum number of bans, whatever the size of the list.
+pub const MAX_BANS: usize = 4096;
 const HEAD: &str = "ottercroft bans 1";
 
-/// Why a call on bans is refused; told after `-ERR`.
+/// Why a call on bans is rejected; sent after `-ERR`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refused {
     /// No executor on the list has that id, and none is banned under it.
     Unknown(String),
-    /// [`MOST`] are banned already.
+    /// [`MAX_BANS`] executors are banned already.
     Full,
 }
 
@@ -24,19 +24,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refused::Unknown(id) => write!(f, "no executor {id}"),
-            Refused::Full => write!(f, "{MOST} executors are offline already"),
+            Refused::Full => write!(f, "{MAX_BANS} executors are offline already"),
         }
     }
 }
 
-/// Why a hand-over file is not taken; logged once, and then the process starts without it.
+/// Why a hand-over file is ignored; logged once, after which the process starts without bans.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Unusable {
-    /// It does not begin as a file of bans does.
+    /// The header is not that of a ban file.
     Foreign,
-    /// Another dispatcher wrote it.
+    /// Written by another dispatcher.
     Other(String),
-    /// Its checksum does not match what it holds: written in part, or changed.
+    /// The checksum does not match: partially written or modified.
     Torn,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Bans {
-    /// Bans an executor; `listed` tells whether the list has it. True if it was not banned before.
+    /// Bans an executor; `listed` is whether it is on the list. Returns whether it was not banned before.
     pub fn offline(&mut self, id: &str, listed: bool) -> Result<bool, Refused> {
         if self.ids.contains(id) {
             return Ok(false);
@@ -65,13 +65,13 @@
         if !listed {
             return Err(Refused::Unknown(id.to_string()));
         }
-        if self.ids.len() >= MOST {
+        if self.ids.len() >= MAX_BANS {
             return Err(Refused::Full);
         }
         Ok(self.ids.insert(id.to_string()))
     }
 
-    /// Lifts a ban. True if there was one; an executor on the list without a ban is no fault.
+    /// Lifts a ban and returns whether there was one; a listed executor without a ban is not an error.
     pub fn online(&mut self, id: &str, listed: bool) -> Result<bool, Refused> {
         match self.ids.remove(id) {
             true => Ok(true),
@@ -85,12 +85,12 @@
         self.ids.contains(id)
     }
 
-    /// How many are banned.
+    /// Number of banned executors.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether none is.
+    /// Whether no executor is banned.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
@@ -100,13 +100,13 @@
         self.ids.iter().map(String::as_str)
     }
 
-    /// The hand-over file of the dispatcher `name`: a head line with a checksum of the rest, an id a line.
+    /// The hand-over file of the dispatcher `name`: a header line with a checksum of the rest, then one id per line.
     pub fn encode(&self, name: &str) -> String {
         let body: String = self.ids.iter().map(|id| format!("{id}\n")).collect();
         format!("{HEAD} name={} sum={}\n{body}", escape(name), checksum(name, &body))
     }
 
-    /// Reads a hand-over file that `name` wrote; anything else is [`Unusable`].
+    /// Reads a hand-over file written by `name`; anything else is [`Unusable`].
     pub fn decode(text: &str, name: &str) -> Result<Bans, Unusable> {
         let (head, body) = text.split_once('\n').ok_or(Unusable::Foreign)?;
         let rest = head.strip_prefix(HEAD).and_then(|r| r.strip_prefix(" name=")).ok_or(Unusable::Foreign)?;
@@ -117,7 +117,7 @@
         if sum != checksum(name, body) {
             return Err(Unusable::Torn);
         }
-        let ids = body.lines().filter(|l| !l.is_empty()).take(MOST).map(str::to_string).collect();
+        let ids = body.lines().filter(|l| !l.is_empty()).take(MAX_BANS).map(str::to_string).collect();
         Ok(Bans { ids })
     }
 }
--- a/src/operator/figures.rs
+++ b/src/operator/figures.rs
@@ -1,16 +1,16 @@
-//! The figures that `DUMP` tells, in Prometheus text exposition, through the `prometheus` crate.
+//! The metrics returned by `DUMP`, in the Prometheus text exposition format.
 //!
-//! Counts start at 0 with the process and are taken where their event happens; the gauges are set from the
-//! state just before they are told.
+//! Counters start at 0 with the process and are incremented where the event happens; gauges are set from the current
+//! state just before exposition.
 
 use prometheus::{Encoder, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
-/// How a request that was taken ended, as the figures name it.
+/// The outcome of an accepted request, as labelled in the metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
     /// Served.
     Succeeded,
-    /// Refused: it never ran.
+    /// Rejected without having run.
     Declined,
     /// Failed.
     Aborted,
@@ -26,21 +26,21 @@
     }
 }
 
-/// The figures of one process.
+/// The metrics of one process.
 pub struct Figures {
     registry: Registry,
     results: IntCounterVec,
-    /// Attempts written whole to executors.
+    /// Attempts completely written to executors.
     pub forwards: IntCounter,
-    /// Requests taken and not ended.
+    /// Open requests.
     pub outstanding: IntGauge,
     /// Executors on the list.
     pub discovered: IntGauge,
-    /// Executors on the list that are avoided, by hand or by choice.
+    /// Listed executors that are avoided: banned by operators or avoided by the dispatcher.
     pub ejected: IntGauge,
-    /// SIGHUPs whose file was taken.
+    /// Configuration reloads applied.
     pub sighup_applied: IntCounter,
-    /// SIGHUPs whose file was not, so that the old stayed.
+    /// Configuration reloads rejected; the old configuration stayed in force.
     pub sighup_rejected: IntCounter,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Figures {
-    /// All at 0.
+    /// Registers all metrics at 0.
     pub fn new() -> Figures {
         let registry = Registry::new_custom(Some("dispatcher".into()), None).expect("a fixed prefix");
         let results = IntCounterVec::new(
@@ -85,27 +85,27 @@
         figures
     }
 
-    /// Sets the counts of a class to 0, so that they are told before its first request.
+    /// Initializes the counters of a class, so that they are exposed before its first request.
     pub fn class(&self, service: &str) {
         for d in [Disposition::Succeeded, Disposition::Declined, Disposition::Aborted] {
             self.results.with_label_values(&[service, d.label()]);
         }
     }
 
-    /// One request of class `service` ended so.
+    /// Counts one finished request of class `service`.
     pub fn ended(&self, service: &str, disposition: Disposition) {
         self.results.with_label_values(&[service, disposition.label()]).inc();
     }
 
-    /// What one class came to so far.
+    /// The number of requests of a class with this outcome.
     pub fn count(&self, service: &str, disposition: Disposition) -> u64 {
         self.results.with_label_values(&[service, disposition.label()]).get()
     }
 
-    /// The text exposition of all.
+    /// The text exposition of all metrics.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
-        // Writing to memory does not fail, and the names are valid.
+        // Writing to memory cannot fail, and the names are valid.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut out);
         String::from_utf8(out).unwrap_or_default()
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' address, beside its line codec: the bans on executors and the figures. Sans-I/O.
+//! State behind the operators' address: bans on executors and metrics. Sans-I/O.
 
 pub mod bans;
 pub mod figures;
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -43,7 +43,7 @@
 }
 
 proptest! {
-    // An operator's tool may write a call in any pieces: the call read must not depend on where they break.
+    // A call may arrive in fragments: the decoded call must not depend on where they are split.
     #[test]
     fn a_call_in_pieces_is_the_call(call in call(), cuts in prop::collection::vec(0usize..64, 0..8), crlf: bool) {
         let text = format!("{}{}", line(&call), if crlf { "\r\n" } else { "\n" });
@@ -63,7 +63,7 @@
         prop_assert_eq!(got, Some(Ok(call)));
     }
 
-    // Whatever comes, the decoder answers at most once, never panics, and holds no more than a line.
+    // For any input the decoder returns at most one result, never panics and buffers at most one line.
     #[test]
     fn any_bytes_end_in_one_answer_or_none(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..120), 0..10)) {
         let mut decoder = Decoder::default();
@@ -76,7 +76,7 @@
         }
     }
 
-    // The hand-over file gives back the bans it was made of, and any change of one byte is seen.
+    // Decoding a hand-over file restores the encoded bans, and any change of one byte is detected.
     #[test]
     fn bans_come_back_whole_or_not_at_all(ids in prop::collection::btree_set("[a-z0-9-]{1,20}", 0..20), flip in any::<prop::sample::Index>()) {
         let mut bans = Bans::default();
@@ -97,7 +97,7 @@
     }
 }
 
-// Guards the faults an operator must be told of, each with its reason, rather than a silent close.
+// Every invalid line is answered with its reason rather than a silently closed connection.
 #[test]
 fn wrong_lines_are_told_why() {
     assert_eq!(parse(b"FROB\n"), Err(Fault::Unknown("FROB".into())));
@@ -114,7 +114,7 @@
     assert!(Readiness::Leaving.answer().starts_with("-ERR"));
 }
 
-// Guards the counting of bans: two calls out need one call back, and ids nobody has are refused.
+// Two `OFFLINE` calls are lifted by one `ONLINE`, and unknown ids are rejected.
 #[test]
 fn bans_are_marks_not_counts() {
     let mut bans = Bans::default();
@@ -125,12 +125,12 @@
     assert!(!bans.banned("e1"));
     assert_eq!(bans.offline("ghost", false), Err(Refused::Unknown("ghost".into())));
     assert_eq!(bans.online("ghost", false), Err(Refused::Unknown("ghost".into())));
-    // A banned executor that left the list can still be let back.
+    // The ban of an executor that left the list can still be lifted.
     bans.offline("e2", true).unwrap();
     assert_eq!(bans.online("e2", false), Ok(true));
 }
 
-// Guards the hand-over: another dispatcher's file, or one that is not ours at all, is not taken.
+// A hand-over file of another dispatcher or of an unknown format is rejected.
 #[test]
 fn foreign_hand_over_files_are_refused() {
     let mut bans = Bans::default();
@@ -141,7 +141,7 @@
     assert_eq!(Bans::decode("", "a"), Err(Unusable::Foreign));
 }
 
-// Guards the names and form the operators' scraper reads.
+// The exposed names and format are those that the operators' scraper reads.
 #[test]
 fn figures_use_the_names_of_the_page() {
     let f = Figures::new();
