--- a/src/codec/executor/answers.rs
+++ b/src/codec/executor/answers.rs
@@ -142,7 +142,8 @@
         return Ok(Some((all, answer)));
     }
     let word = match word {
-        // Page numbers are validated by the caller, which knows whether the id is open; answers to unknown ids are ignored.
+        // Page numbers are validated by the caller, which knows whether the id is open; answers to unknown ids are not
+        // validated.
         "OK" => Word::Ok { pages: number("pages").filter(|n| *n > 0) },
         "ROWS" => Word::Rows { page: number("page") },
         "BUSY" => Word::Busy,
--- a/src/settings/checked.rs
+++ b/src/settings/checked.rs
@@ -1,21 +1,21 @@
-//! What the settings of a file may not say: every fault is told with the key that it stands under.
+//! Validates the platform's settings; every fault names its key.
 
 use super::env::{ClassIn, Env};
 use super::platform::{Malformed, bad};
 
-/// What names the file in a message.
+/// Name of the file in error messages.
 const MESSAGE: &str = "config";
-/// No number of the settings is as large; times have the same limit.
-const ABSURD: f64 = 1e12;
-/// An aim that is stretched by more than this is none.
-const MOST_STRETCH: f64 = 1e3;
-/// Classes are counted by the bits of one word.
-const MOST_CLASSES: usize = 64;
+/// Upper bound, exclusive, of every number in the settings; times have the same limit.
+const NUMBER_LIMIT: f64 = 1e12;
+/// A latency objective stretched by more than this factor would be meaningless.
+const MAX_STRETCH: f64 = 1e3;
+/// Sets of classes are the bits of one 64-bit word.
+const MAX_CLASSES: usize = 64;
 
-/// A number that may be zero, but neither negative nor absurd.
+/// Checks that a number is neither negative nor out of range; zero is allowed.
 fn number(field: &str, value: Option<f64>) -> Result<(), Malformed> {
     match value {
-        Some(x) if !(0.0..ABSURD).contains(&x) => {
+        Some(x) if !(0.0..NUMBER_LIMIT).contains(&x) => {
             Err(bad(MESSAGE, field, format_args!("{x} is out of range")))
         }
         _ => Ok(()),
@@ -27,7 +27,7 @@
     number(&f("credit"), c.credit)?;
     number(&f("lateWorth"), c.late_worth)?;
     number(&f("aimStretch"), c.aim_stretch)?;
-    if c.aim_stretch.is_some_and(|x| x > MOST_STRETCH) {
+    if c.aim_stretch.is_some_and(|x| x > MAX_STRETCH) {
         return Err(bad(MESSAGE, &f("aimStretch"), "is out of range"));
     }
     if c.hard_limit == 0.0 {
@@ -37,15 +37,15 @@
 }
 
 impl Env {
-    /// Numbers that make sense, also those that only the network heeds. Times and names are checked where they are
-    /// read, and the decisions check again what they build on.
+    /// Checks the range of all numbers, including those used only by the network layer. Times and names are checked
+    /// where they are read, and the balancer validates its own settings again.
     pub(super) fn checked(&self) -> Result<(), Malformed> {
         if self.balancers == 0 {
             return Err(bad(MESSAGE, "settings.balancers", "none"));
         }
-        if self.request_classes.is_empty() || self.request_classes.len() > MOST_CLASSES {
+        if self.request_classes.is_empty() || self.request_classes.len() > MAX_CLASSES {
             let n = self.request_classes.len();
-            let what = format_args!("{n} classes, there have to be 1 to {MOST_CLASSES}");
+            let what = format_args!("{n} classes, there have to be 1 to {MAX_CLASSES}");
             return Err(bad(MESSAGE, "settings.requestClasses", what));
         }
         let parties = self.parties.iter().flatten();
--- a/src/settings/config.rs
+++ b/src/settings/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of one dispatcher: the file that `ROUTER_CONFIG` names, and the variables beside it.
+//! The configuration of one dispatcher: the file named by `ROUTER_CONFIG` and the environment variables that override it.
 
 use crate::codec::coordinator::Known;
 use crate::settings::{self, Env, env::absent};
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A configuration that can't be used, told in one line.
+/// An invalid configuration, described in one line.
 #[derive(Debug)]
 pub struct ConfigError(String);
 
@@ -18,39 +18,39 @@
 
 impl std::error::Error for ConfigError {}
 
-/// What a dispatcher is told at its start; unknown keys are skipped.
+/// The configuration of a dispatcher at start; unknown keys are ignored.
 #[derive(Deserialize)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The dispatcher's name, stable across restarts.
     #[serde(default, deserialize_with = "absent")]
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// For random numbers, in hex; new with each start.
+    /// Seed of the random number generator, in hex; new at every start.
     #[serde(default, deserialize_with = "absent")]
     pub seed: String,
-    /// What it may use.
+    /// Resource limits.
     #[serde(default, deserialize_with = "absent")]
     pub limits: Limits,
-    /// Where the coordinator is.
+    /// Address of the coordinator.
     pub coordinator: SocketAddr,
-    /// The coordinator's events so far.
+    /// The coordinator's events known at start.
     #[serde(default, deserialize_with = "absent")]
     pub known: Known,
-    /// The settings, as the simulator gives them too.
+    /// The settings, in the same form as the simulator passes them.
     pub settings: Env,
-    /// The operators' second address: `host:port`, or a port on the client address's host.
+    /// The operators' address: `host:port`, or a port on the host of the client address.
     #[serde(default)]
     operator: Option<serde_json::Value>,
 }
 
-/// What a dispatcher may use.
+/// Resource limits of a dispatcher.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(default)]
 pub struct Limits {
     /// File descriptors.
     pub sockets: usize,
-    /// Memory.
+    /// Memory, in MB.
     pub memory_mb: f64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Config {
-    /// Reads a configuration from JSON; an error names the field.
+    /// Parses a configuration from JSON; an error names the field.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let config: Config = settings::body("config", text).map_err(|e| ConfigError(e.to_string()))?;
         let memory = config.limits.memory_mb;
@@ -72,7 +72,7 @@
         Ok(config)
     }
 
-    /// Reads what the environment names. `var` looks a variable up.
+    /// Loads the configuration from the file and variables of the environment. `var` looks up a variable.
     pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = var("ROUTER_CONFIG").ok_or_else(|| ConfigError("ROUTER_CONFIG is not set".into()))?;
         let text = std::fs::read_to_string(&path).map_err(|e| ConfigError(format!("{path}: {e}")))?;
@@ -89,7 +89,7 @@
         Ok(config)
     }
 
-    /// Where the operators' address listens, if anywhere. An error tells what can't be read.
+    /// The operators' address, if configured. The error describes the invalid value.
     pub fn operator(&self) -> Result<Option<SocketAddr>, String> {
         let text = match &self.operator {
             None | Some(serde_json::Value::Null) => return Ok(None),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The seed as a number; text that is not hex still makes one.
+    /// The seed as a number; text that is not hex is hashed.
     pub fn seed(&self) -> u64 {
         let hashed = || self.seed.bytes().fold(0, |h: u64, b| h.rotate_left(7) ^ u64::from(b));
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| hashed())
--- a/src/settings/env.rs
+++ b/src/settings/env.rs
@@ -1,13 +1,13 @@
-//! The JSON form of the platform's settings, before it is translated.
+//! The JSON form of the platform's settings, before conversion.
 
 use serde::{Deserialize, Deserializer};
 
-/// A value that is null is one that is absent: the platform writes both.
+/// Treats null as absent, as the platform writes both.
 pub(super) fn absent<'de, D: Deserializer<'de>, T: Deserialize<'de> + Default>(d: D) -> Result<T, D::Error> {
     Option::deserialize(d).map(Option::unwrap_or_default)
 }
 
-/// The settings as they stand in JSON; unknown keys are skipped.
+/// The settings as written in JSON; unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Env {
--- a/src/settings/hcl/mod.rs
+++ b/src/settings/hcl/mod.rs
@@ -1,9 +1,9 @@
-//! Reads our own HCL: settings and executor lists. Every fault names its file, line, column and field, and all
-//! faults of a file are told at once.
+//! Reads HCL files: settings, executor lists and policies. Every fault names its file, line, column and field, and all
+//! faults of a file are reported together.
 //!
-//! - [`text`]: a file's text, places in it and faults.
-//! - [`table`]: the file's body and its blocks, as they are read.
-//! - [`readers`]: what single values may be.
+//! - [`text`]: a file's text, positions in it and faults.
+//! - [`table`]: the body of a file or block while it is read.
+//! - [`readers`]: readers of single values.
 
 pub mod readers;
 pub mod table;
--- a/src/settings/hcl/readers.rs
+++ b/src/settings/hcl/readers.rs
@@ -1,4 +1,4 @@
-//! What single values may be: each reader takes an expression, or tells what is allowed instead.
+//! Readers of single values: each converts an expression or returns an error that says what is allowed.
 
 use super::text::shown;
 use hcl_edit::expr::Expression;
@@ -22,7 +22,7 @@
     e.as_str().map(String::from).ok_or_else(|| format!("{} where a plain string is allowed", kind(e)))
 }
 
-/// A truth value.
+/// A boolean.
 pub fn boolean(e: &Expression) -> Result<bool, String> {
     e.as_bool().ok_or_else(|| format!("{} where true or false is allowed", kind(e)))
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A span of time with its unit, as in `"250ms"`.
+/// A duration with its unit, as in `"250ms"`.
 pub fn duration(range: RangeInclusive<Duration>) -> impl Fn(&Expression) -> Result<Duration, String> {
     move |e| {
         let (from, to) =
@@ -75,7 +75,7 @@
     }
 }
 
-/// One of a few words.
+/// One of the given words.
 pub fn one_of<T: Copy>(words: &[(&str, T)]) -> impl Fn(&Expression) -> Result<T, String> {
     let words: Vec<(String, T)> = words.iter().map(|(w, t)| ((*w).to_string(), *t)).collect();
     move |e| {
@@ -90,7 +90,7 @@
     }
 }
 
-/// A list, each item read alike.
+/// A list whose items are all read by `item`.
 pub fn list<T>(
     item: impl Fn(&Expression) -> Result<T, String>,
 ) -> impl FnOnce(&Expression) -> Result<Vec<T>, String> {
@@ -100,7 +100,7 @@
     }
 }
 
-/// What a type's own parser takes, as in `"10.0.0.0/8"`; `example` shows one.
+/// A value parsed with its type's `FromStr`, as in `"10.0.0.0/8"`; the error quotes `example`.
 pub fn parsed<T: std::str::FromStr>(example: &str) -> impl Fn(&Expression) -> Result<T, String> {
     let example = example.to_string();
     move |e| {
--- a/src/settings/hcl/table.rs
+++ b/src/settings/hcl/table.rs
@@ -1,4 +1,4 @@
-//! A body that is being read, with the names on the way to it.
+//! An HCL body with the path of block names that leads to it.
 
 use super::text::{Fault, Place, Text};
 use hcl_edit::Span;
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::ops::Range;
 
-/// A body that is being read: the file's, or a block's.
+/// The body of a file or of a block.
 pub struct Table<'t> {
     text: &'t Text<'t>,
     body: &'t Body,
@@ -16,7 +16,7 @@
 }
 
 impl<'t> Table<'t> {
-    /// The file's own body.
+    /// The top-level body of a file.
     pub fn root(text: &'t Text<'t>, body: &'t Body) -> Table<'t> {
         Table { text, body, path: String::new(), at: 0..0 }
     }
@@ -25,22 +25,22 @@
         if self.path.is_empty() { key.into() } else { format!("{}.{key}", self.path) }
     }
 
-    /// Whether a key is there.
+    /// Whether a key is present.
     pub fn has(&self, key: &str) -> bool {
         self.body.has_attribute(key)
     }
 
-    /// Where it begins.
+    /// The position at which it begins.
     pub fn place(&self) -> Place {
         self.text.place(self.at.start)
     }
 
-    /// Where the text of the block stands.
+    /// The byte range of the block in the text.
     pub fn span(&self) -> Range<usize> {
         self.at.clone()
     }
 
-    /// A fault at one of its keys, or of it as a whole.
+    /// A fault at one of its keys, or of the whole body if `key` is empty.
     pub fn fault(&self, key: &str, what: impl fmt::Display) -> Fault {
         let attribute = self.body.get_attribute(key).and_then(|a| a.value.span());
         let Place { line, column } = self.text.place(attribute.unwrap_or(self.at.clone()).start);
@@ -48,7 +48,7 @@
         Fault { file: self.text.file.clone(), line, column, field, what: what.to_string() }
     }
 
-    /// Tells of every key and block that is not among these.
+    /// Reports every key and block that is not among these.
     pub fn only(&self, keys: &[&str], blocks: &[&str], faults: &mut Vec<Fault>) {
         let list = |names: &[&str]| if names.is_empty() { "none".into() } else { names.join(", ") };
         for s in self.body {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A value, if the key is there; a fault if it can't be used.
+    /// The value of a key, if present; an invalid value is added to `faults`.
     pub fn get<T>(
         &self,
         key: &str,
@@ -78,7 +78,7 @@
         read(value).map_err(|what| faults.push(self.fault(key, what))).ok()
     }
 
-    /// A value that has to be there.
+    /// The value of a required key; a missing key is added to `faults`.
     pub fn need<T>(
         &self,
         key: &str,
@@ -91,7 +91,7 @@
         self.get(key, faults, read)
     }
 
-    /// Sets a value if the key is there.
+    /// Assigns the value of a key, if present and valid.
     pub fn set<T>(
         &self,
         key: &str,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The blocks of a name, each with its labels; a fault for each that has another number of them.
+    /// The blocks of a name with their labels; each block with another number of labels is a fault.
     pub fn blocks(
         &self,
         ident: &str,
@@ -124,7 +124,7 @@
         found
     }
 
-    /// The one block of a name, if it is there; further ones are faults.
+    /// The only block of a name, if present; additional ones are faults.
     pub fn block(&self, ident: &str, faults: &mut Vec<Fault>) -> Option<Table<'t>> {
         let mut all = self.blocks(ident, 0, faults).into_iter().map(|(_, t)| t);
         let first = all.next();
--- a/src/settings/hcl/tests.rs
+++ b/src/settings/hcl/tests.rs
@@ -20,8 +20,7 @@
     all.iter().map(Fault::to_string).collect()
 }
 
-// Who edits a file under time pressure needs the place, the field and what would be right, of all mistakes
-// at once.
+// All faults of a file are reported together, each with its position, its field and what is allowed.
 #[test]
 fn every_fault_names_its_place_and_what_is_allowed() {
     let all =
--- a/src/settings/hcl/text.rs
+++ b/src/settings/hcl/text.rs
@@ -1,26 +1,26 @@
-//! A file's text, places in it, and faults with their places.
+//! A file's text, positions in it, and faults with their positions.
 
 use hcl_edit::structure::Body;
 use std::fmt;
 use std::sync::Arc;
 
-/// Something that can't be used, and where it stands.
+/// An error in a file and its position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub struct Fault {
     /// The file.
     pub file: Arc<str>,
-    /// Its line, from 1; 0 if it is of the file as a whole.
+    /// Line, from 1; 0 if the fault concerns the whole file.
     pub line: usize,
-    /// The column, from 1, in characters.
+    /// Column, from 1, in characters.
     pub column: usize,
-    /// The field, as in `room.sala-norte.executor.s-1.weight`; empty if there is none.
+    /// Path of the field, as in `room.sala-norte.motor.s-1.weight`; may be empty.
     pub field: String,
     /// What is wrong, and what is allowed.
     pub what: String,
 }
 
 impl Fault {
-    /// A fault of a file as a whole.
+    /// A fault that concerns a whole file.
     pub fn of_file(file: &str, what: impl fmt::Display) -> Fault {
         Fault { file: file.into(), line: 0, column: 0, field: String::new(), what: what.to_string() }
     }
@@ -39,14 +39,14 @@
     }
 }
 
-/// Text of outside origin as it may stand in a log line: control characters escaped, and not too long.
+/// External text made safe for log lines: control characters escaped and length limited.
 pub fn shown(text: &str) -> String {
     const LONGEST: usize = 200;
     let cut: String = text.chars().take(LONGEST).flat_map(char::escape_debug).collect();
     if text.chars().nth(LONGEST).is_some() { format!("{cut}...") } else { cut }
 }
 
-/// A place in a file.
+/// A position in a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Place {
     /// Line, from 1.
@@ -55,22 +55,22 @@
     pub column: usize,
 }
 
-/// A file's text, with what is needed to tell lines and columns.
+/// A file's text with an index of its lines.
 pub struct Text<'t> {
-    /// The name that faults carry.
+    /// The file name used in faults.
     pub file: Arc<str>,
     text: &'t str,
     lines: Vec<usize>,
 }
 
 impl<'t> Text<'t> {
-    /// Of a file by this name.
+    /// Indexes the text of the named file.
     pub fn new(file: &str, text: &'t str) -> Text<'t> {
         let lines = std::iter::once(0).chain(text.match_indices('\n').map(|(i, _)| i + 1)).collect();
         Text { file: file.into(), text, lines }
     }
 
-    /// Where a byte stands.
+    /// The line and column of a byte offset.
     pub fn place(&self, at: usize) -> Place {
         let line = self.lines.partition_point(|l| *l <= at);
         let from = self.lines[line - 1];
@@ -78,7 +78,7 @@
         Place { line, column }
     }
 
-    /// Parses it; the fault says where the text stops being HCL.
+    /// Parses the text; the fault gives the position of the first syntax error.
     pub fn parse(&self) -> Result<Body, Fault> {
         hcl_edit::parser::parse_body(self.text).map_err(|e| {
             let (line, column) = (e.location().line(), e.location().column());
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! What a dispatcher is told.
+//! Configuration and settings.
 //!
-//! - [`config`]: the platform's file for one dispatcher, with [`platform`], the settings both programs share.
-//! - [`options`]: our own settings beside it, in HCL, which [`hcl`] reads with the places of its faults.
+//! - [`config`]: the platform's file for one dispatcher; [`platform`]: the settings, shared with the adapter.
+//! - [`options`]: ottercroft's own settings, in HCL; [`hcl`]: reads HCL and reports faults with their positions.
 
 mod checked;
 pub mod config;
--- a/src/settings/options/control.rs
+++ b/src/settings/options/control.rs
@@ -1,4 +1,4 @@
-//! A control group: a few members that agree on what all dispatchers admit requests by, and dispatchers that follow.
+//! A control group: a few members that agree on the admission policy, and dispatchers that follow them.
 
 use super::MS;
 use super::policy::{self, PolicyTerms};
@@ -8,52 +8,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a process is in its group.
+/// The role of a process in its control group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It takes part in the log, serves followers and no clients.
+    /// Takes part in the replicated log and serves followers, but no clients.
     Member,
-    /// It is a dispatcher that follows a member.
+    /// A dispatcher that follows a member.
     Follower,
 }
 
-/// One member of the group, as all know it.
+/// A member of the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlMember {
     /// Its name.
     pub name: String,
-    /// Where other members reach it.
+    /// Address for other members.
     pub address: SocketAddr,
-    /// Where followers reach it.
+    /// Address for followers.
     pub followers: SocketAddr,
-    /// Where it stands; followers of the same region prefer it.
+    /// Its region; followers of the same region prefer it.
     pub region: Option<String>,
 }
 
 /// A control group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Control {
-    /// What this process is.
+    /// The role of this process.
     pub role: Role,
     /// The group's name.
     pub group: String,
-    /// Which of the members this is.
+    /// The name of this member.
     pub me: Option<String>,
-    /// Where a follower stands.
+    /// The region of a follower.
     pub region: Option<String>,
-    /// Where a member listens for other members.
+    /// Listen address of a member for other members.
     pub listen: Option<SocketAddr>,
-    /// Where a member listens for followers.
+    /// Listen address of a member for followers.
     pub followers: Option<SocketAddr>,
-    /// All members, by name: the same at all members and followers.
+    /// All members, sorted by name; identical at all members and followers.
     pub members: Vec<ControlMember>,
-    /// The group's times.
+    /// Timeouts and intervals of the group.
     pub timing: Timing,
-    /// Followers of one member at most.
+    /// Maximum number of followers per member.
     pub most_followers: usize,
-    /// Snapshots that a member has under way at most.
+    /// Maximum number of concurrent snapshots per member.
     pub most_snapshots: usize,
-    /// How changes are agreed on.
+    /// How policy changes are agreed on.
     pub policy: PolicyTerms,
 }
 
@@ -69,10 +69,10 @@
     "max_followers",
     "max_snapshots",
 ];
-/// Members of a group: a majority of three outlives one, of seven three.
+/// Allowed group sizes: three members tolerate the loss of one, seven that of three.
 const MEMBERS: std::ops::RangeInclusive<usize> = 3..=7;
 
-/// Reads the block.
+/// Reads the `control` block.
 pub(super) fn read(t: &Table<'_>, faults: &mut Vec<Fault>) -> Control {
     t.only(&KEYS, &["member", "policy"], faults);
     let roles = [("member", Role::Member), ("follower", Role::Follower)];
@@ -98,7 +98,7 @@
     control
 }
 
-/// The group's times: derived from the links' round trip, or with a lease that is long enough for it.
+/// The group's timing, derived from the round trip time; a configured lease must be long enough for it.
 fn timing(t: &Table<'_>, faults: &mut Vec<Fault>) -> Timing {
     let mut round_trip = MS(5);
     t.set("round_trip", &mut round_trip, faults, hcl::duration(MS(1)..=MS(2_000)));
@@ -118,7 +118,8 @@
     Timing::with_lease(micros(round_trip), micros(lease))
 }
 
-/// How changes are agreed on; whoever is lost is waited for as long as its lease lasts, which the limits allow for.
+/// How policy changes are agreed on. A lost participant is waited for until its lease ends, so the default limits are
+/// three leases.
 fn policy(t: &Table<'_>, timing: Timing, faults: &mut Vec<Fault>) -> PolicyTerms {
     let Some(block) = t.block("policy", faults) else {
         let least = Duration::from_micros(3 * timing.lease);
@@ -149,7 +150,7 @@
         }
         members.push(ControlMember { name, address, followers, region });
     }
-    // Places come from the names, so that they are alike everywhere, whatever the order in the files.
+    // Indices follow from the sorted names, so that they are the same everywhere regardless of the order in the file.
     members.sort_by(|a, b| a.name.cmp(&b.name));
     if !MEMBERS.contains(&members.len()) {
         faults.push(t.fault("", format!("{} member blocks; 3 to 7 are allowed", members.len())));
--- a/src/settings/options/lists.rs
+++ b/src/settings/options/lists.rs
@@ -7,23 +7,23 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What to do at a start with neither a usable list nor a good copy.
+/// What to do at start with neither a usable list nor a last good copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Empty {
-    /// Serve without executors from it: requests are refused with a time to come back.
+    /// Serve without executors from it: requests are rejected with a retry-after hint.
     Serve,
-    /// End with an error.
+    /// Exit with an error.
     Exit,
 }
 
 /// One list: a file, or a directory of files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Source {
-    /// Its name, as log lines and the precedence have it.
+    /// Its name in log lines and in `precedence`.
     pub name: String,
     /// The file or directory.
     pub path: PathBuf,
-    /// Where `lists accept` writes what a person confirmed.
+    /// The file in which `lists accept` records confirmed digests.
     pub accept: PathBuf,
 }
 
@@ -32,46 +32,46 @@
 pub struct Lists {
     /// The lists.
     pub sources: Vec<Source>,
-    /// Names of sources, the one that goes first ahead; `feed` is the coordinator's.
+    /// Names of sources in order of precedence, highest first; `feed` is the coordinator's feed.
     pub precedence: Vec<String>,
-    /// What a list may hold.
+    /// Limits on the content of a list.
     pub terms: Terms,
-    /// How long nothing may have changed before a list without seal is taken.
+    /// How long an unsealed list must remain unchanged before it is used.
     pub settle: Duration,
-    /// How often files are looked at without any notification.
+    /// Polling interval of the files, independent of notifications.
     pub poll: Duration,
-    /// The largest file read, in bytes, and the most files of a directory.
+    /// The largest file read, in bytes.
     pub most_bytes: u64,
-    /// The most files of a directory.
+    /// Maximum number of files in a directory.
     pub most_files: usize,
-    /// What holds a list back.
+    /// When a list is held back until confirmed.
     pub guard: Guard,
-    /// How long an executor that was taken out of its list may go on with what it has.
+    /// How long an executor removed from its list may finish its open work.
     pub drain_limit: Duration,
-    /// Where the last good lists are kept, where a disk lasts.
+    /// Directory for the last good lists, on persistent storage.
     pub last_good: Option<PathBuf>,
-    /// What to do at a start without any list.
+    /// What to do at start without any list.
     pub empty: Empty,
-    /// For tests alone: safeguards that are left out.
+    /// For tests only: disabled safeguards.
     pub without: BTreeSet<Safeguard>,
 }
 
-/// What guards a list. Tests leave single ones out, to see the harm that each keeps away.
+/// A safeguard for lists. Tests disable single ones to show the failure that each prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Safeguard {
     /// A list is checked against its seal.
     Seal,
-    /// A list without seal has to have settled.
+    /// An unsealed list must have remained unchanged for a while.
     Settle,
-    /// Files are looked at again after they were read, and a young one a second time.
+    /// Files are checked again after reading, and recently modified ones a second time.
     Again,
-    /// A list is checked before use.
+    /// A list is validated before use.
     Check,
-    /// What takes away much is held back.
+    /// A list that removes much capacity is held back.
     Guard,
-    /// What was taken out of a list drains.
+    /// Executors removed from a list are drained.
     Drain,
-    /// The file system notifies of changes.
+    /// Changes are detected by file system notifications.
     Notify,
 }
 
@@ -85,7 +85,7 @@
     ("notify", Safeguard::Notify),
 ];
 
-/// Reads the block.
+/// Reads the `motor_lists` block.
 pub(super) fn read(t: &Table<'_>, faults: &mut Vec<Fault>) -> Lists {
     let keys = [
         "precedence",
@@ -195,7 +195,7 @@
     l
 }
 
-/// Where acceptances of a list stand if nothing else is said: beside it.
+/// The default path of a list's acceptances, beside the list.
 pub fn accept_path(list: &Path) -> PathBuf {
     let mut name = list.file_name().unwrap_or_default().to_os_string();
     name.push(".accepted");
--- a/src/settings/options/mod.rs
+++ b/src/settings/options/mod.rs
@@ -1,11 +1,11 @@
-//! Our own settings, from an HCL file beside the platform's JSON: what only some installations have.
+//! ottercroft's own settings, from an HCL file beside the platform's JSON: features that only some installations use.
 //!
-//! All of it is off unless the file says otherwise. Every fault of the file is told, with its place.
+//! Every feature is off unless its block is present. All faults of the file are reported with their positions.
 //!
-//! - [`lists`]: executor lists from files, and [`terms`], what may be in them and what holds them back.
+//! - [`lists`]: executor lists from files; [`terms`]: limits on their content and when they are held back.
 //! - [`storms`]: retry storms.
-//! - [`peers`]: the other dispatchers, and [`policy`], what all of them admit requests by.
-//! - [`control`]: a few members that agree on that for all dispatchers, which follow.
+//! - [`peers`]: the other dispatchers; [`policy`]: how a shared admission policy is agreed on.
+//! - [`control`]: a group of members that agrees on the policy for all dispatchers that follow it.
 
 pub mod control;
 pub mod lists;
@@ -42,27 +42,27 @@
 pub struct Options {
     /// How log lines are written.
     pub log_format: Option<LogFormat>,
-    /// Executor lists from files; none where the coordinator's feed is the only source.
+    /// Executor lists from files; `None` if the coordinator's feed is the only source.
     pub lists: Option<Lists>,
-    /// Retry storms; none where the decisions alone see to refusals.
+    /// Retry storm protection; `None` if only the balancer rejects requests.
     pub storms: Option<Storms>,
-    /// Other dispatchers; none where every dispatcher is alone.
+    /// Other dispatchers; `None` if the dispatcher works alone.
     pub peers: Option<Peers>,
-    /// A control group; none where each dispatcher goes by its own settings or by its peers'.
+    /// A control group; `None` if the policy comes from the dispatcher's own settings or its peers.
     pub control: Option<Control>,
 }
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 impl Options {
-    /// Reads a file; all that is wrong with it is told.
+    /// Reads a file and returns all of its faults on failure.
     pub fn load(path: &Path) -> Result<Options, Vec<Fault>> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| vec![Fault::of_file(&name, e)])?;
         Options::parse(&name, &text)
     }
 
-    /// Reads a text.
+    /// Parses a text.
     pub fn parse(name: &str, text: &str) -> Result<Options, Vec<Fault>> {
         let text = Text::new(name, text);
         let body = text.parse().map_err(|e| vec![e])?;
--- a/src/settings/options/peers.rs
+++ b/src/settings/options/peers.rs
@@ -1,4 +1,4 @@
-//! Other dispatchers, with which work in hand is kept on record.
+//! Other dispatchers, with which open requests are replicated.
 
 use super::MS;
 use super::policy::{self, PolicyTerms};
@@ -6,52 +6,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Other dispatchers, with which work in hand is kept on record.
+/// Other dispatchers, with which open requests are replicated.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Peers {
-    /// Which of the peers this one is, by its name.
+    /// The name of this peer.
     pub me: String,
-    /// Where it listens for the others.
+    /// Listen address for the other peers.
     pub listen: SocketAddr,
-    /// All peers, this one included, by name: the same names at all of them.
+    /// All peers including this one, sorted by name; identical at all peers.
     pub peers: Vec<(String, SocketAddr)>,
-    /// How long a lease lasts without a renewal.
+    /// Lease duration without renewal.
     pub lease: Duration,
-    /// How much longer the others wait before they say that it is over.
+    /// How much longer other peers wait before they treat the lease as expired.
     pub margin: Duration,
-    /// The log's tick.
+    /// Tick interval of the replicated log.
     pub tick: Duration,
-    /// How long what need not be agreed first may wait.
+    /// Maximum delay for batching entries that need not be committed first.
     pub batch: Duration,
-    /// Without a leader for this long, a fleet whose majority has started anew is given up.
+    /// Time without a leader after which a fleet whose majority has restarted is abandoned.
     pub give_up: Duration,
-    /// How long after its deadline what must not run twice is remembered.
+    /// How long a request that must not run twice is remembered after its deadline.
     pub remember: Duration,
-    /// Requests on record at most.
+    /// Maximum number of replicated request records.
     pub most_records: usize,
-    /// Requests of lost peers taken in hand at once, at most.
+    /// Maximum number of requests of lost peers taken over concurrently.
     pub most_taken_over: usize,
-    /// The longest statement on record, in bytes.
+    /// The longest statement that is replicated, in bytes.
     pub most_statement: u64,
-    /// The largest result kept for a client that comes back, in bytes.
+    /// The largest result stored for a client that reconnects, in bytes.
     pub most_result: u64,
-    /// The longest message of a peer, in bytes.
+    /// The longest message accepted from a peer, in bytes.
     pub most_frame: u64,
-    /// While executors are taken out for work: how many stay in service at least.
+    /// Minimum number of executors in service during maintenance.
     pub min_executors: usize,
-    /// Cores that stay in service for each that works, at least.
+    /// Minimum ratio of cores in service to busy cores during maintenance.
     pub headroom: f64,
-    /// Executors that may be missing at once.
+    /// Maximum number of executors out of service at once.
     pub at_once: usize,
-    /// How long work on an executor is waited for before it is handed over.
+    /// How long a drain waits for open work before the executor is handed over for maintenance.
     pub drain_limit: Duration,
     /// How long an executor may be out before the plan stops.
     pub out_limit: Duration,
-    /// What all admit requests by; none where each goes by its own settings.
+    /// Agreement on a shared policy; `None` if each peer uses its own settings.
     pub policy: Option<PolicyTerms>,
 }
 
-/// Reads the block.
+/// Reads the `peers` block.
 pub(super) fn read(t: &Table<'_>, faults: &mut Vec<Fault>) -> Peers {
     let keys = [
         "me",
@@ -118,7 +118,7 @@
         m.set("drain_limit", &mut p.drain_limit, faults, hcl::duration(MS(100)..=MS(86_400_000)));
         m.set("out_limit", &mut p.out_limit, faults, hcl::duration(MS(100)..=MS(86_400_000)));
     }
-    // A leader has to be found well within a lease, or all lose theirs with it.
+    // An election must complete well within a lease, or all peers lose their leases.
     if p.lease < p.tick * 25 {
         faults.push(t.fault("lease", "shorter than 25 ticks: it would end while a leader is being elected"));
     }
@@ -135,7 +135,7 @@
             p.peers.push((name, at));
         }
     }
-    // Places come from the names, so that they are alike at all peers, whatever the order in the files.
+    // Indices follow from the sorted names, so that they are the same at all peers regardless of the order in the file.
     p.peers.sort();
     if !p.peers.iter().any(|(n, _)| *n == p.me) {
         faults.push(t.fault("me", "no peer block has this name"));
--- a/src/settings/options/policy.rs
+++ b/src/settings/options/policy.rs
@@ -1,30 +1,30 @@
-//! What all dispatchers of a fleet admit requests by, and what one does that can't know it.
+//! How a fleet agrees on its admission policy, and how a dispatcher without a lease behaves.
 
 use super::MS;
 use crate::settings::hcl::{self, Fault, Table};
 use std::time::Duration;
 
-/// What a dispatcher without a lease does, which can't know whether its policy still holds.
+/// Behaviour of a dispatcher without a lease, which can't know whether its policy is still in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WithoutLease {
-    /// It refuses all, with a time to come back: no two policies at once.
+    /// Rejects all requests with a retry-after hint, so that two policies are never in force at once.
     Refuse,
-    /// It admits what the policy in force and the one under way, as far as known to it, both allow.
+    /// Admits what both the policy in force and the proposed one, as far as known, allow.
     Stricter,
 }
 
-/// How changes of policy are agreed on.
+/// How policy changes are agreed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicyTerms {
-    /// How long votes are waited for.
+    /// Time limit of the vote.
     pub vote_limit: Duration,
-    /// How long after that all may take to stop admitting by the old one.
+    /// Time limit after the vote for all to stop admitting by the old policy.
     pub close_limit: Duration,
-    /// What is done without a lease.
+    /// Behaviour without a lease.
     pub without_lease: WithoutLease,
 }
 
-/// Reads the block.
+/// Reads a `policy` block.
 pub(super) fn read(t: &Table<'_>, faults: &mut Vec<Fault>) -> PolicyTerms {
     t.only(&["vote_limit", "close_limit", "without_lease"], &[], faults);
     let mut p =
--- a/src/settings/options/storms.rs
+++ b/src/settings/options/storms.rs
@@ -1,21 +1,21 @@
-//! Retry storms: what passes of them.
+//! Settings of the retry storm protection.
 
 use super::MS;
 use crate::settings::hcl::{self, Fault, Table};
 use std::time::Duration;
 
-/// Retry storms.
+/// Settings of the retry storm protection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Storms {
-    /// The longest wait that clients honour; else what the platform's settings say, else a second.
+    /// The longest wait that clients honour; defaults to the platform's settings, else to one second.
     pub longest_wait: Option<Duration>,
-    /// Share of what passes that repeats without a promise may be.
+    /// Maximum share of admitted requests that are retries without a reservation.
     pub repeats: f64,
-    /// Asks remembered after they were turned away.
+    /// Maximum number of remembered rejected requests.
     pub remembered: usize,
 }
 
-/// Reads the block.
+/// Reads the `retry_storms` block.
 pub(super) fn read(t: &Table<'_>, faults: &mut Vec<Fault>) -> Storms {
     t.only(&["longest_wait", "repeats", "remembered"], &[], faults);
     let mut s = Storms { longest_wait: None, repeats: 0.3, remembered: 20_000 };
--- a/src/settings/options/terms.rs
+++ b/src/settings/options/terms.rs
@@ -1,23 +1,23 @@
-//! What a list may hold, and what holds one back.
+//! Limits on the content of a list, and when a list is held back.
 
 use ipnet::IpNet;
 use std::time::Duration;
 
-/// The name of the coordinator's feed among the sources.
+/// The source name of the coordinator's feed.
 pub const FEED: &str = "feed";
 
-/// What a list may hold, by our settings.
+/// Limits on the content of a list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Terms {
-    /// Every file has to carry its seal.
+    /// Whether every file must have a seal.
     pub sealed: bool,
-    /// The most executors in a list.
+    /// Maximum number of executors in a list.
     pub most_executors: usize,
     /// The largest weight.
     pub most_weight: f64,
-    /// The only networks allowed, if bound.
+    /// The allowed networks; `None` allows all.
     pub networks: Option<Vec<IpNet>>,
-    /// Loopback addresses are allowed.
+    /// Whether loopback addresses are allowed.
     pub loopback: bool,
 }
 
@@ -27,16 +27,16 @@
     }
 }
 
-/// What holds a list back until it is confirmed.
+/// When a list is held back until it is confirmed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Guard {
-    /// The share of a room's capacity that lists may take away within the window.
+    /// Maximum share of a zone's capacity that lists may remove within the window.
     pub most_loss: f64,
-    /// How long what was taken away counts.
+    /// How long removed capacity is counted.
     pub window: Duration,
-    /// How often a list that is held back is told of again.
+    /// Interval of reminders in the log about a list that is held back.
     pub remind: Duration,
-    /// How long an acceptance holds.
+    /// How long an acceptance is valid.
     pub accepted_for: Duration,
 }
 
--- a/src/settings/options/tests.rs
+++ b/src/settings/options/tests.rs
@@ -12,7 +12,7 @@
 const PEERS: &str = "peers {\n  me = \"b\"\n  listen = \"10.0.0.2:7100\"\n  peer \"c\" { address = \"10.0.0.3:7100\" }\n  \
                      peer \"a\" { address = \"10.0.0.1:7100\" }\n  peer \"b\" { address = \"10.0.0.2:7100\" }\n}\n";
 
-// Places in the fleet come from the names: files that list the peers in another order must not differ.
+// Peer indices follow from the names: files that list the peers in another order give the same indices.
 #[test]
 fn peers_are_in_the_order_of_their_names() {
     let p = Options::parse("o", PEERS).unwrap().peers.unwrap();
@@ -21,7 +21,7 @@
     assert_eq!(Options::parse("o", "").unwrap().peers, None, "off unless the block is there");
 }
 
-// A lease that ends while a leader is elected takes everybody's with it; a fleet of two survives nobody.
+// A lease that ends during an election would end for all peers, and a fleet of two tolerates no loss: both are rejected.
 #[test]
 fn a_fleet_that_could_not_work_is_refused_with_the_reason() {
     let all = |text: &str| -> String {
@@ -35,7 +35,7 @@
     assert!(all(&PEERS.replace("10.0.0.3", "10.0.0.1")).contains("another peer has this address"));
 }
 
-// A setting that is wrong by a letter or a unit must not be a setting that silently is not there.
+// A misspelled key or a wrong unit is a fault with its position and is not silently ignored.
 #[test]
 fn a_wrong_key_unit_or_name_is_told_with_its_place() {
     let text = "motor_lists {\n  setle = \"1s\"\n  poll = \"0.5\"\n  precedence = [\"a\", \"b\"]\n  \
@@ -58,7 +58,7 @@
     Options::parse("o", text).unwrap_err().iter().map(|f| f.to_string() + "\n").collect()
 }
 
-// The files that operators begin with have to be in order, and a group's places come from its names.
+// The sample files are valid, and member indices follow from the names.
 #[test]
 fn the_control_files_that_we_give_are_in_order() {
     let control = Options::parse("o", CONTROL).unwrap().control.unwrap();
@@ -77,7 +77,8 @@
     assert_eq!(Options::parse("o", "").unwrap().control, None, "off unless the block is there");
 }
 
-// A lease too short for the links would end at each election; the fault names both keys, as either may be the wrong one.
+// A lease too short for the round trip time would end at every election; the fault names both keys, as either may be
+// wrong.
 #[test]
 fn a_lease_too_short_for_the_links_names_both_keys() {
     let short = CONTROL.replace("round_trip = \"80ms\"", "round_trip = \"150ms\"\n  lease = \"1s\"");
@@ -91,7 +92,7 @@
     assert_eq!((control.timing.tick, control.timing.lease), (75_000, 2_000_000));
 }
 
-// A group that could not work, or a follower that thinks it is a member, is told before anything starts.
+// An unworkable control group and a follower with member settings are rejected before start.
 #[test]
 fn a_control_group_that_could_not_work_is_refused_with_the_reason() {
     let wrong = |from: &str, to: &str| faults(&CONTROL.replace(from, to));
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The settings as JSON, the same for the adapter and the real dispatcher, and the names that go with them.
+//! Converts the JSON settings, shared by the adapter and the dispatcher, and keeps the names defined in them.
 
 pub use super::env::Env;
 use crate::api::*;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A malformed message, told in one line.
+/// A malformed message, described in one line.
 #[derive(Debug)]
 pub struct Malformed(pub String);
 
@@ -36,7 +36,7 @@
     Malformed(format!("{name}: field {field}: {what}"))
 }
 
-/// Seconds to microseconds; negative or absurd values are malformed.
+/// Converts seconds to microseconds; negative or out-of-range values are malformed.
 pub fn micros(name: &str, field: &str, s: f64) -> Result<Micros, Malformed> {
     if s.is_finite() && (0.0..1e12).contains(&s) {
         Ok((s * 1e6).round() as Micros)
@@ -45,50 +45,50 @@
     }
 }
 
-/// The stretch of a retry budget that names none, in seconds.
+/// The window of a retry budget that does not set one, in seconds.
 const BUDGET_SPAN_S: f64 = 10.0;
 
-/// What the network has to heed; decisions never see it.
+/// Settings of the network layer; the balancer does not use them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transport {
-    /// Requests held open at once; more are refused before a decision is asked for.
+    /// Maximum number of open requests; further ones are rejected without asking the balancer.
     pub most_held: usize,
-    /// Attempts that one connection to an executor carries in parallel.
+    /// Maximum number of concurrent attempts per executor connection.
     pub streams_per_conn: usize,
-    /// Connections are closed by executors after being idle this long.
+    /// Idle time after which executors close a connection.
     pub conn_idle: Micros,
-    /// A connection not up within this time has failed.
+    /// Connect timeout.
     pub dial_timeout: Micros,
     /// Whether executors may be probed.
     pub probes: bool,
-    /// Word of an attempt that is out comes this often; `None` where none comes before its end.
+    /// Interval of progress reports of an open attempt; `None` if executors send none.
     pub progress: Option<Micros>,
 }
 
-/// Word that comes as often as stated may be this late; where none is stated, it is asked for after the usual pace.
-const WORD_SLACK: Micros = 200_000;
-const USUAL_PACE: Micros = 1_000_000;
+/// Tolerated delay of a progress report.
+const PROGRESS_SLACK: Micros = 200_000;
+const DEFAULT_PROGRESS_INTERVAL: Micros = 1_000_000;
 
 impl Transport {
-    /// How long a connection with an attempt out may say nothing.
+    /// How long a connection with an open attempt may stay silent.
     pub fn word_within(&self) -> Micros {
-        self.progress.unwrap_or(USUAL_PACE) + WORD_SLACK
+        self.progress.unwrap_or(DEFAULT_PROGRESS_INTERVAL) + PROGRESS_SLACK
     }
 }
 
-/// The names of one instance's settings; decisions never see them.
+/// The names defined by the settings; the balancer works with indices only.
 pub struct Names {
-    /// Classes of query.
+    /// Request classes.
     pub classes: BTreeMap<String, ClassId>,
     /// Tenants.
     pub tenants: BTreeMap<String, TenantId>,
     /// Zones.
     pub zones: BTreeMap<String, ZoneId>,
-    /// Kinds of machine.
+    /// Kinds of executor.
     pub kinds: BTreeMap<String, KindId>,
 }
 
-/// Names by their place; one that stands for two things stands for neither.
+/// Maps names to their indices; a duplicate name is an error.
 fn indices<'a>(
     name: &str,
     field: &str,
@@ -103,13 +103,13 @@
     Ok(all)
 }
 
-/// Index of a name, or an error that says which field held one that is unknown.
+/// The index of a name, or an error that names the field with the unknown name.
 pub fn lookup(map: &BTreeMap<String, usize>, name: &str, field: &str, key: &str) -> Result<usize, Malformed> {
     map.get(key).copied().ok_or_else(|| bad(name, field, format_args!("unknown name {key:?}")))
 }
 
 impl Env {
-    /// What the network has to heed; what is absent is taken wide, as no rule then narrows it.
+    /// The network layer's settings; absent limits get permissive defaults.
     pub fn transport(&self) -> Result<Transport, Malformed> {
         let span = |field: &str, s: Option<f64>, default: f64| {
             micros("settings", &format!("permissions.{field}"), s.unwrap_or(default))
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Translates the settings and keeps the names beside.
+    /// Converts the settings and returns them with the names.
     pub fn settings(self) -> Result<(Settings, Names), Malformed> {
         const M: &str = "ENLIST";
         let parties = self.parties.unwrap_or_default();
@@ -182,7 +182,7 @@
         let d = &self.domain;
         let retry_after = micros(M, "env.permissions.maxRetryAfter", p.max_retry_after.unwrap_or(0.0))?;
         let progress = micros(M, "env.domain.progressPace", d.progress_pace.unwrap_or(0.0))?;
-        // Any of its keys states the budget; what is not told of it allows nothing.
+        // Any one of the keys enables the retry budget; the values of absent keys allow no retries.
         let stated = r.free_resends.or(r.further_ratio).or(r.ratio_span).is_some();
         let span = micros(M, "env.rules.ratioSpan", r.ratio_span.unwrap_or(BUDGET_SPAN_S))?;
         let (free, ratio) = (r.free_resends.unwrap_or(0.0), r.further_ratio.unwrap_or(0.0));
--- a/src/storm/budget.rs
+++ b/src/storm/budget.rs
@@ -1,21 +1,21 @@
-//! Tokens for what passes, and the budget for repeats within it.
+//! Token bucket for admitted requests, and the retry budget within it.
 
 use super::{BURST_S, Storm};
 use crate::api::Micros;
 
-/// The window in which repeats are counted against all that was admitted.
+/// The window in which retries are counted against all admitted requests.
 pub(super) const WINDOW: Micros = 5_000_000;
-/// Repeats that may be admitted in a window whatever else is.
+/// Retries admitted per window regardless of the number of other requests.
 pub(super) const FREE_REPEATS: u64 = 5;
 
-/// Passes remembered for the window; beyond, the oldest go.
+/// Maximum number of admitted requests kept for the window; beyond that the oldest are dropped.
 const MOST_PASSED: usize = 16_384;
 
 impl Storm {
     pub(super) fn refill(&mut self, now: Micros) {
         let span = now.saturating_sub(std::mem::replace(&mut self.tokens_at, now)) as f64 / 1e6;
         let rate = self.room(now);
-        // A trickle goes on whatever is known, or it would never be known that executors are back.
+        // A minimum rate is always admitted, as otherwise the return of executors would never be noticed.
         let rate = rate.max(2.0);
         self.tokens = (self.tokens + span.min(BURST_S) * rate).min((rate * BURST_S).max(1.0));
     }
--- a/src/storm/mod.rs
+++ b/src/storm/mod.rs
@@ -1,10 +1,11 @@
-//! Retry storms: seen, damped, and clients told when to come back. Sans-I/O and deterministic; memory is bounded
-//! whatever the number of clients.
+//! Retry storm protection: detects storms, limits admission and tells clients when to retry. Sans-I/O and
+//! deterministic; memory is bounded regardless of the number of clients.
 //!
-//! On a calm day everything passes and nothing is remembered. Once an outage or a surge is seen, who is turned away
-//! gets a time from the [`plan`]: spread, and no more promises than there will be capacity for. Who comes at its
-//! time goes first; who comes early is refused with the rest of the same wait, and gains nothing; repeats without a
-//! promise share what is left with fresh work, within a budget.
+//! In the calm phase every request is admitted and nothing is remembered. Once an outage or a surge is detected, a
+//! rejected request gets a retry time from the [`plan`]; the times are spread, and no more are reserved than there
+//! will be capacity for. A retry at its reserved time has precedence; an early one is rejected with the remainder of
+//! the same wait and gains nothing; retries without a reservation share the remaining capacity with new requests,
+//! within a budget.
 
 mod budget;
 mod pace;
@@ -22,52 +23,52 @@
 use std::collections::VecDeque;
 use std::num::NonZeroUsize;
 
-/// Tokens for unplanned work are saved up for this long, in seconds.
+/// Capacity of the token bucket, in seconds of refill.
 const BURST_S: f64 = 0.25;
-/// The shortest wait that is told.
+/// The shortest retry-after returned.
 const SHORTEST: Micros = 20_000;
 
-/// What the module goes by.
+/// Settings of the module.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Terms {
     /// The longest wait that clients honour.
     pub longest_wait: Micros,
-    /// Share of what is admitted that repeats without a promise may be.
+    /// Maximum share of admitted requests that are retries without a reservation.
     pub repeats: f64,
-    /// Asks remembered after they were turned away.
+    /// Maximum number of remembered rejected requests.
     pub remembered: usize,
-    /// How long an executor that was gone takes to be warm.
+    /// Warm-up time of an executor that was away.
     pub ramp: Micros,
 }
 
-/// Who asks, as far as it can be told: a digest of account, class and statement.
+/// Identifies a request across retries: a digest of account, class and statement.
 pub type Asker = u64;
 
-/// What becomes of a request before any decision on it.
+/// The result of the admission check, before the balancer sees a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes to the decisions.
+    /// Pass the request to the balancer.
     Pass,
-    /// It is refused; come back after this long.
+    /// Reject the request with this retry-after.
     Refuse(Micros),
 }
 
 /// Counters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Turned away at the cheapest point.
+    /// Requests rejected by this module, before any other work on them.
     pub refused: u64,
-    /// Of these, came before their time.
+    /// Rejected requests that came before their retry time.
     pub early: u64,
-    /// Promises given.
+    /// Reservations made.
     pub promised: u64,
-    /// Promises kept: came at their time and passed.
+    /// Reservations used: retries admitted at their reserved time.
     pub kept: u64,
-    /// Repeats that passed without a promise.
+    /// Retries admitted without a reservation.
     pub repeats: u64,
 }
 
-/// The module.
+/// Retry storm protection of one dispatcher.
 #[derive(Debug)]
 pub struct Storm {
     terms: Terms,
@@ -78,17 +79,17 @@
     seen: Seen,
     capacity: FleetCapacity,
     capacity_at: Micros,
-    /// Requests a second that a warm core serves, learned while many are served.
+    /// Requests per second that a warm core serves, learned under load.
     per_core: f64,
-    /// How much more or less than what was learned passes: the decisions' own refusals steer it.
+    /// Factor on the learned rate, adjusted by the share of requests that the balancer rejects.
     pace: f64,
-    /// Since the last look: what passed and was served, what passed and was turned away, and whether anything was
-    /// kept from passing.
+    /// Admitted requests since the last adjustment: served, and rejected or failed. `limited` is whether any request
+    /// was rejected here in that time.
     went: (u64, u64),
     limited: bool,
     tokens: f64,
     tokens_at: Micros,
-    /// Passed since the start of the window: when, and whether a repeat without a promise.
+    /// Requests admitted in the window: time, and whether it was a retry without a reservation.
     passed: VecDeque<(Micros, bool)>,
     repeats: u64,
     /// Counters.
@@ -96,7 +97,7 @@
 }
 
 impl Storm {
-    /// One that saw nothing yet.
+    /// Creates the module in the calm phase.
     pub fn new(terms: Terms, seed: u64) -> Storm {
         let most = NonZeroUsize::new(terms.remembered).unwrap_or(NonZeroUsize::MIN);
         Storm {
@@ -120,27 +121,27 @@
         }
     }
 
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.detector.phase()
     }
 
-    /// Arrivals a second lately, and on a calm day.
+    /// Arrivals per second: recent mean, and baseline of the calm phase.
     pub fn arrivals(&self) -> (f64, Option<f64>) {
         (self.detector.arrivals(), self.detector.baseline())
     }
 
-    /// Asks remembered.
+    /// Number of remembered rejected requests.
     pub fn remembered(&self) -> usize {
         self.told.len()
     }
 
-    /// Whether this asker was turned away lately: its request is a repeat.
+    /// Whether this request was rejected recently, so that it is a retry.
     pub fn knows(&self, asker: Asker) -> bool {
         self.told.contains(&asker)
     }
 
-    /// A request comes; `marked` if its client says itself that it asks again.
+    /// Checks an arriving request; `marked` is whether the client marked it as a retry.
     pub fn ask(&mut self, now: Micros, asker: Asker, marked: bool) -> Verdict {
         self.seen.arrived += 1;
         let told = self.told.get(&asker).copied();
@@ -151,7 +152,7 @@
         if let Some(back) = told
             && now + TOLERANCE < back.at
         {
-            // The same time again: to come early is no way to a better one.
+            // The retry time stays the same, so that an early retry gains nothing.
             (self.tally.refused, self.tally.early) = (self.tally.refused + 1, self.tally.early + 1);
             self.seen.turned_away += 1;
             return Verdict::Refuse(back.at - now);
@@ -159,7 +160,7 @@
         self.refill(now);
         let kept = told.is_some_and(|t| t.promised && now <= t.at + 2 * TOLERANCE);
         let repeat = (told.is_some() || marked) && !kept;
-        // While nothing is there the decisions see one ask in a while, and no more: each costs them a refusal.
+        // Without capacity the balancer sees only an occasional request, as it has to reject each of them.
         let fits = self.tokens >= 1.0 || (kept && self.tokens > -BURST_S * self.room(now));
         if fits && (!repeat || self.repeat_allowed(now)) {
             self.tokens -= 1.0;
@@ -174,7 +175,7 @@
         Verdict::Refuse(self.turn_away(now, asker))
     }
 
-    /// The decisions refused a request: how long its client should stay away. `advice` is their own word.
+    /// The retry-after of a request rejected by the balancer; `advice` is the balancer's own value.
     pub fn refused(&mut self, now: Micros, asker: Asker, advice: Micros) -> Micros {
         self.seen.turned_away += 1;
         self.went.1 += 1;
@@ -184,25 +185,25 @@
         self.turn_away(now, asker)
     }
 
-    /// A connection too many: how long its client should stay away.
+    /// The retry-after for a connection above the limit.
     pub fn connection_refused(&mut self, advice: Micros) -> Micros {
         self.seen.arrived += 1;
         self.seen.turned_away += 1;
         if self.phase() == Phase::Calm {
             return advice;
         }
-        // Nobody is known by a connection alone: no promise is given, and none is used up.
+        // A connection alone does not identify a request: no reservation is made or used.
         let span = self.terms.longest_wait;
         span / 2 + (u64::from(self.rng.next_u32()) * (span / 2)) / (1 << 32)
     }
 
-    /// A request was served.
+    /// Records that a request was served.
     pub fn served(&mut self) {
         self.seen.served += 1;
         self.went.0 += 1;
     }
 
-    /// A request failed.
+    /// Records that a request failed.
     pub fn failed(&mut self) {
         self.seen.turned_away += 1;
         self.went.1 += 1;
--- a/src/storm/pace.rs
+++ b/src/storm/pace.rs
@@ -1,31 +1,31 @@
-//! How much there is room for: what a core serves, learned, and the pace that the decisions' refusals steer.
+//! Admission rate: the learned service rate per core, and a factor adjusted by the balancer's rejections.
 
 use super::Storm;
 use super::phase::{Phase, Seen};
 use crate::api::Micros;
 use crate::dispatch::FleetCapacity;
 
-/// Of the capacity, what is planned with: the rest is for what was not foreseen.
+/// Share of the capacity that is planned; the rest is reserve.
 const HEADROOM: f64 = 0.9;
 
-/// While what passes is served and more would come, the pace grows by this part in a look; once this share of it
-/// is turned away by the decisions, it falls by that part.
+/// The pace grows by the fraction `FASTER` per adjustment while admitted requests are served and more are waiting;
+/// it falls by `SLOWER` once the balancer rejects more than `TURNED_AWAY` of them.
 const FASTER: f64 = 0.05;
 const TURNED_AWAY: f64 = 0.2;
 const SLOWER: f64 = 0.15;
 const PACES: [f64; 2] = [0.1, 50.0];
 
 impl Storm {
-    /// Requests a second that there will be room for at a time.
+    /// Requests per second that can be admitted at a time.
     pub fn room(&self, at: Micros) -> f64 {
         self.forecast()(at)
     }
 
-    /// What is usable now warms on the known ramp.
+    /// The admission rate over time; usable capacity warms up linearly over the ramp.
     pub(super) fn forecast(&self) -> impl Fn(Micros) -> f64 + use<> {
         let (FleetCapacity { usable, warm, .. }, since) = (self.capacity, self.capacity_at);
         let (ramp, per_core, pace) = (self.terms.ramp.max(1) as f64, self.per_core, self.pace);
-        // Nothing learned: the baseline was served, by what was there.
+        // Before a rate is learned: the baseline was served with the capacity present.
         let baseline = self.detector.baseline().unwrap_or(0.0);
         move |at| {
             let ahead = at.saturating_sub(since) as f64 / ramp;
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Lets time pass, ten times a second or so; the phase if it changed, and the one before.
+    /// Advances time, about ten times per second. Returns the new and the previous phase if it changed.
     pub fn tick(&mut self, now: Micros, capacity: FleetCapacity) -> Option<(Phase, Phase)> {
         (self.capacity, self.capacity_at) = (capacity, now);
         let share = if capacity.listed > 0.0 { capacity.usable / capacity.listed } else { 0.0 };
         let seen = std::mem::take(&mut self.seen);
         let before = self.phase();
         let changed = self.detector.look(now, Seen { usable: share, ..seen });
-        // What a core serves shows while there is more work than can be done, or on the busiest calm seconds.
+        // The rate per core is visible only under overload or in the busiest seconds of the calm phase.
         if capacity.warm > 0.0 {
             let rate = self.detector.served() / capacity.warm;
             let faster = rate > self.per_core;
@@ -52,7 +52,7 @@
             } else {
                 0.0
             };
-            // What the pace found already is not to count twice.
+            // Keeps the product of pace and learned rate, so that a change is not counted twice.
             let known = self.per_core;
             self.per_core += (rate - known) * weight;
             if before == Phase::Returning && known > 0.0 {
@@ -63,7 +63,7 @@
         changed.then(|| (self.phase(), before))
     }
 
-    /// What was learned on quiet days tells little of what can be done: the pace finds it.
+    /// Adjusts the pace, as the rate learned under low load underestimates the capacity.
     fn steer(&mut self) {
         let ((served, away), limited) = (self.went, std::mem::take(&mut self.limited));
         if self.phase() != Phase::Returning {
@@ -71,7 +71,7 @@
             return;
         }
         let all = served + away;
-        // A few answers tell nothing; they are counted on.
+        // Too few answers to judge; they are carried over to the next adjustment.
         if all < 3 {
             return;
         }
--- a/src/storm/phase.rs
+++ b/src/storm/phase.rs
@@ -1,42 +1,42 @@
-//! What a dispatcher sees of a storm by itself: calm, outage, returning, recovering. Sans-I/O.
+//! Detects the phase of a retry storm from local signals: calm, outage, returning, recovering. Sans-I/O.
 //!
-//! Two signals make a phase: what share of the fleet's capacity is usable, and how many requests arrive against
-//! their own slow baseline while many are turned away. Each change has to hold for a while, and going back asks
-//! for more than not going there did, so that the phase does not flap.
+//! Two signals determine the phase: the usable share of the fleet's capacity, and the arrival rate relative to its
+//! slow baseline while many requests are rejected. A change must persist for a while, and thresholds have
+//! hysteresis, so that the phase does not flap.
 
 use crate::api::Micros;
 
-/// Time constants of the fast and of the slow mean of arrivals, in seconds.
+/// Time constants of the fast and the slow moving average of arrivals, in seconds.
 const FAST_S: f64 = 0.7;
 const SLOW_S: f64 = 120.0;
-/// A change has to hold this long.
+/// How long a condition must hold before the phase changes.
 const HOLDS: Micros = 500_000;
-/// From recovering to calm it has to hold this long.
+/// The same for the change from recovering to calm.
 const CALM_AFTER: Micros = 8_000_000;
-/// Below this share of usable capacity it is an outage, above the other it is over.
+/// Usable share of capacity: an outage starts below the first value and ends above the second.
 const OUTAGE: [f64; 2] = [0.25, 0.35];
-/// Arrivals against the baseline: above the first it is a storm, below the second it is over.
+/// Arrival rate relative to the baseline: a storm starts above the first value and ends below the second.
 const SURGE: [f64; 2] = [2.5, 1.5];
-/// Turned away: above the first share it is a storm, below the second it is over.
+/// Share of rejected requests: a storm starts above the first value and ends below the second.
 const TURNED_AWAY: [f64; 2] = [0.3, 0.1];
-/// A baseline below this tells nothing, in requests a second.
+/// Baselines below this rate, in requests per second, are ignored.
 const LEAST_BASELINE: f64 = 5.0;
 
-/// Where a storm stands.
+/// The phase of a storm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, PartialOrd, Ord)]
 pub enum Phase {
-    /// As on any day.
+    /// Normal operation.
     #[default]
     Calm,
-    /// Little or nothing is there to serve with.
+    /// Little or no usable capacity.
     Outage,
-    /// All come back at once, or more come than can be served.
+    /// Clients return at once, or more requests arrive than can be served.
     Returning,
-    /// The surge is over; what it left is watched.
+    /// The surge is over but not yet long enough to be calm.
     Recovering,
 }
 
-/// A mean that forgets.
+/// An exponentially weighted moving average.
 #[derive(Debug, Clone, Copy, Default)]
 struct Forgetful(f64);
 
@@ -46,56 +46,56 @@
     }
 }
 
-/// What happened since the last look.
+/// Observations since the last update.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Seen {
-    /// Requests that came.
+    /// Arrived requests.
     pub arrived: u64,
-    /// Final answers that served.
+    /// Successful final answers.
     pub served: u64,
-    /// Refusals and failures.
+    /// Rejections and failures.
     pub turned_away: u64,
     /// Share of the fleet's capacity that is usable, 0 to 1.
     pub usable: f64,
 }
 
-/// Follows the phase.
+/// Tracks the phase.
 #[derive(Debug, Clone, Default)]
 pub struct Detector {
     phase: Phase,
     last: Option<Micros>,
     fast: Forgetful,
     baseline: Forgetful,
-    /// Calm seconds that the baseline is made of.
+    /// Seconds of the calm phase that the baseline covers.
     age_s: f64,
     away: Forgetful,
     served: Forgetful,
-    /// Another phase, and since when it would be that.
+    /// A pending change of phase and since when its condition holds.
     next: Option<(Phase, Micros)>,
 }
 
 impl Detector {
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Arrivals a second, lately.
+    /// Recent arrivals per second.
     pub fn arrivals(&self) -> f64 {
         self.fast.0
     }
 
-    /// Arrivals a second on a calm day; none before it is known.
+    /// Arrivals per second in the calm phase; `None` before it is known.
     pub fn baseline(&self) -> Option<f64> {
         Some(self.baseline.0).filter(|b| *b >= LEAST_BASELINE)
     }
 
-    /// Served a second, lately.
+    /// Requests served per second, recently.
     pub fn served(&self) -> f64 {
         self.served.0
     }
 
-    /// A look, ten times a second or so; whether the phase changed.
+    /// Updates the averages, about ten times per second. Returns whether the phase changed.
     pub fn look(&mut self, now: Micros, seen: Seen) -> bool {
         let Some(last) = self.last.replace(now) else { return false };
         let dt = now.saturating_sub(last) as f64 / 1e6;
@@ -107,12 +107,12 @@
         self.served.add(seen.served as f64 / dt, dt, FAST_S);
         let answers = seen.served + seen.turned_away;
         if answers > 0 {
-            // Weighed by how many they are: one refusal in a quiet second is no sign.
+            // Weighted by the number of answers, as one rejection in a quiet second is not significant.
             let weight = (answers as f64 / 5.0).min(1.0);
             self.away.add(seen.turned_away as f64 / answers as f64, dt * weight, FAST_S);
         }
         if self.phase == Phase::Calm {
-            // A mean of all that was seen at first, of the last minutes later on.
+            // The plain mean at first, the mean of the last minutes later.
             self.age_s += dt;
             self.baseline.add(rate, dt, self.age_s.clamp(FAST_S, SLOW_S));
         }
@@ -142,7 +142,7 @@
             Phase::Calm | Phase::Recovering if storms => Phase::Returning,
             Phase::Returning if !over => Phase::Returning,
             Phase::Returning => Phase::Recovering,
-            // The look that holds is the one that ends it.
+            // The duration of the recovery is enforced by `CALM_AFTER`.
             Phase::Recovering | Phase::Calm => Phase::Calm,
         }
     }
--- a/src/storm/phase/tests.rs
+++ b/src/storm/phase/tests.rs
@@ -16,7 +16,7 @@
 
 const CALM: Seen = Seen { arrived: 10, served: 10, turned_away: 0, usable: 1.0 };
 
-// The story of an outage: nothing to serve with, then all at once, then a while of watching, then calm.
+// An outage and the return of its clients pass through outage, returning, recovering and calm, each once.
 #[test]
 fn an_outage_and_its_return_pass_through_all_phases_once() {
     let (mut d, mut now) = (Detector::default(), 0);
@@ -30,7 +30,7 @@
     assert_eq!(run(&mut d, &mut now, 20.0, CALM), [Phase::Recovering, Phase::Calm]);
 }
 
-// A busy evening with nobody turned away, and a few refusals on a quiet one, are no storms.
+// High load without rejections is not a storm, nor are a few rejections under low load.
 #[test]
 fn neither_many_requests_nor_a_few_refusals_are_a_storm() {
     let (mut d, mut now) = (Detector::default(), 0);
@@ -40,7 +40,7 @@
 }
 
 proptest! {
-    // Whatever comes, a phase holds for half a second at the least, and calm comes by way of recovering.
+    // For any input a phase lasts at least half a second, and calm is reached only through recovering.
     #[test]
     fn phases_do_not_flap(looks in prop::collection::vec((0u64..200, 0u64..50, 0u64..200, 0.0f64..1.0), 1..400)) {
         let (mut d, mut now, mut changed, mut before) = (Detector::default(), 0, 0, Phase::Calm);
--- a/src/storm/plan.rs
+++ b/src/storm/plan.rs
@@ -1,10 +1,10 @@
-//! The return plan: when each client that is turned away should come back. Sans-I/O.
+//! The retry plan: when each rejected client should retry. Sans-I/O.
 //!
-//! Time ahead is cut into slots up to the longest wait that clients honour. A slot takes so many *promises* as
-//! there will be capacity for; a promise is drawn at random among the slots that still have room, so that clients
-//! spread. Once all are full, nobody is promised anything: those are spread over the second half of the longest
-//! wait and ask again there, at the cheapest point. So with a longest wait of one second the plan is drawn up anew
-//! within every second, and a refusal costs a look-up and a line.
+//! The time up to the longest wait that clients honour is divided into slots. A slot takes as many *reservations*
+//! as there will be capacity for; a reservation is drawn at random among the slots with spare capacity, so that
+//! clients are spread. Once all slots are full, further clients get no reservation: they are spread over the second
+//! half of the longest wait and retry then, which is cheap to reject. With a longest wait of one second the plan is
+//! thus renewed every second, and a rejection costs a look-up and a line.
 
 use crate::api::Micros;
 use rand_core::RngCore;
@@ -12,37 +12,37 @@
 
 /// The length of a slot.
 pub const SLOT: Micros = 20_000;
-/// Slots at most, whatever clients honour.
+/// Maximum number of slots, whatever wait clients honour.
 const MOST_SLOTS: u64 = 3_000;
-/// A promise is good for this long after its slot, and this long before.
+/// Tolerance around the reserved time within which a reservation is honoured.
 pub const TOLERANCE: Micros = 150_000;
 
-/// When to come back.
+/// When to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Return {
-    /// When, as a point in time.
+    /// The retry time.
     pub at: Micros,
-    /// There will be room, and who comes then goes before who comes early.
+    /// Whether capacity is reserved at that time, so that the retry has precedence.
     pub promised: bool,
 }
 
-/// The plan.
+/// The reservations in future slots.
 #[derive(Debug, Clone)]
 pub struct Plan {
     longest: Micros,
-    /// The number of the first slot that is kept.
+    /// The number of the first slot in `given`.
     first: u64,
-    /// Promises given by slot, from `first` on.
+    /// Reservations by slot, from `first` on.
     given: VecDeque<f64>,
 }
 
-/// A number from 0 to 1, without 1.
+/// A uniform random number in [0, 1).
 fn unit(rng: &mut impl RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl Plan {
-    /// For clients that honour waits of so long at most.
+    /// Creates a plan for clients that honour waits up to `longest`.
     pub fn new(longest: Micros) -> Plan {
         Plan { longest: longest.clamp(2 * SLOT, MOST_SLOTS * SLOT), first: 0, given: VecDeque::new() }
     }
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Promises given for a slot that is not over.
+    /// Reservations in a slot that has not passed.
     pub fn given(&self, slot: u64) -> f64 {
         slot.checked_sub(self.first).and_then(|i| self.given.get(i as usize)).copied().unwrap_or(0.0)
     }
 
-    /// When to come back. `room` tells how many a second there will be room for at a time; `weight` is what this
-    /// one takes of that.
+    /// Assigns a retry time. `room` is the number of requests per second that can be admitted at a time; `weight` is
+    /// the share of this one.
     pub fn give(
         &mut self,
         now: Micros,
@@ -75,7 +75,7 @@
         let (from, to) = (now / SLOT + 1, (now + self.longest) / SLOT);
         let spare = |p: &Plan, slot: u64| {
             let all = room(slot * SLOT) * SLOT as f64 / 1e6;
-            // What is left of a slot may be less than one: promises then come to every so many slots.
+            // The spare capacity of a slot may be less than one request; a reservation then covers several slots.
             (all - p.given(slot)).max(0.0)
         };
         let total: f64 = (from..to).map(|s| spare(self, s)).sum();
@@ -95,8 +95,8 @@
         Return { at: at.max(now + 1), promised: true }
     }
 
-    /// Books a promise on its slot; what does not fit there goes on to its neighbours, so that no sum of slots
-    /// is ever promised more than it has.
+    /// Charges a reservation to its slot, and what does not fit to neighbouring slots, so that no range of slots is
+    /// overcommitted.
     fn charge(&mut self, slot: u64, weight: f64, spare: &dyn Fn(&Plan, u64) -> f64, to: u64) {
         let mut left = weight;
         let around = (slot..to).chain((self.first..slot).rev());
--- a/src/storm/plan/tests.rs
+++ b/src/storm/plan/tests.rs
@@ -3,7 +3,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-// A thousand clients turned away at once must not come back at once.
+// Clients rejected at the same time must not retry at the same time.
 #[test]
 fn a_thousand_turned_away_at_once_come_back_spread() {
     let (mut plan, mut rng) = (Plan::new(1_000_000), Pcg64Mcg::seed_from_u64(7));
@@ -19,8 +19,8 @@
 }
 
 proptest! {
-    // Whatever is asked when, the promises for any stretch of time stay within the capacity planned for it,
-    // nobody waits longer than clients honour, and the memory is that of the slots ahead.
+    // For any sequence of requests the reservations stay within the planned capacity of every slot, no wait is longer
+    // than clients honour, and memory is bounded by the slots ahead.
     #[test]
     fn promises_stay_within_the_planned_capacity(
         asks in prop::collection::vec((0u64..300_000, 0.1f64..4.0), 1..300),
@@ -29,7 +29,7 @@
         seed in any::<u64>(),
     ) {
         let (mut plan, mut rng) = (Plan::new(longest), Pcg64Mcg::seed_from_u64(seed));
-        // Capacity that changes by the second, known ahead, as a ramp is.
+        // Capacity that changes every second and is known in advance, as during a warm-up ramp.
         let room = |at: Micros| rates[(at / 1_000_000) as usize % rates.len()];
         let mut now = 1_000_000;
         for (pause, weight) in asks {
--- a/src/storm/tests.rs
+++ b/src/storm/tests.rs
@@ -11,8 +11,8 @@
 const ALL: FleetCapacity = FleetCapacity { listed: 64.0, usable: 64.0, warm: 64.0 };
 const NONE: FleetCapacity = FleetCapacity { listed: 64.0, usable: 0.0, warm: 0.0 };
 
-/// Plays so many seconds of fresh requests, `a_tick` in each tenth; of what passes, `can` are served and the rest is
-/// turned away by the decisions. How many passed.
+/// Simulates new requests for some seconds, `a_tick` in each 100 ms; of those admitted, `can` are served and the rest
+/// are rejected by the balancer. Returns the number admitted.
 fn play(
     s: &mut Storm,
     now: &mut Micros,
@@ -57,7 +57,7 @@
     (s, now)
 }
 
-// A calm day must not get worse: all passes, the decisions' own advice stands, nothing is remembered.
+// In the calm phase every request is admitted, the balancer's retry-after is unchanged and nothing is remembered.
 #[test]
 fn on_a_calm_day_everything_passes() {
     let (mut s, mut now) = (Storm::new(terms(), 7), S);
@@ -65,7 +65,7 @@
     assert_eq!((s.refused(now, 1, 200_000), s.remembered(), s.tally), (200_000, 0, Tally::default()));
 }
 
-// All come back at once: what passes is what can be served, not what comes.
+// When all clients return at once, the admitted rate follows the capacity and not the arrivals.
 #[test]
 fn at_the_return_no_more_passes_than_can_be_served() {
     let (mut s, mut now) = returning();
@@ -73,8 +73,9 @@
     assert!((300..=700).contains(&passed), "{passed} of 5,000 where 100 a second can be served");
 }
 
-// A quiet day teaches little of what can be served: were that the limit, the return of a small installation would
-// take for ever. While what passes is served, more passes; once the decisions turn it away, less does.
+// The rate learned under low load underestimates the capacity, and as a fixed limit it would make the recovery of a
+// small installation very slow. The pace rises while admitted requests are served and falls once the balancer rejects
+// them.
 #[test]
 fn the_pace_follows_what_the_decisions_can_take() {
     let (mut s, mut now) = (Storm::new(terms(), 7), S);
@@ -92,7 +93,7 @@
     assert!(s.phase() != Phase::Returning || s.pace < before, "{before} then {}", s.pace);
 }
 
-// Who comes early is told the same time again, and who comes at its time goes before all others.
+// An early retry is told the same time again, and a retry at its reserved time has precedence.
 #[test]
 fn to_come_early_gains_nothing_and_to_come_in_time_does() {
     let (mut s, mut now) = returning();
@@ -106,7 +107,7 @@
         }
     }
     now = back.at.max(now);
-    // Fresh work has used up what there was.
+    // New requests have used up the tokens.
     s.refill(now);
     s.tokens = 0.5;
     assert!(back.promised);
@@ -115,8 +116,8 @@
 }
 
 proptest! {
-    // Whatever is asked by whom: repeats without a promise stay within their budget, memory within its bound,
-    // no wait is longer than clients honour, and the same seed gives the same answers.
+    // For any requests: retries without a reservation stay within their budget, memory stays within its bound, no wait
+    // is longer than clients honour, and the same seed gives the same answers.
     #[test]
     fn repeats_stay_within_their_budget(
         asks in prop::collection::vec((0u64..60_000, 0u64..700, any::<bool>(), 0u8..4), 1..600), seed in any::<u64>(),
@@ -124,7 +125,7 @@
         let run = || {
             let (mut s, mut now) = returning();
             s.rng = Pcg64Mcg::seed_from_u64(seed);
-            // What passed before is not in this account.
+            // Requests admitted during the setup are not counted.
             s.passed.clear();
             s.repeats = 0;
             let (mut all, mut answers) = (Vec::new(), Vec::new());
--- a/tests/any_settings/decisions.rs
+++ b/tests/any_settings/decisions.rs
@@ -1,4 +1,4 @@
-//! A short life of the decision module.
+//! Simulates the balancer under a generated plan.
 
 use crate::plan::Plan;
 use crate::seen::Seen;
@@ -32,7 +32,7 @@
                 let n = attempt as usize;
                 self.world.referee.cancel(now, request, n);
                 let soon = now + 1 + self.world.below(5_000);
-                // What is on its way already comes first.
+                // An outcome that is due earlier takes precedence.
                 if let Some(fate) = self.world.fates.get_mut(&(request, n))
                     && fate.is_none_or(|(t, _)| t > soon)
                 {
@@ -41,7 +41,7 @@
             }
             Action::Reject { request, retry_after, .. } => {
                 let told = self.world.referee.plan.retry_after == Some(true);
-                assert!(told || retry_after.is_none(), "advice that nobody hears");
+                assert!(told || retry_after.is_none(), "retry_after given without the retryAfter permission");
                 self.world.referee.refuse(now, request);
             }
             Action::Fail { request, .. } => self.world.referee.fail(now, request),
@@ -49,7 +49,7 @@
             Action::SetTerms { priority, memory_mb, .. } => {
                 assert!(priority <= 3 && memory_mb.is_finite() && memory_mb >= 0.0);
             }
-            Action::Gossip { .. } => panic!("told a peer, which no settings here permit"),
+            Action::Gossip { .. } => panic!("gossip sent, which no settings here permit"),
             Action::Log(line) => assert!(!line.contains(&self.world.referee.plan.class_name(0))),
             Action::Watch | Action::Unwatch | Action::FetchEndpointList | Action::CloseIdle { .. } => {}
         }
@@ -112,7 +112,7 @@
             };
             self.event(Event::AttemptFinished(finished));
         }
-        self.word();
+        self.report_progress();
         if let Some(id) = self.world.leaver() {
             self.event(Event::ClientDisconnected { request: id });
         }
@@ -122,7 +122,7 @@
             let (kind, endpoints) = if self.world.below(4) > 0 {
                 (EndpointListKind::Update, vec![changed])
             } else {
-                // The whole list, in which those that are gone are simply missing.
+                // The whole list, from which removed executors are missing.
                 let listed = self.world.standing.iter().filter(|(_, s)| **s != Standing::Gone);
                 (EndpointListKind::Replace, listed.map(|(e, s)| self.endpoint(*e, *s, started)).collect())
             };
@@ -147,8 +147,8 @@
         }
     }
 
-    /// News of an attempt that is out.
-    fn word(&mut self) {
+    /// Sends a progress report of an open attempt.
+    fn report_progress(&mut self) {
         if self.world.referee.plan.notes.is_none() || self.world.fates.is_empty() {
             return;
         }
--- a/tests/any_settings/facade.rs
+++ b/tests/any_settings/facade.rs
@@ -1,4 +1,4 @@
-//! A short life of the facade that the network sees.
+//! Simulates the dispatch facade, the interface of the network layer, under a generated plan.
 
 use crate::plan::Plan;
 use crate::seen::Seen;
@@ -10,7 +10,7 @@
 struct Life {
     world: World,
     dispatch: Dispatch<u64>,
-    /// Attempts that were taken back; the order to stop one may follow, and finds nothing.
+    /// Withdrawn attempts; a later command to stop one has no effect.
     withdrawn: BTreeSet<AttemptId>,
 }
 
@@ -43,12 +43,15 @@
                 Command::WithdrawAttempt(_) => {}
                 Command::StopAttempt(t) if self.withdrawn.remove(&t) => {}
                 Command::StopAttempt(t) => {
-                    // Nothing more is reported of it. It is called off, or its time-out is over, which ends before
-                    // the client's so that the answer is seen.
+                    // Nothing more is reported of the attempt. It was cancelled or timed out; the timeout ends before
+                    // the client's, so that the client receives the answer.
                     let (id, n) = (t.request, t.attempt as usize);
                     let (due, never) = (self.due(id), self.never_begins(t));
                     self.world.referee.cancel(if now >= due { u64::MAX } else { now }, id, n);
-                    assert!(self.world.fates.remove(&(id, n)).is_some(), "stopped what was not out");
+                    assert!(
+                        self.world.fates.remove(&(id, n)).is_some(),
+                        "stopped an attempt that is not open"
+                    );
                     let outcome = match never {
                         true => Outcome::ConnectFailed,
                         false if now >= due => Outcome::Timeout,
@@ -61,23 +64,23 @@
                 }
                 Command::Probe(executor) => self.world.probe(executor),
                 Command::Answer(id, Answer::Served(by)) => {
-                    assert_eq!(by, id, "another's result");
+                    assert_eq!(by, id, "result of another request");
                     self.world.referee.serve(now, id);
                 }
                 Command::Answer(id, Answer::Rejected(_)) => self.world.referee.refuse(now, id),
                 Command::Answer(id, Answer::Failed) => self.world.referee.fail(now, id),
-                Command::ReportAbandoned { .. } => panic!("reported what nobody asked for"),
+                Command::ReportAbandoned { .. } => panic!("unexpected report of an abandoned request"),
             }
         }
     }
 
-    /// Whether an attempt that is out has no connection, and will have none.
+    /// Whether the connection of an open attempt will fail.
     fn never_begins(&self, t: AttemptId) -> bool {
         let fate = self.world.fates.get(&(t.request, t.attempt as usize));
         matches!(fate, Some(Some((_, Outcome::ConnectFailed))))
     }
 
-    /// When the facade ends a request: an eighth before its client leaves, or a quarter of a second.
+    /// When the facade ends a request: an eighth of its time budget before the deadline, 250 ms at most.
     fn due(&self, id: u64) -> u64 {
         let o = &self.world.referee.open[&id];
         let budget = o.deadline - self.world.taken_at[&id];
@@ -137,7 +140,7 @@
                 Outcome::ConnectFailed => AttemptEnd::NeverSent,
                 Outcome::Reset if self.world.below(2) == 0 => AttemptEnd::ConnectionLost,
                 Outcome::Reset => AttemptEnd::ConnectionUnusable,
-                _ => panic!("an attempt was let run to its client's deadline"),
+                _ => panic!("an attempt was left open until the client's deadline"),
             };
             let inline = self.world.referee.plan.reports == 0;
             let load = self.load_report().filter(|_| inline);
@@ -161,7 +164,7 @@
             self.act(commands);
         }
         if let Some(r) = more.then(|| self.world.request()).flatten() {
-            // What a client writes is a number at best.
+            // Estimates come from clients and can be any number.
             let wild = [f64::MAX, 1e300, 1e13, f64::NAN, f64::INFINITY, -1.0, 0.0, 1e-300];
             let wild = wild.get(self.world.below(150) as usize).copied();
             let request = Request {
@@ -178,9 +181,9 @@
                 is_repeat: false,
                 held_by_client: false,
             };
-            let commands = self.dispatch.submit(now, &request).expect("a request like its class");
+            let commands = self.dispatch.submit(now, &request).expect("a valid request");
             self.act(commands);
-            assert!(self.dispatch.submit(now, &request).is_err(), "an id was taken twice");
+            assert!(self.dispatch.submit(now, &request).is_err(), "an id was accepted twice");
         }
     }
 }
@@ -195,11 +198,11 @@
     let commands = life.dispatch.apply_watch_event(life.world.now, WatchEvent::Restored, &executors);
     life.act(commands);
     (0..steps).for_each(|_| life.step(true));
-    // The end comes in the middle of work for some.
+    // Every other run ends while requests are open.
     if life.world.referee.plan.seed % 2 == 0 {
         let commands = life.dispatch.end_all(life.world.now);
         life.act(commands);
-        assert!(!life.world.owed(), "given up, and answers are owed");
+        assert!(!life.world.owed(), "requests without an answer after end_all");
     }
     while life.world.owed() {
         life.step(false);
--- a/tests/any_settings/main.rs
+++ b/tests/any_settings/main.rs
@@ -1,6 +1,6 @@
-//! Settings of customers that nobody here has seen: classes, windows, permissions and prices of every kind go
-//! in as JSON text, and the platform's rules have to hold through a short life, of the decisions and of the
-//! facade over them. The draws are the same at every run.
+//! Property tests over arbitrary settings: generated classes, windows, permissions and prices are passed in as JSON,
+//! and the platform's rules must hold during a simulation of the balancer and of the dispatch facade. The random
+//! numbers are the same in every run.
 
 mod decisions;
 mod facade;
@@ -17,10 +17,10 @@
 
 const CASES: u32 = 320;
 const STEPS: u32 = 400;
-/// How often each case has to come up in all.
-const LEAST: u32 = 30;
+/// How often each case must occur over all simulations.
+const MIN_OCCURRENCES: u32 = 30;
 
-/// Plays lives; what they met in all.
+/// Runs all simulations and returns how often each case occurred.
 fn play(life: fn(Plan, u32) -> Seen) -> Seen {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
@@ -36,13 +36,13 @@
 #[test]
 fn rules_hold_for_the_decisions_under_any_settings() {
     let seen = play(decisions::life);
-    assert!(seen.overdue > LEAST, "time-outs at the deadline: {seen:?}");
-    seen.reaches(LEAST);
+    assert!(seen.overdue > MIN_OCCURRENCES, "timeouts at the deadline: {seen:?}");
+    seen.reaches(MIN_OCCURRENCES);
 }
 
 #[test]
 fn rules_hold_for_the_facade_under_any_settings() {
     let seen = play(facade::life);
-    assert_eq!(seen.overdue, 0, "answered when the client is about to leave: {seen:?}");
-    seen.reaches(LEAST);
+    assert_eq!(seen.overdue, 0, "answered at or after the deadline: {seen:?}");
+    seen.reaches(MIN_OCCURRENCES);
 }
--- a/tests/any_settings/plan.rs
+++ b/tests/any_settings/plan.rs
@@ -1,8 +1,8 @@
-//! A customer's settings as this test means them, and their JSON text.
+//! Generates the settings of a customer as the tests interpret them; `text` renders them as JSON.
 
 use proptest::prelude::*;
 
-/// Which executors drop each other's repeats.
+/// The executors among which duplicates are detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
     All,
@@ -17,7 +17,7 @@
     Key(Reach),
 }
 
-/// All spans are microseconds.
+/// All durations are in microseconds.
 #[derive(Debug, Clone)]
 pub struct Class {
     pub idempotency: Idempotency,
@@ -30,7 +30,7 @@
     pub threads: u32,
     pub loads: bool,
     pub yields: bool,
-    /// Credit, late worth and stretch; absent in some.
+    /// Priority weight, late priority weight and stretch of the latency objective; absent in some plans.
     pub priority_weight: Option<[f64; 3]>,
 }
 
@@ -56,20 +56,20 @@
     pub budget: Option<RetryBudget>,
     pub drain: u64,
     pub key_quiet: Option<u64>,
-    /// Beyond the deadline, an answer still counts for so long.
+    /// How long after the deadline an answer still counts.
     pub slack: u64,
-    /// 0 and 1 tell load, 2 says that there is none, 3 says nothing.
+    /// Index of the load report mode: inline, on_probe, off; 3 leaves the setting out.
     pub reports: u8,
     pub price: Option<f64>,
     pub notes: Option<u64>,
     pub domain: bool,
-    /// Before names, which it makes this customer's own.
+    /// Prefix of all names.
     pub word: String,
-    /// Turns the order of keys, and feeds the draws.
+    /// Determines the order of keys and seeds the random numbers.
     pub seed: u64,
 }
 
-/// Kinds of effect that a class of the settings gets.
+/// The idempotency of a class.
 fn idempotency() -> impl Strategy<Value = Idempotency> {
     prop_oneof![
         3 => Just(Idempotency::ReadLike),
@@ -80,7 +80,7 @@
     ]
 }
 
-/// Some places of so many, or none named at all.
+/// Some of the first `among` indices, or `None`.
 fn only(among: usize) -> impl Strategy<Value = Option<Vec<usize>>> {
     prop::option::weighted(0.25, prop::sample::subsequence((0..among).collect::<Vec<_>>(), 1..=among))
 }
@@ -88,7 +88,7 @@
 fn class(zones: usize, kinds: usize, scale: u64) -> impl Strategy<Value = Class> {
     let spans = (1u64..=20, 1u64..=8, 1u64..=40);
     let flags = (any::<bool>(), prop::bool::weighted(0.2), prop::bool::weighted(0.3));
-    // Worth nothing, also late, is a worth too.
+    // Zero weights are included.
     let priority_weight = prop::option::of((0u8..=3, 0u8..=2, 0u8..=3));
     (idempotency(), spans, flags, only(zones), only(kinds), 1u32..=8, priority_weight).prop_map(
         move |(
@@ -128,7 +128,7 @@
     (free, ratio, 100_000u64..20_000_000).prop_map(|(free, ratio, span)| RetryBudget { free, ratio, span })
 }
 
-/// Settings of any customer: how many classes, and times from milliseconds to minutes, come first.
+/// Arbitrary settings: the number of classes and the time scale, from milliseconds to minutes, are drawn first.
 pub fn plan() -> impl Strategy<Value = Plan> {
     let count = prop_oneof![2 => Just(1usize), 5 => 2usize..=6, 1 => Just(30usize)];
     let scale = prop_oneof![Just(5_000u64), Just(50_000), Just(500_000), Just(3_000_000), Just(60_000_000)];
--- a/tests/any_settings/referee.rs
+++ b/tests/any_settings/referee.rs
@@ -1,11 +1,11 @@
-//! The platform's rules, by the plan and not by what the program made of it.
+//! Checks the platform's rules against the plan, independently of the program's reading of it.
 
 use crate::plan::{Idempotency, Plan, Reach};
 use crate::seen::Seen;
 use ottercroft::api::Outcome;
 use std::collections::BTreeMap;
 
-/// Where an executor stands; the same for its whole life.
+/// The fixed properties of an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
     pub zone: usize,
@@ -25,7 +25,7 @@
     pub class: usize,
     pub key: Option<u64>,
     pub deadline: u64,
-    /// A final answer was given, or none is owed.
+    /// Whether the final answer was given or none is due.
     pub over: bool,
     pub attempts: Vec<Attempt>,
 }
@@ -40,7 +40,7 @@
     pub plan: Plan,
     pub places: BTreeMap<u32, Place>,
     pub open: BTreeMap<u64, Open>,
-    /// Since when executors are known to drain or to be gone.
+    /// When executors were first reported as draining or removed.
     pub told: BTreeMap<u32, u64>,
     rested: BTreeMap<u64, u64>,
     taken: Vec<u64>,
@@ -65,23 +65,26 @@
         let (p, seen) = (&self.plan, &mut self.seen);
         let o = &self.open[&id];
         let (c, place) = (&p.classes[o.class], self.places[&executor]);
-        assert!(!o.over && now < o.deadline, "sent after its end or deadline");
+        assert!(!o.over && now < o.deadline, "sent after the end of the request or its deadline");
         assert!(o.attempts.len() < p.max_attempts as usize, "too many attempts");
         assert!(c.zones.as_ref().is_none_or(|z| z.contains(&place.zone)), "wrong zone");
         assert!(c.kinds.as_ref().is_none_or(|k| k.contains(&place.kind)), "wrong kind");
         seen.bound += u32::from(c.zones.is_some() || c.kinds.is_some());
         let grace_over = |t: &u64| now > *t + p.drain;
-        assert!(!self.told.get(&executor).is_some_and(grace_over), "sent to what drains or is gone");
+        assert!(
+            !self.told.get(&executor).is_some_and(grace_over),
+            "sent to a draining or removed executor after the grace period"
+        );
         seen.drained += u32::from(!self.told.is_empty());
         let out = o.attempts.iter().any(|a| a.outcome.is_none());
-        assert!(!out || p.copies == Some(true), "two attempts out at once");
+        assert!(!out || p.copies == Some(true), "two open attempts without permission for hedging");
         seen.copies += u32::from(out);
         let ran: Vec<&Attempt> =
             o.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran)).collect();
         match c.idempotency {
             Idempotency::ReadLike => {}
             Idempotency::NonIdempotent => {
-                assert!(ran.is_empty(), "what must not run twice is sent again");
+                assert!(ran.is_empty(), "a non-idempotent request is sent again after it may have run");
                 seen.unsafe_again += u32::from(!o.attempts.is_empty());
             }
             Idempotency::Key(reach) => {
@@ -92,7 +95,10 @@
                         Reach::Zone => there.zone == place.zone,
                         Reach::Cell => there.cell == place.cell,
                     };
-                    assert!(same && now <= a.sent + c.window, "keyed outside its group or window");
+                    assert!(
+                        same && now <= a.sent + c.window,
+                        "retried with an idempotency key outside its scope or window"
+                    );
                 }
                 seen.keyed_again += u32::from(!ran.is_empty());
             }
@@ -102,7 +108,7 @@
                 let over = x.over && x.attempts.iter().all(|a| a.outcome.is_some());
                 assert!(over, "{id} sent while {before} of its key is open");
             }
-            assert!(self.rested.get(&k).is_none_or(|t| now >= *t), "its key has not rested");
+            assert!(self.rested.get(&k).is_none_or(|t| now >= *t), "sent within the quiet period of its key");
         }
         seen.sends += 1;
         if !o.attempts.is_empty() {
@@ -110,7 +116,7 @@
             self.further.push((now, id, o.attempts.len()));
         }
         if let Some(b) = p.budget.as_ref().filter(|_| !o.attempts.is_empty()) {
-            // Those that never left are not counted: the program may count them all the same.
+            // Attempts never sent are not counted here, though the program may count them.
             let moot = |id: &u64, n: usize| {
                 self.open[id].attempts.get(n).is_some_and(|a| a.outcome == Some(Outcome::NotSent))
             };
@@ -124,7 +130,7 @@
         self.open.get_mut(&id).unwrap().attempts.push(Attempt { executor, sent: now, outcome: None });
     }
 
-    /// An attempt is over; served ones finish their request. False if it was over before.
+    /// Ends an attempt. Returns false if it had ended before.
     pub fn end(&mut self, now: u64, id: u64, n: usize, outcome: Outcome) -> bool {
         let o = self.open.get_mut(&id).unwrap();
         let Some(a) = o.attempts.get_mut(n).filter(|a| a.outcome.is_none()) else { return false };
@@ -137,9 +143,9 @@
         true
     }
 
-    /// A final answer; true where a refusal or a failure came after what may have run.
+    /// Records a final answer, and counts those given although an attempt may have run.
     fn answer(&mut self, now: u64, id: u64) {
-        let o = self.open.get_mut(&id).expect("an answer to a request that was taken");
+        let o = self.open.get_mut(&id).expect("an answer to an unknown request");
         assert!(!o.over, "a second answer");
         o.over = true;
         assert!(now <= o.deadline + self.plan.slack, "answered late");
@@ -166,31 +172,34 @@
             self.plan.classes[o.class].idempotency,
             Idempotency::ReadLike | Idempotency::Key(Reach::All)
         );
-        assert!(free || o.never_ran(), "refused what may have run");
+        assert!(free || o.never_ran(), "rejected a request that may have run");
         self.seen.refused += 1;
         self.answer(now, id);
     }
 
-    /// An attempt is called off; at its deadline its time-out does as much.
+    /// Cancels an attempt; at the deadline this is its timeout.
     pub fn cancel(&mut self, now: u64, id: u64, n: usize) {
         let o = &self.open[&id];
-        assert!(n < o.attempts.len(), "called off what was never sent");
-        assert!(self.plan.cancel == Some(true) || now >= o.deadline, "called off where that is prohibited");
+        assert!(n < o.attempts.len(), "cancelled an attempt that was never sent");
+        assert!(
+            self.plan.cancel == Some(true) || now >= o.deadline,
+            "cancelled where cancellation is not permitted"
+        );
         self.seen.cancels += u32::from(now < o.deadline);
     }
 
     pub fn probe(&mut self) {
-        assert!(self.plan.probes == Some(true), "probed where that is prohibited");
+        assert!(self.plan.probes == Some(true), "probed where probes are not permitted");
         self.seen.probes += 1;
     }
 
-    /// What has to hold as time passes.
+    /// Checks the rules that depend on the current time.
     pub fn pass(&mut self, now: u64) {
         let late = |o: &Open| !o.over && now > o.deadline + self.plan.slack;
-        assert!(!self.open.values().any(late), "a request has no answer in time");
+        assert!(!self.open.values().any(late), "a request was not answered in time");
         let waits = |o: &&Open| !o.over && o.key.is_some() && o.attempts.is_empty();
         self.seen.in_line += u32::from(self.open.values().filter(waits).count() > 0);
-        // What is over for good is kept no longer than the budget may ask for it.
+        // Finished requests are kept only as long as the retry budget may need them.
         let done = |o: &Open| o.over && o.attempts.iter().all(|a| a.outcome.is_some());
         let span = self.plan.budget.as_ref().map_or(0, |b| b.span) + 1;
         self.open.retain(|_, o| !done(o) || o.deadline + span > now);
--- a/tests/any_settings/seen.rs
+++ b/tests/any_settings/seen.rs
@@ -1,6 +1,6 @@
-//! How often a case came up.
+//! Counts how often each case occurred.
 
-/// How often what is to be tested was met.
+/// Number of occurrences of each case under test.
 #[derive(Debug, Clone, Default)]
 pub struct Seen {
     pub sends: u32,
@@ -51,7 +51,7 @@
         self.each().into_iter().zip(other.each()).for_each(|(a, b)| *a += *b);
     }
 
-    /// The streams reach what they are to test; that requests are ended by their deadline is asked beside.
+    /// Checks that every case but the last, `overdue`, occurred often enough; the caller checks that one.
     pub fn reaches(mut self, least: u32) {
         let text = format!("{self:?}");
         let [met @ .., _] = self.each();
--- a/tests/any_settings/text.rs
+++ b/tests/any_settings/text.rs
@@ -1,4 +1,4 @@
-//! The plan of a customer as the JSON text that the platform would write.
+//! Renders a plan as the JSON text that the platform would write.
 
 use crate::plan::{Class, Idempotency, Plan, Reach};
 use ottercroft::api::{self, Settings};
@@ -23,7 +23,7 @@
         format!("t{i} {}", self.word)
     }
 
-    /// An object's text, its keys in an order of this customer's own; what is null is left out in some.
+    /// The text of an object. The seed determines the order of keys and whether null values are omitted.
     fn object(&self, mut all: Vec<(&str, String)>) -> String {
         let n = all.len();
         all.rotate_left((self.seed % n as u64) as usize);
@@ -44,7 +44,7 @@
         let (idempotency, group) = match c.idempotency {
             Idempotency::ReadLike => ("read_like", None),
             Idempotency::NonIdempotent => ("non_idempotent", None),
-            // The usual group may stay unsaid.
+            // The default group may be omitted.
             Idempotency::Key(Reach::All) => ("idempotency_key", (self.seed % 2 == 0).then_some("all")),
             Idempotency::Key(Reach::Zone) => ("idempotency_key", Some("zone")),
             Idempotency::Key(Reach::Cell) => ("idempotency_key", Some("cell")),
@@ -86,7 +86,7 @@
         ])
     }
 
-    /// The settings' text.
+    /// The settings as JSON text.
     pub fn json(&self) -> String {
         let classes: Vec<String> = self.classes.iter().enumerate().map(|(i, c)| self.class(i, c)).collect();
         let list = |n: usize, f: &dyn Fn(usize) -> String| text((0..n).map(f).collect::<Vec<_>>());
@@ -132,7 +132,7 @@
         ])
     }
 
-    /// The same through the program's own reading, which has to say what the plan says.
+    /// The settings as read by the program, compared with the plan.
     pub fn settings(&self) -> (Settings, Names) {
         let text = self.json();
         let env: Env =
--- a/tests/any_settings/world.rs
+++ b/tests/any_settings/world.rs
@@ -1,4 +1,4 @@
-//! Executors and clients drawn from a seed, the same for the decisions and for the facade over them.
+//! Simulated executors and clients driven by a seed, shared by the tests of the balancer and of the facade.
 
 use crate::plan::Plan;
 use crate::referee::{Place, Referee};
@@ -10,7 +10,7 @@
 pub const START: u64 = 50_000_000;
 const EXECUTORS: u32 = 10;
 
-/// What an executor does with an attempt: how it ends and when; never, if that is `None`.
+/// When and how an attempt ends; `None` if the executor never answers.
 pub type Fate = Option<(u64, Outcome)>;
 
 pub struct Request {
@@ -43,11 +43,11 @@
     pub next: u64,
     pub referee: Referee,
     pub standing: BTreeMap<u32, Standing>,
-    /// Attempts that are out, with what becomes of them.
+    /// Open attempts and how they will end.
     pub fates: BTreeMap<(u64, usize), Fate>,
     pub probes: Vec<(u64, u32)>,
     pub taken_at: BTreeMap<u64, u64>,
-    /// Executors that fail all that they get.
+    /// Bit set of executors that fail every attempt.
     broken: u64,
     pace: u64,
 }
@@ -62,7 +62,7 @@
         });
         let places: BTreeMap<u32, Place> = places.collect();
         let standing = places.keys().map(|e| (*e, Standing::Up)).collect();
-        // Requests come so often that a class's usual time sees a few of them.
+        // The arrival rate gives a few requests per latency objective of a class.
         let pace = plan.classes.iter().map(|c| c.promise).min().unwrap().clamp(1_000, 2_000_000) / 2;
         let (broken, now, next) = (rng.next_u64() & rng.next_u64(), START, 1);
         let referee = Referee::new(plan, places);
@@ -74,7 +74,7 @@
         self.rng.next_u64() % n.max(1)
     }
 
-    /// The next moment: a drawn step, cut short by what is due before that.
+    /// Advances time by a random step, shortened to the next due event.
     pub fn advance(&mut self, timer: Option<u64>) {
         let step = self.below(self.pace) + 1;
         let fate = self.fates.values().flatten().map(|(t, _)| *t).min();
@@ -86,7 +86,7 @@
         self.referee.pass(self.now);
     }
 
-    /// An attempt went out: what becomes of it.
+    /// Records a sent attempt and draws how it will end.
     pub fn send(&mut self, id: u64, executor: u32) -> usize {
         self.referee.send(self.now, id, executor);
         let o = &self.referee.open[&id];
@@ -123,7 +123,7 @@
         due
     }
 
-    /// A client asks now and then.
+    /// Generates a request at random times.
     pub fn request(&mut self) -> Option<Request> {
         if self.below(100) >= 45 {
             return None;
@@ -145,7 +145,7 @@
         Some(Request { id, class, key, time_budget, tenant, estimate_s, memory_mb, group })
     }
 
-    /// The list changes now and then.
+    /// Changes the state of an executor at random times.
     pub fn change(&mut self) -> Option<Change> {
         if self.below(100) >= 3 {
             return None;
@@ -166,7 +166,7 @@
         Some(Change { executor, standing })
     }
 
-    /// A client that leaves now and then, while it waits.
+    /// At random times disconnects a client that waits for its answer.
     pub fn leaver(&mut self) -> Option<u64> {
         let waiting: Vec<u64> =
             self.referee.open.iter().filter(|(_, o)| !o.over).map(|(id, _)| *id).collect();
@@ -176,7 +176,7 @@
         Some(id)
     }
 
-    /// Probes that are answered now.
+    /// Removes and returns the probes that are answered now.
     pub fn echoes(&mut self) -> Vec<u32> {
         let now = self.now;
         let due = self.probes.iter().filter(|(t, _)| *t <= now).map(|(_, e)| *e).collect();
--- a/tests/bad_settings.rs
+++ b/tests/bad_settings.rs
@@ -1,4 +1,4 @@
-//! Configurations with one fault each, through the real program: at the start and at a SIGHUP.
+//! Runs the program on configurations with one fault each, at start and at SIGHUP.
 
 use serde_json::{Value, json};
 use standins::scripted::*;
@@ -9,13 +9,13 @@
 const READ: &str =
     "/* method=read,rid=00000000000000a1,budget=15000,est=10.0,space=9 */ SELECT a FROM sales_7.t";
 
-/// Where a fault stands, what stands there (nothing: the key is missing), and what the line has to name.
+/// Path of the fault, the invalid value (`None`: the key is removed), and the key that the error line must name.
 fn faults() -> Vec<(&'static str, Option<Value>, &'static str)> {
     let class = |name: &str| json!({"name": name, "promise": 1, "hardLimit": 2, "effect": "read_like"});
     let many: Vec<Value> = (0..65).map(|i| class(&format!("c{i}"))).collect();
     let some = |path, value, key| (path, Some(value), key);
     vec![
-        // The file's own keys.
+        // Top-level keys.
         some("/listen", json!("nowhere"), "listen"),
         some("/listen", json!(8443), "listen"),
         ("/coordinator", None, "coordinator"),
@@ -57,7 +57,7 @@
         some("/settings/report", json!("inline"), "report"),
         some("/settings/step", json!(-0.1), "step"),
         some("/settings/overShareWorth", json!(-0.1), "overShareWorth"),
-        // A class.
+        // Request classes.
         ("/settings/requestClasses/0/name", None, "name"),
         some("/settings/requestClasses/0/name", json!(3), "requestClasses[0].name"),
         ("/settings/requestClasses/0/effect", None, "effect"),
@@ -78,7 +78,7 @@
         some("/settings/requestClasses/0/areasOnly", json!(["b"]), "requestClasses[0].areasOnly"),
         some("/settings/requestClasses/0/boundTo", json!(["big"]), "requestClasses[0].boundTo"),
         some("/settings/requestClasses/0/boundTo", json!("k"), "requestClasses[0].boundTo"),
-        // What the service is like.
+        // Properties of the service.
         some("/settings/domain/parallelism", json!([0]), "domain.parallelism[0]"),
         some("/settings/domain/parallelism", json!([-1]), "domain.parallelism[0]"),
         some("/settings/domain/kindCores", json!([0]), "domain.kindCores[0]"),
@@ -112,7 +112,7 @@
     ]
 }
 
-/// A configuration with what stands at a path changed.
+/// A configuration with the value at a path replaced or removed.
 fn with(config: &str, path: &str, value: Option<Value>) -> String {
     let mut whole: Value = serde_json::from_str(config).unwrap();
     let (parent, key) = path.rsplit_once('/').unwrap();
@@ -132,8 +132,8 @@
     "127.0.0.1:1".parse().unwrap()
 }
 
-// A dispatcher that starts on settings that mean nothing would break the rules of a customer in silence; one that
-// dies without a word costs the operators an hour. Each fault is one line that names its key.
+// A dispatcher that starts with invalid settings would silently break a customer's rules, and one that exits without
+// a message is hard to diagnose. Each fault must be reported in one line that names its key.
 #[test]
 fn each_fault_of_a_configuration_is_one_line_that_names_its_key() {
     let base = launch().config(nowhere(), &[]);
@@ -161,7 +161,7 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-// A file that can't be used must not move the feed, nor touch what is open, and the operators are told the key.
+// A rejected reload must neither switch the coordinator's feed nor affect open requests, and the log names the key.
 #[test]
 fn a_sighup_with_a_fault_changes_nothing() {
     let executor = Executor::new();
@@ -177,7 +177,7 @@
     let moved = d.config.replace(&format!("\"{}\"", old.address), &format!("\"{there}\""));
     assert_ne!(moved, d.config);
     for (path, value, key) in faults() {
-        // The file's own addresses are read again, all of the settings too.
+        // Only faults of the coordinator's address and of the settings are tested here.
         if path != "/coordinator" && !path.starts_with("/settings") {
             continue;
         }
@@ -194,7 +194,7 @@
     let pull = peer.command().unwrap();
     d.signal("HUP");
     d.logs("configuration reload rejected");
-    assert!(!followed(), "a file with a fault moved the feed");
+    assert!(!followed(), "a rejected reload switched the feed");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
     assert!(matches!(client.got(), Got::Rows(_)));
     std::fs::write(&d.file, &moved).unwrap();
@@ -202,7 +202,7 @@
     d.logs("configuration reloaded");
     let begun = Instant::now();
     while !followed() {
-        assert!(begun.elapsed() < Duration::from_secs(5), "a good file moved nothing");
+        assert!(begun.elapsed() < Duration::from_secs(5), "a valid reload did not switch the feed");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a small driver for the module tests. It plays no servers: tests say what happens.
+//! Settings and a test driver for the module tests. It simulates no executors: tests supply every event.
 #![allow(dead_code)]
 
 use ottercroft::Balancer;
@@ -7,7 +7,7 @@
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// When a rig begins.
+/// Start time of a rig.
 pub const START: Micros = 100 * S;
 
 pub fn class(latency_objective: Micros, priority_weight: f64, threads: u32) -> Class {
@@ -90,13 +90,13 @@
     }
 }
 
-/// A dispatcher with a clock, its timers and all that it did.
+/// A dispatcher with a clock, its timers and a log of its actions.
 pub struct Rig {
     pub dispatcher: Balancer,
     pub now: Micros,
     pub timers: Vec<(Micros, u64)>,
     pub log: Vec<(Micros, Action)>,
-    /// What each executor reported last; probes before a draw are answered with it at once.
+    /// Last report of each executor; probes sent at an arrival are answered with it immediately.
     pub reports: BTreeMap<ExecutorId, Report>,
     next: RequestId,
 }
@@ -119,7 +119,7 @@
         rig
     }
 
-    /// Hands over an event; the actions go to the log and are returned.
+    /// Passes an event to the dispatcher; logs and returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         if let Event::ProbeFinished { executor, report: Some(r), .. }
@@ -137,7 +137,7 @@
         out
     }
 
-    /// Lets time pass; timers come when due.
+    /// Advances time and fires due timers.
     pub fn pass(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut out = Vec::new();
@@ -209,7 +209,7 @@
         }))
     }
 
-    /// Serves `n` requests one after the other, so that the class is learned.
+    /// Serves `n` requests in sequence, so that the dispatcher learns the cost of the class.
     pub fn teach(&mut self, class: ClassId, n: usize, cost: f64) {
         for _ in 0..n {
             let (q, actions) = self.arrive(class, cost);
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! `.ci/known-red` on sample files: which tests it passes over, and what it does not take.
+//! Tests `.ci/known-red` on sample files: which tests it skips and which lists it rejects.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -27,7 +27,7 @@
     path
 }
 
-/// Stands for the test command: the samples of this program, with what follows a `--`.
+/// Stub of the test command: runs the samples of this program with the arguments after `--`.
 const SAMPLES: &str = r#"
 echo "command: $*"
 while (($# > 0)) && [[ $1 != -- ]]; do shift; done
@@ -53,7 +53,7 @@
     run_on(&file(list))
 }
 
-// With nothing listed CI must run the README's command and nothing else: no test may be passed over unseen.
+// With an empty list CI must run exactly the README's command: no test may be skipped unnoticed.
 #[test]
 fn with_no_entries_the_command_is_run_as_it_stands() {
     for list in ["", "# TEST | COMMAND AND SEED | SEEN | ISSUE\n\n", "  # one\n#two"] {
@@ -63,7 +63,7 @@
     }
 }
 
-// A name that is a part of another's must not take that one along: it would hide a second fault.
+// A listed name must not match a longer test name that contains it, which would hide another failure.
 #[test]
 fn only_the_named_tests_are_passed_over_and_they_are_printed() {
     let (out, said) = run("# known\nsample_red | cargo test, seed 4 | it failed | issue 12\n");
@@ -77,7 +77,7 @@
     assert!(said.contains("1 passed; 0 failed") && said.contains("passed but for the 2 above"), "{said}");
 }
 
-// What can't be read or names no test has to fail CI before a test runs.
+// A list that is unreadable or malformed or that names no test must fail CI before any test runs.
 #[test]
 fn lists_that_are_malformed_or_stale_fail() {
     for (list, why) in [
@@ -105,7 +105,7 @@
     assert!(out.status.code() == Some(2) && said.contains("can't be read"), "{said}");
 }
 
-// The list of the repository itself has to be one that CI takes.
+// The list in the repository must be one that CI accepts.
 #[test]
 fn the_list_at_the_root_is_read_by_ci() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/retry_storms.rs
+++ b/tests/retry_storms.rs
@@ -1,4 +1,4 @@
-//! Retry storms in the program itself: an outage, the return of its clients, and a calm day.
+//! Retry storm protection in the real program: an outage, the return of the clients, and normal operation.
 
 use standins::executor::Executor;
 use standins::scripted::*;
@@ -22,7 +22,7 @@
     loop {
         match Executor::at(at, false, |_| Duration::from_millis(20)) {
             Ok(executor) => return executor,
-            // The listener of the one before may take a moment to go.
+            // The previous listener may not be closed yet.
             Err(e) => assert!(tries < 200, "{e}"),
         }
         tries += 1;
@@ -34,10 +34,10 @@
     format!("/* method=read,rid={id:016x},budget=3000,est=20.0,space=9 */ SELECT w{who}w FROM sales_7.t")
 }
 
-/// Clients that ask without end, and heed what a refusal tells them.
+/// Clients that send requests continuously and honour the retry-after of rejections.
 struct Crowd {
     stop: Arc<AtomicBool>,
-    /// Waits told by refusals, in ms.
+    /// Retry-after values of rejections, in ms.
     waits: Arc<Mutex<Vec<u64>>>,
     served: Arc<AtomicU64>,
     clients: Vec<thread::JoinHandle<()>>,
@@ -60,7 +60,7 @@
                     }
                     Got::Error(1203, text) => {
                         let ms = text.split("backoff=").nth(1).and_then(|t| t.parse().ok());
-                        let ms: u64 = ms.expect("a refusal says when to come back");
+                        let ms: u64 = ms.expect("a rejection carries a backoff");
                         waits.lock().unwrap().push(ms);
                         ms
                     }
@@ -79,7 +79,7 @@
 }
 
 impl Crowd {
-    /// Every client gets its last answer, or this fails.
+    /// Stops all clients after their last answer; fails if one is missing.
     fn end(self) -> u64 {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.into_iter().for_each(|c| c.join().unwrap());
@@ -87,8 +87,8 @@
     }
 }
 
-// All executors go and come back, and all clients with them: the phases are told of, each refusal says when to come
-// back within what clients honour, the times are spread, every request has its one answer, and service is back.
+// All executors go away and return: the phases are logged, each rejection carries a wait within the limit that clients
+// honour, the waits are spread, every request gets exactly one answer, and service recovers.
 #[test]
 fn an_outage_is_seen_and_its_clients_come_back_spread() {
     let first = executor("127.0.0.1:0");
@@ -104,14 +104,14 @@
     let before = c.served.load(Ordering::SeqCst);
     let _second = executor(&at);
     assert!(d.logs("storm phase").contains("phase=Returning was=Outage"));
-    // Back to service: as many as in a second of the calm day, within some seconds.
+    // Recovery: 300 further requests are served within some seconds.
     for _ in 0..200 {
         if c.served.load(Ordering::SeqCst) > before + 300 {
             break;
         }
         thread::sleep(Duration::from_millis(100));
     }
-    assert!(c.served.load(Ordering::SeqCst) > before + 300, "service did not come back");
+    assert!(c.served.load(Ordering::SeqCst) > before + 300, "service did not recover");
     let waits = c.waits.lock().unwrap().clone();
     c.end();
     assert!(waits.iter().all(|ms| (1..=1_020).contains(ms)), "{waits:?}");
@@ -124,7 +124,7 @@
     );
 }
 
-// On a calm day the module is not there: nothing is refused, nothing remembered, no phase is told of.
+// In normal operation nothing is rejected and no phase change is logged.
 #[test]
 fn a_calm_day_knows_no_storm() {
     let one = executor("127.0.0.1:0");
--- a/tests/stories/clients.rs
+++ b/tests/stories/clients.rs
@@ -1,8 +1,8 @@
-//! Clients: what they may and may not do.
+//! Misbehaving, idle and excess clients.
 
 use super::*;
 
-// Nothing from outside may end the program: each peer that speaks badly loses its own connection only.
+// Malformed input must not terminate the program; it closes only the connection on which it arrived.
 #[test]
 fn bad_input_costs_one_connection() {
     let executor = Executor::new();
@@ -22,7 +22,7 @@
     assert!(matches!(client.got(), Got::Error(1064, _)));
     client.ask("SELECT @@version_comment LIMIT 1");
     assert_eq!(client.got(), Got::Rows(vec![vec!["ottercroft".to_string()]]));
-    // A table can't be read without the fields, whatever its SELECT begins with.
+    // Reading a table requires the comment fields, however the SELECT begins.
     client.ask("select 1 FROM sales_7.t");
     assert!(matches!(client.got(), Got::Error(1064, _)));
     client.stream.write_all(&[1, 0, 0, 0, 22]).unwrap();
@@ -35,8 +35,8 @@
     assert!(dispatcher.child.try_wait().unwrap().is_none());
 }
 
-// Some clients say nothing, or half of it: they have to go by the dispatcher's own clock, while one that asked
-// and rests keeps its connection.
+// Clients that send nothing or only part of a packet are disconnected after a timeout, while a client that has sent a
+// command and is idle keeps its connection.
 #[test]
 fn who_never_asks_has_to_go_and_who_rests_may_stay() {
     let executor = Executor::new();
@@ -56,8 +56,8 @@
     assert_eq!(rests.got(), Got::Ok);
 }
 
-// Bad clients were served: with a result that no executor made, an id that had been used, a second request
-// on a connection whose first was open. What is wrong gets an error and never goes to an executor.
+// Invalid requests used to be served: results without an executor, reused ids, a second request on a connection with
+// an open one. Each must get an error and never reach an executor.
 #[test]
 fn what_is_no_request_is_never_served() {
     let executor = Executor::new();
@@ -72,7 +72,7 @@
         "/* method=read,rid=00000000000000a1,budget=9,est=nan */ SELECT 1",
         "/* method=read_x,rid=00000000000000a1,budget=9 */ SELECT 1",
     ];
-    // The same again as soon as it is turned away: after some errors in a row the client has to go.
+    // The client sends the next request right after each error and is disconnected after several errors in a row.
     let mut client = Client::asks(dispatcher.address, wrong[0]);
     for next in wrong.iter().skip(1) {
         assert!(matches!(client.got(), Got::Error(1064 | 1105, _)));
@@ -80,7 +80,7 @@
     }
     assert!(matches!(client.got(), Got::Error(..)));
     assert_eq!(client.got(), Got::Closed);
-    // Requests written one behind the other are all turned away, and the one that went out is given up.
+    // Pipelined requests are all rejected, and the one already sent is cancelled.
     let mut many = Client::asks(dispatcher.address, READ);
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
@@ -90,8 +90,8 @@
     assert_eq!(peer.command().unwrap(), ["KILL", pull[1].as_str()]);
 }
 
-// Hundreds that connect and say nothing, or ask once and stay, must not keep others out: the silent go first,
-// then those longest idle.
+// Hundreds of silent or idle connections must not keep new clients out: silent ones are closed first, then those idle
+// longest.
 #[test]
 fn a_crowd_that_stays_makes_room() {
     let executor = Executor::new();
@@ -104,15 +104,15 @@
     let connect = |_| std::net::TcpStream::connect(dispatcher.address).unwrap();
     let silent: Vec<_> = (0..150).map(connect).collect();
     std::thread::sleep(std::time::Duration::from_millis(300));
-    // On a busy machine a client may stand still between its connect and its login, and be taken for silent.
+    // On a busy machine a client may stall between connect and login and count as silent.
     let mut crowd: Vec<Client> =
         (0..200).map(|_| Client::says(dispatcher.address, "SET NAMES utf8mb4")).collect();
     let served =
         crowd.iter_mut().filter_map(|c| (c.got() == Got::Ok && c.got() == Got::Ok).then_some(())).count();
-    assert!(served > 150, "{served} of 200 who ask are let in");
+    assert!(served > 150, "{served} of 200 active clients were accepted");
     first.ask("SET NAMES utf8mb4");
-    assert_eq!(first.got(), Got::Closed, "the longest idle made room");
+    assert_eq!(first.got(), Got::Closed, "the client idle longest was closed");
     peer.page(&pull[1], "OK pages=1", "1\tx\ty\n");
-    assert_eq!(open.got(), Got::Rows(vec![row(["1", "x", "y"])]), "what is open is never closed for it");
+    assert_eq!(open.got(), Got::Rows(vec![row(["1", "x", "y"])]), "a client with an open request was closed");
     drop(silent);
 }
--- a/tests/stories/executors.rs
+++ b/tests/stories/executors.rs
@@ -1,9 +1,9 @@
-//! Executors and their answers.
+//! Executors: pages, failed attempts, malformed and unexpected answers.
 
 use super::*;
 
-// A client may write all it has before it reads, its result may have more packets than sequence ids, and
-// no row may go out before the last page is here.
+// A client may send everything before it reads, the result may have more packets than sequence ids, and no row may be
+// sent before the last page has arrived.
 #[test]
 fn a_long_result_in_pages_is_served_whole() {
     let executor = Executor::new();
@@ -23,8 +23,8 @@
     assert_eq!(client.got(), Got::Rows(vec![row(["1", "x", "y"]); 600]));
 }
 
-// An executor that ends between two pages is a failed attempt like any other: another one is asked, and the
-// client sees nothing of the first.
+// An executor lost between two pages is a failed attempt: the request is retried elsewhere, and the client sees nothing
+// of the first result.
 #[test]
 fn an_executor_lost_between_pages_is_made_up_for() {
     let executors = [Executor::new(), Executor::new()];
@@ -50,7 +50,7 @@
     assert_eq!(client.got(), Got::Rows(vec![row(["1", "", "y"])]));
 }
 
-// What must not run twice is failed, not refused, once it may have run: a refusal invites a second run.
+// A non-idempotent request that may have run is failed and not rejected, as a rejection invites a retry.
 #[test]
 fn a_load_that_may_have_run_is_failed_and_one_that_never_ran_is_refused() {
     let executor = Executor::new();
@@ -60,7 +60,7 @@
     assert_eq!(peer.command().unwrap()[0], "PULL");
     drop(peer);
     assert!(matches!(client.got(), Got::Error(1105, _)));
-    // A port that is held and not listened at refuses connections, which proves that nothing ran.
+    // A bound port without a listener refuses connections, which proves that nothing ran.
     let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     held.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
     let (d, _coordinator) = dispatcher(&[("e1", held.local_addr().unwrap().as_socket().unwrap())]);
@@ -71,8 +71,8 @@
     assert!(backoff.is_some_and(|ms| ms <= 1000), "{text}");
 }
 
-// KILL REQUEST comes on another session and means that the client has left: work stops, nothing is owed. An
-// id of another dispatcher or an earlier life is unknown here and must hit nobody.
+// KILL QUERY arrives on another session and cancels the request; no answer is due any more. An id of another dispatcher
+// or an earlier incarnation is unknown and must not affect any client.
 #[test]
 fn a_killed_request_stops_at_its_executor() {
     let executor = Executor::new();
@@ -86,19 +86,19 @@
     assert_eq!(other.got(), Got::Ok);
     assert_eq!(peer.command().unwrap(), ["KILL", pull[1].as_str()]);
     assert!(matches!(client.got(), Got::Error(1317, _)));
-    // The id that was given up may still be answered late, on a connection that is used again.
+    // A late answer to the cancelled id may arrive on the reused connection.
     client.ask(&READ.replace("a1", "a2"));
     let next = peer.command().unwrap();
     peer.page(&pull[1], "OK pages=1", "late\tx\ty\n");
     peer.page(&next[1], "OK pages=1", "new\tx\ty\n");
     assert_eq!(client.got(), Got::Rows(vec![row(["new", "x", "y"])]));
-    // Ids are new with every request: one that comes again must not run again.
+    // Every request has a new id: a reused id must not run again.
     client.ask(&READ.replace("sales_7", "sales_8"));
     assert!(matches!(client.got(), Got::Error(1105, _)));
 }
 
-// Most attempts were lost to answers that were good and brought more than belongs to them: a second copy and
-// an answer under an unknown id are dropped, and whatever else is open there goes on.
+// Attempts used to be lost to valid answers followed by unexpected ones: duplicate answers and answers under unknown ids
+// are dropped, and other attempts on the connection continue.
 #[test]
 fn what_nobody_asked_for_is_dropped_and_costs_nothing() {
     let executor = Executor::new();
@@ -121,8 +121,8 @@
     assert_eq!(client.got(), Got::Rows(vec![row(["3", "x", "y"])]));
 }
 
-// A spoilt answer ends its connection, and what must not run twice would fail with it: it is on another one.
-// The spoilt one is tried again, though there is no other executor, and so is one that stops half way.
+// A malformed answer closes its connection, on which a non-idempotent request would fail too: that one uses another
+// connection. The read is retried after a malformed or truncated answer even if there is no other executor.
 #[test]
 fn a_spoilt_answer_takes_nothing_else_along() {
     let executor = Executor::new();
@@ -146,8 +146,8 @@
     assert_eq!(load.got(), Got::Rows(vec![row(["1", "x", "y"])]));
 }
 
-// A connection that stays open and brings nothing more held its requests, and a load the next of its key, until
-// their time was over. Once its executor is heard elsewhere, what is out there is settled.
+// A connection that stayed open but silent used to hold its requests, and a load also the next request of its key, until
+// their deadline. Its attempts are ended once the executor answers on other connections.
 #[test]
 fn a_mute_connection_is_given_up_when_its_executor_lives() {
     let executor = Executor::new();
@@ -155,7 +155,7 @@
     let mut client = Client::asks(d.address, LOAD);
     let mut mute = executor.accept();
     mute.command().unwrap();
-    // Whatever comes on other connections is answered there.
+    // Requests on all other connections are answered.
     std::thread::spawn(move || {
         loop {
             let mut peer = executor.accept();
@@ -175,7 +175,7 @@
     assert!(matches!(client.got(), Got::Error(1105, _)), "it may have run");
 }
 
-// A machine that vanished says nothing: the answer comes by the dispatcher's own clock, before the client's.
+// A vanished machine sends nothing: the dispatcher's own timeout answers before the client's deadline.
 #[test]
 fn silence_ends_by_our_own_clock() {
     let executor = Executor::new();
--- a/tests/stories/main.rs
+++ b/tests/stories/main.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets against scripted peers: one story for each way in which a day can fail.
+//! The program on loopback sockets against scripted peers: one test for each failure scenario.
 
 mod clients;
 mod executors;
--- a/tests/stories/program.rs
+++ b/tests/stories/program.rs
@@ -1,9 +1,9 @@
-//! The program: its list, its signals, its configuration.
+//! The program: executor list, signals and configuration.
 
 use super::*;
 
-// The list changes by numbered events: what drains gets nothing new, and a feed that was lost goes on where
-// it ended, with events that came twice skipped.
+// The list changes by numbered events: draining executors get no new requests, and a lost feed is resumed after the
+// last event, with duplicate events skipped.
 #[test]
 fn the_feed_goes_on_where_it_was_lost() {
     let executors = [Executor::new(), Executor::new()];
@@ -12,13 +12,13 @@
     let (mut feed, line) = coordinator.accept();
     assert_eq!(line, "follow 1\n");
     writeln!(feed, "1\n{}\n", event(2, false, &[target("e2", at[1], "up")])).unwrap();
-    drop(feed); // the empty line is malformed, and costs the connection after the event was taken
+    drop(feed); // the empty line is malformed and closes the connection after the event was applied
     let (mut feed, line) = coordinator.accept();
     assert_eq!(line, "follow 2\n");
     let last = event(3, false, &[target("e1", at[0], "draining")]);
     writeln!(feed, "{}\n{last}\n9", event(2, false, &[target("e2", at[1], "removed")])).unwrap();
-    assert_eq!(coordinator.accept().1, "follow 3\n"); // 9 is there and 3 is held: a gap
-    std::thread::sleep(std::time::Duration::from_millis(700)); // a new executor is spared at first: it is cold
+    assert_eq!(coordinator.accept().1, "follow 3\n"); // 9 is the last event but only 3 is known: a gap
+    std::thread::sleep(std::time::Duration::from_millis(700)); // a new executor is in slow start
     let mut client = Client::asks(d.address, READ);
     let mut peer = executors[1].accept();
     let pull = peer.command().unwrap();
@@ -26,8 +26,8 @@
     assert_eq!(client.got(), Got::Rows(vec![row(["1", "x", "y"])]));
 }
 
-// A planned restart: what comes on the way out is still taken, all that was taken is answered, and the end
-// is an orderly one.
+// A planned restart: requests that arrive during shutdown are still accepted, all accepted requests are answered, and
+// the program exits with success.
 #[test]
 fn sigterm_answers_all_that_was_taken() {
     let executor = Executor::new();
@@ -48,18 +48,18 @@
     }
     assert_eq!(open.got(), Got::Rows(vec![row(["1", "x", "y"])]));
     assert_eq!(late.got(), Got::Rows(vec![row(["1", "x", "y"])]));
-    assert!(matches!(stuck.got(), Got::Error(1105, _)), "it may have run and nobody knows");
+    assert!(matches!(stuck.got(), Got::Error(1105, _)), "it may have run, so it is failed");
     assert!(d.child.wait().unwrap().success());
 }
 
-// SIGHUP ended the program. It moves the feed to the file's coordinator, from the last event held, and leaves
-// clients, executors and open requests alone; a file that can't be used changes nothing.
+// SIGHUP used to terminate the program. It switches the feed to the file's coordinator, from the last known event, and
+// does not affect clients, executors and open requests; an invalid file changes nothing.
 #[test]
 fn sighup_moves_the_feed_and_nothing_else() {
     let executor = Executor::new();
     let (mut d, old) = dispatcher(&[("e1", executor.address)]);
     let (feed, _) = old.accept();
-    // An estimate that outlasts this story: one that looks like a bad plan would be sent again.
+    // A long estimate, so that the attempt is not taken for an outlier and hedged during the test.
     let mut client = Client::asks(d.address, &READ.replace("est=10.0", "est=15000.0"));
     let mut peer = executor.accept();
     let pull = peer.command().unwrap();
@@ -82,7 +82,7 @@
     assert_eq!(client.got(), Got::Rows(vec![row(["1", "x", "y"])]));
 }
 
-// A coordinator that stops while its connection stays open is asked again, and half an event is none.
+// A coordinator that falls silent on an open connection is followed anew, and a partial event is ignored.
 #[test]
 fn a_coordinator_that_falls_silent_is_asked_again() {
     let (e1, e2) = (Executor::new(), Executor::new());
@@ -96,7 +96,7 @@
     d.logs("executor listed anew executor=\"e2\" state=Draining was=Up");
 }
 
-// A configuration that can't be used is one clear line and a failure, not a dispatcher that half works.
+// An invalid configuration gives one error line and a failed start, not a dispatcher that works in part.
 #[test]
 fn a_bad_configuration_is_one_line() {
     for (config, what) in
