--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The largest list read when no settings give a limit.
-const MOST_BYTES: u64 = 64 << 20;
+const MAX_LIST_BYTES: u64 = 64 << 20;
 
 /// What to do with executor lists.
 #[derive(Debug, Subcommand)]
@@ -110,7 +110,7 @@
     Rules {
         terms: Terms { loopback: true, ..Terms::default() },
         catalog: None,
-        limits: ReadLimits { max_bytes: MOST_BYTES, max_files: 4_096 },
+        limits: ReadLimits { max_bytes: MAX_LIST_BYTES, max_files: 4_096 },
         settle: Duration::ZERO,
         poll: Duration::ZERO,
         last_good: None,
@@ -143,7 +143,7 @@
 fn read(path: &Path) -> io::Result<List> {
     let named = |e: String| io::Error::other(format!("{}: {e}", path.display()));
     if path.extension().is_some_and(|e| e == "last-good") {
-        return storage::load(path, MOST_BYTES).map_err(named);
+        return storage::load(path, MAX_LIST_BYTES).map_err(named);
     }
     let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
     Ok(list)
--- a/src/cli/policy/call.rs
+++ b/src/cli/policy/call.rs
@@ -1,7 +1,7 @@
 //! Sends policy calls to the operators' address of a dispatcher.
 
 use super::Verdict;
-use crate::codec::operator::LONGEST_LINE;
+use crate::codec::operator::MAX_LINE_BYTES;
 use crate::settings::hcl::shown;
 use std::io::{self, Read, Write};
 use std::net::{TcpStream, ToSocketAddrs};
@@ -13,7 +13,7 @@
 /// Timeout for the whole answer; a dispatcher starts to answer within a second.
 const ANSWER: Duration = Duration::from_secs(5);
 /// The longest answer read, in bytes.
-const MOST_ANSWER: u64 = 1 << 20;
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 /// The line that proposes a file. The path is made absolute, as the dispatcher has another working directory.
 pub(super) fn proposal(file: &Path) -> io::Result<String> {
@@ -23,8 +23,8 @@
         return told("only paths of printable ASCII without spaces can be told to a dispatcher".into());
     };
     let line = format!("POLICY PROPOSE {text}");
-    if line.len() >= LONGEST_LINE {
-        let most = LONGEST_LINE - 1 - (line.len() - text.len());
+    if line.len() >= MAX_LINE_BYTES {
+        let most = MAX_LINE_BYTES - 1 - (line.len() - text.len());
         return told(format!("a path of {} bytes; {most} can be told to a dispatcher", text.len()));
     }
     Ok(line)
@@ -65,7 +65,7 @@
             }
             Err(e) => return Err(e),
         }
-        if left.is_zero() || answer.len() as u64 > MOST_ANSWER {
+        if left.is_zero() || answer.len() as u64 > MAX_ANSWER_BYTES {
             return Err(late());
         }
     }
--- a/src/codec/executor/answers.rs
+++ b/src/codec/executor/answers.rs
@@ -1,6 +1,6 @@
 //! Decodes the answers of an executor.
 
-use super::{LARGEST_BODY, LONGEST_LINE};
+use super::{MAX_BODY_BYTES, MAX_LINE_BYTES};
 
 /// A load report in the executors' own fields.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -19,7 +19,7 @@
 
 /// Progress of a request that is still open.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum Progress {
     /// Completed share, 0 to 1.
     Done(f64),
     /// Memory missing, in MB; the request spills to disk.
@@ -30,7 +30,7 @@
 
 /// The kind of an answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Word {
+pub enum AnswerKind {
     /// Page 0 with the total number of pages, if that was valid.
     Ok {
         /// Total number of pages.
@@ -48,7 +48,7 @@
     /// The request was already over and never ran.
     Void,
     /// A progress report.
-    Note(Option<Note>),
+    Progress(Option<Progress>),
 }
 
 /// An answer from an executor.
@@ -58,8 +58,8 @@
     Request {
         /// The request.
         id: u64,
-        /// The kind of answer.
-        word: Word,
+        /// Kind of answer.
+        kind: AnswerKind,
         /// The rows or the error text.
         body: &'a [u8],
         /// The executor's load report, if the answer carries one (`gauges`).
@@ -103,8 +103,8 @@
 
 /// The next answer and its length in bytes; `None` while it is incomplete.
 pub fn next(input: &[u8]) -> Result<Option<(usize, Answer<'_>)>, Malformed> {
-    let Some(end) = input.iter().take(LONGEST_LINE).position(|b| *b == b'\n') else {
-        return if input.len() < LONGEST_LINE { Ok(None) } else { Err(bad(input, "no line end")) };
+    let Some(end) = input.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+        return if input.len() < MAX_LINE_BYTES { Ok(None) } else { Err(bad(input, "no line end")) };
     };
     let line = &input[..end];
     let text = line.strip_suffix(b"\r").and_then(|l| std::str::from_utf8(l).ok());
@@ -117,7 +117,7 @@
                 id,
                 word,
                 fields,
-                Some(length).filter(|n| *n <= LARGEST_BODY).ok_or_else(|| bad(line, "length"))?.into(),
+                Some(length).filter(|n| *n <= MAX_BODY_BYTES).ok_or_else(|| bad(line, "length"))?.into(),
             )
         }
         _ => return Err(bad(line, "number of words")),
@@ -141,31 +141,31 @@
             Answer::Probe { tag: tag.unwrap_or(0), up: word == "UP", gauges: field("gauges").map(gauges) };
         return Ok(Some((all, answer)));
     }
-    let word = match word {
+    let kind = match word {
         // Page numbers are validated by the caller, which knows whether the id is open; answers to unknown ids are not
         // validated.
-        "OK" => Word::Ok { pages: number("pages").filter(|n| *n > 0) },
-        "ROWS" => Word::Rows { page: number("page") },
-        "BUSY" => Word::Busy,
-        "ERR" => Word::Err,
-        "VOID" => Word::Void,
+        "OK" => AnswerKind::Ok { pages: number("pages").filter(|n| *n > 0) },
+        "ROWS" => AnswerKind::Rows { page: number("page") },
+        "BUSY" => AnswerKind::Busy,
+        "ERR" => AnswerKind::Err,
+        "VOID" => AnswerKind::Void,
         "NOTE" => {
             let value = field("v").and_then(|v| v.parse::<f64>().ok());
-            Word::Note(match (field("res"), value) {
-                (Some("done"), Some(v)) => Some(Note::Done(v)),
-                (Some("spills"), Some(v)) => Some(Note::Spills(v)),
-                (Some("waits"), _) => Some(Note::Waits),
+            AnswerKind::Progress(match (field("res"), value) {
+                (Some("done"), Some(v)) => Some(Progress::Done(v)),
+                (Some("spills"), Some(v)) => Some(Progress::Spills(v)),
+                (Some("waits"), _) => Some(Progress::Waits),
                 _ => None,
             })
         }
         _ => return Err(bad(line, "word")),
     };
     let id = u64::from_str_radix(id, 16).map_err(|_| bad(line, "id"))?;
-    Ok(Some((all, Answer::Request { id, word, body, gauges: field("gauges").map(gauges) })))
+    Ok(Some((all, Answer::Request { id, kind, body, gauges: field("gauges").map(gauges) })))
 }
 
 /// Whether a page consists of complete rows of three text columns each.
-pub fn whole_rows(page: &[u8]) -> bool {
+pub fn is_complete_page(page: &[u8]) -> bool {
     let text =
         std::str::from_utf8(page).is_ok_and(|t| !t.contains(|c: char| c < ' ' && c != '\t' && c != '\n'));
     let mut rows = page.split(|b| *b == b'\n');
--- a/src/codec/executor/requests.rs
+++ b/src/codec/executor/requests.rs
@@ -4,7 +4,7 @@
 
 /// The parameters of a request sent to an executor.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms<'a> {
+pub struct RequestParameters<'a> {
     /// The class.
     pub kind: &'a str,
     /// How long the dispatcher will wait, in milliseconds.
@@ -22,8 +22,8 @@
 }
 
 /// `PULL`: a request with its statement.
-pub fn pull(out: &mut Vec<u8>, id: u64, terms: &Terms<'_>, statement: &str) {
-    let Terms { kind, wait_ms, priority, .. } = terms;
+pub fn pull(out: &mut Vec<u8>, id: u64, terms: &RequestParameters<'_>, statement: &str) {
+    let RequestParameters { kind, wait_ms, priority, .. } = terms;
     let _ = write!(out, "PULL {id:016x} kind={kind},ms={wait_ms},");
     if let Some(token) = terms.token {
         let _ = write!(out, "token={token},");
--- a/src/codec/executor/tests.rs
+++ b/src/codec/executor/tests.rs
@@ -3,9 +3,10 @@
 #[test]
 fn commands_stand_as_the_protocol_has_them() {
     let mut out = Vec::new();
-    let terms = Terms { kind: "reporte", wait_ms: 1500, memory_mb: 95.2, priority: 2, token: None };
+    let terms =
+        RequestParameters { kind: "reporte", wait_ms: 1500, memory_mb: 95.2, priority: 2, token: None };
     pull(&mut out, 0xab, &terms, "SELECT 1");
-    pull(&mut out, 0xab, &Terms { memory_mb: 0.0, ..terms }, "");
+    pull(&mut out, 0xab, &RequestParameters { memory_mb: 0.0, ..terms }, "");
     kill(&mut out, 1);
     scroll(&mut out, 1, 3);
     let text = String::from_utf8(out).unwrap();
@@ -23,7 +24,12 @@
     assert!((0..n).all(|to| next(&input[..to]).unwrap().is_none()));
     assert_eq!(
         first,
-        Answer::Request { id: 0xab, word: Word::Ok { pages: Some(2) }, body: b"a\tb\tc\n", gauges: None }
+        Answer::Request {
+            id: 0xab,
+            kind: AnswerKind::Ok { pages: Some(2) },
+            body: b"a\tb\tc\n",
+            gauges: None
+        }
     );
     let (_, second) = next(&input[n..]).unwrap().unwrap();
     let gauges = Gauges { inflight: Some(7.0), x1: Some(0.5), ..Gauges::default() };
@@ -31,7 +37,12 @@
     let (_, note) = next(b"1 NOTE res=done,v=0.4 0\r\n\r\n").unwrap().unwrap();
     assert_eq!(
         note,
-        Answer::Request { id: 1, word: Word::Note(Some(Note::Done(0.4))), body: b"", gauges: None }
+        Answer::Request {
+            id: 1,
+            kind: AnswerKind::Progress(Some(Progress::Done(0.4))),
+            body: b"",
+            gauges: None
+        }
     );
     // Answers to requests may carry a load report in the same form as answers to probes.
     let (_, told) = next(b"1 OK pages=1,gauges=inflight:7;util:0.61 0\r\n\r\n").unwrap().unwrap();
@@ -42,7 +53,7 @@
 // A malformed line closes the connection, so it must be told apart from an incomplete one.
 #[test]
 fn bad_lines_are_told_from_short_ones() {
-    let long = [b'x'; LONGEST_LINE];
+    let long = [b'x'; MAX_LINE_BYTES];
     for line in ["\r\n", "1 WHAT - 0\r\n\r\n", "1 ERR - 999999\r\n", "1 ERR - 1\r\nabc", "1 ERR - 0\n"] {
         assert!(next(line.as_bytes()).is_err(), "{line:?}");
     }
--- a/src/codec/mysql.rs
+++ b/src/codec/mysql.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 
 /// The largest packet body accepted from a client, in bytes.
-pub const MOST: usize = 15 * 1024;
+pub const MAX_PACKET_BYTES: usize = 15 * 1024;
 const USER: &str = "app";
 const DATABASE: &str = "main";
 
--- a/src/codec/mysql/packets.rs
+++ b/src/codec/mysql/packets.rs
@@ -1,13 +1,17 @@
 //! Packet framing and field decoding.
 
-use super::{Error, MOST};
+use super::{Error, MAX_PACKET_BYTES};
 
 /// The sequence id and body of the next packet; `None` while it is incomplete.
 pub(super) fn packet(input: &[u8]) -> Result<Option<(u8, &[u8])>, Error> {
     let Some(head) = input.get(..4) else { return Ok(None) };
     let length = usize::from(head[0]) | usize::from(head[1]) << 8 | usize::from(head[2]) << 16;
-    if length > MOST {
-        return Err(Error::new(1153, "08S01", format!("packet of {length} bytes, {MOST} at most")));
+    if length > MAX_PACKET_BYTES {
+        return Err(Error::new(
+            1153,
+            "08S01",
+            format!("packet of {length} bytes, {MAX_PACKET_BYTES} at most"),
+        ));
     }
     Ok(input.get(4..4 + length).map(|body| (head[3], body)))
 }
--- a/src/codec/operator.rs
+++ b/src/codec/operator.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 
 /// The longest line accepted, in bytes, including the line end.
-pub const LONGEST_LINE: usize = 256;
+pub const MAX_LINE_BYTES: usize = 256;
 
 /// A call from an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Marks an executor that is out of service or failed as repaired.
     PlanMend(String),
     /// A call on the admission policy of the fleet.
-    Policy(policy::Ask),
+    Policy(policy::PolicyCall),
 }
 
 /// Why a line is not a valid call; sent after `-ERR`.
@@ -46,7 +46,7 @@
     Missing(&'static str),
     /// Too many arguments.
     Extra(&'static str),
-    /// Longer than [`LONGEST_LINE`].
+    /// Longer than [`MAX_LINE_BYTES`].
     TooLong,
     /// Bytes that are not printable text.
     NotText,
@@ -62,7 +62,7 @@
             Fault::Missing("POLICY") => write!(f, "POLICY takes PROPOSE FILE, STATUS, ABORT or BACK"),
             Fault::Missing(call) => write!(f, "{call} takes an executor id"),
             Fault::Extra(call) => write!(f, "too many words for {call}"),
-            Fault::TooLong => write!(f, "line longer than {LONGEST_LINE} bytes"),
+            Fault::TooLong => write!(f, "line longer than {MAX_LINE_BYTES} bytes"),
             Fault::NotText => write!(f, "not text"),
             Fault::Empty => write!(f, "empty line"),
         }
@@ -85,7 +85,7 @@
         }
         let end = bytes.iter().position(|&b| b == b'\n');
         let take = end.map_or(bytes.len(), |i| i + 1);
-        if self.line.len() + take > LONGEST_LINE {
+        if self.line.len() + take > MAX_LINE_BYTES {
             self.done = true;
             return Some(Err(Fault::TooLong));
         }
@@ -107,7 +107,7 @@
 pub fn parse(line: &[u8]) -> Result<Call, Fault> {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
-    if line.len() >= LONGEST_LINE {
+    if line.len() >= MAX_LINE_BYTES {
         return Err(Fault::TooLong);
     }
     if line.iter().any(|&b| !(b == b' ' || b == b'\t' || b.is_ascii_graphic())) {
--- a/src/membership/check.rs
+++ b/src/membership/check.rs
@@ -64,8 +64,8 @@
             _ => {}
         }
     }
-    if list.len() > terms.most_executors {
-        let what = format!("{} motores; {} are allowed (max_motores)", list.len(), terms.most_executors);
+    if list.len() > terms.max_executors {
+        let what = format!("{} motores; {} are allowed (max_motores)", list.len(), terms.max_executors);
         c.faults.push(Fault::of_file(&path(""), what));
     }
     c.check_executors(list, path);
@@ -116,11 +116,8 @@
             if let Some(c) = catalog.filter(|c| !c.kinds.contains_key(&*m.kind)) {
                 report("kind", format!("unknown kind {:?}; known: {}", m.kind, joined(c.kinds.keys())));
             }
-            if !m.weight.is_finite() || !(0.0..=terms.most_weight).contains(&m.weight) {
-                report(
-                    "weight",
-                    format!("{}; 0 to {} are allowed (max_weight)", m.weight, terms.most_weight),
-                );
+            if !m.weight.is_finite() || !(0.0..=terms.max_weight).contains(&m.weight) {
+                report("weight", format!("{}; 0 to {} are allowed (max_weight)", m.weight, terms.max_weight));
             }
             if let Err(what) = self.check_address(m.address) {
                 self.report(&path(&f.name), at, &field(m, "address"), format!("{}: {what}", m.address));
--- a/src/membership/members/guard.rs
+++ b/src/membership/members/guard.rs
@@ -67,7 +67,7 @@
         }
         let over = |(zone, (all, lost)): (Arc<str>, (f64, f64))| {
             let share = if all > 0.0 { lost / all } else { 0.0 };
-            (share > self.settings.guard.most_loss + 1e-9).then_some(Loss { zone, share })
+            (share > self.settings.guard.max_loss + 1e-9).then_some(Loss { zone, share })
         };
         zones.into_iter().filter_map(over).collect()
     }
--- a/src/membership/members/tests/guard.rs
+++ b/src/membership/members/tests/guard.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_list_that_removes_much_capacity_is_held_back_until_accepted() {
     let mut settings = settings(&["f"]);
-    settings.guard = Guard { most_loss: 0.5, ..Guard::default() };
+    settings.guard = Guard { max_loss: 0.5, ..Guard::default() };
     let four: Vec<Line> = (1..=4).map(|n| (n, n.into(), 1.0, true)).collect();
     let start = || {
         let mut m = Members::new(settings.clone());
@@ -42,7 +42,7 @@
 #[test]
 fn losses_add_up_and_only_ratios_of_weights_count() {
     let mut settings = settings(&["f"]);
-    settings.guard = Guard { most_loss: 0.4, ..Guard::default() };
+    settings.guard = Guard { max_loss: 0.4, ..Guard::default() };
     let four: Vec<Line> = (1..=4).map(|n| (n, n.into(), 1.0, true)).collect();
     let mut m = Members::new(settings);
     m.update_list(S, "f", list(None, &four));
@@ -73,7 +73,7 @@
 #[test]
 fn a_renamed_zone_is_no_loss() {
     let mut settings = settings(&["f"]);
-    settings.guard = Guard { most_loss: 0.1, ..Guard::default() };
+    settings.guard = Guard { max_loss: 0.1, ..Guard::default() };
     let lines = [(1, 1, 1.0, true), (2, 2, 1.0, true)];
     let mut m = Members::new(settings);
     m.update_list(S, "f", List::new(vec![file("f", None, "a", &lines)]));
--- a/src/membership/members/tests/mod.rs
+++ b/src/membership/members/tests/mod.rs
@@ -12,7 +12,7 @@
 fn settings(precedence: &[&str]) -> MembersSettings {
     MembersSettings {
         precedence: precedence.iter().map(|n| (*n).to_string()).collect(),
-        guard: Guard { most_loss: 1.0, ..Guard::default() },
+        guard: Guard { max_loss: 1.0, ..Guard::default() },
         drain_limit: Duration::from_secs(60),
         cores: [("k".to_string(), 8.0)].into(),
         without: BTreeSet::new(),
--- a/src/membership/members/tests/sequences.rs
+++ b/src/membership/members/tests/sequences.rs
@@ -116,7 +116,7 @@
         first in lines(), second in lines(), generations in (2u64..5, 0u64..3), most in 0.0f64..0.9,
     ) {
         let mut settings = settings(&["f", "feed"]);
-        settings.guard.most_loss = most;
+        settings.guard.max_loss = most;
         let mut m = Members::new(settings);
         m.update_feed(S, true, &[fed(11, 30, State::Up)]);
         m.update_list(S, "f", list(Some(generations.0), &first));
--- a/src/membership/watcher/reading.rs
+++ b/src/membership/watcher/reading.rs
@@ -34,7 +34,7 @@
         Rules {
             terms: lists.terms.clone(),
             catalog,
-            limits: ReadLimits { max_bytes: lists.most_bytes, max_files: lists.most_files },
+            limits: ReadLimits { max_bytes: lists.max_bytes, max_files: lists.max_files },
             settle: lists.settle,
             poll: lists.poll,
             last_good: lists.last_good.clone(),
--- a/src/net/clients/session/statements.rs
+++ b/src/net/clients/session/statements.rs
@@ -67,7 +67,7 @@
         let value = match variable.as_deref() {
             None => return None,
             Some("version_comment") => "ottercroft".into(),
-            Some("max_allowed_packet") => mysql::MOST.to_string(),
+            Some("max_allowed_packet") => mysql::MAX_PACKET_BYTES.to_string(),
             Some("autocommit" | "auto_increment_increment") => "1".into(),
             Some("wait_timeout" | "interactive_timeout") => "28800".into(),
             Some("tx_isolation" | "transaction_isolation") => "READ-COMMITTED".into(),
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -60,7 +60,7 @@
         let peers = Peers::bind(listen, &others, MOST_MEMBER_MESSAGE, now, &poll)
             .map_err(context(&format!("control: listen on {listen}")))?;
         // Those beyond the bound are told so, which takes a connection.
-        let connections = settings.most_followers + settings.most_followers / 8 + 8;
+        let connections = settings.max_followers + settings.max_followers / 8 + 8;
         let server = FollowerServer::bind(at_followers, connections, &poll)
             .map_err(context(&format!("control: listen on {at_followers}")))?;
         let callers = CALLERS.max(DescriptorShares::new(config.limits.sockets).callers);
@@ -73,8 +73,8 @@
             me,
             others: others.iter().map(name_of).collect(),
             timing,
-            max_followers: settings.most_followers,
-            max_snapshots: settings.most_snapshots,
+            max_followers: settings.max_followers,
+            max_snapshots: settings.max_snapshots,
         });
         tracing::info!(name = settings.me, group = settings.group, "control member");
         tracing::info!("members' address {}", peers.address()?);
--- a/src/net/endpoint_lists/mod.rs
+++ b/src/net/endpoint_lists/mod.rs
@@ -9,7 +9,7 @@
 use crate::membership::watcher::{ListReport, Rules, SourceReport, WatchedList, Watcher};
 use crate::membership::{Effect, Members, MembersSettings, storage};
 use crate::net::event_loop::poll::{Key, Poll};
-use crate::settings::options::{self, Empty, Source, accept_path};
+use crate::settings::options::{self, OnEmpty, Source, accept_path};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::sync::Arc;
@@ -68,7 +68,7 @@
         for source in &o.sources {
             let name: Arc<str> = source.name.as_str().into();
             let last_good = o.last_good.as_ref().map(|folder| storage::path(folder, &source.name));
-            match last_good.map(|at| storage::load(&at, o.most_bytes).map_err(|e| (at, e))) {
+            match last_good.map(|at| storage::load(&at, o.max_bytes).map_err(|e| (at, e))) {
                 Some(Ok(list)) => {
                     let back = members.restore(now, &source.name, list);
                     // The list is already saved: only the updates are of use.
@@ -101,7 +101,7 @@
         let mut lists = EndpointLists { members, watcher, key, accept_arguments, pending, counters };
         lists.apply_effects(now, effects);
         reports.into_iter().for_each(|report| lists.process(now, report));
-        if let (Some(name), Empty::Exit) = (empty.first(), o.empty) {
+        if let (Some(name), OnEmpty::Exit) = (empty.first(), o.on_empty) {
             return Err(io::Error::other(format!("motor list {name}: no usable list and no last good copy")));
         }
         for name in empty {
--- a/src/net/executors/answers.rs
+++ b/src/net/executors/answers.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Micros;
 use crate::check_invariant;
-use crate::codec::executor::{self, Note, Word};
+use crate::codec::executor::{self, AnswerKind, Progress};
 use crate::dispatch::{AttemptEnd, AttemptId, AttemptProgress};
 use crate::net::sockets::buffers::{Block, Pool};
 
@@ -46,16 +46,20 @@
 }
 
 /// Applies an answer to its attempt.
-pub(super) fn apply_answer(s: &mut Stream, word: Word, body: &[u8], pool: &Pool) -> AnswerEffect {
-    match word {
-        Word::Note(None) => AnswerEffect::Continues,
-        Word::Note(Some(Note::Done(x))) => AnswerEffect::Progressed(AttemptProgress::Progress(x)),
-        Word::Note(Some(Note::Spills(x))) => AnswerEffect::Progressed(AttemptProgress::Spill(x)),
-        Word::Note(Some(Note::Waits)) => AnswerEffect::Progressed(AttemptProgress::Waits),
-        Word::Busy => AnswerEffect::Ended(AttemptEnd::Rejected),
-        Word::Void => AnswerEffect::Ended(AttemptEnd::NotRun),
-        Word::Err => AnswerEffect::Ended(AttemptEnd::Error),
-        Word::Ok { pages } => {
+pub(super) fn apply_answer(s: &mut Stream, kind: AnswerKind, body: &[u8], pool: &Pool) -> AnswerEffect {
+    match kind {
+        AnswerKind::Progress(None) => AnswerEffect::Continues,
+        AnswerKind::Progress(Some(Progress::Done(x))) => {
+            AnswerEffect::Progressed(AttemptProgress::Progress(x))
+        }
+        AnswerKind::Progress(Some(Progress::Spills(x))) => {
+            AnswerEffect::Progressed(AttemptProgress::Spill(x))
+        }
+        AnswerKind::Progress(Some(Progress::Waits)) => AnswerEffect::Progressed(AttemptProgress::Waits),
+        AnswerKind::Busy => AnswerEffect::Ended(AttemptEnd::Rejected),
+        AnswerKind::Void => AnswerEffect::Ended(AttemptEnd::NotRun),
+        AnswerKind::Err => AnswerEffect::Ended(AttemptEnd::Error),
+        AnswerKind::Ok { pages } => {
             if s.pages > 0 {
                 return AnswerEffect::Duplicate;
             }
@@ -71,7 +75,7 @@
                 n => AnswerEffect::Pages(n),
             }
         }
-        Word::Rows { page } => {
+        AnswerKind::Rows { page } => {
             // Pages are requested in order on one connection.
             let due = s.rows.len();
             let Some(page) = page.map(|n| n as usize).filter(|n| s.pages > 0 && *n <= due) else {
@@ -94,7 +98,7 @@
 /// Appends a page to the result; false if it is malformed or the result is too large.
 fn append_page(s: &mut Stream, page: &[u8], pool: &Pool) -> bool {
     s.bytes += page.len();
-    if s.bytes > MAX_BYTES || !executor::whole_rows(page) {
+    if s.bytes > MAX_BYTES || !executor::is_complete_page(page) {
         return false;
     }
     let mut block = pool.block();
--- a/src/net/executors/connection_pool.rs
+++ b/src/net/executors/connection_pool.rs
@@ -135,7 +135,7 @@
         })?;
         self.counters.dials += 1;
         self.timers.set(now + self.transport.dial_timeout, TimerEvent::Dial(key));
-        let message_interval = self.transport.word_within();
+        let message_interval = self.transport.progress_timeout();
         self.connections.insert(key, Connection::new(executor, stream, message_interval, now, &self.pool));
         if let Some(listed) = self.executors.get_mut(&executor) {
             listed.connections.push(key);
--- a/src/net/executors/reading.rs
+++ b/src/net/executors/reading.rs
@@ -78,9 +78,9 @@
             consumed += length;
             match answer {
                 Answer::Probe { tag, up, gauges } => self.probe_answered(key, tag, up, gauges, now),
-                Answer::Request { id, word, body, gauges } => {
+                Answer::Request { id, kind, body, gauges } => {
                     let stream = connection.streams.get_mut(&id);
-                    let effect = stream.map(|stream| apply_answer(stream, word, body, &self.pool));
+                    let effect = stream.map(|stream| apply_answer(stream, kind, body, &self.pool));
                     if let Some(AnswerEffect::Malformed(reason)) = effect {
                         return self.close_malformed(key, poll, reason);
                     }
--- a/src/net/executors/tests.rs
+++ b/src/net/executors/tests.rs
@@ -7,7 +7,7 @@
 use std::net::TcpListener;
 
 const TRANSPORT: Transport = Transport {
-    most_held: 9,
+    max_open_requests: 9,
     streams_per_conn: 1,
     conn_idle: 30_000_000,
     dial_timeout: 250_000,
--- a/src/net/executors/writing.rs
+++ b/src/net/executors/writing.rs
@@ -3,7 +3,7 @@
 use super::connection::{Job, Outgoing};
 use super::{Executors, TimerEvent};
 use crate::api::Micros;
-use crate::codec::executor::{self, Terms};
+use crate::codec::executor::{self, RequestParameters};
 use crate::dispatch::{AttemptEnd, AttemptTerms, NetworkEvent};
 use crate::net::event_loop::poll::{Key, Poll};
 use std::io;
@@ -115,7 +115,7 @@
             return Prepared::AwaitsClientPoll;
         }
         self.client_poll.attempt_started();
-        let wire_terms = Terms {
+        let wire_terms = RequestParameters {
             kind: &job.class_name,
             wait_ms: (terms.deadline.saturating_sub(now) / 1000).max(1),
             memory_mb: terms.memory_mb,
--- a/src/net/in_flight/mod.rs
+++ b/src/net/in_flight/mod.rs
@@ -99,17 +99,17 @@
             tick: micros(settings.tick),
             batch: micros(settings.batch),
             give_up: micros(settings.give_up),
-            limits: Limits { records: settings.most_records as u32, remember: micros(settings.remember) },
+            limits: Limits { records: settings.max_records as u32, remember: micros(settings.remember) },
         };
         let bounds = Bounds {
-            statement: settings.most_statement as usize,
-            result: settings.most_result as usize,
-            adopted: settings.most_taken_over,
+            statement: settings.max_statement as usize,
+            result: settings.max_result as usize,
+            adopted: settings.max_taken_over,
             attempts: classes.attempts,
             backoff_ms: settings.lease.as_millis() as u64,
             fetch: micros(settings.lease) / 5,
         };
-        let peers = Peers::bind(settings.listen, &others, settings.most_frame as usize, now, poll)?;
+        let peers = Peers::bind(settings.listen, &others, settings.max_frame as usize, now, poll)?;
         let takeover = Takeover::new(Fleet::new(config, seed, now), bounds);
         let budget = Budget {
             min_executors: settings.min_executors,
--- a/src/net/policy_calls.rs
+++ b/src/net/policy_calls.rs
@@ -3,7 +3,7 @@
 use super::DispatcherServer;
 use super::policy_status::status;
 use crate::api::{Micros, Settings};
-use crate::codec::operator::policy::Ask;
+use crate::codec::operator::policy::PolicyCall;
 use crate::net::event_loop::poll::Key;
 use crate::policies::{Policy, applied, digest};
 use crate::settings::Names;
@@ -73,22 +73,22 @@
 impl CallContext<'_> {
     /// Converts a call to the command to agree on and the condition to wait for; an `Err` is the immediate
     /// answer.
-    pub(super) fn command(&self, now: Micros, ask: &Ask) -> Result<(Command, WaitCondition), String> {
+    pub(super) fn command(&self, now: Micros, ask: &PolicyCall) -> Result<(Command, WaitCondition), String> {
         let policies = self.policies;
         let limits = [self.terms.vote_limit, self.terms.close_limit].map(|d| d.as_micros() as Micros);
         match ask {
-            Ask::Status => Err(status(policies, self.number, now)),
-            Ask::Propose(path) => {
+            PolicyCall::Status => Err(status(policies, self.number, now)),
+            PolicyCall::Propose(path) => {
                 let command = self.proposal(now, path, limits)?;
                 let queued = self.queue_from.is_some();
                 Ok((command, if queued { WaitCondition::Queued(now) } else { WaitCondition::Proposed(now) }))
             }
-            Ask::Back => {
+            PolicyCall::Back => {
                 policies.can_propose("").map_err(|e| format!("-ERR {e}"))?;
                 policies.previous().ok_or("-ERR no policy was in force before this one")?;
                 Ok((Command::Back(self.me, now, limits), WaitCondition::Proposed(now)))
             }
-            Ask::Abort => {
+            PolicyCall::Abort => {
                 let number =
                     policies.pending().map(|p| p.policy.number).ok_or("-ERR nothing is under way")?;
                 Ok((Command::Abort(number), WaitCondition::Over(number)))
@@ -173,8 +173,8 @@
 impl DispatcherServer {
     /// Handles an operator's call concerning the policy. Returns the answer, or `None` while the call waits
     /// for agreement.
-    pub(super) fn policy_call(&mut self, caller: Key, now: Micros, ask: &Ask) -> Option<String> {
-        if self.control.is_some() && *ask != Ask::Status {
+    pub(super) fn policy_call(&mut self, caller: Key, now: Micros, ask: &PolicyCall) -> Option<String> {
+        if self.control.is_some() && *ask != PolicyCall::Status {
             return Some("-ERR this dispatcher follows a control group: ask one of its members".into());
         }
         match self.policy_command(now, ask) {
@@ -190,7 +190,7 @@
         }
     }
 
-    fn policy_command(&self, now: Micros, ask: &Ask) -> Result<(Command, WaitCondition), String> {
+    fn policy_command(&self, now: Micros, ask: &PolicyCall) -> Result<(Command, WaitCondition), String> {
         let fleet_policy = self.fleet_policy.as_ref().ok_or("-ERR no fleet")?;
         let policies = self.policies().ok_or("-ERR this dispatcher takes no part in a fleet now")?;
         let context = CallContext {
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -65,7 +65,7 @@
         let agreed = agreed_policy(&options);
         let base_settings = settings.clone();
         let mut dispatch =
-            Dispatch::new(settings, transport.most_held, seed).map_err(context("configuration"))?;
+            Dispatch::new(settings, transport.max_open_requests, seed).map_err(context("configuration"))?;
 
         let mut clock = Clock::default();
         let poll = Poll::new().map_err(context("poller"))?;
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -16,10 +16,10 @@
         Just(Call::PlanStatus),
         Just(Call::PlanAbort),
         id.prop_map(Call::PlanMend),
-        "/[a-z0-9./-]{1,60}".prop_map(|path| Call::Policy(policy::Ask::Propose(path))),
-        Just(Call::Policy(policy::Ask::Status)),
-        Just(Call::Policy(policy::Ask::Abort)),
-        Just(Call::Policy(policy::Ask::Back)),
+        "/[a-z0-9./-]{1,60}".prop_map(|path| Call::Policy(policy::PolicyCall::Propose(path))),
+        Just(Call::Policy(policy::PolicyCall::Status)),
+        Just(Call::Policy(policy::PolicyCall::Abort)),
+        Just(Call::Policy(policy::PolicyCall::Back)),
     ]
 }
 
@@ -35,10 +35,10 @@
         Call::PlanStatus => "DRAIN STATUS".into(),
         Call::PlanAbort => "drain abort".into(),
         Call::PlanMend(id) => format!("DRAIN MEND {id}"),
-        Call::Policy(policy::Ask::Propose(path)) => format!("POLICY PROPOSE {path}"),
-        Call::Policy(policy::Ask::Status) => "policy status".into(),
-        Call::Policy(policy::Ask::Abort) => "POLICY ABORT".into(),
-        Call::Policy(policy::Ask::Back) => "POLICY BACK".into(),
+        Call::Policy(policy::PolicyCall::Propose(path)) => format!("POLICY PROPOSE {path}"),
+        Call::Policy(policy::PolicyCall::Status) => "policy status".into(),
+        Call::Policy(policy::PolicyCall::Abort) => "POLICY ABORT".into(),
+        Call::Policy(policy::PolicyCall::Back) => "POLICY BACK".into(),
     }
 }
 
@@ -69,9 +69,9 @@
         let mut decoder = Decoder::default();
         let answers = pieces.iter().filter_map(|p| decoder.feed(p)).count();
         prop_assert!(answers <= 1);
-        prop_assert!(decoder.line.len() <= LONGEST_LINE);
+        prop_assert!(decoder.line.len() <= MAX_LINE_BYTES);
         let all: Vec<u8> = pieces.concat();
-        if all.len() > LONGEST_LINE && !all[..LONGEST_LINE].contains(&b'\n') {
+        if all.len() > MAX_LINE_BYTES && !all[..MAX_LINE_BYTES].contains(&b'\n') {
             prop_assert_eq!(answers, 1, "an over-long line is refused, not waited for");
         }
     }
@@ -108,7 +108,7 @@
     assert_eq!(parse(b"  \n"), Err(Fault::Empty));
     assert_eq!(parse(b"health\r\n"), Ok(Call::Health));
     let mut d = Decoder::default();
-    assert_eq!(d.feed(&[b'A'; LONGEST_LINE + 1]), Some(Err(Fault::TooLong)));
+    assert_eq!(d.feed(&[b'A'; MAX_LINE_BYTES + 1]), Some(Err(Fault::TooLong)));
     assert!(refusal(&Fault::TooLong).starts_with("-ERR "));
     assert!(Readiness::Ready.answer().starts_with("+OK"));
     assert!(Readiness::Leaving.answer().starts_with("-ERR"));
--- a/src/settings/options/control.rs
+++ b/src/settings/options/control.rs
@@ -50,9 +50,9 @@
     /// Timeouts and intervals of the group.
     pub timing: Timing,
     /// Maximum number of followers per member.
-    pub most_followers: usize,
+    pub max_followers: usize,
     /// Maximum number of concurrent snapshots per member.
-    pub most_snapshots: usize,
+    pub max_snapshots: usize,
     /// How policy changes are agreed on.
     pub policy: PolicyTerms,
 }
@@ -87,8 +87,8 @@
         followers: t.get("followers", faults, hcl::parsed("10.0.0.1:7201")),
         members: members(t, faults),
         timing,
-        most_followers: t.get("max_followers", faults, hcl::whole(1..=10_000)).unwrap_or(1_000) as usize,
-        most_snapshots: t.get("max_snapshots", faults, hcl::whole(1..=1_000)).unwrap_or(16) as usize,
+        max_followers: t.get("max_followers", faults, hcl::whole(1..=10_000)).unwrap_or(1_000) as usize,
+        max_snapshots: t.get("max_snapshots", faults, hcl::whole(1..=1_000)).unwrap_or(16) as usize,
         policy: policy(t, timing, faults),
     };
     if control.group.len() > MAX_NAME_BYTES {
--- a/src/settings/options/lists.rs
+++ b/src/settings/options/lists.rs
@@ -9,7 +9,7 @@
 
 /// What to do at start with neither a usable list nor a last good copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Empty {
+pub enum OnEmpty {
     /// Serve without executors from it: requests are rejected with a retry-after hint.
     Serve,
     /// Exit with an error.
@@ -41,9 +41,9 @@
     /// Polling interval of the files, independent of notifications.
     pub poll: Duration,
     /// The largest file read, in bytes.
-    pub most_bytes: u64,
+    pub max_bytes: u64,
     /// Maximum number of files in a directory.
-    pub most_files: usize,
+    pub max_files: usize,
     /// When a list is held back until confirmed.
     pub guard: Guard,
     /// How long an executor removed from its list may finish its open work.
@@ -51,7 +51,7 @@
     /// Directory for the last good lists, on persistent storage.
     pub last_good: Option<PathBuf>,
     /// What to do at start without any list.
-    pub empty: Empty,
+    pub on_empty: OnEmpty,
     /// For tests only: disabled safeguards.
     pub without: BTreeSet<Safeguard>,
 }
@@ -109,29 +109,29 @@
         terms: Terms::default(),
         settle: MS(300),
         poll: MS(1_000),
-        most_bytes: 8 << 20,
-        most_files: 256,
+        max_bytes: 8 << 20,
+        max_files: 256,
         guard: Guard::default(),
         drain_limit: MS(600_000),
         last_good: None,
-        empty: Empty::Serve,
+        on_empty: OnEmpty::Serve,
         without: BTreeSet::new(),
     };
     t.set("settle", &mut l.settle, faults, hcl::duration(MS(10)..=MS(60_000)));
     t.set("poll", &mut l.poll, faults, hcl::duration(MS(20)..=MS(60_000)));
-    t.set("max_size", &mut l.most_bytes, faults, hcl::size(1 << 10..=64 << 20));
+    t.set("max_size", &mut l.max_bytes, faults, hcl::size(1 << 10..=64 << 20));
     t.set("drain_limit", &mut l.drain_limit, faults, hcl::duration(MS(1_000)..=MS(86_400_000)));
-    t.set("max_weight", &mut l.terms.most_weight, faults, hcl::number(0.001..=1e6));
+    t.set("max_weight", &mut l.terms.max_weight, faults, hcl::number(0.001..=1e6));
     t.set("allow_loopback", &mut l.terms.loopback, faults, hcl::boolean);
     t.set("seals", &mut l.terms.sealed, faults, hcl::one_of(&[("required", true), ("optional", false)]));
-    let on_empty = [("serve", Empty::Serve), ("exit", Empty::Exit)];
-    t.set("on_empty", &mut l.empty, faults, hcl::one_of(&on_empty));
+    let on_empty = [("serve", OnEmpty::Serve), ("exit", OnEmpty::Exit)];
+    t.set("on_empty", &mut l.on_empty, faults, hcl::one_of(&on_empty));
     l.last_good = t.get("last_good", faults, hcl::string).map(PathBuf::from);
     if let Some(n) = t.get("max_files", faults, hcl::whole(1..=4_096)) {
-        l.most_files = n as usize;
+        l.max_files = n as usize;
     }
     if let Some(n) = t.get("max_motores", faults, hcl::whole(1..=100_000)) {
-        l.terms.most_executors = n as usize;
+        l.terms.max_executors = n as usize;
     }
     if let Some(nets) = t.get("networks", faults, hcl::list(hcl::parsed("10.0.0.0/8"))) {
         if nets.is_empty() {
@@ -182,7 +182,7 @@
     }
     if let Some(g) = t.block("guard", faults) {
         g.only(&["max_loss", "window", "remind", "accepted_for"], &[], faults);
-        g.set("max_loss", &mut l.guard.most_loss, faults, hcl::number(0.0..=1.0));
+        g.set("max_loss", &mut l.guard.max_loss, faults, hcl::number(0.0..=1.0));
         g.set("window", &mut l.guard.window, faults, hcl::duration(MS(0)..=MS(86_400_000)));
         g.set("remind", &mut l.guard.remind, faults, hcl::duration(MS(1_000)..=MS(86_400_000)));
         g.set("accepted_for", &mut l.guard.accepted_for, faults, hcl::duration(MS(1_000)..=MS(86_400_000)));
--- a/src/settings/options/mod.rs
+++ b/src/settings/options/mod.rs
@@ -17,7 +17,7 @@
 mod tests;
 
 pub use control::{Control, Role};
-pub use lists::{Empty, Lists, Safeguard, Source, accept_path};
+pub use lists::{Lists, OnEmpty, Safeguard, Source, accept_path};
 pub use peers::Peers;
 pub use policy::{PolicyTerms, WithoutLease};
 pub use storms::Storms;
--- a/src/settings/options/peers.rs
+++ b/src/settings/options/peers.rs
@@ -28,15 +28,15 @@
     /// How long a request that must not run twice is remembered after its deadline.
     pub remember: Duration,
     /// Maximum number of replicated request records.
-    pub most_records: usize,
+    pub max_records: usize,
     /// Maximum number of requests of lost peers taken over concurrently.
-    pub most_taken_over: usize,
+    pub max_taken_over: usize,
     /// The longest statement that is replicated, in bytes.
-    pub most_statement: u64,
+    pub max_statement: u64,
     /// The largest result stored for a client that reconnects, in bytes.
-    pub most_result: u64,
+    pub max_result: u64,
     /// The longest message accepted from a peer, in bytes.
-    pub most_frame: u64,
+    pub max_frame: u64,
     /// Minimum number of executors in service during maintenance.
     pub min_executors: usize,
     /// Minimum ratio of cores in service to busy cores during maintenance.
@@ -79,11 +79,11 @@
         batch: MS(10),
         give_up: MS(10_000),
         remember: MS(30_000),
-        most_records: 100_000,
-        most_taken_over: 1_000,
-        most_statement: 4 << 10,
-        most_result: 4 << 10,
-        most_frame: 64 << 20,
+        max_records: 100_000,
+        max_taken_over: 1_000,
+        max_statement: 4 << 10,
+        max_result: 4 << 10,
+        max_frame: 64 << 20,
         min_executors: 2,
         headroom: 1.3,
         at_once: 1,
@@ -97,14 +97,14 @@
     t.set("batch", &mut p.batch, faults, hcl::duration(MS(1)..=MS(1_000)));
     t.set("give_up", &mut p.give_up, faults, hcl::duration(MS(1_000)..=MS(600_000)));
     t.set("remember", &mut p.remember, faults, hcl::duration(MS(1_000)..=MS(3_600_000)));
-    t.set("max_statement", &mut p.most_statement, faults, hcl::size(0..=64 << 10));
-    t.set("max_result", &mut p.most_result, faults, hcl::size(0..=64 << 10));
-    t.set("max_frame", &mut p.most_frame, faults, hcl::size(64 << 10..=1 << 30));
+    t.set("max_statement", &mut p.max_statement, faults, hcl::size(0..=64 << 10));
+    t.set("max_result", &mut p.max_result, faults, hcl::size(0..=64 << 10));
+    t.set("max_frame", &mut p.max_frame, faults, hcl::size(64 << 10..=1 << 30));
     if let Some(n) = t.get("max_records", faults, hcl::whole(100..=1_000_000)) {
-        p.most_records = n as usize;
+        p.max_records = n as usize;
     }
     if let Some(n) = t.get("max_taken_over", faults, hcl::whole(0..=100_000)) {
-        p.most_taken_over = n as usize;
+        p.max_taken_over = n as usize;
     }
     if let Some(m) = t.block("maintenance", faults) {
         m.only(&["min_motores", "headroom", "at_once", "drain_limit", "out_limit"], &[], faults);
--- a/src/settings/options/terms.rs
+++ b/src/settings/options/terms.rs
@@ -12,9 +12,9 @@
     /// Whether every file must have a seal.
     pub sealed: bool,
     /// Maximum number of executors in a list.
-    pub most_executors: usize,
+    pub max_executors: usize,
     /// The largest weight.
-    pub most_weight: f64,
+    pub max_weight: f64,
     /// The allowed networks; `None` allows all.
     pub networks: Option<Vec<IpNet>>,
     /// Whether loopback addresses are allowed.
@@ -23,7 +23,7 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { sealed: true, most_executors: 10_000, most_weight: 100.0, networks: None, loopback: false }
+        Terms { sealed: true, max_executors: 10_000, max_weight: 100.0, networks: None, loopback: false }
     }
 }
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Guard {
     /// Maximum share of a zone's capacity that lists may remove within the window.
-    pub most_loss: f64,
+    pub max_loss: f64,
     /// How long removed capacity is counted.
     pub window: Duration,
     /// Interval of reminders in the log about a list that is held back.
@@ -43,6 +43,6 @@
 impl Default for Guard {
     fn default() -> Guard {
         let s = Duration::from_secs;
-        Guard { most_loss: 0.5, window: s(60), remind: s(30), accepted_for: s(3_600) }
+        Guard { max_loss: 0.5, window: s(60), remind: s(30), accepted_for: s(3_600) }
     }
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transport {
     /// Maximum number of open requests; further ones are rejected without asking the balancer.
-    pub most_held: usize,
+    pub max_open_requests: usize,
     /// Maximum number of concurrent attempts per executor connection.
     pub streams_per_conn: usize,
     /// Idle time after which executors close a connection.
@@ -71,7 +71,7 @@
 
 impl Transport {
     /// How long a connection with an open attempt may stay silent.
-    pub fn word_within(&self) -> Micros {
+    pub fn progress_timeout(&self) -> Micros {
         self.progress.unwrap_or(DEFAULT_PROGRESS_INTERVAL) + PROGRESS_SLACK
     }
 }
@@ -118,7 +118,7 @@
         let pace = self.domain.progress_pace.unwrap_or(0.0);
         let pace = micros("settings", "domain.progressPace", pace)?;
         Ok(Transport {
-            most_held: p.most_held.unwrap_or(10_000),
+            max_open_requests: p.most_held.unwrap_or(10_000),
             streams_per_conn: p.streams_per_conn.unwrap_or(100).max(1),
             conn_idle: span("connIdle", p.conn_idle, 30.0)?,
             dial_timeout: span("dialTimeout", p.dial_timeout, 0.25)?,
