--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -1,4 +1,4 @@
-//! `ottercroft lists`: work with executor lists without a dispatcher.
+//! `ottercroft lists`: works on executor lists without a running dispatcher.
 
 mod diff;
 mod show;
@@ -19,8 +19,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The largest list read where no settings say otherwise.
-const MOST_BYTES: u64 = 64 << 20;
+/// The largest list read when no settings give a limit.
+const MAX_LIST_BYTES: u64 = 64 << 20;
 
 /// What to do with executor lists.
 #[derive(Debug, Subcommand)]
@@ -110,7 +110,7 @@
     Rules {
         terms: Terms { loopback: true, ..Terms::default() },
         catalog: None,
-        limits: ReadLimits { max_bytes: MOST_BYTES, max_files: 4_096 },
+        limits: ReadLimits { max_bytes: MAX_LIST_BYTES, max_files: 4_096 },
         settle: Duration::ZERO,
         poll: Duration::ZERO,
         last_good: None,
@@ -139,11 +139,11 @@
     tell(out, &faults, json, &told)
 }
 
-/// A list as it can be read, whatever its faults of content; a kept one too.
+/// Reads a list or a stored last good copy, ignoring validation errors in its content.
 fn read(path: &Path) -> io::Result<List> {
     let named = |e: String| io::Error::other(format!("{}: {e}", path.display()));
     if path.extension().is_some_and(|e| e == "last-good") {
-        return storage::load(path, MOST_BYTES).map_err(named);
+        return storage::load(path, MAX_LIST_BYTES).map_err(named);
     }
     let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
     Ok(list)
@@ -160,7 +160,7 @@
     match list::renew_seal(&name, &text, confirm, next) {
         Err(faults) => tell(out, &faults, false, ""),
         Ok(text) => {
-            // The file behind a link is replaced, not the link.
+            // Replaces the target of a symbolic link rather than the link.
             let real = std::fs::canonicalize(file).map_err(named)?;
             storage::write_atomically(&real, text.as_bytes()).map_err(named)?;
             let (list, _) = ListFile::parse(&name, &name, &text);
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -16,10 +16,10 @@
         Just(Call::PlanStatus),
         Just(Call::PlanAbort),
         id.prop_map(Call::PlanMend),
-        "/[a-z0-9./-]{1,60}".prop_map(|path| Call::Policy(policy::Ask::Propose(path))),
-        Just(Call::Policy(policy::Ask::Status)),
-        Just(Call::Policy(policy::Ask::Abort)),
-        Just(Call::Policy(policy::Ask::Back)),
+        "/[a-z0-9./-]{1,60}".prop_map(|path| Call::Policy(policy::PolicyCall::Propose(path))),
+        Just(Call::Policy(policy::PolicyCall::Status)),
+        Just(Call::Policy(policy::PolicyCall::Abort)),
+        Just(Call::Policy(policy::PolicyCall::Back)),
     ]
 }
 
@@ -35,15 +35,15 @@
         Call::PlanStatus => "DRAIN STATUS".into(),
         Call::PlanAbort => "drain abort".into(),
         Call::PlanMend(id) => format!("DRAIN MEND {id}"),
-        Call::Policy(policy::Ask::Propose(path)) => format!("POLICY PROPOSE {path}"),
-        Call::Policy(policy::Ask::Status) => "policy status".into(),
-        Call::Policy(policy::Ask::Abort) => "POLICY ABORT".into(),
-        Call::Policy(policy::Ask::Back) => "POLICY BACK".into(),
+        Call::Policy(policy::PolicyCall::Propose(path)) => format!("POLICY PROPOSE {path}"),
+        Call::Policy(policy::PolicyCall::Status) => "policy status".into(),
+        Call::Policy(policy::PolicyCall::Abort) => "POLICY ABORT".into(),
+        Call::Policy(policy::PolicyCall::Back) => "POLICY BACK".into(),
     }
 }
 
 proptest! {
-    // An operator's tool may write a call in any pieces: the call read must not depend on where they break.
+    // A call may arrive in fragments: the decoded call must not depend on where they are split.
     #[test]
     fn a_call_in_pieces_is_the_call(call in call(), cuts in prop::collection::vec(0usize..64, 0..8), crlf: bool) {
         let text = format!("{}{}", line(&call), if crlf { "\r\n" } else { "\n" });
@@ -63,20 +63,20 @@
         prop_assert_eq!(got, Some(Ok(call)));
     }
 
-    // Whatever comes, the decoder answers at most once, never panics, and holds no more than a line.
+    // For any input the decoder returns at most one result, never panics and buffers at most one line.
     #[test]
     fn any_bytes_end_in_one_answer_or_none(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..120), 0..10)) {
         let mut decoder = Decoder::default();
         let answers = pieces.iter().filter_map(|p| decoder.feed(p)).count();
         prop_assert!(answers <= 1);
-        prop_assert!(decoder.line.len() <= LONGEST_LINE);
+        prop_assert!(decoder.line.len() <= MAX_LINE_BYTES);
         let all: Vec<u8> = pieces.concat();
-        if all.len() > LONGEST_LINE && !all[..LONGEST_LINE].contains(&b'\n') {
+        if all.len() > MAX_LINE_BYTES && !all[..MAX_LINE_BYTES].contains(&b'\n') {
             prop_assert_eq!(answers, 1, "an over-long line is refused, not waited for");
         }
     }
 
-    // The hand-over file gives back the bans it was made of, and any change of one byte is seen.
+    // Decoding a hand-over file restores the encoded bans, and any change of one byte is detected.
     #[test]
     fn bans_come_back_whole_or_not_at_all(ids in prop::collection::btree_set("[a-z0-9-]{1,20}", 0..20), flip in any::<prop::sample::Index>()) {
         let mut bans = Bans::default();
@@ -97,7 +97,7 @@
     }
 }
 
-// Guards the faults an operator must be told of, each with its reason, rather than a silent close.
+// Every invalid line is answered with its reason rather than a silently closed connection.
 #[test]
 fn wrong_lines_are_told_why() {
     assert_eq!(parse(b"FROB\n"), Err(Fault::Unknown("FROB".into())));
@@ -108,13 +108,13 @@
     assert_eq!(parse(b"  \n"), Err(Fault::Empty));
     assert_eq!(parse(b"health\r\n"), Ok(Call::Health));
     let mut d = Decoder::default();
-    assert_eq!(d.feed(&[b'A'; LONGEST_LINE + 1]), Some(Err(Fault::TooLong)));
+    assert_eq!(d.feed(&[b'A'; MAX_LINE_BYTES + 1]), Some(Err(Fault::TooLong)));
     assert!(refusal(&Fault::TooLong).starts_with("-ERR "));
     assert!(Readiness::Ready.answer().starts_with("+OK"));
     assert!(Readiness::Leaving.answer().starts_with("-ERR"));
 }
 
-// Guards the counting of bans: two calls out need one call back, and ids nobody has are refused.
+// Two `OFFLINE` calls are lifted by one `ONLINE`, and unknown ids are rejected.
 #[test]
 fn bans_are_marks_not_counts() {
     let mut bans = Bans::default();
@@ -125,12 +125,12 @@
     assert!(!bans.banned("e1"));
     assert_eq!(bans.offline("ghost", false), Err(Refused::Unknown("ghost".into())));
     assert_eq!(bans.online("ghost", false), Err(Refused::Unknown("ghost".into())));
-    // A banned executor that left the list can still be let back.
+    // The ban of an executor that left the list can still be lifted.
     bans.offline("e2", true).unwrap();
     assert_eq!(bans.online("e2", false), Ok(true));
 }
 
-// Guards the hand-over: another dispatcher's file, or one that is not ours at all, is not taken.
+// A hand-over file of another dispatcher or of an unknown format is rejected.
 #[test]
 fn foreign_hand_over_files_are_refused() {
     let mut bans = Bans::default();
@@ -141,7 +141,7 @@
     assert_eq!(Bans::decode("", "a"), Err(Unusable::Foreign));
 }
 
-// Guards the names and form the operators' scraper reads.
+// The exposed names and format are those that the operators' scraper reads.
 #[test]
 fn figures_use_the_names_of_the_page() {
     let f = Figures::new();
--- a/src/settings/options/lists.rs
+++ b/src/settings/options/lists.rs
@@ -7,23 +7,23 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What to do at a start with neither a usable list nor a good copy.
+/// What to do at start with neither a usable list nor a last good copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Empty {
-    /// Serve without executors from it: requests are refused with a time to come back.
+pub enum OnEmpty {
+    /// Serve without executors from it: requests are rejected with a retry-after hint.
     Serve,
-    /// End with an error.
+    /// Exit with an error.
     Exit,
 }
 
 /// One list: a file, or a directory of files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Source {
-    /// Its name, as log lines and the precedence have it.
+    /// Its name in log lines and in `precedence`.
     pub name: String,
     /// The file or directory.
     pub path: PathBuf,
-    /// Where `lists accept` writes what a person confirmed.
+    /// The file in which `lists accept` records confirmed digests.
     pub accept: PathBuf,
 }
 
@@ -32,46 +32,46 @@
 pub struct Lists {
     /// The lists.
     pub sources: Vec<Source>,
-    /// Names of sources, the one that goes first ahead; `feed` is the coordinator's.
+    /// Names of sources in order of precedence, highest first; `feed` is the coordinator's feed.
     pub precedence: Vec<String>,
-    /// What a list may hold.
+    /// Limits on the content of a list.
     pub terms: Terms,
-    /// How long nothing may have changed before a list without seal is taken.
+    /// How long an unsealed list must remain unchanged before it is used.
     pub settle: Duration,
-    /// How often files are looked at without any notification.
+    /// Polling interval of the files, independent of notifications.
     pub poll: Duration,
-    /// The largest file read, in bytes, and the most files of a directory.
-    pub most_bytes: u64,
-    /// The most files of a directory.
-    pub most_files: usize,
-    /// What holds a list back.
+    /// The largest file read, in bytes.
+    pub max_bytes: u64,
+    /// Maximum number of files in a directory.
+    pub max_files: usize,
+    /// When a list is held back until confirmed.
     pub guard: Guard,
-    /// How long an executor that was taken out of its list may go on with what it has.
+    /// How long an executor removed from its list may finish its open work.
     pub drain_limit: Duration,
-    /// Where the last good lists are kept, where a disk lasts.
+    /// Directory for the last good lists, on persistent storage.
     pub last_good: Option<PathBuf>,
-    /// What to do at a start without any list.
-    pub empty: Empty,
-    /// For tests alone: safeguards that are left out.
+    /// What to do at start without any list.
+    pub on_empty: OnEmpty,
+    /// For tests only: disabled safeguards.
     pub without: BTreeSet<Safeguard>,
 }
 
-/// What guards a list. Tests leave single ones out, to see the harm that each keeps away.
+/// A safeguard for lists. Tests disable single ones to show the failure that each prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Safeguard {
     /// A list is checked against its seal.
     Seal,
-    /// A list without seal has to have settled.
+    /// An unsealed list must have remained unchanged for a while.
     Settle,
-    /// Files are looked at again after they were read, and a young one a second time.
+    /// Files are checked again after reading, and recently modified ones a second time.
     Again,
-    /// A list is checked before use.
+    /// A list is validated before use.
     Check,
-    /// What takes away much is held back.
+    /// A list that removes much capacity is held back.
     Guard,
-    /// What was taken out of a list drains.
+    /// Executors removed from a list are drained.
     Drain,
-    /// The file system notifies of changes.
+    /// Changes are detected by file system notifications.
     Notify,
 }
 
@@ -85,7 +85,7 @@
     ("notify", Safeguard::Notify),
 ];
 
-/// Reads the block.
+/// Reads the `motor_lists` block.
 pub(super) fn read(t: &Table<'_>, faults: &mut Vec<Fault>) -> Lists {
     let keys = [
         "precedence",
@@ -109,29 +109,29 @@
         terms: Terms::default(),
         settle: MS(300),
         poll: MS(1_000),
-        most_bytes: 8 << 20,
-        most_files: 256,
+        max_bytes: 8 << 20,
+        max_files: 256,
         guard: Guard::default(),
         drain_limit: MS(600_000),
         last_good: None,
-        empty: Empty::Serve,
+        on_empty: OnEmpty::Serve,
         without: BTreeSet::new(),
     };
     t.set("settle", &mut l.settle, faults, hcl::duration(MS(10)..=MS(60_000)));
     t.set("poll", &mut l.poll, faults, hcl::duration(MS(20)..=MS(60_000)));
-    t.set("max_size", &mut l.most_bytes, faults, hcl::size(1 << 10..=64 << 20));
+    t.set("max_size", &mut l.max_bytes, faults, hcl::size(1 << 10..=64 << 20));
     t.set("drain_limit", &mut l.drain_limit, faults, hcl::duration(MS(1_000)..=MS(86_400_000)));
-    t.set("max_weight", &mut l.terms.most_weight, faults, hcl::number(0.001..=1e6));
+    t.set("max_weight", &mut l.terms.max_weight, faults, hcl::number(0.001..=1e6));
     t.set("allow_loopback", &mut l.terms.loopback, faults, hcl::boolean);
     t.set("seals", &mut l.terms.sealed, faults, hcl::one_of(&[("required", true), ("optional", false)]));
-    let on_empty = [("serve", Empty::Serve), ("exit", Empty::Exit)];
-    t.set("on_empty", &mut l.empty, faults, hcl::one_of(&on_empty));
+    let on_empty = [("serve", OnEmpty::Serve), ("exit", OnEmpty::Exit)];
+    t.set("on_empty", &mut l.on_empty, faults, hcl::one_of(&on_empty));
     l.last_good = t.get("last_good", faults, hcl::string).map(PathBuf::from);
     if let Some(n) = t.get("max_files", faults, hcl::whole(1..=4_096)) {
-        l.most_files = n as usize;
+        l.max_files = n as usize;
     }
     if let Some(n) = t.get("max_motores", faults, hcl::whole(1..=100_000)) {
-        l.terms.most_executors = n as usize;
+        l.terms.max_executors = n as usize;
     }
     if let Some(nets) = t.get("networks", faults, hcl::list(hcl::parsed("10.0.0.0/8"))) {
         if nets.is_empty() {
@@ -182,7 +182,7 @@
     }
     if let Some(g) = t.block("guard", faults) {
         g.only(&["max_loss", "window", "remind", "accepted_for"], &[], faults);
-        g.set("max_loss", &mut l.guard.most_loss, faults, hcl::number(0.0..=1.0));
+        g.set("max_loss", &mut l.guard.max_loss, faults, hcl::number(0.0..=1.0));
         g.set("window", &mut l.guard.window, faults, hcl::duration(MS(0)..=MS(86_400_000)));
         g.set("remind", &mut l.guard.remind, faults, hcl::duration(MS(1_000)..=MS(86_400_000)));
         g.set("accepted_for", &mut l.guard.accepted_for, faults, hcl::duration(MS(1_000)..=MS(86_400_000)));
@@ -195,7 +195,7 @@
     l
 }
 
-/// Where acceptances of a list stand if nothing else is said: beside it.
+/// The default path of a list's acceptances, beside the list.
 pub fn accept_path(list: &Path) -> PathBuf {
     let mut name = list.file_name().unwrap_or_default().to_os_string();
     name.push(".accepted");
