--- a/crates/fleet/src/control_plane/follower/mod.rs
+++ b/crates/fleet/src/control_plane/follower/mod.rs
@@ -190,7 +190,7 @@
         self.renew_at = now + self.config.timing.renew_every;
         self.last_asked = now;
         let at = self.known.as_ref().map(|(fleet, _)| Resume { fleet: *fleet, revision: self.applied });
-        self.outgoing.push(FollowerMessage::Renew { at, asked: now });
+        self.outgoing.push(FollowerMessage::Renew { at, requested_at: now });
     }
 
     /// Shuts down: gives up the lease and tells the member.
--- a/crates/fleet/src/control_plane/follower/stream.rs
+++ b/crates/fleet/src/control_plane/follower/stream.rs
@@ -26,8 +26,8 @@
             (MemberMessage::Change(revision, change), Connection::Following { .. }) => {
                 self.change(now, revision, change);
             }
-            (MemberMessage::Keepalive { asked, lease, .. }, Connection::Following { .. }) => {
-                self.keepalive(now, asked, lease);
+            (MemberMessage::Keepalive { requested_at, lease, .. }, Connection::Following { .. }) => {
+                self.keepalive(now, requested_at, lease);
             }
             (MemberMessage::GoAway, Connection::Following { .. }) => {
                 self.fail_over(now, DisconnectReason::GoAway)
@@ -83,12 +83,12 @@
         }
     }
 
-    fn keepalive(&mut self, now: Micros, asked: Micros, lease: Option<Micros>) {
+    fn keepalive(&mut self, now: Micros, requested_at: Micros, lease: Option<Micros>) {
         // Only a renewal sent on this connection can extend the lease, and by no more than the configured
         // duration.
-        let own = asked <= self.last_asked;
+        let own = requested_at <= self.last_asked;
         let length = lease.map(|l| l.min(self.config.timing.follower_lease)).filter(|_| own);
-        let until = length.map(|l| asked + l).filter(|until| *until > now);
+        let until = length.map(|l| requested_at + l).filter(|until| *until > now);
         let Connection::Following { no_lease_since, .. } = &mut self.connection else { return };
         match until {
             Some(until) => {
--- a/crates/fleet/src/control_plane/member/sessions.rs
+++ b/crates/fleet/src/control_plane/member/sessions.rs
@@ -120,8 +120,8 @@
         let Some((follower, name)) = s.subscribed.clone() else { return Err(Violation::NotSubscribed) };
         match message {
             FollowerMessage::Subscribe { .. } => {}
-            FollowerMessage::Renew { at, asked } => {
-                return self.renew(now, session, follower, &name, (at, asked), view);
+            FollowerMessage::Renew { at, requested_at } => {
+                return self.renew(now, session, follower, &name, (at, requested_at), view);
             }
             FollowerMessage::Vote(number, mut faults) => {
                 faults.truncate(MAX_FAULTS);
@@ -198,7 +198,7 @@
         session: SessionId,
         follower: FollowerId,
         name: &str,
-        (at, asked): (Option<Resume>, Micros),
+        (at, requested_at): (Option<Resume>, Micros),
         view: Option<MemberView<'_>>,
     ) -> Result<(), Violation> {
         let Some(s) = self.sessions.get_mut(&session) else { return Ok(()) };
@@ -229,7 +229,7 @@
             None => self.counters.denied += 1,
         }
         let revision = view.map_or(0, |v| v.policies.revision());
-        self.outgoing.push((session, MemberMessage::Keepalive { asked, lease, revision }));
+        self.outgoing.push((session, MemberMessage::Keepalive { requested_at, lease, revision }));
         Ok(())
     }
 }
--- a/crates/fleet/src/control_plane/messages.rs
+++ b/crates/fleet/src/control_plane/messages.rs
@@ -56,7 +56,7 @@
         /// The applied position; `None` if the follower has no state yet.
         at: Option<Resume>,
         /// Time of the request by the follower's clock; the lease runs from then.
-        asked: Micros,
+        requested_at: Micros,
     },
     /// Vote on the policy of this number, with the faults found in it; no faults means yes.
     Vote(u64, Vec<String>),
@@ -100,9 +100,9 @@
     Change(Revision, Change),
     /// Answers a renewal.
     Keepalive {
-        /// The `asked` time of the renewal.
-        asked: Micros,
-        /// Duration of the lease from `asked`; `None` if no lease was granted.
+        /// The `requested_at` time of the renewal.
+        requested_at: Micros,
+        /// Duration of the lease from `requested_at`; `None` if no lease was granted.
         lease: Option<Micros>,
         /// The member's latest revision.
         revision: Revision,
--- a/crates/fleet/tests/control_plane/refusals.rs
+++ b/crates/fleet/tests/control_plane/refusals.rs
@@ -80,13 +80,13 @@
     let now = w.now;
     let node = w.members.get_mut(&1).unwrap();
     node.member.connected(now, 5_000);
-    let early = FollowerMessage::Renew { at: None, asked: 1 };
+    let early = FollowerMessage::Renew { at: None, requested_at: 1 };
     let view = node.fleet.view(now);
     assert_eq!(node.member.handle_message(now, 5_000, early, view), Err(Violation::NotSubscribed));
     let fleet = node.fleet.fleet_id().unwrap();
     let (peer, session) = w.followers[&0].connection.unwrap();
     let node = w.members.get_mut(&peer).unwrap();
-    let ahead = FollowerMessage::Renew { at: Some(Resume { fleet, revision: 1_000 }), asked: 1 };
+    let ahead = FollowerMessage::Renew { at: Some(Resume { fleet, revision: 1_000 }), requested_at: 1 };
     let view = node.fleet.view(now);
     assert_eq!(node.member.handle_message(now, session, ahead, view), Err(Violation::Revision(1_000)));
 }
--- a/crates/fleet/tests/control_plane/streams.rs
+++ b/crates/fleet/tests/control_plane/streams.rs
@@ -94,7 +94,7 @@
     let node = w.members.get_mut(&1).unwrap();
     node.member.outgoing.clear();
     let view = node.fleet.view(now);
-    node.member.handle_message(now, session, FollowerMessage::Renew { at, asked: now }, view).unwrap();
+    node.member.handle_message(now, session, FollowerMessage::Renew { at, requested_at: now }, view).unwrap();
     let answer = node.member.outgoing.iter().find_map(|(s, m)| match m {
         MemberMessage::Keepalive { lease, .. } if *s == session => Some(*lease),
         _ => None,
@@ -154,11 +154,11 @@
 
     // Frames of the follower protocol must not decode as frames of the peer protocol.
     #[test]
-    fn follower_and_peer_frames_are_distinguished(asked in any::<u64>()) {
-        let ours = FRAMING.encode(&FollowerMessage::Renew { at: None, asked });
+    fn follower_and_peer_frames_are_distinguished(requested_at in any::<u64>()) {
+        let ours = FRAMING.encode(&FollowerMessage::Renew { at: None, requested_at });
         prop_assert!(fleet::wire::decode_frame(&ours, 1 << 20).is_err());
         let read = FRAMING.decode::<FollowerMessage>(&ours, MAX_FOLLOWER_FRAME).unwrap().unwrap();
-        prop_assert_eq!(read.1, FollowerMessage::Renew { at: None, asked });
+        prop_assert_eq!(read.1, FollowerMessage::Renew { at: None, requested_at });
     }
 
     // A change that does not directly follow the known revision must leave the state unchanged.
--- a/crates/fleet/tests/stored_data/main.rs
+++ b/crates/fleet/tests/stored_data/main.rs
@@ -131,7 +131,7 @@
             resume: Some(resume),
             policy: 4,
         },
-        FollowerMessage::Renew { at: Some(resume), asked: 55 },
+        FollowerMessage::Renew { at: Some(resume), requested_at: 55 },
         FollowerMessage::Vote(5, vec!["no".into()]),
         FollowerMessage::Stopped(5),
         FollowerMessage::CannotApply(5, "why".into()),
@@ -155,7 +155,7 @@
         MemberMessage::Welcome { group: "control".into(), member: 2 },
         MemberMessage::Rejected(Rejection::Full(vec!["m2".into()])),
         MemberMessage::Snapshot { fleet: 9, policies: Box::new(agreed().policy().clone()) },
-        MemberMessage::Keepalive { asked: 55, lease: Some(1_000), revision: 4 },
+        MemberMessage::Keepalive { requested_at: 55, lease: Some(1_000), revision: 4 },
         MemberMessage::GoAway,
     ];
     let stored = bytes(include_str!("member-frames.hex"));
