--- a/crates/fleet/tests/policy_model/dispatcher.rs
+++ b/crates/fleet/tests/policy_model/dispatcher.rs
@@ -16,9 +16,9 @@
     pub seen: usize,
     pub view: Arc<View>,
     /// Number of leases this incarnation has requested.
-    pub asks: u32,
+    pub lease_requests: u32,
     /// Whether the last lease request is not seen yet.
-    pub asked: bool,
+    pub awaits_lease: bool,
     /// Its lease, as far as it knows.
     pub holder: Option<Holder>,
     pub part: Participant,
@@ -30,13 +30,23 @@
     /// A dispatcher that has requested its first lease.
     pub fn new(me: Peer) -> Dispatcher {
         let (view, part) = (Arc::default(), Participant::default());
-        Dispatcher { me, start: 1, seen: 0, view, asks: 1, asked: true, holder: None, part, out: Vec::new() }
+        Dispatcher {
+            me,
+            start: 1,
+            seen: 0,
+            view,
+            lease_requests: 1,
+            awaits_lease: true,
+            holder: None,
+            part,
+            out: Vec::new(),
+        }
     }
 
     /// Its lease expires. Without a lease it submits and admits nothing and reads the current state when it
     /// gets the next one, so the model delivers no entries to it until it requests a lease.
     pub fn lose_lease(&mut self) {
-        (self.holder, self.asked) = (None, false);
+        (self.holder, self.awaits_lease) = (None, false);
         (self.seen, self.view) = (0, Arc::default());
     }
 
@@ -44,7 +54,7 @@
     pub fn restart(&mut self, lost: bool) {
         self.lose_lease();
         self.start += 1;
-        (self.asks, self.part) = (0, Participant::default());
+        (self.lease_requests, self.part) = (0, Participant::default());
         if lost {
             self.out.clear();
         }
@@ -52,7 +62,7 @@
 
     /// Whether it has a lease or has requested one.
     pub fn follows(&self) -> bool {
-        self.holder.is_some() || self.asked
+        self.holder.is_some() || self.awaits_lease
     }
 
     pub fn incarnation(&self) -> Incarnation {
@@ -70,7 +80,7 @@
 
     /// Whether it may act under this lease, now or once it sees that it was granted.
     pub fn may_hold(&self, h: Holder) -> bool {
-        self.holder == Some(h) || (self.asked && self.incarnation() == h.incarnation)
+        self.holder == Some(h) || (self.awaits_lease && self.incarnation() == h.incarnation)
     }
 
     pub fn read_log(&mut self, entries: &[Entry], checks: &Checks) {
@@ -79,10 +89,10 @@
             let view = Arc::make_mut(&mut self.view);
             view.apply(entry, checks);
             match entry {
-                Entry::Register(incarnation, ask)
-                    if self.asked && *incarnation == own && *ask == self.asks =>
+                Entry::Register(incarnation, number)
+                    if self.awaits_lease && *incarnation == own && *number == self.lease_requests =>
                 {
-                    self.asked = false;
+                    self.awaits_lease = false;
                     self.holder = view.leases.alive().iter().find(|h| h.incarnation == *incarnation).copied();
                 }
                 Entry::Expire(h) if self.holder == Some(*h) => self.holder = None,
--- a/crates/fleet/tests/policy_model/main.rs
+++ b/crates/fleet/tests/policy_model/main.rs
@@ -42,16 +42,17 @@
 fn check_all(all: &[Checks]) {
     let mut reached = BTreeSet::new();
     for checks in all {
-        let (begun, bounds) = (Instant::now(), checks.bounds);
+        let (start, bounds) = (Instant::now(), checks.bounds);
         let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(4));
-        let done = checks.clone().checker().threads(threads).spawn_bfs().join();
+        let checker = checks.clone().checker().threads(threads).spawn_bfs().join();
         let case = if checks.faulty.is_some() { "one dispatcher finds a fault" } else { "no faults" };
-        let (unique, steps, depth) = (done.unique_state_count(), done.state_count(), done.max_depth());
-        let seconds = begun.elapsed().as_secs_f64();
+        let (unique, steps, depth) =
+            (checker.unique_state_count(), checker.state_count(), checker.max_depth());
+        let seconds = start.elapsed().as_secs_f64();
         println!("{case}: {unique} states, {steps} steps, depth {depth}, {seconds:.1} s: {bounds:?}");
-        assert!(done.is_done(), "every state was checked");
-        properties::always().iter().for_each(|p| done.assert_no_discovery(p.name));
-        reached.extend(done.discoveries().into_keys());
+        assert!(checker.is_done(), "every state was checked");
+        properties::always().iter().for_each(|p| checker.assert_no_discovery(p.name));
+        reached.extend(checker.discoveries().into_keys());
     }
     let wanted = all.iter().flat_map(|c| &c.reached).map(|p| p.name);
     let missed: Vec<&str> = wanted.filter(|name| !reached.contains(name)).collect();
@@ -60,12 +61,12 @@
 
 /// Finds a shortest path to a violation of the property.
 fn finds_violation(defect: Defect, property: &'static str, base: Checks) {
-    let begun = Instant::now();
+    let start = Instant::now();
     let checks = Checks { defect, reached: Vec::new(), ..base };
     let only = HasDiscoveries::AnyOf([property].into());
-    let done = checks.checker().finish_when(only).spawn_bfs().join();
-    let path = done.assert_any_discovery(property).into_actions();
-    let (states, seconds) = (done.unique_state_count(), begun.elapsed().as_secs_f64());
+    let checker = checks.checker().finish_when(only).spawn_bfs().join();
+    let path = checker.assert_any_discovery(property).into_actions();
+    let (states, seconds) = (checker.unique_state_count(), start.elapsed().as_secs_f64());
     println!(
         "{defect:?}: {property}: violated after {} steps, {states} states, {seconds:.1} s: {path:?}",
         path.len()
--- a/crates/fleet/tests/policy_model/model.rs
+++ b/crates/fleet/tests/policy_model/model.rs
@@ -97,8 +97,8 @@
                 to.extend((!d.out.is_empty()).then_some(Action::Crash(n, false)));
             }
             // A dispatcher's expired lease has to be ended in the log before it requests another one.
-            let gone = w.latest.leases.alive().iter().all(|h| h.incarnation != d.incarnation());
-            if !d.follows() && gone {
+            let expired = w.latest.leases.alive().iter().all(|h| h.incarnation != d.incarnation());
+            if !d.follows() && expired {
                 to.push(Action::Register(n));
             }
             if d.admits(self).is_some_and(|number| number > w.highest) {
--- a/crates/fleet/tests/policy_model/world.rs
+++ b/crates/fleet/tests/policy_model/world.rs
@@ -64,9 +64,9 @@
             }
             Action::Register(n) => {
                 let d = &mut self.dispatchers[n];
-                (d.asks, d.asked) = (d.asks + 1, true);
+                (d.lease_requests, d.awaits_lease) = (d.lease_requests + 1, true);
                 (d.seen, d.view) = (self.log.len(), self.latest.clone());
-                let entry = Entry::Register(d.incarnation(), d.asks);
+                let entry = Entry::Register(d.incarnation(), d.lease_requests);
                 self.append(entry, checks);
             }
             Action::Propose => {
