--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -8,19 +8,19 @@
 //! - [`predict`]: predicted completion times, and the number of slots to request.
 //! - [`queue`]: waiting and running queries.
 //! - [`flow`]: start tags of tenants and the virtual time.
-//! - [`news`]: demand and usage reports between dispatchers.
+//! - [`reports`]: demand and usage reports between dispatchers.
 //! - [`split`]: weighted max-min allocation of the fleet's slots to tenants.
 
 pub mod flow;
 mod moves;
-pub mod news;
 pub mod predict;
 pub mod queue;
+pub mod reports;
 pub mod split;
 
-pub use news::{Part, Shares};
 pub use predict::Want;
 pub use queue::Queue;
+pub use reports::{DemandReport, TenantDemand};
 
 /// Microseconds.
 pub type Micros = u64;
@@ -50,7 +50,7 @@
     /// How far it may count as ahead, in the same unit; any excess is forgiven.
     pub debt_s: f64,
     /// Age from which a peer's report is ignored.
-    pub stale: Micros,
+    pub max_report_age: Micros,
     /// Maximum retry delay told on refusal, in milliseconds.
     pub after_most_ms: u64,
 }
@@ -62,7 +62,7 @@
             slow_s: 1.0,
             credit_s: 2.0,
             debt_s: 10.0,
-            stale: 1_500_000,
+            max_report_age: 1_500_000,
             after_most_ms: 60_000,
         }
     }
--- a/crates/slots/src/predict.rs
+++ b/crates/slots/src/predict.rs
@@ -30,7 +30,7 @@
     /// most the own equal part is requested, but at least one slot.
     pub fn want(&mut self, now: Micros) -> Want {
         let demand = self.running() + self.waiting() as u32;
-        let heard = self.heard.fresh(now, self.terms.stale).count() as u32 + 1;
+        let reporting = self.peer_reports.fresh(now, self.terms.max_report_age).count() as u32 + 1;
         let total = self.lent.total;
         let wanted: f64 = self.dues(now).values().map(|d| d.here).sum();
         let before = self.smooth.unwrap_or((wanted, now));
@@ -41,12 +41,12 @@
         if (mean - f64::from(self.firm)).abs() > MOVE {
             self.firm = mean.round() as u32;
         }
-        if heard < self.lent.peers {
-            let part = (f64::from(total) / f64::from(self.lent.peers)) * f64::from(heard);
+        if reporting < self.lent.peers {
+            let part = (f64::from(total) / f64::from(self.lent.peers)) * f64::from(reporting);
             self.firm = self.firm.min(part as u32);
         }
         let firm = self.firm.max(u32::from(demand > 0)).min(demand).min(total);
-        let most = if heard < self.lent.peers { firm } else { demand.min(total) };
+        let most = if reporting < self.lent.peers { firm } else { demand.min(total) };
         Want { firm, most }
     }
 
@@ -56,9 +56,10 @@
         for (t, f) in self.flows.all.iter().filter(|(_, f)| f.waiting + f.running > 0) {
             mine.insert(*t, f64::from(f.waiting + f.running));
         }
-        let words: Vec<_> = self.heard.fresh(now, self.terms.stale).map(|(_, s)| s).collect();
+        let reports: Vec<_> =
+            self.peer_reports.fresh(now, self.terms.max_report_age).map(|(_, s)| s).collect();
         let mut tenants: BTreeMap<Tenant, usize> = BTreeMap::new();
-        let theirs = words.iter().flat_map(|s| &s.tenants).filter(|(_, p)| p.waiting > 0 || p.running > 0);
+        let theirs = reports.iter().flat_map(|s| &s.tenants).filter(|(_, p)| p.waiting > 0 || p.running > 0);
         for t in mine.keys().copied().chain(theirs.map(|(t, _)| *t)) {
             let next = tenants.len();
             tenants.entry(t).or_insert(next);
@@ -67,10 +68,10 @@
         let rest = tenants.len();
         let mut weights = vec![1.0; rest + 1];
         tenants.iter().for_each(|(t, &i)| weights[i] = self.flows.weight(*t));
-        weights[rest] = words.iter().map(|s| f64::from(s.rest_tenants)).fold(0.0, f64::max);
+        weights[rest] = reports.iter().map(|s| f64::from(s.rest_tenants)).fold(0.0, f64::max);
         let mut demands = vec![Demand { wants: vec![0.0; rest + 1], used: f64::from(self.running()) }];
         mine.iter().for_each(|(t, d)| demands[0].wants[tenants[t]] = *d);
-        for s in words {
+        for s in reports {
             let mut demand = Demand { wants: vec![0.0; rest + 1], used: s.running() };
             for (t, p) in s.tenants.iter().filter(|(t, _)| tenants.contains_key(t)) {
                 demand.wants[tenants[t]] = f64::from(p.waiting) + f64::from(p.running);
--- a/crates/slots/src/queue.rs
+++ b/crates/slots/src/queue.rs
@@ -1,7 +1,7 @@
 //! The waiting and running requests at one dispatcher.
 
 use crate::flow::Flows;
-use crate::news::{Heard, Part, Shares};
+use crate::reports::{DemandReport, PeerReports, TenantDemand};
 use crate::{Id, Job, Lent, Micros, Next, Peer, SECOND, TENANTS, Tenant, Terms, Verdict, sane};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -30,7 +30,7 @@
     /// For each key the request that runs or is next, and those behind it.
     pub(crate) keys: BTreeMap<u64, VecDeque<Id>>,
     pub(crate) flows: Flows,
-    pub(crate) heard: Heard,
+    pub(crate) peer_reports: PeerReports,
     pub(crate) lent: Lent,
     pub(crate) running: u32,
     seq: u64,
@@ -51,7 +51,7 @@
             order: BTreeMap::new(),
             keys: BTreeMap::new(),
             flows: Flows::default(),
-            heard: Heard::default(),
+            peer_reports: PeerReports::default(),
             lent: Lent::default(),
             running: 0,
             seq: 0,
@@ -175,8 +175,8 @@
     }
 
     /// Handles a peer's report. One that is out of limits or older than the last is ignored.
-    pub fn news(&mut self, now: Micros, peer: Peer, shares: Shares) {
-        for (tenant, slot_s) in self.heard.take(now, peer, shares) {
+    pub fn handle_report(&mut self, now: Micros, peer: Peer, report: DemandReport) {
+        for (tenant, slot_s) in self.peer_reports.store(now, peer, report) {
             self.flows.charge(tenant.min(TENANTS - 1), slot_s, false);
         }
         self.mark(now);
@@ -184,13 +184,13 @@
     }
 
     /// This dispatcher's report to its peers, some hundred bytes; sent a few times a second.
-    pub fn share(&self, now: Micros) -> Shares {
-        let part = |f: &crate::flow::Flow| Part {
+    pub fn report(&self, now: Micros) -> DemandReport {
+        let part = |f: &crate::flow::Flow| TenantDemand {
             waiting: f.waiting,
             running: f.running,
             used_ms: (f.charged * 1e3) as i64,
         };
-        Shares::of(self.incarnation, now, self.flows.all.iter().map(|(t, f)| (*t, part(f))).collect())
+        DemandReport::of(self.incarnation, now, self.flows.all.iter().map(|(t, f)| (*t, part(f))).collect())
     }
 
     /// Sets the present slots. If more requests run than that, none is stopped, and none starts until enough have finished.
@@ -211,7 +211,7 @@
     /// Marks the tenants with requests at peers, according to the fresh reports.
     fn mark(&mut self, now: Micros) {
         self.flows.all.values_mut().for_each(|f| (f.waits_elsewhere, f.active_elsewhere) = (false, false));
-        for (_, s) in self.heard.fresh(now, self.terms.stale) {
+        for (_, s) in self.peer_reports.fresh(now, self.terms.max_report_age) {
             for (t, p) in s.tenants.iter().filter(|(_, p)| p.waiting > 0 || p.running > 0) {
                 let flow = self.flows.get((*t).min(TENANTS - 1));
                 flow.waits_elsewhere |= p.waiting > 0;
--- a/crates/slots/tests/cases.rs
+++ b/crates/slots/tests/cases.rs
@@ -1,7 +1,7 @@
-//! The queue at one dispatcher: shares, limits, corrected charges, refusals, keys and weights.
+//! The queue at one dispatcher: report, limits, corrected charges, refusals, keys and weights.
 
 use proptest::prelude::*;
-use slots::{Id, Job, Lent, Micros, Next, Part, Queue, Shares, Tenant, Terms, Verdict};
+use slots::{DemandReport, Id, Job, Lent, Micros, Next, Queue, Tenant, TenantDemand, Terms, Verdict};
 
 const MS: Micros = 1_000;
 const START: Micros = 1_000_000 * MS;
@@ -127,7 +127,7 @@
     assert!(got[0] - 20.0 * 0.3 < all / 100.0 * 1.1 && all > 0.97 * 20.0 * 20.0, "{} of {all}", got[0]);
 }
 
-/// Guards against shares that still follow old weights, and against a jump when the weights change.
+/// Guards against report that still follow old weights, and against a jump when the weights change.
 #[test]
 fn weights_changed_in_the_middle_hold_from_then_on() {
     let mut q = queue(4);
@@ -189,7 +189,7 @@
 
 /// Guards against requesting more than the own part without reports of the peers, and against reports of unlimited size.
 #[test]
-fn without_news_no_more_than_the_own_part_is_wanted() {
+fn without_reports_no_more_than_the_own_part_is_wanted() {
     let mut q = Queue::new(Terms::default(), 1);
     q.set_slots(START, Lent { mine: 0, total: 40, peers: 4 });
     for i in 0..200 {
@@ -197,14 +197,18 @@
     }
     let want = q.want(START);
     assert_eq!((want.firm, want.most), (10, 10));
-    let size = postcard::to_stdvec(&q.share(START)).unwrap().len();
+    let size = postcard::to_stdvec(&q.report(START)).unwrap().len();
     assert!(size < 600, "{size} bytes");
     // Idle peers leave their parts to others until their reports are stale.
-    let quiet = |p| Shares { incarnation: p, at: START, ..Shares::default() };
-    (2..5).for_each(|p| q.news(START, p as u8, quiet(p)));
+    let quiet = |p| DemandReport { incarnation: p, at: START, ..DemandReport::default() };
+    (2..5).for_each(|p| q.handle_report(START, p as u8, quiet(p)));
     let most = |q: &mut Queue, at| q.want(at).most;
     assert_eq!(most(&mut q, START), 40);
     assert_eq!(most(&mut q, START + 1_600 * MS), 10);
-    let too_many = Shares { at: START + 1, tenants: vec![(0, Part::default()); 49], ..Shares::default() };
-    assert!(!too_many.fits());
+    let too_many = DemandReport {
+        at: START + 1,
+        tenants: vec![(0, TenantDemand::default()); 49],
+        ..DemandReport::default()
+    };
+    assert!(!too_many.is_within_limits());
 }
--- a/crates/slots/tests/fleet.rs
+++ b/crates/slots/tests/fleet.rs
@@ -5,12 +5,17 @@
 use sim::{AIM, Figures, MS, World, run};
 use slots::Micros;
 
-fn world(dispatchers: usize, heavy_at_one: bool, light_at_one: bool, news: Option<Micros>) -> Figures {
+fn world(
+    dispatchers: usize,
+    heavy_at_one: bool,
+    light_at_one: bool,
+    report_delay: Option<Micros>,
+) -> Figures {
     let tenants = vec![(10.0, heavy_at_one), (0.8, light_at_one), (0.8, false), (0.8, false)];
-    run(&World { seed: 1, dispatchers, slots: 60, tenants, news, seconds: 30 })
+    run(&World { seed: 1, dispatchers, slots: 60, tenants, report_delay, seconds: 30 })
 }
 
-/// Checks fair shares, no slot used twice, few unused slots, and bounded waits and refusals of the other tenants.
+/// Checks fair report, no slot used twice, few unused slots, and bounded waits and refusals of the other tenants.
 fn hold(name: &str, f: &Figures, idle: f64, refused: f64) {
     assert_eq!(f.twice, 0, "{name}: {f:?}");
     assert!(f.jain > 0.97 && f.idle < idle, "{name}: {f:?}");
@@ -18,34 +23,34 @@
     assert!(waits && f.refused[1..].iter().all(|r| *r < refused), "{name}: {f:?}");
 }
 
-fn with_news(n: usize, idle: f64) {
-    let news = Some(250 * MS);
-    hold("clients everywhere", &world(n, false, false, news), idle, 0.02);
-    hold("the heavy one's clients at one", &world(n, true, false, news), idle, 0.02);
-    hold("a light one's clients at one", &world(n, false, true, news), idle, 0.12);
+fn with_reports(n: usize, idle: f64) {
+    let report_delay = Some(250 * MS);
+    hold("clients everywhere", &world(n, false, false, report_delay), idle, 0.02);
+    hold("the heavy one's clients at one", &world(n, true, false, report_delay), idle, 0.02);
+    hold("a light one's clients at one", &world(n, false, true, report_delay), idle, 0.12);
 }
 
-/// Guards against unfair shares, unused capacity and slots leased twice in a small fleet.
+/// Guards against unfair report, unused capacity and slots leased twice in a small fleet.
 #[test]
 fn three_share_by_weight() {
-    with_news(3, 0.03);
+    with_reports(3, 0.03);
 }
 
 /// The same in a fleet of ten.
 #[test]
 fn ten_share_by_weight() {
-    with_news(10, 0.03);
+    with_reports(10, 0.03);
 }
 
 /// The same in a fleet of thirty with two slots each, where slots move most often.
 #[test]
 fn thirty_share_by_weight() {
-    with_news(30, 0.035);
+    with_reports(30, 0.035);
 }
 
 /// Guards against dispatchers without reports that take more than their parts or share their own slots unfairly.
 #[test]
-fn without_news_each_keeps_its_part_fairly() {
+fn without_reports_each_keeps_its_part_fairly() {
     for n in [3, 10, 30] {
         hold("cut", &world(n, false, false, None), 0.03, 0.08);
     }
--- a/crates/slots/tests/sim/mod.rs
+++ b/crates/slots/tests/sim/mod.rs
@@ -4,7 +4,7 @@
 use fleet::{Holder, StateMachine, incarnation};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use slots::{Id, Job, Lent, Micros, Next, Queue, Shares, Tenant, Terms, Verdict};
+use slots::{DemandReport, Id, Job, Lent, Micros, Next, Queue, Tenant, Terms, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub const MS: Micros = 1_000;
@@ -23,7 +23,7 @@
     /// Load of each tenant in units of its fair share, and whether all its clients are at one dispatcher.
     pub tenants: Vec<(f64, bool)>,
     /// Delay of reports; `None` if there are no reports.
-    pub news: Option<Micros>,
+    pub report_delay: Option<Micros>,
     pub seconds: u64,
 }
 
@@ -86,7 +86,7 @@
         })
         .collect();
     let mut log: VecDeque<(Micros, Command)> = VecDeque::new();
-    let mut mail: VecDeque<(Micros, usize, Shares)> = VecDeque::new();
+    let mut mail: VecDeque<(Micros, usize, DemandReport)> = VecDeque::new();
     let (mut known, mut ends): (Known, BTreeSet<(Micros, Id)>) = (BTreeMap::new(), BTreeSet::new());
     let mut account: Account = Vec::new();
     let (mut idle, mut counted, mut next_id, mut twice) = (0.0, 0.0, 0, 0);
@@ -106,9 +106,9 @@
             record.apply(command, &alive);
         }
         while mail.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, from, shares) = mail.pop_front().unwrap();
+            let (_, from, report) = mail.pop_front().unwrap();
             let to = all.iter_mut().enumerate().filter(|(d, _)| *d != from);
-            to.for_each(|(_, d)| d.queue.news(now, from as u8 + 1, shares.clone()));
+            to.for_each(|(_, d)| d.queue.handle_report(now, from as u8 + 1, report.clone()));
         }
         let (mut touched, mut started) = (vec![false; n], Vec::new());
         while ends.first().is_some_and(|(at, _)| *at <= now) {
@@ -175,10 +175,10 @@
                 log.extend(asks.map(|c| (now + LOG, c)));
             }
             // Each dispatcher reports four times a second, at different times.
-            if let Some(late) = w.news
+            if let Some(late) = w.report_delay
                 && (now / STEP + d as u64 * 7) % 50 == 0
             {
-                mail.push_back((now + late, d, x.queue.share(now)));
+                mail.push_back((now + late, d, x.queue.report(now)));
             }
             twice += u32::from(x.queue.running() > u32::from(record.of(x.me).0));
         }
