--- a/crates/slots/src/flow.rs
+++ b/crates/slots/src/flow.rs
@@ -70,7 +70,7 @@
 /// All tenants and the virtual time.
 #[derive(Debug, Clone, Default)]
 pub struct Flows {
-    /// State by tenant; at most [`crate::TENANTS`] entries.
+    /// State by tenant; at most [`crate::MAX_TENANTS`] entries.
     pub all: BTreeMap<Tenant, Flow>,
     weights: BTreeMap<Tenant, f64>,
     time: f64,
--- a/crates/slots/src/lib.rs
+++ b/crates/slots/src/lib.rs
@@ -24,7 +24,7 @@
 
 /// Microseconds.
 pub type Micros = u64;
-/// A tenant's index. Indexes from [`TENANTS`] on share one tenant.
+/// A tenant's index. Indexes from [`MAX_TENANTS`] on share one tenant.
 pub type Tenant = u16;
 /// A dispatcher's number in the fleet.
 pub type Peer = u8;
@@ -32,9 +32,9 @@
 pub type Id = u64;
 
 /// Maximum number of distinct tenants.
-pub const TENANTS: Tenant = 1024;
+pub const MAX_TENANTS: Tenant = 1024;
 /// Maximum number of tenants listed individually in a report to the peers.
-pub const NAMED: usize = 48;
+pub const MAX_LISTED_TENANTS: usize = 48;
 
 const SECOND: f64 = 1e6;
 
@@ -52,7 +52,7 @@
     /// Age from which a peer's report is ignored.
     pub max_report_age: Micros,
     /// Maximum retry delay told on refusal, in milliseconds.
-    pub after_most_ms: u64,
+    pub max_retry_after_ms: u64,
 }
 
 impl Default for Terms {
@@ -63,7 +63,7 @@
             credit_s: 2.0,
             debt_s: 10.0,
             max_report_age: 1_500_000,
-            after_most_ms: 60_000,
+            max_retry_after_ms: 60_000,
         }
     }
 }
--- a/crates/slots/src/moves.rs
+++ b/crates/slots/src/moves.rs
@@ -49,6 +49,6 @@
     pub(crate) fn later(&mut self, late: Micros) -> u64 {
         let ms = (late / 1_000).max(1);
         let spread = self.rng.next_u64() % (ms / 4 + 1);
-        (ms + spread).min(self.terms.after_most_ms.max(1))
+        (ms + spread).min(self.terms.max_retry_after_ms.max(1))
     }
 }
--- a/crates/slots/src/predict.rs
+++ b/crates/slots/src/predict.rs
@@ -9,7 +9,7 @@
 /// objective; the tolerance covers fluctuations of the service rate.
 const SLACK: u64 = 10;
 /// Lower bound of the average number of slots assumed for a tenant.
-const LEAST_PACE: f64 = 0.02;
+const MIN_PACE: f64 = 0.02;
 /// Assumed remaining time of a request that has run longer than predicted, as a fraction of its time so far.
 const OVERRUN: f64 = 0.25;
 /// Time constant for smoothing the wanted slots, and the change needed before another number is requested.
@@ -129,12 +129,12 @@
             // A tenant within its share is served before those that are not.
             let part =
                 if due.content { slots.min(due.here.max(1.0)) } else { due.here * slots / sum.max(1e-9) };
-            let pace = part.max(LEAST_PACE);
+            let pace = part.max(MIN_PACE);
             let work = left.entry(e.tenant).or_default();
             // With several slots, the last of the requests ahead are still running when it starts.
             let ahead = (*work - (pace - 1.0).max(0.0) * span / 2.0).max(0.0) / pace;
             // If the tenant is ahead of its share in the fleet, that lead has to be worked off first.
-            let lead = if free { 0.0 } else { self.ahead_s(e.tenant) / due.fleet.max(LEAST_PACE) };
+            let lead = if free { 0.0 } else { self.ahead_s(e.tenant) / due.fleet.max(MIN_PACE) };
             let blocked = e.job.key.and_then(|k| key_ends.get(&k).copied()).unwrap_or(0.0);
             let starts = ahead.max(lead).max(soonest).max(blocked);
             let end = now.saturating_add(((starts + span) * SECOND) as Micros);
--- a/crates/slots/src/queue.rs
+++ b/crates/slots/src/queue.rs
@@ -2,7 +2,7 @@
 
 use crate::flow::Flows;
 use crate::reports::{DemandReport, PeerReports, TenantDemand};
-use crate::{Id, Job, Lent, Micros, Next, Peer, SECOND, TENANTS, Tenant, Terms, Verdict, sane};
+use crate::{Id, Job, Lent, MAX_TENANTS, Micros, Next, Peer, SECOND, Tenant, Terms, Verdict, sane};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -78,18 +78,21 @@
     /// A tenant's start tag minus the virtual time, in slot seconds: how far it counts as ahead of its share, or behind
     /// if negative.
     pub fn ahead_s(&self, tenant: Tenant) -> f64 {
-        self.flows.all.get(&tenant.min(TENANTS - 1)).map_or(0.0, |f| (f.tag - self.flows.time()) * f.weight)
+        self.flows
+            .all
+            .get(&tenant.min(MAX_TENANTS - 1))
+            .map_or(0.0, |f| (f.tag - self.flows.time()) * f.weight)
     }
 
     /// Offers a slow request.
     pub fn offer(&mut self, now: Micros, job: Job) -> Verdict {
         // No tenant may have more requests waiting than there is room left, so that one tenant can't fill the queue.
         let room = self.terms.waiting.saturating_sub(self.order.len());
-        let mine = self.flows.get(job.tenant.min(TENANTS - 1)).waiting as usize;
+        let mine = self.flows.get(job.tenant.min(MAX_TENANTS - 1)).waiting as usize;
         if self.jobs.contains_key(&job.id) || mine >= room {
             return Verdict::Refuse { after_ms: self.later(SECOND as Micros) };
         }
-        let (id, aim, tenant) = (job.id, job.aim.min(job.deadline), job.tenant.min(TENANTS - 1));
+        let (id, aim, tenant) = (job.id, job.aim.min(job.deadline), job.tenant.min(MAX_TENANTS - 1));
         self.seq += 1;
         let entry = Entry { tenant, seq: self.seq, arrived: now, runs: None, job };
         self.order.insert(entry.seq, id);
@@ -177,7 +180,7 @@
     /// Handles a peer's report. One that is out of limits or older than the last is ignored.
     pub fn handle_report(&mut self, now: Micros, peer: Peer, report: DemandReport) {
         for (tenant, slot_s) in self.peer_reports.store(now, peer, report) {
-            self.flows.charge(tenant.min(TENANTS - 1), slot_s, false);
+            self.flows.charge(tenant.min(MAX_TENANTS - 1), slot_s, false);
         }
         self.mark(now);
         self.settle();
@@ -203,7 +206,7 @@
     /// Sets the tenants' weights, clamped to 0.001..1000; 1 for tenants not given.
     pub fn set_weights(&mut self, now: Micros, weights: &[(Tenant, f64)]) {
         let _ = now;
-        let kept = weights.iter().filter(|(t, w)| *t < TENANTS && w.is_finite());
+        let kept = weights.iter().filter(|(t, w)| *t < MAX_TENANTS && w.is_finite());
         self.flows.set_weights(kept.map(|(t, w)| (*t, w.clamp(0.001, 1000.0))).collect());
         self.settle();
     }
@@ -213,7 +216,7 @@
         self.flows.all.values_mut().for_each(|f| (f.waits_elsewhere, f.active_elsewhere) = (false, false));
         for (_, s) in self.peer_reports.fresh(now, self.terms.max_report_age) {
             for (t, p) in s.tenants.iter().filter(|(_, p)| p.waiting > 0 || p.running > 0) {
-                let flow = self.flows.get((*t).min(TENANTS - 1));
+                let flow = self.flows.get((*t).min(MAX_TENANTS - 1));
                 flow.waits_elsewhere |= p.waiting > 0;
                 flow.active_elsewhere = true;
             }
--- a/crates/slots/src/reports.rs
+++ b/crates/slots/src/reports.rs
@@ -1,6 +1,6 @@
 //! Reports that dispatchers exchange a few times a second: demand and usage by tenant.
 
-use crate::{Micros, NAMED, Peer, Tenant};
+use crate::{MAX_LISTED_TENANTS, Micros, Peer, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     pub incarnation: u64,
     /// When it was made, by the sender's clock.
     pub at: Micros,
-    /// The tenants with the most demand, at most [`NAMED`].
+    /// The tenants with the most demand, at most [`MAX_LISTED_TENANTS`].
     pub tenants: Vec<(Tenant, TenantDemand)>,
     /// The sum of all others.
     pub rest: TenantDemand,
@@ -35,20 +35,20 @@
     pub fn of(incarnation: u64, at: Micros, mut parts: Vec<(Tenant, TenantDemand)>) -> DemandReport {
         parts.sort_by_key(|(t, p)| (std::cmp::Reverse(p.waiting.saturating_add(p.running)), *t));
         let mut report = DemandReport { incarnation, at, ..DemandReport::default() };
-        for (_, p) in parts.iter().skip(NAMED) {
+        for (_, p) in parts.iter().skip(MAX_LISTED_TENANTS) {
             report.rest.waiting = report.rest.waiting.saturating_add(p.waiting);
             report.rest.running = report.rest.running.saturating_add(p.running);
             report.rest.used_ms = report.rest.used_ms.saturating_add(p.used_ms);
             report.rest_tenants += u16::from(p.waiting + p.running > 0);
         }
-        parts.truncate(NAMED);
+        parts.truncate(MAX_LISTED_TENANTS);
         report.tenants = parts;
         report
     }
 
     /// Whether it is within its limits.
     pub fn is_within_limits(&self) -> bool {
-        self.tenants.len() <= NAMED
+        self.tenants.len() <= MAX_LISTED_TENANTS
     }
 
     /// Slots in use according to the sender.
@@ -90,7 +90,7 @@
             let missing = before.tenants.iter().filter(|(t, _)| used(&report, *t).is_none());
             let kept =
                 missing.map(|(t, p)| (*t, TenantDemand { used_ms: p.used_ms, ..TenantDemand::default() }));
-            let kept: Vec<_> = kept.take(2 * NAMED - report.tenants.len()).collect();
+            let kept: Vec<_> = kept.take(2 * MAX_LISTED_TENANTS - report.tenants.len()).collect();
             report.tenants.extend(kept);
         }
         self.last.insert(peer, (now, report));
--- a/crates/slots/tests/cases.rs
+++ b/crates/slots/tests/cases.rs
@@ -1,4 +1,4 @@
-//! The queue at one dispatcher: report, limits, corrected charges, refusals, keys and weights.
+//! The queue at one dispatcher: shares, limits, corrected charges, refusals, keys and weights.
 
 use proptest::prelude::*;
 use slots::{DemandReport, Id, Job, Lent, Micros, Next, Queue, Tenant, TenantDemand, Terms, Verdict};
@@ -127,7 +127,7 @@
     assert!(got[0] - 20.0 * 0.3 < all / 100.0 * 1.1 && all > 0.97 * 20.0 * 20.0, "{} of {all}", got[0]);
 }
 
-/// Guards against report that still follow old weights, and against a jump when the weights change.
+/// Guards against shares that still follow old weights, and against a jump when the weights change.
 #[test]
 fn weights_changed_in_the_middle_hold_from_then_on() {
     let mut q = queue(4);
--- a/crates/slots/tests/fleet.rs
+++ b/crates/slots/tests/fleet.rs
@@ -15,7 +15,7 @@
     run(&World { seed: 1, dispatchers, slots: 60, tenants, report_delay, seconds: 30 })
 }
 
-/// Checks fair report, no slot used twice, few unused slots, and bounded waits and refusals of the other tenants.
+/// Checks fair shares, no slot used twice, few unused slots, and bounded waits and refusals of the other tenants.
 fn hold(name: &str, f: &Figures, idle: f64, refused: f64) {
     assert_eq!(f.twice, 0, "{name}: {f:?}");
     assert!(f.jain > 0.97 && f.idle < idle, "{name}: {f:?}");
@@ -30,7 +30,7 @@
     hold("a light one's clients at one", &world(n, false, true, report_delay), idle, 0.12);
 }
 
-/// Guards against unfair report, unused capacity and slots leased twice in a small fleet.
+/// Guards against unfair shares, unused capacity and slots leased twice in a small fleet.
 #[test]
 fn three_share_by_weight() {
     with_reports(3, 0.03);
--- a/src/net/control_plane/server.rs
+++ b/src/net/control_plane/server.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 /// Maximum number of connections accepted in one turn.
-const ACCEPTS: usize = 64;
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 /// Unsent bytes above which a follower counts as a slow reader and gets nothing new.
 const BLOCKED: usize = 64 << 10;
 /// A partly received message has to be complete within this time: the longest message within one lease.
@@ -63,13 +63,13 @@
     served: BTreeMap<Key, Served>,
     /// Connections with a running timeout: closing, or with a partly received message.
     timed: BTreeSet<Key>,
-    most: usize,
+    max_connections: usize,
     pub(super) tally: ServerTally,
 }
 
 impl FollowerServer {
     /// Listens and accepts at most this many connections at once.
-    pub(super) fn bind(at: SocketAddr, most: usize, poll: &Poll) -> io::Result<FollowerServer> {
+    pub(super) fn bind(at: SocketAddr, max_connections: usize, poll: &Poll) -> io::Result<FollowerServer> {
         let listener = listen::bind(at)?;
         let key = poll.add(&listener, false)?;
         Ok(FollowerServer {
@@ -77,7 +77,7 @@
             key,
             served: BTreeMap::new(),
             timed: BTreeSet::new(),
-            most,
+            max_connections,
             tally: ServerTally::default(),
         })
     }
@@ -126,9 +126,9 @@
 
     fn accept(&mut self, _now: Micros, poll: &Poll) -> Vec<Heard> {
         let mut heard = Vec::new();
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Ok((stream, _)) = self.listener.accept() else { break };
-            if self.served.len() >= self.most {
+            if self.served.len() >= self.max_connections {
                 self.tally.refused += 1;
                 continue;
             }
--- a/src/net/control_plane/setup.rs
+++ b/src/net/control_plane/setup.rs
@@ -23,7 +23,7 @@
 const GIVE_UP_LEASES: u64 = 10;
 
 /// The longest message between members: a snapshot with its policies and pending changes, whose size is limited.
-const MOST_MEMBER_MESSAGE: usize = 16 << 20;
+const MAX_MEMBER_MESSAGE: usize = 16 << 20;
 
 /// Connections at the operators' address; in a burst of changes each call has its own.
 const CALLERS: usize = 128;
@@ -57,7 +57,7 @@
         let listen = settings.listen.ok_or_else(|| io::Error::other("control: listen is missing"))?;
         let at_followers =
             settings.followers.ok_or_else(|| io::Error::other("control: followers is missing"))?;
-        let peers = Peers::bind(listen, &others, MOST_MEMBER_MESSAGE, now, &poll)
+        let peers = Peers::bind(listen, &others, MAX_MEMBER_MESSAGE, now, &poll)
             .map_err(context(&format!("control: listen on {listen}")))?;
         // Followers beyond the limit get a rejection, which takes a connection.
         let connections = settings.most_followers + settings.most_followers / 8 + 8;
--- a/src/net/control_plane/stream.rs
+++ b/src/net/control_plane/stream.rs
@@ -11,7 +11,7 @@
 /// Bytes per read call.
 const PIECE: usize = 16 << 10;
 /// Capacity that an empty buffer keeps at most: thousands of connections are idle most of the time.
-const KEPT: usize = 4 << 10;
+const MAX_IDLE_CAPACITY: usize = 4 << 10;
 
 /// Why a connection ended.
 #[derive(Debug)]
@@ -31,14 +31,14 @@
     written: usize,
     watched: bool,
     /// The longest message accepted.
-    most: usize,
+    max_message: usize,
     /// Bytes received and sent so far.
     pub(super) bytes: [u64; 2],
 }
 
 impl FrameStream {
     /// Wraps a socket that is registered with the poller; `connecting` if it is watched for writing until it is connected.
-    pub(super) fn new(stream: TcpStream, key: Key, most: usize, connecting: bool) -> FrameStream {
+    pub(super) fn new(stream: TcpStream, key: Key, max_message: usize, connecting: bool) -> FrameStream {
         FrameStream {
             stream,
             key,
@@ -46,7 +46,7 @@
             outgoing: Vec::new(),
             written: 0,
             watched: connecting,
-            most,
+            max_message,
             bytes: [0; 2],
         }
     }
@@ -72,7 +72,7 @@
         let mut messages = Vec::new();
         let mut used = 0;
         let fault = loop {
-            match FRAMING.next(&self.incoming[used..], self.most) {
+            match FRAMING.next(&self.incoming[used..], self.max_message) {
                 Ok(Some((length, message))) => {
                     used += length;
                     messages.push(message);
@@ -82,7 +82,7 @@
             }
         };
         self.incoming.drain(..used);
-        if self.incoming.is_empty() && self.incoming.capacity() > KEPT {
+        if self.incoming.is_empty() && self.incoming.capacity() > MAX_IDLE_CAPACITY {
             self.incoming = Vec::new();
         }
         (messages, fault.or(ended))
@@ -100,7 +100,7 @@
 
     /// Whether a frame is partly received.
     pub(super) fn in_part(&self) -> bool {
-        !self.incoming.is_empty() && self.incoming.len() < HEAD + self.most
+        !self.incoming.is_empty() && self.incoming.len() < HEAD + self.max_message
     }
 
     /// Writes as much as the socket accepts. After an error the connection has to be closed.
@@ -120,7 +120,7 @@
         if self.waiting() == 0 {
             self.written = 0;
             self.outgoing.clear();
-            self.outgoing.shrink_to(KEPT);
+            self.outgoing.shrink_to(MAX_IDLE_CAPACITY);
         }
         let waits = self.waiting() > 0;
         if waits != self.watched {
--- a/src/net/peers/incoming.rs
+++ b/src/net/peers/incoming.rs
@@ -17,7 +17,7 @@
 /// Bytes per read call.
 pub(super) const PIECE: usize = 64 * 1024;
 /// Maximum number of incoming connections per configured peer.
-const EACH: usize = 4;
+const MAX_INCOMING_PER_PEER: usize = 4;
 
 /// An incoming connection.
 pub(super) struct Incoming {
@@ -40,7 +40,7 @@
 impl Peers {
     pub(super) fn accept(&mut self, now: Micros, poll: &Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.incoming.len() >= EACH * (self.links.len() + 1) {
+            if self.incoming.len() >= MAX_INCOMING_PER_PEER * (self.links.len() + 1) {
                 // A peer that was cut off may have left stale connections: close the one that has been silent longest.
                 let oldest = self.incoming.iter().min_by_key(|(_, c)| c.heard).map(|(k, _)| *k);
                 oldest.into_iter().for_each(|k| self.close(k, poll));
@@ -69,7 +69,7 @@
         }
         let mut used = 0;
         loop {
-            match wire::next(&c.bytes[used..], self.most_frame) {
+            match wire::next(&c.bytes[used..], self.max_frame) {
                 Ok(None) => break,
                 Ok(Some((n, message))) => {
                     used += n;
--- a/src/net/peers/links.rs
+++ b/src/net/peers/links.rs
@@ -15,7 +15,7 @@
 /// A link with unsent bytes that accepts none for this long is reconnected.
 const STUCK: Micros = 3_000_000;
 /// Unsent bytes per peer above which further messages are dropped: the replicated log sends them again.
-pub(super) const MOST_WAITING: usize = 16 << 20;
+pub(super) const MAX_UNSENT_BYTES: usize = 16 << 20;
 
 /// The outgoing connection to one peer.
 pub(super) struct Link {
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -12,7 +12,7 @@
 use fleet::Peer;
 use fleet::wire::{self, Message};
 use incoming::Incoming;
-use links::{Link, MOST_WAITING};
+use links::{Link, MAX_UNSENT_BYTES};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -36,7 +36,7 @@
     key: Key,
     links: BTreeMap<Peer, Link>,
     incoming: BTreeMap<Key, Incoming>,
-    most_frame: usize,
+    max_frame: usize,
     /// Messages received, in order.
     pub heard: Vec<(Peer, Message)>,
     /// The first message on every connection, encoded.
@@ -50,7 +50,7 @@
     pub fn bind(
         at: SocketAddr,
         others: &[(Peer, SocketAddr)],
-        most_frame: usize,
+        max_frame: usize,
         now: Micros,
         poll: &Poll,
     ) -> io::Result<Peers> {
@@ -61,7 +61,7 @@
             key,
             links: others.iter().map(|(p, a)| (*p, Link::new(*a, now))).collect(),
             incoming: BTreeMap::new(),
-            most_frame,
+            max_frame,
             heard: Vec::new(),
             hello: Vec::new(),
             tally: Tally::default(),
@@ -77,7 +77,7 @@
     /// sender repeats what is needed.
     pub fn send(&mut self, to: Peer, message: &Message, now: Micros) {
         let Some(link) = self.links.get_mut(&to).filter(|l| l.up) else { return };
-        if link.waiting.len() - link.at > MOST_WAITING {
+        if link.waiting.len() - link.at > MAX_UNSENT_BYTES {
             self.tally.dropped += 1;
             return;
         }
--- a/src/schema/claim.rs
+++ b/src/schema/claim.rs
@@ -7,7 +7,7 @@
 /// The name of the field.
 pub const FIELD: &str = "schema";
 /// Maximum number of versions that a client may claim.
-pub const WIDEST: Version = 16;
+pub const MAX_CLAIMED_VERSIONS: Version = 16;
 
 /// The range of versions that a client supports, both ends included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
             Fault::Form => write!(f, "the field schema takes a version, or two as in 7..8"),
             Fault::Range => write!(f, "the field schema takes versions from 1 to {MAX_VERSION}"),
             Fault::Reversed => write!(f, "the field schema ends before it begins"),
-            Fault::Wide => write!(f, "the field schema takes {WIDEST} versions at most"),
+            Fault::Wide => write!(f, "the field schema takes {MAX_CLAIMED_VERSIONS} versions at most"),
         }
     }
 }
@@ -58,7 +58,7 @@
         let (oldest, newest) = (version(oldest)?, version(newest)?);
         match newest.checked_sub(oldest) {
             None => Err(Fault::Reversed),
-            Some(more) if more >= WIDEST => Err(Fault::Wide),
+            Some(more) if more >= MAX_CLAIMED_VERSIONS => Err(Fault::Wide),
             Some(_) => Ok(Claim { oldest, newest }),
         }
     }
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -29,15 +29,15 @@
 /// overtakes one that waits for this.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Keys {
-    most: usize,
+    max_loads: usize,
     keys: BTreeMap<u64, Key>,
     tickets: BTreeMap<Ticket, u64>,
 }
 
 impl Keys {
     /// Tracks at most this many loads.
-    pub fn new(most: usize) -> Keys {
-        Keys { most, ..Keys::default() }
+    pub fn new(max_loads: usize) -> Keys {
+        Keys { max_loads, ..Keys::default() }
     }
 
     /// Registers a load under the version chosen for it. Calling it again returns the load's present state.
@@ -45,7 +45,7 @@
         if let Some(key) = self.tickets.get(&ticket).and_then(|k| self.keys.get(k)) {
             return if key.in_hand.contains(&ticket) { Gate::Go } else { Gate::Wait };
         }
-        if self.tickets.len() >= self.most {
+        if self.tickets.len() >= self.max_loads {
             return Gate::Full;
         }
         self.tickets.insert(ticket, key);
