--- a/src/net/control_plane/member.rs
+++ b/src/net/control_plane/member.rs
@@ -21,9 +21,9 @@
 use std::time::Duration;
 
 /// Time to flush a follower's connection before it is closed.
-const LAST_WORDS: Micros = 1_000_000;
+const CLOSE_TIMEOUT: Micros = 1_000_000;
 /// Longest sleep of the event loop.
-const LOOK: Micros = 1_000_000;
+const MAX_SLEEP: Micros = 1_000_000;
 
 /// The settings that policies are validated against, and the pending operators' calls.
 pub(super) struct MemberPolicy {
@@ -76,7 +76,7 @@
     fn next_due(&self, now: Micros) -> Micros {
         let operators = self.operators.as_ref().and_then(EventSource::next_due);
         let due = [Some(self.member.next_due()), self.server.next_due(), self.peers.next_due(), operators];
-        due.into_iter().flatten().fold(self.fleet.next_due().min(now + LOOK), Micros::min)
+        due.into_iter().flatten().fold(self.fleet.next_due().min(now + MAX_SLEEP), Micros::min)
     }
 
     fn ready(&mut self, key: Key, now: Micros) {
@@ -185,7 +185,7 @@
     fn send(&mut self, now: Micros) -> Vec<Heard> {
         let mut heard = self.server.send(std::mem::take(&mut self.member.outgoing), &self.poll);
         for session in std::mem::take(&mut self.member.closing) {
-            heard.extend(self.server.end(session, now + LAST_WORDS, &self.poll));
+            heard.extend(self.server.end(session, now + CLOSE_TIMEOUT, &self.poll));
         }
         heard
     }
--- a/src/net/control_plane/server.rs
+++ b/src/net/control_plane/server.rs
@@ -15,7 +15,7 @@
 /// Unsent bytes above which a follower counts as a slow reader and gets nothing new.
 const BLOCKED: usize = 64 << 10;
 /// A partly received message has to be complete within this time: the longest message within one lease.
-const PART: Micros = 3_000_000;
+const PARTIAL_MESSAGE_TIMEOUT: Micros = 3_000_000;
 
 /// An event of a connection.
 pub(super) enum Heard {
@@ -52,7 +52,7 @@
 impl Served {
     /// When it times out, if a timeout is running.
     fn due(&self) -> Option<Micros> {
-        self.ending.into_iter().chain(self.part_since.map(|t| t + PART)).min()
+        self.ending.into_iter().chain(self.part_since.map(|t| t + PARTIAL_MESSAGE_TIMEOUT)).min()
     }
 }
 
--- a/src/net/peers/incoming.rs
+++ b/src/net/peers/incoming.rs
@@ -9,11 +9,11 @@
 use std::net::{Shutdown, TcpStream};
 
 /// A new connection has to identify its peer within this time.
-const FIRST: Micros = 1_000_000;
+const IDENTIFY_TIMEOUT: Micros = 1_000_000;
 /// A peer sends several messages a second: an incoming connection that is silent for this long is closed.
-const SILENCE: Micros = 10_000_000;
+const IDLE_TIMEOUT: Micros = 10_000_000;
 /// A partly received message has to be complete within this time.
-const PART: Micros = 5_000_000;
+const PARTIAL_MESSAGE_TIMEOUT: Micros = 5_000_000;
 /// Bytes per read call.
 pub(super) const PIECE: usize = 64 * 1024;
 /// Maximum number of incoming connections per configured peer.
@@ -32,8 +32,8 @@
 impl Incoming {
     /// When it times out unless something arrives.
     pub(super) fn ends(&self) -> Micros {
-        let silent = self.heard + if self.from.is_some() { SILENCE } else { FIRST };
-        self.part_since.map_or(silent, |t| silent.min(t + PART))
+        let silent = self.heard + if self.from.is_some() { IDLE_TIMEOUT } else { IDENTIFY_TIMEOUT };
+        self.part_since.map_or(silent, |t| silent.min(t + PARTIAL_MESSAGE_TIMEOUT))
     }
 }
 
--- a/src/net/peers/links.rs
+++ b/src/net/peers/links.rs
@@ -10,10 +10,10 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Connect timeout, and the pause before the next attempt.
-const DIAL: Micros = 500_000;
-const PAUSE: Micros = 100_000;
+const CONNECT_TIMEOUT: Micros = 500_000;
+const RECONNECT_DELAY: Micros = 100_000;
 /// A link with unsent bytes that accepts none for this long is reconnected.
-const STUCK: Micros = 3_000_000;
+const WRITE_TIMEOUT: Micros = 3_000_000;
 /// Unsent bytes per peer above which further messages are dropped: the replicated log sends them again.
 pub(super) const MAX_UNSENT_BYTES: usize = 16 << 20;
 
@@ -51,8 +51,8 @@
     pub(super) fn due(&self) -> Option<Micros> {
         match (&self.conn, self.up) {
             (None, _) => Some(self.since),
-            (Some(_), false) => Some(self.since + DIAL),
-            (Some(_), true) => (!self.waiting.is_empty()).then_some(self.since + STUCK),
+            (Some(_), false) => Some(self.since + CONNECT_TIMEOUT),
+            (Some(_), true) => (!self.waiting.is_empty()).then_some(self.since + WRITE_TIMEOUT),
         }
     }
 }
@@ -88,8 +88,8 @@
         let peers: Vec<Peer> = self.links.keys().copied().collect();
         for peer in peers {
             let Some(link) = self.links.get_mut(&peer) else { continue };
-            let stuck = link.up && !link.waiting.is_empty() && now >= link.since + STUCK;
-            let failed = link.conn.is_some() && !link.up && now >= link.since + DIAL;
+            let stuck = link.up && !link.waiting.is_empty() && now >= link.since + WRITE_TIMEOUT;
+            let failed = link.conn.is_some() && !link.up && now >= link.since + CONNECT_TIMEOUT;
             if stuck || failed {
                 self.cut(peer, now, poll);
             } else if link.conn.is_none() && now >= link.since {
@@ -100,7 +100,7 @@
                         self.tally.dials += 1;
                         link.conn = Some(dialed);
                     }
-                    Err(_) => link.since = now + PAUSE,
+                    Err(_) => link.since = now + RECONNECT_DELAY,
                 }
             }
         }
@@ -112,7 +112,7 @@
         if let Some((_, stream)) = link.conn.take() {
             poll.remove(&stream);
         }
-        (link.up, link.watched, link.since, link.at) = (false, true, now + PAUSE, 0);
+        (link.up, link.watched, link.since, link.at) = (false, true, now + RECONNECT_DELAY, 0);
         link.waiting = Vec::new();
     }
 
