--- a/src/net/in_flight/requests.rs
+++ b/src/net/in_flight/requests.rs
@@ -6,7 +6,7 @@
 use crate::net::DispatcherServer;
 use crate::net::executors::{Job, Rows};
 use crate::net::sockets::buffers::{Block, Pool};
-use crate::takeover::{Gate, Pages, Past, Reply, TakeoverAction, Try};
+use crate::takeover::{AbandonedOutcome, Gate, Pages, Reply, TakeoverAction, Try};
 use fleet::ledger::Record;
 
 impl InFlight {
@@ -129,11 +129,11 @@
         else {
             return;
         };
-        let past = match (served, never_ran) {
-            (Some(rows), _) => Past::Served(pages(&rows)),
-            (None, true) => Past::NeverRan,
-            (None, false) => Past::MayHaveRan,
+        let outcome = match (served, never_ran) {
+            (Some(rows), _) => AbandonedOutcome::Served(pages(&rows)),
+            (None, true) => AbandonedOutcome::NeverRan,
+            (None, false) => AbandonedOutcome::MayHaveRan,
         };
-        in_flight.takeover.handle_abandoned_outcome(now, request, past);
+        in_flight.takeover.handle_abandoned_outcome(now, request, outcome);
     }
 }
--- a/src/takeover/answers.rs
+++ b/src/takeover/answers.rs
@@ -1,7 +1,7 @@
 //! Finished requests: their replies, and the tries that waited for the same ask.
 
 use super::Takeover;
-use super::types::{Local, Pages, Past, Reply, Stage, TakeoverAction};
+use super::types::{AbandonedOutcome, Local, Pages, Reply, Stage, TakeoverAction};
 use crate::api::Micros;
 use fleet::ledger::Outcome;
 
@@ -74,20 +74,20 @@
     }
 
     /// A request whose client had disconnected is finished.
-    pub fn handle_abandoned_outcome(&mut self, now: Micros, rid: u64, past: Past) {
+    pub fn handle_abandoned_outcome(&mut self, now: Micros, rid: u64, outcome: AbandonedOutcome) {
         let Some(ask) = self.asks.remove(&rid) else { return };
         let Some(mut local) = self.local.remove(&ask) else { return };
         if matches!(local.stage, Stage::Mine { fenced: true, .. }) {
             return self.turn_away(&mut local);
         }
-        let (end, reply) = match past {
-            Past::Served(pages) => (Outcome::Served(self.small(&pages)), Reply::Served(pages)),
-            Past::NeverRan => {
+        let (end, reply) = match outcome {
+            AbandonedOutcome::Served(pages) => (Outcome::Served(self.small(&pages)), Reply::Served(pages)),
+            AbandonedOutcome::NeverRan => {
                 self.fleet.close(now, ask, Outcome::Removed);
                 self.local.insert(ask, local);
                 return self.open_again(now, ask);
             }
-            Past::MayHaveRan => (Outcome::Unknown, Reply::Failed),
+            AbandonedOutcome::MayHaveRan => (Outcome::Unknown, Reply::Failed),
         };
         if let Reply::Served(pages) = &reply {
             local.wanted.iter().for_each(|p| self.fleet.send_result(*p, ask, Some(pages.clone())));
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -14,7 +14,7 @@
 mod tests;
 mod types;
 
-pub use types::{Bounds, Gate, Pages, Past, Reply, TakeoverAction, Tally, Try};
+pub use types::{AbandonedOutcome, Bounds, Gate, Pages, Reply, TakeoverAction, Tally, Try};
 
 use crate::api::Micros;
 use fleet::ledger::Outcome;
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -167,7 +167,7 @@
         "the retry waits while the load runs"
     );
     let now = three.now;
-    three.at(1).handle_abandoned_outcome(now, 10, Past::Served(rows()));
+    three.at(1).handle_abandoned_outcome(now, 10, AbandonedOutcome::Served(rows()));
     three.pass(300);
     assert_eq!(three.peers_with_action(&TakeoverAction::Answer(11, Reply::Served(rows()))), [2]);
     assert_eq!(three.asks(3, 12, 5, false, true), Gate::Answer(Reply::Served(rows())));
@@ -225,7 +225,7 @@
             1 => three.at(at).handle_answer(now, rid, Reply::Refused(5)),
             _ => {
                 three.at(at).handle_disconnect(now, rid);
-                three.at(at).handle_abandoned_outcome(now, rid, Past::NeverRan);
+                three.at(at).handle_abandoned_outcome(now, rid, AbandonedOutcome::NeverRan);
             }
         }
     }
--- a/src/takeover/types.rs
+++ b/src/takeover/types.rs
@@ -73,7 +73,7 @@
 
 /// Outcome of a request whose client had disconnected, once none of its attempts is in flight.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Past {
+pub enum AbandonedOutcome {
     /// It was served.
     Served(Pages),
     /// It never ran.
