--- a/src/net/peers/incoming.rs
+++ b/src/net/peers/incoming.rs
@@ -9,15 +9,15 @@
 use std::net::{Shutdown, TcpStream};
 
 /// A new connection has to identify its peer within this time.
-const FIRST: Micros = 1_000_000;
+const IDENTIFY_TIMEOUT: Micros = 1_000_000;
 /// A peer sends several messages a second: an incoming connection that is silent for this long is closed.
-const SILENCE: Micros = 10_000_000;
+const IDLE_TIMEOUT: Micros = 10_000_000;
 /// A partly received message has to be complete within this time.
-const PART: Micros = 5_000_000;
+const PARTIAL_MESSAGE_TIMEOUT: Micros = 5_000_000;
 /// Bytes per read call.
 pub(super) const PIECE: usize = 64 * 1024;
 /// Maximum number of incoming connections per configured peer.
-const EACH: usize = 4;
+const MAX_INCOMING_PER_PEER: usize = 4;
 
 /// An incoming connection.
 pub(super) struct Incoming {
@@ -32,15 +32,15 @@
 impl Incoming {
     /// When it times out unless something arrives.
     pub(super) fn ends(&self) -> Micros {
-        let silent = self.heard + if self.from.is_some() { SILENCE } else { FIRST };
-        self.part_since.map_or(silent, |t| silent.min(t + PART))
+        let silent = self.heard + if self.from.is_some() { IDLE_TIMEOUT } else { IDENTIFY_TIMEOUT };
+        self.part_since.map_or(silent, |t| silent.min(t + PARTIAL_MESSAGE_TIMEOUT))
     }
 }
 
 impl Peers {
     pub(super) fn accept(&mut self, now: Micros, poll: &Poll) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.incoming.len() >= EACH * (self.links.len() + 1) {
+            if self.incoming.len() >= MAX_INCOMING_PER_PEER * (self.links.len() + 1) {
                 // A peer that was cut off may have left stale connections: close the one that has been silent longest.
                 let oldest = self.incoming.iter().min_by_key(|(_, c)| c.heard).map(|(k, _)| *k);
                 oldest.into_iter().for_each(|k| self.close(k, poll));
@@ -69,7 +69,7 @@
         }
         let mut used = 0;
         loop {
-            match wire::decode_frame(&c.bytes[used..], self.most_frame) {
+            match wire::decode_frame(&c.bytes[used..], self.max_frame) {
                 Ok(None) => break,
                 Ok(Some((n, message))) => {
                     used += n;
