--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -22,10 +22,10 @@
 /// The largest list read when no settings give a limit.
 const MAX_LIST_BYTES: u64 = 64 << 20;
 
-/// What to do with executor lists.
+/// Commands on executor lists.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Tell all that is wrong with a list
+    /// Check a list and report all of its faults
     Check {
         /// The list
         #[command(flatten)]
@@ -34,7 +34,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show what a list says: its executors, generation, digest and seal
+    /// Show the executors, generation, digest and seal of a list
     Show {
         /// The list
         #[command(flatten)]
@@ -43,11 +43,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// Compare two lists, and tell whether the guard would hold the second one back after the first
+    /// Compare two lists, and report whether the guard would hold back the second one after the first
     Diff {
-        /// The list in force: a file, a directory, or a kept *.last-good
+        /// The list in force: a file, a directory, or a stored *.last-good copy
         old: PathBuf,
-        /// The list that is to follow it
+        /// The list that would replace it
         new: PathBuf,
         /// The platform's JSON file, for the cores of each kind
         #[arg(long, env = "ROUTER_CONFIG", value_name = "FILE")]
@@ -56,36 +56,36 @@
         #[arg(long)]
         json: bool,
     },
-    /// Write the seal of a list file anew: its number of executors and its digest
+    /// Renew the seal of a list file: its number of executors and its digest
     Seal {
         /// The file
         file: PathBuf,
-        /// Add the second seal, which confirms what the list takes away
+        /// Add the confirmation seal, which confirms the removals in the list
         #[arg(long)]
         confirm: bool,
-        /// Count the generation on
+        /// Increment the generation
         #[arg(long)]
         next: bool,
     },
     /// Accept a list that a dispatcher holds back
     Accept {
-        /// Its digest, or 12 digits of it or more, as the log line has them
+        /// Its digest, or at least the first 12 digits of it, as shown in the log line
         digest: String,
-        /// The list: the path that the settings name
+        /// The path of the list as given in the settings
         #[arg(long, value_name = "PATH")]
         list: PathBuf,
-        /// Where acceptances of it stand, if the settings name another file than the one beside it
+        /// The file of its acceptances, if the settings name another one than the default beside the list
         #[arg(long, value_name = "FILE")]
         to: Option<PathBuf>,
     },
 }
 
-/// A list, and what it is checked by.
+/// A list and the configuration that it is checked against.
 #[derive(Debug, Args)]
 pub struct Named {
     /// The list: a file, or a directory of files *.hcl
     path: PathBuf,
-    /// The platform's JSON file, for the rooms and kinds that it knows; without it they are not checked
+    /// The platform's JSON file with the known rooms and kinds; without it they are not checked
     #[arg(long, env = "ROUTER_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
 }
@@ -183,7 +183,7 @@
     {
         let (least, shown) = (storage::MIN_DIGEST_DIGITS, Digest::SHORT);
         return Err(io::Error::other(format!(
-            "{digest:?} is no digest: {least} to 64 hex digits, {shown} stand in the log line"
+            "{digest:?} is not a digest: {least} to 64 hex digits are required, log lines show {shown}"
         )));
     }
     let set = lists.and_then(|l| l.sources.iter().find(|s| s.path == path)).map(|s| s.accept.clone());
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -19,15 +19,15 @@
 use tracing_subscriber::EnvFilter;
 
 const EXIT_CODES: &str = "Exit codes:
-  0  done; what was checked is in order; no difference
-  1  what was checked has faults, or differs; a dispatcher refused a call, could not start or serve
-  2  nothing could be done: wrong arguments, a file that can't be read, or a dispatcher that can't be reached";
+  0  success; no faults; no difference
+  1  the input has faults or differs; a dispatcher rejected a call, or could not start or serve
+  2  the command could not run: wrong arguments, an unreadable file, or an unreachable dispatcher";
 
-/// A dispatcher in front of analytic query executors ("executors").
+/// A dispatcher in front of analytic query executors.
 ///
 /// Without a command it serves. ROUTER_CONFIG names the platform's JSON file (ROUTER_LISTEN, ROUTER_NAME and
-/// ROUTER_OPERATOR stand over its keys; `operator` is the operators' second address, see docs/oncall.md),
-/// --settings our own HCL file for what only some installations have, such as executor lists from files.
+/// ROUTER_OPERATOR override its keys; `operator` is the operators' address, see docs/oncall.md), and
+/// --settings names ottercroft's own HCL file for optional features such as executor lists from files.
 #[derive(Debug, Parser)]
 #[command(name = "ottercroft", version, after_help = EXIT_CODES)]
 pub struct Cli {
@@ -40,10 +40,10 @@
 /// Arguments common to all commands.
 #[derive(Debug, Args)]
 pub struct Common {
-    /// Our own settings, in HCL
+    /// ottercroft's own settings, in HCL
     #[arg(long, global = true, env = "OTTERCROFT_SETTINGS", value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// How log lines are written; goes before the settings' own word
+    /// Format of log lines; overrides the settings
     #[arg(long, global = true, env = "OTTERCROFT_LOG_FORMAT", value_name = "FORMAT")]
     log_format: Option<LogFormat>,
 }
@@ -52,7 +52,7 @@
 enum Command {
     /// Serve until SIGTERM (the default)
     Serve,
-    /// Check a configuration, our settings and the executor lists that they name, and tell all that is wrong
+    /// Check a configuration, ottercroft's own settings and the executor lists they name, and report all faults
     Check {
         /// The platform's JSON file
         #[arg(env = "ROUTER_CONFIG")]
@@ -61,10 +61,10 @@
         #[arg(long)]
         json: bool,
     },
-    /// Work with executor lists: check, show, compare, seal and accept them
+    /// Check, show, compare, seal and accept executor lists
     #[command(subcommand)]
     Lists(lists::Command),
-    /// Work with the policy that a fleet holds alike: check, compare and propose it, and see what came of that
+    /// Check, compare and propose the policy shared by a fleet, and show its status
     #[command(subcommand)]
     Policy(policy::Command),
 }
@@ -197,7 +197,7 @@
         Ok(Options { lists: Some(l), .. }) => {
             if !l.without.is_empty() {
                 let file = common.settings.as_deref().unwrap_or(config).display().to_string();
-                let what = "motor_lists.test_only leaves safeguards out; it is for tests alone";
+                let what = "motor_lists.test_only disables safeguards; it is for tests only";
                 faults.push(Fault::of_file(&file, what));
             }
             let rules = crate::membership::watcher::Rules::new(&l, catalog);
--- a/src/cli/policy/call.rs
+++ b/src/cli/policy/call.rs
@@ -20,12 +20,12 @@
     let path = std::path::absolute(file).map_err(|e| io::Error::other(format!("{}: {e}", file.display())))?;
     let told = |what: String| Err(io::Error::other(format!("{}: {what}", path.display())));
     let Some(text) = path.to_str().filter(|t| t.bytes().all(|b| b.is_ascii_graphic())) else {
-        return told("only paths of printable ASCII without spaces can be told to a dispatcher".into());
+        return told("only paths of printable ASCII without spaces can be sent to a dispatcher".into());
     };
     let line = format!("POLICY PROPOSE {text}");
     if line.len() >= MAX_LINE_BYTES {
         let most = MAX_LINE_BYTES - 1 - (line.len() - text.len());
-        return told(format!("a path of {} bytes; {most} can be told to a dispatcher", text.len()));
+        return told(format!("a path of {} bytes; {most} can be sent to a dispatcher", text.len()));
     }
     Ok(line)
 }
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -15,26 +15,26 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What to do with policies.
+/// Commands on policies.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Tell all that is wrong with a policy
+    /// Check a policy and report all of its faults
     Check {
         /// The policy
         file: PathBuf,
-        /// The platform's JSON file, whose settings it has to fit; without it only the text is checked
+        /// The platform's JSON file whose settings the policy must match; without it only the text is checked
         #[arg(env = "ROUTER_CONFIG")]
         config: Option<PathBuf>,
         /// Write the findings as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show what a policy changes of the platform's settings, or of what another policy makes of them
+    /// Show what a policy changes relative to the platform's settings or to another policy
     #[command(allow_missing_positional = true)]
     Diff {
         /// The policy
         file: PathBuf,
-        /// The policy that it would follow; the settings themselves if none
+        /// The policy to compare with; the settings themselves if absent
         other: Option<PathBuf>,
         /// The platform's JSON file
         config: PathBuf,
@@ -43,19 +43,19 @@
     Propose {
         /// The policy, at a path that the dispatcher can read
         file: PathBuf,
-        /// Through which dispatcher
+        /// The dispatcher to call
         #[command(flatten)]
         at: At,
     },
-    /// Tell what is in force, what is under way, and what came of earlier changes
+    /// Show the policy in force, the change in progress and the outcome of earlier changes
     Status(At),
-    /// Call off the change that is under way
+    /// Abort the change in progress
     Abort(At),
-    /// Propose the policy that was in force before
+    /// Propose the previous policy
     Back(At),
 }
 
-/// A dispatcher to talk to.
+/// The dispatcher to call.
 #[derive(Debug, Args)]
 pub struct At {
     /// Its operators' address
--- a/src/cli/policy/tests.rs
+++ b/src/cli/policy/tests.rs
@@ -134,7 +134,7 @@
 fn a_path_that_cannot_be_told_is_refused() {
     let name = |n: usize| format!("/{}", "p".repeat(n - 1));
     assert_eq!(proposal(Path::new(&name(240))).unwrap().len(), 255);
-    assert!(proposal(Path::new(&name(241))).unwrap_err().to_string().contains("241 bytes; 240 can be told"));
+    assert!(proposal(Path::new(&name(241))).unwrap_err().to_string().contains("241 bytes; 240 can be sent"));
     assert!(crate::codec::operator::parse(proposal(Path::new(&name(240))).unwrap().as_bytes()).is_ok());
     assert!(proposal(Path::new("/a b.hcl")).unwrap_err().to_string().contains("without spaces"));
     assert!(proposal(Path::new("a.hcl")).unwrap().starts_with("POLICY PROPOSE /"));
--- a/src/settings/checked.rs
+++ b/src/settings/checked.rs
@@ -31,7 +31,7 @@
         return Err(bad(MESSAGE, &f("aimStretch"), "is out of range"));
     }
     if c.hard_limit == 0.0 {
-        return Err(bad(MESSAGE, &f("hardLimit"), "leaves no time"));
+        return Err(bad(MESSAGE, &f("hardLimit"), "has to be more than 0"));
     }
     Ok(())
 }
@@ -41,11 +41,11 @@
     /// where they are read, and the balancer validates its own settings again.
     pub(super) fn checked(&self) -> Result<(), Malformed> {
         if self.balancers == 0 {
-            return Err(bad(MESSAGE, "settings.balancers", "none"));
+            return Err(bad(MESSAGE, "settings.balancers", "has to be at least 1"));
         }
         if self.request_classes.is_empty() || self.request_classes.len() > MAX_CLASSES {
             let n = self.request_classes.len();
-            let what = format_args!("{n} classes, there have to be 1 to {MAX_CLASSES}");
+            let what = format_args!("{n} classes; 1 to {MAX_CLASSES} are allowed");
             return Err(bad(MESSAGE, "settings.requestClasses", what));
         }
         let parties = self.parties.iter().flatten();
@@ -58,13 +58,13 @@
         }
         let d = &self.domain;
         if let Some(i) = d.parallelism.iter().position(|n| *n == 0) {
-            return Err(bad(MESSAGE, &format!("settings.domain.parallelism[{i}]"), "no threads"));
+            return Err(bad(MESSAGE, &format!("settings.domain.parallelism[{i}]"), "has to be at least 1"));
         }
         for (i, &cores) in d.kind_cores.iter().enumerate() {
             let field = format!("settings.domain.kindCores[{i}]");
             number(&field, Some(cores))?;
             if cores == 0.0 {
-                return Err(bad(MESSAGE, &field, "no cores"));
+                return Err(bad(MESSAGE, &field, "has to be more than 0"));
             }
         }
         for (i, &mb) in d.memory_by_kind_mb.iter().enumerate() {
--- a/src/settings/hcl/readers.rs
+++ b/src/settings/hcl/readers.rs
@@ -8,7 +8,7 @@
 fn kind(e: &Expression) -> &'static str {
     match e {
         Expression::Null(_) => "null",
-        Expression::Bool(_) => "a truth value",
+        Expression::Bool(_) => "a boolean",
         Expression::Number(_) => "a number",
         Expression::String(_) => "a string",
         Expression::Array(_) => "a list",
@@ -19,12 +19,12 @@
 
 /// A string without interpolations.
 pub fn string(e: &Expression) -> Result<String, String> {
-    e.as_str().map(String::from).ok_or_else(|| format!("{} where a plain string is allowed", kind(e)))
+    e.as_str().map(String::from).ok_or_else(|| format!("expected a plain string, found {}", kind(e)))
 }
 
 /// A boolean.
 pub fn boolean(e: &Expression) -> Result<bool, String> {
-    e.as_bool().ok_or_else(|| format!("{} where true or false is allowed", kind(e)))
+    e.as_bool().ok_or_else(|| format!("expected true or false, found {}", kind(e)))
 }
 
 /// A finite number in a range.
@@ -35,18 +35,18 @@
             Expression::UnaryOp(_) => None,
             _ => e.as_number().and_then(|n| n.as_f64()),
         };
-        let allowed = format!("a number from {from} to {to} is allowed");
-        let n = number.ok_or_else(|| format!("{} where {allowed}", kind(e)))?;
-        if range.contains(&n) { Ok(n) } else { Err(format!("{n} where {allowed}")) }
+        let expected = format!("a number from {from} to {to}");
+        let n = number.ok_or_else(|| format!("expected {expected}, found {}", kind(e)))?;
+        if range.contains(&n) { Ok(n) } else { Err(format!("expected {expected}, found {n}")) }
     }
 }
 
 /// A whole number in a range.
 pub fn whole(range: RangeInclusive<u64>) -> impl Fn(&Expression) -> Result<u64, String> {
     move |e| {
-        let allowed = format!("a whole number from {} to {} is allowed", range.start(), range.end());
-        let n = e.as_number().ok_or_else(|| format!("{} where {allowed}", kind(e)))?;
-        n.as_u64().filter(|n| range.contains(n)).ok_or_else(|| format!("{n} where {allowed}"))
+        let expected = format!("a whole number from {} to {}", range.start(), range.end());
+        let n = e.as_number().ok_or_else(|| format!("expected {expected}, found {}", kind(e)))?;
+        n.as_u64().filter(|n| range.contains(n)).ok_or_else(|| format!("expected {expected}, found {n}"))
     }
 }
 
@@ -55,10 +55,11 @@
     move |e| {
         let (from, to) =
             (humantime::format_duration(*range.start()), humantime::format_duration(*range.end()));
-        let allowed = format!("a time with its unit from \"{from}\" to \"{to}\" is allowed");
-        let text = e.as_str().ok_or_else(|| format!("{} where {allowed}", kind(e)))?;
-        let time = humantime::parse_duration(text).map_err(|_| format!("{text:?} where {allowed}"))?;
-        if range.contains(&time) { Ok(time) } else { Err(format!("{text:?} where {allowed}")) }
+        let expected = format!("a time with its unit from \"{from}\" to \"{to}\"");
+        let text = e.as_str().ok_or_else(|| format!("expected {expected}, found {}", kind(e)))?;
+        let time =
+            humantime::parse_duration(text).map_err(|_| format!("expected {expected}, found {text:?}"))?;
+        if range.contains(&time) { Ok(time) } else { Err(format!("expected {expected}, found {text:?}")) }
     }
 }
 
@@ -67,11 +68,11 @@
     use bytesize::ByteSize;
     move |e| {
         let (from, to) = (ByteSize::b(*range.start()), ByteSize::b(*range.end()));
-        let allowed = format!("a size with its unit from \"{from}\" to \"{to}\" is allowed");
-        let text = e.as_str().ok_or_else(|| format!("{} where {allowed}", kind(e)))?;
+        let expected = format!("a size with its unit from \"{from}\" to \"{to}\"");
+        let text = e.as_str().ok_or_else(|| format!("expected {expected}, found {}", kind(e)))?;
         let unit = text.trim().ends_with(['b', 'B']);
         let bytes = text.parse::<ByteSize>().ok().filter(|_| unit).map(|b| b.as_u64());
-        bytes.filter(|b| range.contains(b)).ok_or_else(|| format!("{text:?} where {allowed}"))
+        bytes.filter(|b| range.contains(b)).ok_or_else(|| format!("expected {expected}, found {text:?}"))
     }
 }
 
@@ -80,13 +81,13 @@
     let words: Vec<(String, T)> = words.iter().map(|(w, t)| ((*w).to_string(), *t)).collect();
     move |e| {
         let names: Vec<String> = words.iter().map(|(w, _)| format!("{w:?}")).collect();
-        let allowed = format!("one of {} is allowed", names.join(", "));
-        let text = e.as_str().ok_or_else(|| format!("{} where {allowed}", kind(e)))?;
+        let expected = format!("one of {}", names.join(", "));
+        let text = e.as_str().ok_or_else(|| format!("expected {expected}, found {}", kind(e)))?;
         words
             .iter()
             .find(|(w, _)| w == text)
             .map(|(_, t)| *t)
-            .ok_or_else(|| format!("\"{}\" where {allowed}", shown(text)))
+            .ok_or_else(|| format!("expected {expected}, found \"{}\"", shown(text)))
     }
 }
 
@@ -95,7 +96,7 @@
     item: impl Fn(&Expression) -> Result<T, String>,
 ) -> impl FnOnce(&Expression) -> Result<Vec<T>, String> {
     move |e| {
-        let all = e.as_array().ok_or_else(|| format!("{} where a list is allowed", kind(e)))?;
+        let all = e.as_array().ok_or_else(|| format!("expected a list, found {}", kind(e)))?;
         all.iter().enumerate().map(|(i, e)| item(e).map_err(|w| format!("item {}: {w}", i + 1))).collect()
     }
 }
@@ -104,7 +105,8 @@
 pub fn parsed<T: std::str::FromStr>(example: &str) -> impl Fn(&Expression) -> Result<T, String> {
     let example = example.to_string();
     move |e| {
-        let text = e.as_str().ok_or_else(|| format!("{} where {example:?} would be allowed", kind(e)))?;
-        text.parse().map_err(|_| format!("\"{}\" where {example:?} would be allowed", shown(text)))
+        let text =
+            e.as_str().ok_or_else(|| format!("expected a value such as {example:?}, found {}", kind(e)))?;
+        text.parse().map_err(|_| format!("expected a value such as {example:?}, found \"{}\"", shown(text)))
     }
 }
--- a/src/settings/hcl/table.rs
+++ b/src/settings/hcl/table.rs
@@ -128,7 +128,7 @@
     pub fn block(&self, ident: &str, faults: &mut Vec<Fault>) -> Option<Table<'t>> {
         let mut all = self.blocks(ident, 0, faults).into_iter().map(|(_, t)| t);
         let first = all.next();
-        faults.extend(all.map(|t| t.fault("", "stands here a second time; once is allowed")));
+        faults.extend(all.map(|t| t.fault("", "duplicate block; one is allowed")));
         first
     }
 
--- a/src/settings/hcl/tests.rs
+++ b/src/settings/hcl/tests.rs
@@ -27,18 +27,21 @@
         faults("a = 12\nt = \"5\"\ns = \"9KB\"\n w = 1\nx = 1\nb \"one\" {\n  n = 0\n  m = 2\n}\nb {}\n");
     let told = [
         "f.hcl:5:1: x: unknown key; allowed: a, t, s, w",
-        "f.hcl:1:5: a: 12 where a number from 0 to 9 is allowed",
-        "f.hcl:2:5: t: \"5\" where a time with its unit from \"1ms\" to \"1m\" is allowed",
-        "f.hcl:4:6: w: a number where one of \"x\", \"y\" is allowed",
+        "f.hcl:1:5: a: expected a number from 0 to 9, found 12",
+        "f.hcl:2:5: t: expected a time with its unit from \"1ms\" to \"1m\", found \"5\"",
+        "f.hcl:4:6: w: expected one of \"x\", \"y\", found a number",
         "f.hcl:10:1: b: 0 labels, 1 allowed",
         "f.hcl:8:3: b.one.m: unknown key; allowed: n",
-        "f.hcl:7:7: b.one.n: 0 where a whole number from 1 to 3 is allowed",
+        "f.hcl:7:7: b.one.n: expected a whole number from 1 to 3, found 0",
     ];
     for t in told {
         assert!(all.iter().any(|a| a == t), "{t}\nin {all:#?}");
     }
     assert_eq!(all.len(), told.len() + 1, "{all:#?}");
-    assert!(all.iter().any(|a| a.starts_with("f.hcl:3:5: s: \"9KB\" where a size")), "{all:#?}");
+    assert!(
+        all.iter().any(|a| a.starts_with("f.hcl:3:5: s: expected a size") && a.ends_with(", found \"9KB\"")),
+        "{all:#?}"
+    );
 }
 
 #[test]
--- a/src/settings/hcl/text.rs
+++ b/src/settings/hcl/text.rs
@@ -88,7 +88,7 @@
                 line,
                 column,
                 field: String::new(),
-                what: format!("no HCL: {what}"),
+                what: format!("invalid HCL: {what}"),
             }
         })
     }
--- a/src/settings/options/control.rs
+++ b/src/settings/options/control.rs
@@ -138,7 +138,7 @@
         b.only(&["address", "followers", "region"], &[], faults);
         let name = names[0].to_string();
         if members.iter().any(|m| m.name == name) {
-            faults.push(b.fault("", "a second member of this name"));
+            faults.push(b.fault("", "duplicate member name"));
         }
         let address = b.need("address", faults, hcl::parsed("10.0.0.1:7200"));
         let followers = b.need("followers", faults, hcl::parsed("10.0.0.1:7201"));
@@ -175,7 +175,7 @@
         Role::Follower => {
             for key in ["me", "listen", "followers"] {
                 if t.has(key) {
-                    faults.push(t.fault(key, "is a member's: a follower listens for nobody"));
+                    faults.push(t.fault(key, "only allowed for a member: a follower does not listen"));
                 }
             }
         }
--- a/src/settings/options/lists.rs
+++ b/src/settings/options/lists.rs
@@ -148,7 +148,7 @@
             faults.push(s.fault("", what));
         }
         if l.sources.iter().any(|o| o.name == name) {
-            faults.push(s.fault("", "a second source of this name"));
+            faults.push(s.fault("", "duplicate source name"));
         }
         let path = s.need("path", faults, hcl::string).map(PathBuf::from).unwrap_or_default();
         let accept = s.get("accept", faults, hcl::string).map(PathBuf::from);
@@ -167,7 +167,7 @@
             let once: BTreeSet<&str> = given.iter().map(String::as_str).collect();
             let all: BTreeSet<&str> = names().collect();
             if once.len() != given.len() {
-                faults.push(t.fault("precedence", "a name stands there twice"));
+                faults.push(t.fault("precedence", "duplicate source name"));
             }
             if let Some(unknown) = once.iter().find(|n| **n != FEED && !all.contains(**n)) {
                 let allowed: Vec<&str> = names().chain([FEED]).collect();
--- a/src/settings/options/mod.rs
+++ b/src/settings/options/mod.rs
@@ -80,7 +80,7 @@
         options.control = root.block("control", &mut faults).map(|t| control::read(&t, &mut faults));
         let both = options.control.is_some() && options.peers.as_ref().is_some_and(|p| p.policy.is_some());
         if both {
-            faults.push(root.fault("control", "peers.policy says who agrees on the policy already"));
+            faults.push(root.fault("control", "peers.policy already configures the agreement on the policy"));
         }
         if faults.is_empty() { Ok(options) } else { Err(faults) }
     }
--- a/src/settings/options/peers.rs
+++ b/src/settings/options/peers.rs
@@ -126,7 +126,7 @@
         b.only(&["address"], &[], faults);
         let name = names[0].to_string();
         if p.peers.iter().any(|(n, _)| *n == name) {
-            faults.push(b.fault("", "a second peer of this name"));
+            faults.push(b.fault("", "duplicate peer name"));
         }
         if let Some(at) = b.need("address", faults, hcl::parsed("10.0.0.1:7100")) {
             if p.peers.iter().any(|(_, a)| *a == at) {
--- a/src/settings/options/tests.rs
+++ b/src/settings/options/tests.rs
@@ -43,7 +43,7 @@
     let all: Vec<String> = Options::parse("o.hcl", text).unwrap_err().iter().map(Fault::to_string).collect();
     for t in [
         "o.hcl:2:3: motor_lists.setle: unknown key",
-        "o.hcl:3:10: motor_lists.poll: \"0.5\" where a time",
+        "o.hcl:3:10: motor_lists.poll: expected a time with its unit from \"20ms\" to \"1m\", found \"0.5\"",
         "o.hcl:4:16: motor_lists.precedence: unknown source \"b\"",
         "o.hcl:6:3: motor_lists.source.feed: 1 to 64",
         "o.hcl:8:1: lgo: unknown block; allowed: log, motor_lists, retry_storms, peers",
@@ -99,11 +99,11 @@
     assert!(wrong("me        = \"sur-1\"", "me = \"x\"").contains("no member block has this name"));
     assert!(wrong("10.1.0.1:7200", "10.0.0.1:7200").contains("another member has this address"));
     assert!(wrong("\"member\"", "\"leader\"").contains("control.role"));
-    assert!(wrong("\"member\"", "\"follower\"").contains("control.me: is a member's"));
+    assert!(wrong("\"member\"", "\"follower\"").contains("control.me: only allowed for a member"));
     let two = "control {\n role = \"follower\"\n member \"a\" {\n address = \"10.0.0.1:1\"\n followers = \"10.0.0.1:2\"\n }\n}\n";
     assert!(faults(two).contains("1 member blocks; 3 to 7 are allowed"));
     let peers = PEERS.replacen('{', "{\n  policy {}", 1);
     let both = faults(&format!("{peers}{CONTROL}"));
-    assert!(both.contains("control: peers.policy says who agrees"), "{both}");
+    assert!(both.contains("control: peers.policy already configures the agreement"), "{both}");
     assert!(Options::parse("o", &format!("{PEERS}{CONTROL}")).is_ok(), "a cell beside a group is allowed");
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -41,7 +41,7 @@
     if s.is_finite() && (0.0..1e12).contains(&s) {
         Ok((s * 1e6).round() as Micros)
     } else {
-        Err(bad(name, field, format_args!("{s} is no time")))
+        Err(bad(name, field, format_args!("{s} is not a valid time in seconds")))
     }
 }
 
@@ -97,7 +97,7 @@
     let mut all = BTreeMap::new();
     for (i, n) in names.enumerate() {
         if all.insert(n.clone(), i).is_some() {
-            return Err(bad(name, field, format_args!("{n:?} is named twice")));
+            return Err(bad(name, field, format_args!("duplicate name {n:?}")));
         }
     }
     Ok(all)
