--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -12,7 +12,7 @@
 use crate::net::event_loop::poll::Key;
 use crate::net::executors::Job;
 use crate::operator::figures::Disposition;
-use crate::storm::{self, Verdict};
+use crate::storm::{self, Admission};
 use crate::takeover::Gate;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Display;
@@ -133,8 +133,8 @@
     /// answers it.
     fn begin_request(&mut self, key: Key, request: Request, job: Job, now: Micros) {
         let id = request.id;
-        let storm = self.storm.as_mut().map(|s| s.ask(now, request_fingerprint(&job), request.is_repeat));
-        if let Some(Verdict::Refuse(wait)) = storm {
+        let storm = self.storm.as_mut().map(|s| s.admit(now, request_fingerprint(&job), request.is_repeat));
+        if let Some(Admission::Reject(wait)) = storm {
             return self.reject_request(key, &request, &job, wait, EndReason::DecidedOutside, now);
         }
         let taken = match self.gate(now, &request, &job) {
@@ -218,7 +218,7 @@
 
 /// Fingerprint of a request's class and statement, which overload control uses to recognize a repeat under a
 /// new request id.
-pub(in crate::net) fn request_fingerprint(job: &Job) -> storm::Asker {
+pub(in crate::net) fn request_fingerprint(job: &Job) -> storm::RequestFingerprint {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     (&*job.class_name, &*job.statement).hash(&mut hasher);
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -83,7 +83,7 @@
                 Answer::Served(_) => storm.served(),
                 Answer::Failed => storm.failed(),
                 Answer::Rejected(retry_after_ms) => {
-                    let wait = storm.refused(now, request_fingerprint(&job), *retry_after_ms * 1_000);
+                    let wait = storm.rejected(now, request_fingerprint(&job), *retry_after_ms * 1_000);
                     *retry_after_ms = wait.div_ceil(1_000);
                 }
             }
@@ -113,7 +113,7 @@
                 ?was,
                 arrivals_per_s = arrivals.round(),
                 baseline_per_s = baseline.map(f64::round),
-                room_per_s = storm.room(now).round(),
+                room_per_s = storm.admission_rate(now).round(),
                 usable_cores = fleet.usable,
                 listed_cores = fleet.listed,
                 "storm phase"
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -44,14 +44,14 @@
 
     fn log_storm_counters(&self) {
         if let Some(storm) = &self.storm {
-            let tally = storm.tally;
+            let counters = storm.counters;
             tracing::info!(
                 phase = ?storm.phase(),
-                refused = tally.refused,
-                early = tally.early,
-                promised = tally.promised,
-                kept = tally.kept,
-                repeats = tally.repeats,
+                refused = counters.rejected,
+                early = counters.early,
+                promised = counters.reserved,
+                kept = counters.on_time,
+                repeats = counters.repeats,
                 remembered = storm.remembered(),
                 "storm counters"
             );
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -164,7 +164,7 @@
 
 fn new_storm(storms: &options::Storms, settings: &Settings, seed: u64) -> Storm {
     let honoured = storms.longest_wait.map(|d| d.as_micros() as Micros).or(settings.max_retry_after);
-    let terms = storm::Terms {
+    let terms = storm::StormSettings {
         longest_wait: honoured.unwrap_or(DEFAULT_LONGEST_WAIT),
         repeats: storms.repeats,
         remembered: storms.remembered,
--- a/src/storm/mod.rs
+++ b/src/storm/mod.rs
@@ -15,8 +15,8 @@
 use crate::api::Micros;
 use crate::dispatch::FleetCapacity;
 use lru::LruCache;
-use phase::{Detector, Phase, Seen};
-use plan::{Plan, Return, TOLERANCE};
+use phase::{Detector, Observations, Phase};
+use plan::{Plan, RetryTime, TOLERANCE};
 use rand_core::RngCore;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -26,11 +26,11 @@
 /// Capacity of the token bucket, in seconds of refill.
 const BURST_S: f64 = 0.25;
 /// The shortest retry-after returned.
-const SHORTEST: Micros = 20_000;
+const MIN_WAIT: Micros = 20_000;
 
 /// Settings of the module.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
+pub struct StormSettings {
     /// The longest wait that clients honour.
     pub longest_wait: Micros,
     /// Maximum share of admitted requests that are retries without a reservation.
@@ -42,28 +42,28 @@
 }
 
 /// Identifies a request across retries: a digest of account, class and statement.
-pub type Asker = u64;
+pub type RequestFingerprint = u64;
 
 /// The result of the admission check, before the balancer sees a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// Pass the request to the balancer.
-    Pass,
+    Admit,
     /// Reject the request with this retry-after.
-    Refuse(Micros),
+    Reject(Micros),
 }
 
 /// Counters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     /// Requests rejected by this module, before any other work on them.
-    pub refused: u64,
+    pub rejected: u64,
     /// Rejected requests that came before their retry time.
     pub early: u64,
     /// Reservations made.
-    pub promised: u64,
+    pub reserved: u64,
     /// Reservations used: retries admitted at their reserved time.
-    pub kept: u64,
+    pub on_time: u64,
     /// Retries admitted without a reservation.
     pub repeats: u64,
 }
@@ -71,12 +71,12 @@
 /// Retry storm protection of one dispatcher.
 #[derive(Debug)]
 pub struct Storm {
-    terms: Terms,
+    terms: StormSettings,
     rng: Pcg64Mcg,
     detector: Detector,
     plan: Plan,
-    told: LruCache<Asker, Return>,
-    seen: Seen,
+    remembered_rejections: LruCache<RequestFingerprint, RetryTime>,
+    seen: Observations,
     capacity: FleetCapacity,
     capacity_at: Micros,
     /// Requests per second that a warm core serves, learned under load.
@@ -90,22 +90,22 @@
     tokens: f64,
     tokens_at: Micros,
     /// Requests admitted in the window: time, and whether it was a retry without a reservation.
-    passed: VecDeque<(Micros, bool)>,
+    admitted: VecDeque<(Micros, bool)>,
     repeats: u64,
     /// Counters.
-    pub tally: Tally,
+    pub counters: Counters,
 }
 
 impl Storm {
     /// Creates the module in the calm phase.
-    pub fn new(terms: Terms, seed: u64) -> Storm {
+    pub fn new(terms: StormSettings, seed: u64) -> Storm {
         let most = NonZeroUsize::new(terms.remembered).unwrap_or(NonZeroUsize::MIN);
         Storm {
             rng: Pcg64Mcg::seed_from_u64(seed),
             detector: Detector::default(),
             plan: Plan::new(terms.longest_wait),
-            told: LruCache::new(most),
-            seen: Seen { usable: 1.0, ..Seen::default() },
+            remembered_rejections: LruCache::new(most),
+            seen: Observations { usable: 1.0, ..Observations::default() },
             capacity: FleetCapacity::default(),
             capacity_at: 0,
             per_core: 0.0,
@@ -114,9 +114,9 @@
             limited: false,
             tokens: 0.0,
             tokens_at: 0,
-            passed: VecDeque::new(),
+            admitted: VecDeque::new(),
             repeats: 0,
-            tally: Tally::default(),
+            counters: Counters::default(),
             terms,
         }
     }
@@ -133,62 +133,63 @@
 
     /// Number of remembered rejected requests.
     pub fn remembered(&self) -> usize {
-        self.told.len()
+        self.remembered_rejections.len()
     }
 
     /// Whether this request was rejected recently, so that it is a retry.
-    pub fn knows(&self, asker: Asker) -> bool {
-        self.told.contains(&asker)
+    pub fn is_retry(&self, fingerprint: RequestFingerprint) -> bool {
+        self.remembered_rejections.contains(&fingerprint)
     }
 
     /// Checks an arriving request; `marked` is whether the client marked it as a retry.
-    pub fn ask(&mut self, now: Micros, asker: Asker, marked: bool) -> Verdict {
+    pub fn admit(&mut self, now: Micros, fingerprint: RequestFingerprint, marked: bool) -> Admission {
         self.seen.arrived += 1;
-        let told = self.told.get(&asker).copied();
+        let retry_time = self.remembered_rejections.get(&fingerprint).copied();
         if matches!(self.phase(), Phase::Calm | Phase::Recovering) {
-            self.told.pop(&asker);
-            return Verdict::Pass;
+            self.remembered_rejections.pop(&fingerprint);
+            return Admission::Admit;
         }
-        if let Some(back) = told
+        if let Some(back) = retry_time
             && now + TOLERANCE < back.at
         {
             // The retry time stays the same, so that an early retry gains nothing.
-            (self.tally.refused, self.tally.early) = (self.tally.refused + 1, self.tally.early + 1);
-            self.seen.turned_away += 1;
-            return Verdict::Refuse(back.at - now);
+            (self.counters.rejected, self.counters.early) =
+                (self.counters.rejected + 1, self.counters.early + 1);
+            self.seen.rejected += 1;
+            return Admission::Reject(back.at - now);
         }
         self.refill(now);
-        let kept = told.is_some_and(|t| t.promised && now <= t.at + 2 * TOLERANCE);
-        let repeat = (told.is_some() || marked) && !kept;
+        let on_time = retry_time.is_some_and(|t| t.reserved && now <= t.at + 2 * TOLERANCE);
+        let repeat = (retry_time.is_some() || marked) && !on_time;
         // Without capacity the balancer sees only an occasional request, as it has to reject each of them.
-        let fits = self.tokens >= 1.0 || (kept && self.tokens > -BURST_S * self.room(now));
+        let fits = self.tokens >= 1.0 || (on_time && self.tokens > -BURST_S * self.admission_rate(now));
         if fits && (!repeat || self.repeat_allowed(now)) {
             self.tokens -= 1.0;
-            self.told.pop(&asker);
-            self.pass(now, repeat);
-            self.tally.kept += u64::from(kept);
-            return Verdict::Pass;
+            self.remembered_rejections.pop(&fingerprint);
+            self.record_admitted(now, repeat);
+            self.counters.on_time += u64::from(on_time);
+            return Admission::Admit;
         }
         self.limited = true;
-        self.tally.refused += 1;
-        self.seen.turned_away += 1;
-        Verdict::Refuse(self.turn_away(now, asker))
+        self.counters.rejected += 1;
+        self.seen.rejected += 1;
+        Admission::Reject(self.assign_retry_time(now, fingerprint))
     }
 
     /// The retry-after of a request rejected by the balancer; `advice` is the balancer's own value.
-    pub fn refused(&mut self, now: Micros, asker: Asker, advice: Micros) -> Micros {
-        self.seen.turned_away += 1;
+    pub fn rejected(&mut self, now: Micros, fingerprint: RequestFingerprint, advice: Micros) -> Micros {
+        self.seen.rejected += 1;
         self.went.1 += 1;
         if self.phase() == Phase::Calm {
             return advice;
         }
-        self.turn_away(now, asker)
+        self.assign_retry_time(now, fingerprint)
     }
 
     /// The retry-after for a connection above the limit.
     pub fn connection_refused(&mut self, advice: Micros) -> Micros {
         self.seen.arrived += 1;
-        self.seen.turned_away += 1;
+        self.seen.rejected += 1;
         if self.phase() == Phase::Calm {
             return advice;
         }
@@ -205,16 +206,16 @@
 
     /// Records that a request failed.
     pub fn failed(&mut self) {
-        self.seen.turned_away += 1;
+        self.seen.rejected += 1;
         self.went.1 += 1;
     }
 
-    fn turn_away(&mut self, now: Micros, asker: Asker) -> Micros {
-        let room = self.forecast();
-        let back = self.plan.give(now, 1.0, &room, &mut self.rng);
-        self.tally.promised += u64::from(back.promised);
-        self.told.put(asker, back);
-        (back.at - now).max(SHORTEST)
+    fn assign_retry_time(&mut self, now: Micros, fingerprint: RequestFingerprint) -> Micros {
+        let admission_rate = self.forecast();
+        let back = self.plan.assign(now, 1.0, &admission_rate, &mut self.rng);
+        self.counters.reserved += u64::from(back.reserved);
+        self.remembered_rejections.put(fingerprint, back);
+        (back.at - now).max(MIN_WAIT)
     }
 }
 
--- a/src/storm/pace.rs
+++ b/src/storm/pace.rs
@@ -1,7 +1,7 @@
 //! Admission rate: the learned service rate per core, and a factor adjusted by the balancer's rejections.
 
 use super::Storm;
-use super::phase::{Phase, Seen};
+use super::phase::{Observations, Phase};
 use crate::api::Micros;
 use crate::dispatch::FleetCapacity;
 
@@ -9,15 +9,15 @@
 const HEADROOM: f64 = 0.9;
 
 /// The pace grows by the fraction `FASTER` per adjustment while admitted requests are served and more are waiting;
-/// it falls by `SLOWER` once the balancer rejects more than `TURNED_AWAY` of them.
+/// it falls by `SLOWER` once the balancer rejects a larger share than `REJECTED_SHARE`.
 const FASTER: f64 = 0.05;
-const TURNED_AWAY: f64 = 0.2;
+const REJECTED_SHARE: f64 = 0.2;
 const SLOWER: f64 = 0.15;
-const PACES: [f64; 2] = [0.1, 50.0];
+const PACE_LIMITS: [f64; 2] = [0.1, 50.0];
 
 impl Storm {
     /// Requests per second that can be admitted at a time.
-    pub fn room(&self, at: Micros) -> f64 {
+    pub fn admission_rate(&self, at: Micros) -> f64 {
         self.forecast()(at)
     }
 
@@ -40,7 +40,7 @@
         let share = if capacity.listed > 0.0 { capacity.usable / capacity.listed } else { 0.0 };
         let seen = std::mem::take(&mut self.seen);
         let before = self.phase();
-        let changed = self.detector.look(now, Seen { usable: share, ..seen });
+        let changed = self.detector.update(now, Observations { usable: share, ..seen });
         // The rate per core is visible only under overload or in the busiest seconds of the calm phase.
         if capacity.warm > 0.0 {
             let rate = self.detector.served() / capacity.warm;
@@ -56,7 +56,8 @@
             let known = self.per_core;
             self.per_core += (rate - known) * weight;
             if before == Phase::Returning && known > 0.0 {
-                self.pace = (self.pace * known / self.per_core.max(1e-9)).clamp(PACES[0], PACES[1]);
+                self.pace =
+                    (self.pace * known / self.per_core.max(1e-9)).clamp(PACE_LIMITS[0], PACE_LIMITS[1]);
             }
         }
         self.steer();
@@ -76,11 +77,11 @@
             return;
         }
         self.went = (0, 0);
-        if away as f64 > TURNED_AWAY * all as f64 {
+        if away as f64 > REJECTED_SHARE * all as f64 {
             self.pace *= 1.0 - SLOWER;
         } else if limited {
             self.pace *= 1.0 + FASTER;
         }
-        self.pace = self.pace.clamp(PACES[0], PACES[1]);
+        self.pace = self.pace.clamp(PACE_LIMITS[0], PACE_LIMITS[1]);
     }
 }
--- a/src/storm/phase.rs
+++ b/src/storm/phase.rs
@@ -10,7 +10,7 @@
 const FAST_S: f64 = 0.7;
 const SLOW_S: f64 = 120.0;
 /// How long a condition must hold before the phase changes.
-const HOLDS: Micros = 500_000;
+const MIN_PHASE_TIME: Micros = 500_000;
 /// The same for the change from recovering to calm.
 const CALM_AFTER: Micros = 8_000_000;
 /// Usable share of capacity: an outage starts below the first value and ends above the second.
@@ -18,9 +18,9 @@
 /// Arrival rate relative to the baseline: a storm starts above the first value and ends below the second.
 const SURGE: [f64; 2] = [2.5, 1.5];
 /// Share of rejected requests: a storm starts above the first value and ends below the second.
-const TURNED_AWAY: [f64; 2] = [0.3, 0.1];
+const REJECTED_SHARE: [f64; 2] = [0.3, 0.1];
 /// Baselines below this rate, in requests per second, are ignored.
-const LEAST_BASELINE: f64 = 5.0;
+const MIN_BASELINE: f64 = 5.0;
 
 /// The phase of a storm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, PartialOrd, Ord)]
@@ -38,9 +38,9 @@
 
 /// An exponentially weighted moving average.
 #[derive(Debug, Clone, Copy, Default)]
-struct Forgetful(f64);
+struct MovingAverage(f64);
 
-impl Forgetful {
+impl MovingAverage {
     fn add(&mut self, value: f64, dt_s: f64, span_s: f64) {
         self.0 += (value - self.0) * (1.0 - (-dt_s / span_s).exp());
     }
@@ -48,13 +48,13 @@
 
 /// Observations since the last update.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Seen {
+pub struct Observations {
     /// Arrived requests.
     pub arrived: u64,
     /// Successful final answers.
     pub served: u64,
     /// Rejections and failures.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Share of the fleet's capacity that is usable, 0 to 1.
     pub usable: f64,
 }
@@ -64,12 +64,12 @@
 pub struct Detector {
     phase: Phase,
     last: Option<Micros>,
-    fast: Forgetful,
-    baseline: Forgetful,
+    fast: MovingAverage,
+    baseline: MovingAverage,
     /// Seconds of the calm phase that the baseline covers.
     age_s: f64,
-    away: Forgetful,
-    served: Forgetful,
+    rejected_share: MovingAverage,
+    served: MovingAverage,
     /// A pending change of phase and since when its condition holds.
     next: Option<(Phase, Micros)>,
 }
@@ -87,7 +87,7 @@
 
     /// Arrivals per second in the calm phase; `None` before it is known.
     pub fn baseline(&self) -> Option<f64> {
-        Some(self.baseline.0).filter(|b| *b >= LEAST_BASELINE)
+        Some(self.baseline.0).filter(|b| *b >= MIN_BASELINE)
     }
 
     /// Requests served per second, recently.
@@ -96,7 +96,7 @@
     }
 
     /// Updates the averages, about ten times per second. Returns whether the phase changed.
-    pub fn look(&mut self, now: Micros, seen: Seen) -> bool {
+    pub fn update(&mut self, now: Micros, seen: Observations) -> bool {
         let Some(last) = self.last.replace(now) else { return false };
         let dt = now.saturating_sub(last) as f64 / 1e6;
         if dt <= 0.0 {
@@ -105,11 +105,11 @@
         let rate = seen.arrived as f64 / dt;
         self.fast.add(rate, dt, FAST_S);
         self.served.add(seen.served as f64 / dt, dt, FAST_S);
-        let answers = seen.served + seen.turned_away;
+        let answers = seen.served + seen.rejected;
         if answers > 0 {
             // Weighted by the number of answers, as one rejection in a quiet second is not significant.
             let weight = (answers as f64 / 5.0).min(1.0);
-            self.away.add(seen.turned_away as f64 / answers as f64, dt * weight, FAST_S);
+            self.rejected_share.add(seen.rejected as f64 / answers as f64, dt * weight, FAST_S);
         }
         if self.phase == Phase::Calm {
             // The plain mean at first, the mean of the last minutes later.
@@ -123,7 +123,7 @@
         }
         let since = self.next.filter(|(p, _)| *p == wanted).map_or(now, |(_, t)| t);
         self.next = Some((wanted, since));
-        let holds = if wanted == Phase::Calm { CALM_AFTER } else { HOLDS };
+        let holds = if wanted == Phase::Calm { CALM_AFTER } else { MIN_PHASE_TIME };
         if now < since + holds {
             return false;
         }
@@ -133,8 +133,8 @@
 
     fn wanted(&self, usable: f64) -> Phase {
         let surge = self.baseline().map_or(0.0, |b| self.fast.0 / b);
-        let storms = surge > SURGE[0] && self.away.0 > TURNED_AWAY[0];
-        let over = surge < SURGE[1] && self.away.0 < TURNED_AWAY[1];
+        let storms = surge > SURGE[0] && self.rejected_share.0 > REJECTED_SHARE[0];
+        let over = surge < SURGE[1] && self.rejected_share.0 < REJECTED_SHARE[1];
         match self.phase {
             _ if usable < OUTAGE[0] => Phase::Outage,
             Phase::Outage if usable < OUTAGE[1] => Phase::Outage,
--- a/src/storm/plan/tests.rs
+++ b/src/storm/plan/tests.rs
@@ -7,15 +7,15 @@
 #[test]
 fn a_thousand_turned_away_at_once_come_back_spread() {
     let (mut plan, mut rng) = (Plan::new(1_000_000), Pcg64Mcg::seed_from_u64(7));
-    let all: Vec<Return> = (0..1_000).map(|_| plan.give(5_000_000, 1.0, &|_| 200.0, &mut rng)).collect();
-    let promised = all.iter().filter(|r| r.promised).count();
-    assert!((150..=200).contains(&promised), "{promised}");
+    let all: Vec<RetryTime> = (0..1_000).map(|_| plan.assign(5_000_000, 1.0, &|_| 200.0, &mut rng)).collect();
+    let reserved = all.iter().filter(|r| r.reserved).count();
+    assert!((150..=200).contains(&reserved), "{reserved}");
     for tenth in 0..10 {
         let within = 5_000_000 + tenth * 100_000..5_000_000 + (tenth + 1) * 100_000;
-        let n = all.iter().filter(|r| r.promised && within.contains(&r.at)).count();
+        let n = all.iter().filter(|r| r.reserved && within.contains(&r.at)).count();
         assert!(n <= 30, "{n} in tenth {tenth}");
     }
-    assert!(all.iter().all(|r| r.at <= 6_000_000 && (r.promised || r.at >= 5_500_000)));
+    assert!(all.iter().all(|r| r.at <= 6_000_000 && (r.reserved || r.at >= 5_500_000)));
 }
 
 proptest! {
@@ -30,18 +30,18 @@
     ) {
         let (mut plan, mut rng) = (Plan::new(longest), Pcg64Mcg::seed_from_u64(seed));
         // Capacity that changes every second and is known in advance, as during a warm-up ramp.
-        let room = |at: Micros| rates[(at / 1_000_000) as usize % rates.len()];
+        let admission_rate = |at: Micros| rates[(at / 1_000_000) as usize % rates.len()];
         let mut now = 1_000_000;
         for (pause, weight) in asks {
             now += pause;
-            let back = plan.give(now, weight, &room, &mut rng);
+            let back = plan.assign(now, weight, &admission_rate, &mut rng);
             prop_assert!(back.at > now && back.at <= now + longest.max(2 * SLOT) + SLOT);
-            for i in 0..plan.given.len() as u64 {
+            for i in 0..plan.reservations.len() as u64 {
                 let slot = plan.first + i;
-                let all = room(slot * SLOT) * SLOT as f64 / 1e6;
-                prop_assert!(plan.given(slot) <= all + 1e-6, "slot {slot}: {} of {all}", plan.given(slot));
+                let all = admission_rate(slot * SLOT) * SLOT as f64 / 1e6;
+                prop_assert!(plan.reservations(slot) <= all + 1e-6, "slot {slot}: {} of {all}", plan.reservations(slot));
             }
-            prop_assert!(plan.given.len() as u64 <= longest.max(2 * SLOT) / SLOT + 2);
+            prop_assert!(plan.reservations.len() as u64 <= longest.max(2 * SLOT) / SLOT + 2);
         }
     }
 }
--- a/src/storm/tests.rs
+++ b/src/storm/tests.rs
@@ -4,8 +4,8 @@
 
 const S: Micros = 1_000_000;
 
-fn terms() -> Terms {
-    Terms { longest_wait: S, repeats: 0.3, remembered: 500, ramp: 10 * S }
+fn terms() -> StormSettings {
+    StormSettings { longest_wait: S, repeats: 0.3, remembered: 500, ramp: 10 * S }
 }
 
 const ALL: FleetCapacity = FleetCapacity { listed: 64.0, usable: 64.0, warm: 64.0 };
@@ -21,27 +21,27 @@
     capacity: FleetCapacity,
     can: u64,
 ) -> u64 {
-    let mut passed = 0;
+    let mut admitted = 0;
     for _ in 0..(seconds * 10.0) as u64 {
         let mut served = 0;
         for _ in 0..a_tick {
             *now += 100_000 / a_tick;
-            let asker = *now;
-            match s.ask(*now, asker, false) {
-                Verdict::Pass if served < can => {
-                    (passed, served) = (passed + 1, served + 1);
+            let fingerprint = *now;
+            match s.admit(*now, fingerprint, false) {
+                Admission::Admit if served < can => {
+                    (admitted, served) = (admitted + 1, served + 1);
                     s.served();
                 }
-                Verdict::Pass => {
-                    passed += 1;
-                    s.refused(*now, asker, 200_000);
+                Admission::Admit => {
+                    admitted += 1;
+                    s.rejected(*now, fingerprint, 200_000);
                 }
-                Verdict::Refuse(wait) => assert!(wait <= S + plan::SLOT, "{wait}"),
+                Admission::Reject(wait) => assert!(wait <= S + plan::SLOT, "{wait}"),
             }
         }
         s.tick(*now, capacity);
     }
-    passed
+    admitted
 }
 
 fn returning() -> (Storm, Micros) {
@@ -62,15 +62,15 @@
 fn on_a_calm_day_everything_passes() {
     let (mut s, mut now) = (Storm::new(terms(), 7), S);
     assert_eq!(play(&mut s, &mut now, 60.0, 10, ALL, 10), 6_000);
-    assert_eq!((s.refused(now, 1, 200_000), s.remembered(), s.tally), (200_000, 0, Tally::default()));
+    assert_eq!((s.rejected(now, 1, 200_000), s.remembered(), s.counters), (200_000, 0, Counters::default()));
 }
 
 // When all clients return at once, the admitted rate follows the capacity and not the arrivals.
 #[test]
 fn at_the_return_no_more_passes_than_can_be_served() {
     let (mut s, mut now) = returning();
-    let passed = play(&mut s, &mut now, 5.0, 100, ALL, 10);
-    assert!((300..=700).contains(&passed), "{passed} of 5,000 where 100 a second can be served");
+    let admitted = play(&mut s, &mut now, 5.0, 100, ALL, 10);
+    assert!((300..=700).contains(&admitted), "{admitted} of 5,000 where 100 a second can be served");
 }
 
 // The rate learned under low load underestimates the capacity, and as a fixed limit it would make the recovery of a
@@ -98,21 +98,21 @@
 fn to_come_early_gains_nothing_and_to_come_in_time_does() {
     let (mut s, mut now) = returning();
     (s.tokens, s.tokens_at) = (0.0, now);
-    let Verdict::Refuse(wait) = s.ask(now, 1, false) else { panic!("no token, and it passed") };
-    let back = *s.told.peek(&1).unwrap();
-    assert_eq!(wait, (back.at - now).max(SHORTEST));
+    let Admission::Reject(wait) = s.admit(now, 1, false) else { panic!("admitted without a token") };
+    let back = *s.remembered_rejections.peek(&1).unwrap();
+    assert_eq!(wait, (back.at - now).max(MIN_WAIT));
     for step in [10_000, 20_000, 40_000] {
         if now + step + TOLERANCE < back.at {
-            assert_eq!(s.ask(now + step, 1, false), Verdict::Refuse(back.at - now - step));
+            assert_eq!(s.admit(now + step, 1, false), Admission::Reject(back.at - now - step));
         }
     }
     now = back.at.max(now);
     // New requests have used up the tokens.
     s.refill(now);
     s.tokens = 0.5;
-    assert!(back.promised);
-    assert_eq!(s.ask(now, 1, false), Verdict::Pass);
-    assert!(matches!(s.ask(now, 2, false), Verdict::Refuse(_)));
+    assert!(back.reserved);
+    assert_eq!(s.admit(now, 1, false), Admission::Admit);
+    assert!(matches!(s.admit(now, 2, false), Admission::Reject(_)));
 }
 
 proptest! {
@@ -126,25 +126,25 @@
             let (mut s, mut now) = returning();
             s.rng = Pcg64Mcg::seed_from_u64(seed);
             // Requests admitted during the setup are not counted.
-            s.passed.clear();
+            s.admitted.clear();
             s.repeats = 0;
             let (mut all, mut answers) = (Vec::new(), Vec::new());
-            for (pause, asker, marked, what) in &asks {
+            for (pause, fingerprint, marked, what) in &asks {
                 now += pause;
-                let before = s.tally.repeats;
-                let verdict = s.ask(now, *asker, *marked);
-                if verdict == Verdict::Pass {
-                    all.push((now, s.tally.repeats > before));
+                let before = s.counters.repeats;
+                let verdict = s.admit(now, *fingerprint, *marked);
+                if verdict == Admission::Admit {
+                    all.push((now, s.counters.repeats > before));
                     match what {
                         0 => s.served(),
                         1 => s.failed(),
-                        _ => drop(s.refused(now, *asker, 200_000)),
+                        _ => drop(s.rejected(now, *fingerprint, 200_000)),
                     }
                 }
                 if what == &3 { s.tick(now, ALL); }
                 answers.push(verdict);
                 assert!(s.remembered() <= 500);
-                if let Verdict::Refuse(wait) = verdict {
+                if let Admission::Reject(wait) = verdict {
                     assert!(wait <= S + plan::SLOT);
                 }
             }
