--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -3,7 +3,7 @@
 mod diff;
 mod show;
 
-use super::{Common, Verdict, catalog, options, tell};
+use super::{Common, Outcome, catalog, options, report_faults};
 use crate::membership::check::Terms;
 use crate::membership::files::ReadLimits;
 use crate::membership::list::{self, Digest, Executor, List, ListFile};
@@ -91,8 +91,8 @@
 }
 
 /// Runs one command.
-pub fn run(out: &mut dyn Write, command: Command, common: &Common) -> io::Result<Verdict> {
-    let lists = options(common).map_err(|f| io::Error::other(joined(&f)))?.lists;
+pub fn run(out: &mut dyn Write, command: Command, common: &Common) -> io::Result<Outcome> {
+    let lists = options(common).map_err(|f| io::Error::other(join_faults(&f)))?.lists;
     match command {
         Command::Check { list, json } => check(out, &list, lists.as_ref(), json),
         Command::Show { list, json } => show(out, &list.path, json),
@@ -102,7 +102,7 @@
     }
 }
 
-fn joined(faults: &[Fault]) -> String {
+fn join_faults(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-fn check(out: &mut dyn Write, named: &Named, lists: Option<&Lists>, json: bool) -> io::Result<Verdict> {
+fn check(out: &mut dyn Write, named: &Named, lists: Option<&Lists>, json: bool) -> io::Result<Outcome> {
     let catalog = match &named.config {
         Some(config) => Some(catalog(config).map_err(|f| io::Error::other(f.to_string()))?),
         None => None,
@@ -136,7 +136,7 @@
     if unchecked && !json {
         writeln!(out, "rooms and kinds are not checked: no --config")?;
     }
-    tell(out, &faults, json, &told)
+    report_faults(out, &faults, json, &told)
 }
 
 /// Reads a list or a stored last good copy, ignoring validation errors in its content.
@@ -145,7 +145,7 @@
     if path.extension().is_some_and(|e| e == "last-good") {
         return storage::load(path, MAX_LIST_BYTES).map_err(named);
     }
-    let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
+    let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(join_faults(&f)))?;
     Ok(list)
 }
 
@@ -153,12 +153,12 @@
     if m.accepts_requests() { "up" } else { "draining" }
 }
 
-fn seal(out: &mut dyn Write, file: &Path, confirm: bool, next: bool) -> io::Result<Verdict> {
+fn seal(out: &mut dyn Write, file: &Path, confirm: bool, next: bool) -> io::Result<Outcome> {
     let name = file.display().to_string();
     let named = |e: io::Error| io::Error::other(format!("{name}: {e}"));
     let text = std::fs::read_to_string(file).map_err(named)?;
     match list::renew_seal(&name, &text, confirm, next) {
-        Err(faults) => tell(out, &faults, false, ""),
+        Err(faults) => report_faults(out, &faults, false, ""),
         Ok(text) => {
             // Replaces the target of a symbolic link rather than the link.
             let real = std::fs::canonicalize(file).map_err(named)?;
@@ -166,7 +166,7 @@
             let (list, _) = ListFile::parse(&name, &name, &text);
             let digest = list.map(|l| l.digest.to_string()).unwrap_or_default();
             writeln!(out, "{name}: sealed, {digest}")?;
-            Ok(Verdict::Fine)
+            Ok(Outcome::Success)
         }
     }
 }
@@ -177,7 +177,7 @@
     path: &Path,
     to: Option<PathBuf>,
     lists: Option<&Lists>,
-) -> io::Result<Verdict> {
+) -> io::Result<Outcome> {
     let hex = digest.strip_prefix("sha256:").unwrap_or(digest).to_ascii_lowercase();
     if hex.len() < storage::MIN_DIGEST_DIGITS || hex.len() > 64 || !hex.bytes().all(|b| b.is_ascii_hexdigit())
     {
@@ -192,5 +192,5 @@
     storage::add_acceptance(&at, &hex, now)
         .map_err(|e| io::Error::other(format!("{}: {e}", at.display())))?;
     writeln!(out, "accepted {hex} in {}", at.display())?;
-    Ok(Verdict::Fine)
+    Ok(Outcome::Success)
 }
--- a/src/cli/lists/diff.rs
+++ b/src/cli/lists/diff.rs
@@ -1,7 +1,7 @@
 //! `lists diff`.
 
 use super::{read, state};
-use crate::cli::{Verdict, catalog};
+use crate::cli::{Outcome, catalog};
 use crate::membership::list::{Executor, List};
 use crate::membership::{Effect, Guard, Members, MembersSettings};
 use crate::settings::hcl::shown;
@@ -35,7 +35,7 @@
     config: Option<&Path>,
     lists: Option<Lists>,
     as_json: bool,
-) -> io::Result<Verdict> {
+) -> io::Result<Outcome> {
     let cores = match config {
         Some(c) => catalog(c).map_err(|f| io::Error::other(f.to_string()))?.kinds,
         None => BTreeMap::new(),
@@ -84,5 +84,5 @@
             writeln!(out, "no difference")?;
         }
     }
-    Ok(if same { Verdict::Fine } else { Verdict::Faulty })
+    Ok(if same { Outcome::Success } else { Outcome::FaultsFound })
 }
--- a/src/cli/lists/show.rs
+++ b/src/cli/lists/show.rs
@@ -1,7 +1,7 @@
 //! `lists show`.
 
 use super::{read, state};
-use crate::cli::Verdict;
+use crate::cli::Outcome;
 use crate::membership::list::ListFile;
 use crate::settings::hcl::shown;
 use serde_json::json;
@@ -16,7 +16,7 @@
     }
 }
 
-pub(super) fn show(out: &mut dyn Write, path: &Path, as_json: bool) -> io::Result<Verdict> {
+pub(super) fn show(out: &mut dyn Write, path: &Path, as_json: bool) -> io::Result<Outcome> {
     let list = read(path)?;
     if as_json {
         let file = |f: &ListFile| {
@@ -25,7 +25,7 @@
         };
         let files: Vec<_> = list.files.iter().map(file).collect();
         writeln!(out, "{}", json!({"digest": list.digest.to_string(), "files": files}))?;
-        return Ok(Verdict::Fine);
+        return Ok(Outcome::Success);
     }
     writeln!(out, "{} motores, {}", list.len(), list.digest)?;
     for f in &list.files {
@@ -42,5 +42,5 @@
             writeln!(out, "{}", row([&zone, &uid, &address, &kind, &weight, state(m)]))?;
         }
     }
-    Ok(Verdict::Fine)
+    Ok(Outcome::Success)
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -71,21 +71,21 @@
 
 /// The result of a command, which determines the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Outcome {
     /// No faults and no difference.
-    Fine,
+    Success,
     /// The checked input has faults or differs.
-    Faulty,
+    FaultsFound,
     /// The command could not be carried out.
-    Impossible,
+    Failed,
 }
 
-impl From<Verdict> for ExitCode {
-    fn from(v: Verdict) -> ExitCode {
+impl From<Outcome> for ExitCode {
+    fn from(v: Outcome) -> ExitCode {
         ExitCode::from(match v {
-            Verdict::Fine => 0,
-            Verdict::Faulty => 1,
-            Verdict::Impossible => 2,
+            Outcome::Success => 0,
+            Outcome::FaultsFound => 1,
+            Outcome::Failed => 2,
         })
     }
 }
@@ -106,7 +106,7 @@
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("ottercroft: {e}");
-            Verdict::Impossible.into()
+            Outcome::Failed.into()
         }
     }
 }
@@ -170,7 +170,7 @@
 }
 
 /// Writes faults, one per line or as a JSON object, and returns the resulting verdict.
-fn tell(out: &mut dyn Write, faults: &[Fault], json: bool, fine: &str) -> io::Result<Verdict> {
+fn report_faults(out: &mut dyn Write, faults: &[Fault], json: bool, fine: &str) -> io::Result<Outcome> {
     if json {
         writeln!(out, "{}", serde_json::json!({"ok": faults.is_empty(), "faults": faults}))?;
     } else {
@@ -180,10 +180,10 @@
             n => writeln!(out, "{n} faults")?,
         }
     }
-    Ok(if faults.is_empty() { Verdict::Fine } else { Verdict::Faulty })
+    Ok(if faults.is_empty() { Outcome::Success } else { Outcome::FaultsFound })
 }
 
-fn check(out: &mut dyn Write, config: Option<&Path>, common: &Common, json: bool) -> io::Result<Verdict> {
+fn check(out: &mut dyn Write, config: Option<&Path>, common: &Common, json: bool) -> io::Result<Outcome> {
     let Some(config) = config else {
         return Err(io::Error::other("no configuration named, and ROUTER_CONFIG is not set"));
     };
@@ -208,5 +208,5 @@
         }
         Ok(_) => {}
     }
-    tell(out, &faults, json, "in order")
+    report_faults(out, &faults, json, "in order")
 }
--- a/src/cli/policy/call.rs
+++ b/src/cli/policy/call.rs
@@ -1,6 +1,6 @@
 //! Sends policy calls to the operators' address of a dispatcher.
 
-use super::Verdict;
+use super::Outcome;
 use crate::codec::operator::MAX_LINE_BYTES;
 use crate::settings::hcl::shown;
 use std::io::{self, Read, Write};
@@ -42,7 +42,7 @@
 }
 
 /// Sends one line to an operators' address and returns the whole answer.
-fn ask(at: &str, line: &str) -> io::Result<String> {
+fn send_line(at: &str, line: &str) -> io::Result<String> {
     let mut stream = dial(at)?;
     let until = Instant::now() + ANSWER;
     stream.set_write_timeout(Some(ANSWER))?;
@@ -72,11 +72,11 @@
 }
 
 /// Sends one line to an operators' address and prints the answer.
-pub(super) fn call(out: &mut dyn Write, at: &str, line: &str) -> io::Result<Verdict> {
-    let answer = ask(at, line).map_err(|e| io::Error::other(format!("{at}: {e}")))?;
+pub(super) fn call(out: &mut dyn Write, at: &str, line: &str) -> io::Result<Outcome> {
+    let answer = send_line(at, line).map_err(|e| io::Error::other(format!("{at}: {e}")))?;
     let verdict = match answer.split_whitespace().next() {
-        Some("+OK") => Verdict::Fine,
-        Some("-ERR") => Verdict::Faulty,
+        Some("+OK") => Outcome::Success,
+        Some("-ERR") => Outcome::FaultsFound,
         _ => return Err(io::Error::other(format!("{at}: not an operators' address: {:?}", shown(&answer)))),
     };
     // Control characters in a remote answer are replaced, so that they cannot act on the terminal.
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -2,7 +2,7 @@
 
 mod call;
 
-use super::{Verdict, platform, tell};
+use super::{Outcome, platform, report_faults};
 use crate::api::{Micros, Settings};
 use crate::policies::{Policy, applied};
 use crate::settings::Names;
@@ -64,7 +64,7 @@
 }
 
 /// Runs one command. An error means that the input could not be read or the dispatcher could not be reached.
-pub fn run(out: &mut dyn Write, command: Command) -> io::Result<Verdict> {
+pub fn run(out: &mut dyn Write, command: Command) -> io::Result<Outcome> {
     match command {
         Command::Check { file, config, json } => check(out, &file, config.as_deref(), json),
         Command::Diff { file, other, config } => diff(out, &file, other.as_deref(), &config),
@@ -101,7 +101,7 @@
     Ok(read(path)?.and_then(|p| applied(&p, base, names).map_err(faults)))
 }
 
-fn check(out: &mut dyn Write, file: &Path, config: Option<&Path>, json: bool) -> io::Result<Verdict> {
+fn check(out: &mut dyn Write, file: &Path, config: Option<&Path>, json: bool) -> io::Result<Outcome> {
     let faults = match config {
         Some(config) => under(file, &settings(config)?)?.err(),
         None => read(file)?.err(),
@@ -109,7 +109,7 @@
     if config.is_none() && !json {
         writeln!(out, "not checked against settings: no configuration named")?;
     }
-    tell(out, &faults.unwrap_or_default(), json, "in order")
+    report_faults(out, &faults.unwrap_or_default(), json, "in order")
 }
 
 /// All settings that a policy can change, by field name.
@@ -150,23 +150,23 @@
     all
 }
 
-fn diff(out: &mut dyn Write, file: &Path, other: Option<&Path>, config: &Path) -> io::Result<Verdict> {
+fn diff(out: &mut dyn Write, file: &Path, other: Option<&Path>, config: &Path) -> io::Result<Outcome> {
     let platform = settings(config)?;
     let was = other.map_or(Ok(Ok(platform.0.clone())), |o| under(o, &platform))?;
     let (was, is) = match (was, under(file, &platform)?) {
         (Ok(was), Ok(is)) => (fields(&was, &platform.1), fields(&is, &platform.1)),
         (was, is) => {
             let faults: Vec<Fault> = [was.err(), is.err()].into_iter().flatten().flatten().collect();
-            return tell(out, &faults, false, "");
+            return report_faults(out, &faults, false, "");
         }
     };
     let changed: Vec<_> = is.iter().zip(was.values()).filter(|((_, new), old)| new != old).collect();
     changed.iter().try_for_each(|((field, new), old)| writeln!(out, "{field}: {old} -> {new}"))?;
     if changed.is_empty() {
         writeln!(out, "no difference")?;
-        return Ok(Verdict::Fine);
+        return Ok(Outcome::Success);
     }
-    Ok(Verdict::Faulty)
+    Ok(Outcome::FaultsFound)
 }
 
 #[cfg(test)]
--- a/src/cli/policy/tests.rs
+++ b/src/cli/policy/tests.rs
@@ -35,7 +35,7 @@
 }
 
 /// Runs a command line with file names resolved in a directory.
-fn done(folder: &Path, words: &[&str]) -> (Result<Verdict, String>, String) {
+fn done(folder: &Path, words: &[&str]) -> (Result<Outcome, String>, String) {
     let place = |w: &str| match w.contains('.') && !w.contains(':') {
         true => folder.join(w).display().to_string(),
         false => w.to_string(),
@@ -57,16 +57,16 @@
         &[("c.json", CONFIG), ("a.hcl", OLD), ("w.hcl", wrong), ("u.hcl", unfit), ("e.hcl", "\n")],
     );
     let run = |words: &[&str]| done(&all.0, words);
-    assert_eq!(run(&["check", "a.hcl", "c.json"]), (Ok(Verdict::Fine), "in order\n".into()));
+    assert_eq!(run(&["check", "a.hcl", "c.json"]), (Ok(Outcome::Success), "in order\n".into()));
     let (verdict, told) = run(&["check", "w.hcl"]);
-    assert_eq!(verdict, Ok(Verdict::Faulty));
+    assert_eq!(verdict, Ok(Outcome::FaultsFound));
     for part in ["w.hcl:3:5: ", "w.hcl:4:", "worht", "aim", "2 faults\n", "not checked against settings"] {
         assert!(told.contains(part), "{part} in {told}");
     }
-    assert_eq!(run(&["check", "u.hcl"]).0, Ok(Verdict::Fine), "the text alone is in order");
+    assert_eq!(run(&["check", "u.hcl"]).0, Ok(Outcome::Success), "the text alone is in order");
     let (verdict, told) = run(&["check", "u.hcl", "c.json", "--json"]);
     let told: serde_json::Value = serde_json::from_str(&told).unwrap();
-    assert_eq!((verdict, told["ok"].as_bool()), (Ok(Verdict::Faulty), Some(false)));
+    assert_eq!((verdict, told["ok"].as_bool()), (Ok(Outcome::FaultsFound), Some(false)));
     assert_eq!(told["faults"].as_array().unwrap().len(), 2);
     assert!(told["faults"][0]["what"].as_str().unwrap().contains("class \"raed\": unknown"), "{told}");
     assert!(run(&["check", "e.hcl"]).1.contains("empty"));
@@ -81,12 +81,12 @@
     let all = folder("diff", &[("c.json", CONFIG), ("a.hcl", OLD), ("b.hcl", NEW), ("u.hcl", unfit)]);
     let run = |words: &[&str]| done(&all.0, words);
     let against_settings = "class \"read\": kinds: any -> old\n".to_string();
-    assert_eq!(run(&["diff", "a.hcl", "c.json"]), (Ok(Verdict::Faulty), against_settings));
+    assert_eq!(run(&["diff", "a.hcl", "c.json"]), (Ok(Outcome::FaultsFound), against_settings));
     let against_other = "class \"read\": deadline: 6s -> 4s\nclass \"read\": kinds: old -> new\n".to_string();
-    assert_eq!(run(&["diff", "b.hcl", "a.hcl", "c.json"]), (Ok(Verdict::Faulty), against_other));
-    assert_eq!(run(&["diff", "a.hcl", "a.hcl", "c.json"]), (Ok(Verdict::Fine), "no difference\n".into()));
+    assert_eq!(run(&["diff", "b.hcl", "a.hcl", "c.json"]), (Ok(Outcome::FaultsFound), against_other));
+    assert_eq!(run(&["diff", "a.hcl", "a.hcl", "c.json"]), (Ok(Outcome::Success), "no difference\n".into()));
     let (verdict, told) = run(&["diff", "u.hcl", "c.json"]);
-    assert!(verdict == Ok(Verdict::Faulty) && told.contains("u.hcl: class \"raed\": unknown"), "{told}");
+    assert!(verdict == Ok(Outcome::FaultsFound) && told.contains("u.hcl: class \"raed\": unknown"), "{told}");
 }
 
 /// A stub operators' address that answers one call; the thread returns the line received.
@@ -110,14 +110,14 @@
     let all = folder("calls", &[("a.hcl", OLD)]);
     let run = |words: &[&str]| done(&all.0, words);
     let (at, got) = dispatcher("+OK proposed 3\n");
-    assert_eq!(run(&["propose", "a.hcl", "--at", &at]), (Ok(Verdict::Fine), "+OK proposed 3\n".into()));
+    assert_eq!(run(&["propose", "a.hcl", "--at", &at]), (Ok(Outcome::Success), "+OK proposed 3\n".into()));
     let path = all.0.join("a.hcl");
     assert_eq!(got.join().unwrap(), format!("POLICY PROPOSE {}\n", path.display()));
     for (word, line) in
         [("status", "POLICY STATUS\n"), ("abort", "POLICY ABORT\n"), ("back", "POLICY BACK\n")]
     {
         let (at, got) = dispatcher("-ERR no \u{1b}[2J\nmore\n.\n");
-        assert_eq!(run(&[word, "--at", &at]), (Ok(Verdict::Faulty), "-ERR no ?[2J\nmore\n.\n".into()));
+        assert_eq!(run(&[word, "--at", &at]), (Ok(Outcome::FaultsFound), "-ERR no ?[2J\nmore\n.\n".into()));
         assert_eq!(got.join().unwrap(), line);
     }
     let (at, got) = dispatcher("HTTP/1.1 400\n");
--- a/src/net/admin/calls.rs
+++ b/src/net/admin/calls.rs
@@ -132,7 +132,7 @@
     }
 
     pub(in crate::net) fn dump(&self, now: Micros) -> String {
-        let f = &self.figures;
+        let f = &self.metrics;
         f.forwards.inc_by(self.executors.counters.forwards.saturating_sub(f.forwards.get()));
         f.outstanding.set(self.requests.open.len() as i64);
         let (listed, avoided) = self.dispatch.listed_and_avoided(now);
--- a/src/net/clients/request_intake.rs
+++ b/src/net/clients/request_intake.rs
@@ -11,7 +11,7 @@
 use crate::net::clients::session::ClientCommand;
 use crate::net::event_loop::poll::Key;
 use crate::net::executors::Job;
-use crate::operator::figures::Disposition;
+use crate::operator::metrics::Disposition;
 use crate::storm::{self, Admission};
 use crate::takeover::Gate;
 use std::collections::{BTreeMap, VecDeque};
@@ -119,7 +119,7 @@
         self.requests.open.remove(&request.id);
         match self.dispatch.reject(request, reason) {
             Ok(()) => {
-                self.figures.ended(&job.class_name, Disposition::Declined);
+                self.metrics.ended(&job.class_name, Disposition::Declined);
                 if let Some(session) = self.sessions.by_key.get_mut(&key) {
                     session.answer(&Answer::Rejected(wait.div_ceil(1_000)));
                 }
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -6,7 +6,7 @@
 use crate::api::Micros;
 use crate::dispatch::{Answer, AttemptEnd, AttemptId, AttemptTerms, Command, ExecutorId, NetworkEvent};
 use crate::net::event_loop::poll::Key;
-use crate::operator::figures::Disposition;
+use crate::operator::metrics::Disposition;
 use std::collections::VecDeque;
 
 impl DispatcherServer {
@@ -77,7 +77,7 @@
             Answer::Failed => Disposition::Aborted,
             Answer::Rejected(_) => Disposition::Declined,
         };
-        self.figures.ended(&job.class_name, disposition);
+        self.metrics.ended(&job.class_name, disposition);
         if let Some(storm) = &mut self.storm {
             match &mut answer {
                 Answer::Served(_) => storm.served(),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -46,7 +46,7 @@
 use crate::codec::coordinator::Target;
 use crate::dispatch::Dispatch;
 use crate::operator::bans::Bans;
-use crate::operator::figures::Figures;
+use crate::operator::metrics::Metrics;
 use crate::settings::Names;
 use crate::settings::config::{Config, ConfigError};
 use crate::storm::Storm;
@@ -111,7 +111,7 @@
     admin_listener: Option<AdminListener>,
     /// When `LEAVE` was received; `None` after `JOIN`.
     leaving: Option<Micros>,
-    figures: Figures,
+    metrics: Metrics,
     bans: Bans,
     /// The file that carries bans over to the next process.
     bans_file: BansFile,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -14,7 +14,7 @@
         };
         match (self.load_config)().map_err(|e| e.to_string()).and_then(usable) {
             Ok((coordinator, settings)) => {
-                self.figures.sighup_applied.inc();
+                self.metrics.sighup_applied.inc();
                 tracing::info!(%coordinator, "configuration reloaded");
                 // Under an agreed policy, a changed settings file at a single dispatcher has no effect.
                 if let Some(fleet_policy) =
@@ -35,7 +35,7 @@
                 }
             }
             Err(e) => {
-                self.figures.sighup_rejected.inc();
+                self.metrics.sighup_rejected.inc();
                 tracing::error!(error = e.replace('\n', " "), "configuration reload rejected");
             }
         }
--- a/src/net/setup.rs
+++ b/src/net/setup.rs
@@ -25,7 +25,7 @@
 use crate::codec::coordinator::Target;
 use crate::dispatch::{Dispatch, WatchEvent};
 use crate::membership::check::Catalog;
-use crate::operator::figures::Figures;
+use crate::operator::metrics::Metrics;
 use crate::settings::config::Config;
 use crate::settings::options::{self, Options};
 use crate::storm::{self, Storm};
@@ -75,8 +75,8 @@
         let pool = Pool::new((config.limits.memory_mb / BUFFER_MEMORY_DIVISOR * 1024.0 * 1024.0) as usize);
         let descriptors = DescriptorShares::new(config.limits.sockets);
         let admin_listener = bind_operators(operator_address, &descriptors, &poll, &pool)?;
-        let figures = Figures::new();
-        names.classes.keys().for_each(|class| figures.class(class));
+        let metrics = Metrics::new();
+        names.classes.keys().for_each(|class| metrics.class(class));
         let bans_file = BansFile::new(&std::env::temp_dir(), &config.name);
         let bans = bans_file.load();
 
@@ -115,7 +115,7 @@
             shutdown,
             admin_listener,
             leaving: None,
-            figures,
+            metrics,
             bans,
             bans_file,
             endpoints: BTreeMap::new(),
--- a/src/operator/bans.rs
+++ b/src/operator/bans.rs
@@ -13,18 +13,18 @@
 
 /// Why a call on bans is rejected; sent after `-ERR`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
+pub enum BanError {
     /// No executor on the list has that id, and none is banned under it.
     Unknown(String),
     /// [`MAX_BANS`] executors are banned already.
     Full,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for BanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Unknown(id) => write!(f, "no executor {id}"),
-            Refused::Full => write!(f, "{MAX_BANS} executors are offline already"),
+            BanError::Unknown(id) => write!(f, "no executor {id}"),
+            BanError::Full => write!(f, "{MAX_BANS} executors are offline already"),
         }
     }
 }
@@ -33,19 +33,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Unusable {
     /// The header is not that of a ban file.
-    Foreign,
+    UnknownFormat,
     /// Written by another dispatcher.
-    Other(String),
+    OtherDispatcher(String),
     /// The checksum does not match: partially written or modified.
-    Torn,
+    ChecksumMismatch,
 }
 
 impl fmt::Display for Unusable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::Foreign => write!(f, "not a file of bans"),
-            Unusable::Other(name) => write!(f, "written by dispatcher {name:?}"),
-            Unusable::Torn => write!(f, "torn: its checksum does not match"),
+            Unusable::UnknownFormat => write!(f, "not a file of bans"),
+            Unusable::OtherDispatcher(name) => write!(f, "written by dispatcher {name:?}"),
+            Unusable::ChecksumMismatch => write!(f, "torn: its checksum does not match"),
         }
     }
 }
@@ -58,25 +58,25 @@
 
 impl Bans {
     /// Bans an executor; `listed` is whether it is on the list. Returns whether it was not banned before.
-    pub fn offline(&mut self, id: &str, listed: bool) -> Result<bool, Refused> {
+    pub fn offline(&mut self, id: &str, listed: bool) -> Result<bool, BanError> {
         if self.ids.contains(id) {
             return Ok(false);
         }
         if !listed {
-            return Err(Refused::Unknown(id.to_string()));
+            return Err(BanError::Unknown(id.to_string()));
         }
         if self.ids.len() >= MAX_BANS {
-            return Err(Refused::Full);
+            return Err(BanError::Full);
         }
         Ok(self.ids.insert(id.to_string()))
     }
 
     /// Lifts a ban and returns whether there was one; a listed executor without a ban is not an error.
-    pub fn online(&mut self, id: &str, listed: bool) -> Result<bool, Refused> {
+    pub fn online(&mut self, id: &str, listed: bool) -> Result<bool, BanError> {
         match self.ids.remove(id) {
             true => Ok(true),
             false if listed => Ok(false),
-            false => Err(Refused::Unknown(id.to_string())),
+            false => Err(BanError::Unknown(id.to_string())),
         }
     }
 
@@ -108,14 +108,15 @@
 
     /// Reads a hand-over file written by `name`; anything else is [`Unusable`].
     pub fn decode(text: &str, name: &str) -> Result<Bans, Unusable> {
-        let (head, body) = text.split_once('\n').ok_or(Unusable::Foreign)?;
-        let rest = head.strip_prefix(HEAD).and_then(|r| r.strip_prefix(" name=")).ok_or(Unusable::Foreign)?;
-        let (written_by, sum) = rest.rsplit_once(" sum=").ok_or(Unusable::Foreign)?;
+        let (head, body) = text.split_once('\n').ok_or(Unusable::UnknownFormat)?;
+        let rest =
+            head.strip_prefix(HEAD).and_then(|r| r.strip_prefix(" name=")).ok_or(Unusable::UnknownFormat)?;
+        let (written_by, sum) = rest.rsplit_once(" sum=").ok_or(Unusable::UnknownFormat)?;
         if written_by != escape(name) {
-            return Err(Unusable::Other(written_by.to_string()));
+            return Err(Unusable::OtherDispatcher(written_by.to_string()));
         }
         if sum != checksum(name, body) {
-            return Err(Unusable::Torn);
+            return Err(Unusable::ChecksumMismatch);
         }
         let ids = body.lines().filter(|l| !l.is_empty()).take(MAX_BANS).map(str::to_string).collect();
         Ok(Bans { ids })
--- a/src/operator/figures.rs
+++ b/src/operator/metrics.rs
@@ -27,7 +27,7 @@
 }
 
 /// The metrics of one process.
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     results: IntCounterVec,
     /// Attempts completely written to executors.
@@ -44,15 +44,15 @@
     pub sighup_rejected: IntCounter,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
-        Figures::new()
+impl Default for Metrics {
+    fn default() -> Metrics {
+        Metrics::new()
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Registers all metrics at 0.
-    pub fn new() -> Figures {
+    pub fn new() -> Metrics {
         let registry = Registry::new_custom(Some("dispatcher".into()), None).expect("a fixed prefix");
         let results = IntCounterVec::new(
             Opts::new("results", "Requests taken, by class (service) and how they ended (disposition)"),
@@ -61,7 +61,7 @@
         .expect("fixed names");
         let counter = |name: &str, help: &str| IntCounter::new(name, help).expect("a fixed name");
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("a fixed name");
-        let figures = Figures {
+        let metrics = Metrics {
             results,
             forwards: counter("forwards", "Attempts written whole to executors"),
             outstanding: gauge("outstanding", "Requests taken and not ended"),
@@ -71,18 +71,18 @@
             sighup_rejected: counter("sighup_rejected", "SIGHUPs whose configuration was refused"),
             registry,
         };
-        let r = &figures.registry;
+        let r = &metrics.registry;
         let all: [Box<dyn prometheus::core::Collector>; 7] = [
-            Box::new(figures.results.clone()),
-            Box::new(figures.forwards.clone()),
-            Box::new(figures.outstanding.clone()),
-            Box::new(figures.discovered.clone()),
-            Box::new(figures.ejected.clone()),
-            Box::new(figures.sighup_applied.clone()),
-            Box::new(figures.sighup_rejected.clone()),
+            Box::new(metrics.results.clone()),
+            Box::new(metrics.forwards.clone()),
+            Box::new(metrics.outstanding.clone()),
+            Box::new(metrics.discovered.clone()),
+            Box::new(metrics.ejected.clone()),
+            Box::new(metrics.sighup_applied.clone()),
+            Box::new(metrics.sighup_rejected.clone()),
         ];
         all.into_iter().for_each(|c| r.register(c).expect("names registered once"));
-        figures
+        metrics
     }
 
     /// Initializes the counters of a class, so that they are exposed before its first request.
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! State behind the operators' address: bans on executors and metrics. Sans-I/O.
 
 pub mod bans;
-pub mod figures;
+pub mod metrics;
 
 #[cfg(test)]
 mod tests;
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -1,5 +1,5 @@
-use super::bans::{Bans, Refused, Unusable};
-use super::figures::{Disposition, Figures};
+use super::bans::{BanError, Bans, Unusable};
+use super::metrics::{Disposition, Metrics};
 use crate::codec::operator::*;
 use proptest::prelude::*;
 
@@ -123,8 +123,8 @@
     assert!(bans.banned("e1"));
     assert_eq!(bans.online("e1", true), Ok(true));
     assert!(!bans.banned("e1"));
-    assert_eq!(bans.offline("ghost", false), Err(Refused::Unknown("ghost".into())));
-    assert_eq!(bans.online("ghost", false), Err(Refused::Unknown("ghost".into())));
+    assert_eq!(bans.offline("ghost", false), Err(BanError::Unknown("ghost".into())));
+    assert_eq!(bans.online("ghost", false), Err(BanError::Unknown("ghost".into())));
     // The ban of an executor that left the list can still be lifted.
     bans.offline("e2", true).unwrap();
     assert_eq!(bans.online("e2", false), Ok(true));
@@ -136,15 +136,15 @@
     let mut bans = Bans::default();
     bans.offline("e1", true).unwrap();
     let text = bans.encode("a");
-    assert_eq!(Bans::decode(&text, "b"), Err(Unusable::Other("a".into())));
-    assert_eq!(Bans::decode("hello\n", "a"), Err(Unusable::Foreign));
-    assert_eq!(Bans::decode("", "a"), Err(Unusable::Foreign));
+    assert_eq!(Bans::decode(&text, "b"), Err(Unusable::OtherDispatcher("a".into())));
+    assert_eq!(Bans::decode("hello\n", "a"), Err(Unusable::UnknownFormat));
+    assert_eq!(Bans::decode("", "a"), Err(Unusable::UnknownFormat));
 }
 
 // The exposed names and format are those that the operators' scraper reads.
 #[test]
 fn figures_use_the_names_of_the_page() {
-    let f = Figures::new();
+    let f = Metrics::new();
     f.class("short");
     f.ended("short", Disposition::Succeeded);
     f.ended("short", Disposition::Succeeded);
@@ -160,6 +160,6 @@
     }
     assert!(
         !text.lines().any(|l| l == "."),
-        "the end line is the codec's, and must not stand in the figures"
+        "the end line is added by the codec and must not be part of the metrics"
     );
 }
--- a/src/storm/plan.rs
+++ b/src/storm/plan.rs
@@ -62,8 +62,8 @@
         slot.checked_sub(self.first).and_then(|i| self.reservations.get(i as usize)).copied().unwrap_or(0.0)
     }
 
-    /// Assigns a retry time. `admission_rate` is the number of requests per second that can be admitted at a time; `weight` is
-    /// the share of this one.
+    /// Assigns a retry time. `admission_rate` is the number of requests per second that can be admitted at a time;
+    /// `weight` is the share of this one.
     pub fn assign(
         &mut self,
         now: Micros,
