--- a/src/cli/lists.rs
+++ b/src/cli/lists.rs
@@ -3,7 +3,7 @@
 mod diff;
 mod show;
 
-use super::{Common, Verdict, catalog, options, tell};
+use super::{Common, Outcome, catalog, options, report_faults};
 use crate::membership::check::Terms;
 use crate::membership::files::ReadLimits;
 use crate::membership::list::{self, Digest, Executor, List, ListFile};
@@ -22,10 +22,10 @@
 /// The largest list read when no settings give a limit.
 const MAX_LIST_BYTES: u64 = 64 << 20;
 
-/// What to do with executor lists.
+/// Commands on executor lists.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Tell all that is wrong with a list
+    /// Check a list and report all of its faults
     Check {
         /// The list
         #[command(flatten)]
@@ -34,7 +34,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show what a list says: its executors, generation, digest and seal
+    /// Show the executors, generation, digest and seal of a list
     Show {
         /// The list
         #[command(flatten)]
@@ -43,11 +43,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// Compare two lists, and tell whether the guard would hold the second one back after the first
+    /// Compare two lists, and report whether the guard would hold back the second one after the first
     Diff {
-        /// The list in force: a file, a directory, or a kept *.last-good
+        /// The list in force: a file, a directory, or a stored *.last-good copy
         old: PathBuf,
-        /// The list that is to follow it
+        /// The list that would replace it
         new: PathBuf,
         /// The platform's JSON file, for the cores of each kind
         #[arg(long, env = "ROUTER_CONFIG", value_name = "FILE")]
@@ -56,43 +56,43 @@
         #[arg(long)]
         json: bool,
     },
-    /// Write the seal of a list file anew: its number of executors and its digest
+    /// Renew the seal of a list file: its number of executors and its digest
     Seal {
         /// The file
         file: PathBuf,
-        /// Add the second seal, which confirms what the list takes away
+        /// Add the confirmation seal, which confirms the removals in the list
         #[arg(long)]
         confirm: bool,
-        /// Count the generation on
+        /// Increment the generation
         #[arg(long)]
         next: bool,
     },
     /// Accept a list that a dispatcher holds back
     Accept {
-        /// Its digest, or 12 digits of it or more, as the log line has them
+        /// Its digest, or at least the first 12 digits of it, as shown in the log line
         digest: String,
-        /// The list: the path that the settings name
+        /// The path of the list as given in the settings
         #[arg(long, value_name = "PATH")]
         list: PathBuf,
-        /// Where acceptances of it stand, if the settings name another file than the one beside it
+        /// The file of its acceptances, if the settings name another one than the default beside the list
         #[arg(long, value_name = "FILE")]
         to: Option<PathBuf>,
     },
 }
 
-/// A list, and what it is checked by.
+/// A list and the configuration that it is checked against.
 #[derive(Debug, Args)]
 pub struct Named {
     /// The list: a file, or a directory of files *.hcl
     path: PathBuf,
-    /// The platform's JSON file, for the rooms and kinds that it knows; without it they are not checked
+    /// The platform's JSON file with the known rooms and kinds; without it they are not checked
     #[arg(long, env = "ROUTER_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
 }
 
 /// Runs one command.
-pub fn run(out: &mut dyn Write, command: Command, common: &Common) -> io::Result<Verdict> {
-    let lists = options(common).map_err(|f| io::Error::other(joined(&f)))?.lists;
+pub fn run(out: &mut dyn Write, command: Command, common: &Common) -> io::Result<Outcome> {
+    let lists = options(common).map_err(|f| io::Error::other(join_faults(&f)))?.lists;
     match command {
         Command::Check { list, json } => check(out, &list, lists.as_ref(), json),
         Command::Show { list, json } => show(out, &list.path, json),
@@ -102,7 +102,7 @@
     }
 }
 
-fn joined(faults: &[Fault]) -> String {
+fn join_faults(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-fn check(out: &mut dyn Write, named: &Named, lists: Option<&Lists>, json: bool) -> io::Result<Verdict> {
+fn check(out: &mut dyn Write, named: &Named, lists: Option<&Lists>, json: bool) -> io::Result<Outcome> {
     let catalog = match &named.config {
         Some(config) => Some(catalog(config).map_err(|f| io::Error::other(f.to_string()))?),
         None => None,
@@ -136,7 +136,7 @@
     if unchecked && !json {
         writeln!(out, "rooms and kinds are not checked: no --config")?;
     }
-    tell(out, &faults, json, &told)
+    report_faults(out, &faults, json, &told)
 }
 
 /// Reads a list or a stored last good copy, ignoring validation errors in its content.
@@ -145,7 +145,7 @@
     if path.extension().is_some_and(|e| e == "last-good") {
         return storage::load(path, MAX_LIST_BYTES).map_err(named);
     }
-    let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(joined(&f)))?;
+    let (list, _) = watcher::validate(path, &plain_rules()).map_err(|f| io::Error::other(join_faults(&f)))?;
     Ok(list)
 }
 
@@ -153,12 +153,12 @@
     if m.accepts_requests() { "up" } else { "draining" }
 }
 
-fn seal(out: &mut dyn Write, file: &Path, confirm: bool, next: bool) -> io::Result<Verdict> {
+fn seal(out: &mut dyn Write, file: &Path, confirm: bool, next: bool) -> io::Result<Outcome> {
     let name = file.display().to_string();
     let named = |e: io::Error| io::Error::other(format!("{name}: {e}"));
     let text = std::fs::read_to_string(file).map_err(named)?;
     match list::renew_seal(&name, &text, confirm, next) {
-        Err(faults) => tell(out, &faults, false, ""),
+        Err(faults) => report_faults(out, &faults, false, ""),
         Ok(text) => {
             // Replaces the target of a symbolic link rather than the link.
             let real = std::fs::canonicalize(file).map_err(named)?;
@@ -166,7 +166,7 @@
             let (list, _) = ListFile::parse(&name, &name, &text);
             let digest = list.map(|l| l.digest.to_string()).unwrap_or_default();
             writeln!(out, "{name}: sealed, {digest}")?;
-            Ok(Verdict::Fine)
+            Ok(Outcome::Success)
         }
     }
 }
@@ -177,13 +177,13 @@
     path: &Path,
     to: Option<PathBuf>,
     lists: Option<&Lists>,
-) -> io::Result<Verdict> {
+) -> io::Result<Outcome> {
     let hex = digest.strip_prefix("sha256:").unwrap_or(digest).to_ascii_lowercase();
     if hex.len() < storage::MIN_DIGEST_DIGITS || hex.len() > 64 || !hex.bytes().all(|b| b.is_ascii_hexdigit())
     {
         let (least, shown) = (storage::MIN_DIGEST_DIGITS, Digest::SHORT);
         return Err(io::Error::other(format!(
-            "{digest:?} is no digest: {least} to 64 hex digits, {shown} stand in the log line"
+            "{digest:?} is not a digest: {least} to 64 hex digits are required, log lines show {shown}"
         )));
     }
     let set = lists.and_then(|l| l.sources.iter().find(|s| s.path == path)).map(|s| s.accept.clone());
@@ -192,5 +192,5 @@
     storage::add_acceptance(&at, &hex, now)
         .map_err(|e| io::Error::other(format!("{}: {e}", at.display())))?;
     writeln!(out, "accepted {hex} in {}", at.display())?;
-    Ok(Verdict::Fine)
+    Ok(Outcome::Success)
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -19,15 +19,15 @@
 use tracing_subscriber::EnvFilter;
 
 const EXIT_CODES: &str = "Exit codes:
-  0  done; what was checked is in order; no difference
-  1  what was checked has faults, or differs; a dispatcher refused a call, could not start or serve
-  2  nothing could be done: wrong arguments, a file that can't be read, or a dispatcher that can't be reached";
+  0  success; no faults; no difference
+  1  the input has faults or differs; a dispatcher rejected a call, or could not start or serve
+  2  the command could not run: wrong arguments, an unreadable file, or an unreachable dispatcher";
 
-/// A dispatcher in front of analytic query executors ("executors").
+/// A dispatcher in front of analytic query executors.
 ///
 /// Without a command it serves. ROUTER_CONFIG names the platform's JSON file (ROUTER_LISTEN, ROUTER_NAME and
-/// ROUTER_OPERATOR stand over its keys; `operator` is the operators' second address, see docs/oncall.md),
-/// --settings our own HCL file for what only some installations have, such as executor lists from files.
+/// ROUTER_OPERATOR override its keys; `operator` is the operators' address, see docs/oncall.md), and
+/// --settings names ottercroft's own HCL file for optional features such as executor lists from files.
 #[derive(Debug, Parser)]
 #[command(name = "ottercroft", version, after_help = EXIT_CODES)]
 pub struct Cli {
@@ -40,10 +40,10 @@
 /// Arguments common to all commands.
 #[derive(Debug, Args)]
 pub struct Common {
-    /// Our own settings, in HCL
+    /// ottercroft's own settings, in HCL
     #[arg(long, global = true, env = "OTTERCROFT_SETTINGS", value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// How log lines are written; goes before the settings' own word
+    /// Format of log lines; overrides the settings
     #[arg(long, global = true, env = "OTTERCROFT_LOG_FORMAT", value_name = "FORMAT")]
     log_format: Option<LogFormat>,
 }
@@ -52,7 +52,7 @@
 enum Command {
     /// Serve until SIGTERM (the default)
     Serve,
-    /// Check a configuration, our settings and the executor lists that they name, and tell all that is wrong
+    /// Check a configuration, ottercroft's own settings and the executor lists they name, and report all faults
     Check {
         /// The platform's JSON file
         #[arg(env = "ROUTER_CONFIG")]
@@ -61,31 +61,31 @@
         #[arg(long)]
         json: bool,
     },
-    /// Work with executor lists: check, show, compare, seal and accept them
+    /// Check, show, compare, seal and accept executor lists
     #[command(subcommand)]
     Lists(lists::Command),
-    /// Work with the policy that a fleet holds alike: check, compare and propose it, and see what came of that
+    /// Check, compare and propose the policy shared by a fleet, and show its status
     #[command(subcommand)]
     Policy(policy::Command),
 }
 
 /// The result of a command, which determines the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Outcome {
     /// No faults and no difference.
-    Fine,
+    Success,
     /// The checked input has faults or differs.
-    Faulty,
+    FaultsFound,
     /// The command could not be carried out.
-    Impossible,
+    Failed,
 }
 
-impl From<Verdict> for ExitCode {
-    fn from(v: Verdict) -> ExitCode {
+impl From<Outcome> for ExitCode {
+    fn from(v: Outcome) -> ExitCode {
         ExitCode::from(match v {
-            Verdict::Fine => 0,
-            Verdict::Faulty => 1,
-            Verdict::Impossible => 2,
+            Outcome::Success => 0,
+            Outcome::FaultsFound => 1,
+            Outcome::Failed => 2,
         })
     }
 }
@@ -106,7 +106,7 @@
         Err(e) if e.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("ottercroft: {e}");
-            Verdict::Impossible.into()
+            Outcome::Failed.into()
         }
     }
 }
@@ -170,7 +170,7 @@
 }
 
 /// Writes faults, one per line or as a JSON object, and returns the resulting verdict.
-fn tell(out: &mut dyn Write, faults: &[Fault], json: bool, fine: &str) -> io::Result<Verdict> {
+fn report_faults(out: &mut dyn Write, faults: &[Fault], json: bool, fine: &str) -> io::Result<Outcome> {
     if json {
         writeln!(out, "{}", serde_json::json!({"ok": faults.is_empty(), "faults": faults}))?;
     } else {
@@ -180,10 +180,10 @@
             n => writeln!(out, "{n} faults")?,
         }
     }
-    Ok(if faults.is_empty() { Verdict::Fine } else { Verdict::Faulty })
+    Ok(if faults.is_empty() { Outcome::Success } else { Outcome::FaultsFound })
 }
 
-fn check(out: &mut dyn Write, config: Option<&Path>, common: &Common, json: bool) -> io::Result<Verdict> {
+fn check(out: &mut dyn Write, config: Option<&Path>, common: &Common, json: bool) -> io::Result<Outcome> {
     let Some(config) = config else {
         return Err(io::Error::other("no configuration named, and ROUTER_CONFIG is not set"));
     };
@@ -197,7 +197,7 @@
         Ok(Options { lists: Some(l), .. }) => {
             if !l.without.is_empty() {
                 let file = common.settings.as_deref().unwrap_or(config).display().to_string();
-                let what = "motor_lists.test_only leaves safeguards out; it is for tests alone";
+                let what = "motor_lists.test_only disables safeguards; it is for tests only";
                 faults.push(Fault::of_file(&file, what));
             }
             let rules = crate::membership::watcher::Rules::new(&l, catalog);
@@ -208,5 +208,5 @@
         }
         Ok(_) => {}
     }
-    tell(out, &faults, json, "in order")
+    report_faults(out, &faults, json, "in order")
 }
--- a/src/cli/policy/mod.rs
+++ b/src/cli/policy/mod.rs
@@ -2,7 +2,7 @@
 
 mod call;
 
-use super::{Verdict, platform, tell};
+use super::{Outcome, platform, report_faults};
 use crate::api::{Micros, Settings};
 use crate::policies::{Policy, applied};
 use crate::settings::Names;
@@ -15,26 +15,26 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What to do with policies.
+/// Commands on policies.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Tell all that is wrong with a policy
+    /// Check a policy and report all of its faults
     Check {
         /// The policy
         file: PathBuf,
-        /// The platform's JSON file, whose settings it has to fit; without it only the text is checked
+        /// The platform's JSON file whose settings the policy must match; without it only the text is checked
         #[arg(env = "ROUTER_CONFIG")]
         config: Option<PathBuf>,
         /// Write the findings as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show what a policy changes of the platform's settings, or of what another policy makes of them
+    /// Show what a policy changes relative to the platform's settings or to another policy
     #[command(allow_missing_positional = true)]
     Diff {
         /// The policy
         file: PathBuf,
-        /// The policy that it would follow; the settings themselves if none
+        /// The policy to compare with; the settings themselves if absent
         other: Option<PathBuf>,
         /// The platform's JSON file
         config: PathBuf,
@@ -43,19 +43,19 @@
     Propose {
         /// The policy, at a path that the dispatcher can read
         file: PathBuf,
-        /// Through which dispatcher
+        /// The dispatcher to call
         #[command(flatten)]
         at: At,
     },
-    /// Tell what is in force, what is under way, and what came of earlier changes
+    /// Show the policy in force, the change in progress and the outcome of earlier changes
     Status(At),
-    /// Call off the change that is under way
+    /// Abort the change in progress
     Abort(At),
-    /// Propose the policy that was in force before
+    /// Propose the previous policy
     Back(At),
 }
 
-/// A dispatcher to talk to.
+/// The dispatcher to call.
 #[derive(Debug, Args)]
 pub struct At {
     /// Its operators' address
@@ -64,7 +64,7 @@
 }
 
 /// Runs one command. An error means that the input could not be read or the dispatcher could not be reached.
-pub fn run(out: &mut dyn Write, command: Command) -> io::Result<Verdict> {
+pub fn run(out: &mut dyn Write, command: Command) -> io::Result<Outcome> {
     match command {
         Command::Check { file, config, json } => check(out, &file, config.as_deref(), json),
         Command::Diff { file, other, config } => diff(out, &file, other.as_deref(), &config),
@@ -101,7 +101,7 @@
     Ok(read(path)?.and_then(|p| applied(&p, base, names).map_err(faults)))
 }
 
-fn check(out: &mut dyn Write, file: &Path, config: Option<&Path>, json: bool) -> io::Result<Verdict> {
+fn check(out: &mut dyn Write, file: &Path, config: Option<&Path>, json: bool) -> io::Result<Outcome> {
     let faults = match config {
         Some(config) => under(file, &settings(config)?)?.err(),
         None => read(file)?.err(),
@@ -109,7 +109,7 @@
     if config.is_none() && !json {
         writeln!(out, "not checked against settings: no configuration named")?;
     }
-    tell(out, &faults.unwrap_or_default(), json, "in order")
+    report_faults(out, &faults.unwrap_or_default(), json, "in order")
 }
 
 /// All settings that a policy can change, by field name.
@@ -150,23 +150,23 @@
     all
 }
 
-fn diff(out: &mut dyn Write, file: &Path, other: Option<&Path>, config: &Path) -> io::Result<Verdict> {
+fn diff(out: &mut dyn Write, file: &Path, other: Option<&Path>, config: &Path) -> io::Result<Outcome> {
     let platform = settings(config)?;
     let was = other.map_or(Ok(Ok(platform.0.clone())), |o| under(o, &platform))?;
     let (was, is) = match (was, under(file, &platform)?) {
         (Ok(was), Ok(is)) => (fields(&was, &platform.1), fields(&is, &platform.1)),
         (was, is) => {
             let faults: Vec<Fault> = [was.err(), is.err()].into_iter().flatten().flatten().collect();
-            return tell(out, &faults, false, "");
+            return report_faults(out, &faults, false, "");
         }
     };
     let changed: Vec<_> = is.iter().zip(was.values()).filter(|((_, new), old)| new != old).collect();
     changed.iter().try_for_each(|((field, new), old)| writeln!(out, "{field}: {old} -> {new}"))?;
     if changed.is_empty() {
         writeln!(out, "no difference")?;
-        return Ok(Verdict::Fine);
+        return Ok(Outcome::Success);
     }
-    Ok(Verdict::Faulty)
+    Ok(Outcome::FaultsFound)
 }
 
 #[cfg(test)]
--- a/src/net/commands.rs
+++ b/src/net/commands.rs
@@ -6,7 +6,7 @@
 use crate::api::Micros;
 use crate::dispatch::{Answer, AttemptEnd, AttemptId, AttemptTerms, Command, ExecutorId, NetworkEvent};
 use crate::net::event_loop::poll::Key;
-use crate::operator::figures::Disposition;
+use crate::operator::metrics::Disposition;
 use std::collections::VecDeque;
 
 impl DispatcherServer {
@@ -77,13 +77,13 @@
             Answer::Failed => Disposition::Aborted,
             Answer::Rejected(_) => Disposition::Declined,
         };
-        self.figures.ended(&job.class_name, disposition);
+        self.metrics.ended(&job.class_name, disposition);
         if let Some(storm) = &mut self.storm {
             match &mut answer {
                 Answer::Served(_) => storm.served(),
                 Answer::Failed => storm.failed(),
                 Answer::Rejected(retry_after_ms) => {
-                    let wait = storm.refused(now, request_fingerprint(&job), *retry_after_ms * 1_000);
+                    let wait = storm.rejected(now, request_fingerprint(&job), *retry_after_ms * 1_000);
                     *retry_after_ms = wait.div_ceil(1_000);
                 }
             }
@@ -113,7 +113,7 @@
                 ?was,
                 arrivals_per_s = arrivals.round(),
                 baseline_per_s = baseline.map(f64::round),
-                room_per_s = storm.room(now).round(),
+                room_per_s = storm.admission_rate(now).round(),
                 usable_cores = fleet.usable,
                 listed_cores = fleet.listed,
                 "storm phase"
