--- a/crates/fleet/src/group/ready.rs
+++ b/crates/fleet/src/group/ready.rs
@@ -1,9 +1,9 @@
-//! Processing of the Raft library's ready states: messages, entries, snapshots.
+//! Processing of the Raft library's `Ready` values: messages, entries, snapshots.
 
 use super::*;
 
 impl Group {
-    /// Processes ready states until none is left, and compacts the log if due.
+    /// Processes `Ready` values until none is left, and compacts the log if due.
     pub(super) fn process_ready(&mut self) {
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -15,7 +15,7 @@
             if !ready.entries().is_empty() {
                 self.bytes_since_snapshot += ready.entries().iter().map(|e| e.data.len() + 32).sum::<usize>();
                 if let Err(e) = self.log.append(ready.entries()) {
-                    unreachable!("entries that follow the end of the log can't be appended: {e}");
+                    unreachable!("appending new entries to the log failed: {e}");
                 }
             }
             if let Some(state) = ready.hs() {
@@ -50,7 +50,8 @@
     }
 
     fn restore(&mut self, snapshot: Snapshot) {
-        // Group::step decoded it before it passed the message to the library.
+        // `Group::step` stores the decoded state, and passes a snapshot to the library only if it could be
+        // decoded. The state is therefore expected to be present here.
         let Some(state) = self.incoming_state.take() else { return };
         self.applied = snapshot.get_metadata().index;
         (self.bytes_since_snapshot, self.snapshot_size) = (0, snapshot.data.len());
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Removes own batches that were applied from the pending ones.
+    /// Removes this peer's applied batches from `pending`, and raises `next_batch` past the last applied one.
     pub(super) fn drop_applied_batches(&mut self) {
         let last = self.state.batch(self.me);
         self.next_batch = self.next_batch.max(last + 1);
--- a/crates/fleet/tests/policy_model/model.rs
+++ b/crates/fleet/tests/policy_model/model.rs
@@ -4,15 +4,16 @@
 use fleet::{Holder, Peer};
 use stateright::{Model, Property};
 
-/// A deliberate defect of the protocol that the model must detect.
+/// A deliberate defect of the protocol that the model must detect, or no defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     None,
     /// A dispatcher reports that it has stopped, but admits requests until the change is in force.
     AdmitsWhileClosing,
-    /// A lease is declared expired before its holder knows.
+    /// A lease may be declared expired in the log while its holder still uses it.
     ExpiresEarly,
-    /// Closing waits only for the holders that have voted.
+    /// The closing stage, between the vote and the change being in force, waits only for the holders that have
+    /// voted.
     CountsVoters,
     /// Voting and closing wait only for the holders that had a lease when the change was proposed.
     CountsHoldersAtProposal,
@@ -23,27 +24,30 @@
 pub struct Bounds {
     pub proposals: u8,
     pub aborts: u8,
+    /// Changes given up because a deadline has passed, [`Action::TimeOut`].
     pub sweeps: u8,
     pub crashes: u8,
     /// Leases that expire by their holder's clock.
     pub lease_expiries: u8,
 }
 
-/// One model configuration with its bounds.
+/// The model, in one configuration and with its bounds.
 #[derive(Clone)]
 pub struct Checks {
     pub defect: Defect,
     pub bounds: Bounds,
-    /// Crashes and lease expiries happen only to dispatchers from this index on; the others are symmetric to
-    /// them.
+    /// Crashes and lease expiries happen only to dispatchers from this index on. This leaves out no case if each
+    /// of the others is symmetric to one of them. If the only one of them is the `faulty` peer, crashes and
+    /// lease expiries of the others are not explored.
     pub first_affected: usize,
     /// This peer cannot apply the policy of this number.
     pub faulty: Option<(Peer, u64)>,
-    /// Properties that must be reachable.
+    /// Properties that some state must satisfy, within at least one of the bounds checked together.
     pub reached: Vec<Property<Checks>>,
 }
 
 impl Checks {
+    /// Whether the peer cannot apply the policy of this number.
     pub fn fault(&self, peer: Peer, number: u64) -> bool {
         self.faulty == Some((peer, number))
     }
@@ -56,12 +60,12 @@
     Deliver(usize, usize),
     /// A dispatcher's next submitted command is appended to the log.
     Append(usize),
-    /// A dispatcher's lease expires by its own clock.
+    /// A dispatcher's lease expires by its own clock; the log does not show it.
     LeaseExpires(usize),
-    /// A lease is declared expired in the log.
+    /// The entry that declares a lease expired is appended to the log.
     Expire(Holder),
-    /// A dispatcher crashes and restarts; its submitted commands are lost if the flag is set, and arrive late
-    /// otherwise.
+    /// A dispatcher crashes and restarts. Its submitted commands are lost with `true`, and arrive late with
+    /// `false`.
     Crash(usize, bool),
     /// A dispatcher requests a lease.
     Register(usize),
@@ -69,7 +73,7 @@
     Abort,
     /// A change is given up because a deadline has passed.
     TimeOut,
-    /// A request is admitted under a higher number than any before.
+    /// A request is admitted under a policy with a higher number than any before.
     Admit(usize),
 }
 
@@ -96,7 +100,7 @@
                 to.push(Action::Crash(n, true));
                 to.extend((!d.out.is_empty()).then_some(Action::Crash(n, false)));
             }
-            // A dispatcher's expired lease has to be ended in the log before it requests another one.
+            // A dispatcher's lease has to be declared expired in the log before it requests another one.
             let expired = w.latest.leases.alive().iter().all(|h| h.incarnation != d.incarnation());
             if !d.follows() && expired {
                 to.push(Action::Register(n));
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -3,15 +3,16 @@
 //!
 //! An executor fails if it is sent more than `overload_factor` times its current capacity within
 //! `overload_window`. Dispatchers do not coordinate, so each one stays within its share of a fraction of that
-//! budget. Work is counted in thread-seconds. If a dispatcher's share is less than one request, it admits
-//! requests with a proportional probability, so that all dispatchers together send the intended mean.
+//! budget. Work is counted in thread-seconds. A dispatcher's share can be less than one request, so requests
+//! are admitted at random: the probability is the tokens available for a request divided by its work, and all
+//! dispatchers together send the intended mean.
 
 use crate::api::{RequestId, TimestampUs};
 use crate::state::{Balancer, Executor, Request, TokenBucket};
 
 /// Mean fraction of an executor's slow-start budget that all dispatchers together use.
 const BUDGET_UTILIZATION: f64 = 0.4;
-/// Maximum number of windows' budget that may be saved up for one request.
+/// Maximum number of windows whose budget may be saved up for one request.
 const SAVED_WINDOWS: f64 = 4.0;
 /// Maximum size of a request, as a fraction of the budget of a window.
 const MAX_REQUEST_FRACTION: f64 = 0.3;
@@ -23,7 +24,8 @@
 /// Work that may be sent to one executor in slow start, in thread-seconds.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WarmingBuckets {
-    /// This dispatcher's share of the budget at the executor's initial rate; charged by admitted requests.
+    /// This dispatcher's share of the budget, refilled at the executor's initial rate. Only the work of
+    /// admitted requests is charged to it.
     share: TokenBucket,
     /// Tokens that determine the admission probability of a request.
     admission: TokenBucket,
@@ -71,8 +73,10 @@
 }
 
 impl SlowStartAdmission {
-    /// Refills the buckets and decides by `random`, uniform from 0 to 1. The tokens are spent whether or not
-    /// the request is admitted; the admission probability is the spent tokens divided by its work.
+    /// Refills the buckets and decides by `random`, uniform from 0 to 1. If the dispatcher's share suffices,
+    /// the admission probability is the spent admission tokens divided by the request's work; otherwise it is
+    /// 0. Admission tokens are spent whether or not the request is admitted; the share is charged only if it
+    /// is.
     fn admit(
         &mut self,
         buckets: &mut WarmingBuckets,
@@ -101,7 +105,7 @@
 }
 
 impl Balancer {
-    /// Whether a request may be sent to the executor drawn for it: always if the executor is warm, with a
+    /// Whether a request may be sent to the executor chosen for it: always if the executor is warm, with a
     /// probability if it is in slow start.
     pub(super) fn admit_to_warming(&mut self, id: RequestId, i: usize) -> bool {
         let Some(rate) = self.warming_rate(&self.executors[i]) else { return true };
@@ -155,7 +159,7 @@
     }
 
     /// Maximum rate of work from this dispatcher for all executors in slow start together, in thread-seconds
-    /// per second: the sum of their `warming_rate`s.
+    /// per second: the sum of `WarmingRate::own` over them.
     fn total_warming_rate(&self) -> f64 {
         let slow_start = &self.settings.slow_start;
         let (cores, core_seconds) = self.executor_index.warming_cores(&self.settings.kinds, self.now);
@@ -184,7 +188,8 @@
         slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * done
     }
 
-    /// Marks executors whose ramp is over as warm.
+    /// Updates the index entry of each executor whose ramp has ended, which removes it from the index of
+    /// executors in slow start.
     pub(super) fn finish_slow_starts(&mut self) {
         let latest_start = self.now.saturating_sub(self.settings.slow_start.ramp);
         while let Some(i) = self.executor_index.started_by(latest_start) {
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -1,9 +1,11 @@
 //! The event loop: a single thread polls all sockets and processes their events in a fixed order.
 //!
-//! All input is processed before any request starts. Signals and clients come first, so that disconnected
-//! clients are known; then executors, endpoint lists and operators, so that finished attempts and draining
-//! executors are known. Then the requests read in this turn start, followed by expired timers. No attempt
-//! starts on the basis of an outdated poll of the clients (`executors::client_poll`).
+//! In each turn, the timers of the fleet and of the control plane are processed first, so that expired leases
+//! are known; then signals and clients, so that disconnected clients are known. Attempts that waited for this
+//! poll of the clients start next. Then come executors, endpoint lists and operators, so that finished
+//! attempts and draining executors are known. Only then do the requests read in this turn start, followed by
+//! expired timers. No attempt starts on the basis of an outdated poll of the clients
+//! (`executors::client_poll`).
 //!
 //! - `poll`: socket readiness.
 //! - `poll_times`: when the sockets were polled.
@@ -29,11 +31,12 @@
 use std::io;
 use std::time::Duration;
 
-/// A turn that takes longer than this, or whose poll oversleeps by more, is logged; in microseconds.
+/// Threshold in microseconds: a turn is logged if it works for longer, or if its poll oversleeps by more.
 const SLOW_TURN: Micros = 20_000;
 
 impl DispatcherServer {
-    /// Serves until SIGTERM, and then until every accepted request has its answer.
+    /// Serves until SIGTERM, and then until the shutdown ends: when no client is left, or at its time limit.
+    /// Requests that are still open at the give-up time are rejected or failed (`shutdown`).
     pub fn run(&mut self) -> io::Result<()> {
         // Sized so that one poll returns all ready sockets.
         let mut events = polling::Events::with_capacity(self.descriptors.max_open());
@@ -69,8 +72,9 @@
         Ok(())
     }
 
-    /// Processes all events of a poll that began at `before`. Signals and clients come first: afterwards
-    /// everything that clients did up to `before` is known.
+    /// Processes all events of a poll that began at `before`. Leases that have expired by then are dropped first.
+    /// Events of signals and clients come before all others: after them, everything that clients did up to
+    /// `before` is known.
     fn process_events(&mut self, events: &polling::Events, before: Micros) {
         self.tick_in_flight(self.poll_times.polled_at());
         self.tick_control(self.poll_times.polled_at());
@@ -80,15 +84,15 @@
         }
         let (clients, others): (Vec<_>, Vec<_>) =
             events.iter().partition(|event| self.is_client_side(event.key));
-        // Existing connections come before new ones: of two requests for a key, the one on a new connection
-        // is the later one, because the protocol requires at least 250 ms between a request on a new
-        // connection and the next one.
+        // Existing connections come before new ones: of two requests for a key in the same poll, the one on
+        // a new connection is the later one. Had it been sent first, the protocol would have required the
+        // client to wait at least 250 ms before the other one.
         let (new, known): (Vec<_>, Vec<_>) =
             clients.into_iter().partition(|event| Some(event.key) == listener);
         known.into_iter().chain(new).for_each(|event| self.process_event(event));
         self.executors.clients_polled(before);
-        // Done immediately: with little CPU time, the remaining events could take so long that the client
-        // poll would be outdated again.
+        // Done before the remaining events: with little CPU time, these could take so long that the client
+        // poll would be outdated before the waiting attempts start.
         self.executors.start_waiting_attempts(&self.poll);
         others.into_iter().for_each(|event| self.process_event(event));
         self.poll_times.processed_until = before;
@@ -142,6 +146,7 @@
         self.execute(commands);
         let processed_until = self.poll_times.processed_until;
         self.executors.tick(processed_until, &self.poll);
+        // Processes the events that the executors' tick produced.
         self.execute(Vec::new());
         if let Some(feed) = &mut self.coordinator_watch {
             feed.tick(processed_until, &self.poll);
--- a/src/net/maintenance/mod.rs
+++ b/src/net/maintenance/mod.rs
@@ -19,7 +19,8 @@
     /// The capacity that must stay in service.
     budget: Budget,
     next_poll_at: Micros,
-    /// When this dispatcher started, how long it waits to learn the plan, and whether it knows it.
+    /// When this dispatcher started, how long it waits to learn the plan, and whether it has learned the plan or
+    /// stopped waiting.
     started_at: Micros,
     plan_wait: Micros,
     plan_known: bool,
--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -1,4 +1,4 @@
-//! Applies the plan: holds executors back, reports idle ones, and advances the plan as leader.
+//! Applies the plan: holds executors back, reports idle ones, and advances the plan if this dispatcher is the leader.
 
 use super::format::{step_kind, step_text};
 use crate::api::Micros;
@@ -8,7 +8,7 @@
 use fleet::plan::{self, Command, ExecutorInfo, Plan, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Interval between two checks of the plan.
+/// Interval between two checks of an unchanged plan, in microseconds.
 const POLL_INTERVAL: Micros = 50_000;
 
 impl DispatcherServer {
@@ -27,7 +27,7 @@
         self.endpoints.iter().map(|(uid, t)| (uid.clone(), machine(t))).collect()
     }
 
-    /// Checks the plan: holds executors back, reports idle ones, answers pending calls, and advances the plan as leader.
+    /// Applies the plan if it has changed or is due for a check, and answers pending calls.
     pub(in crate::net) fn advance_plan(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let changed = std::mem::take(&mut in_flight.takeover.planned);
@@ -51,14 +51,16 @@
         self.lead_plan(&plan, now);
     }
 
-    /// A dispatcher that has just started knows no plan: it holds all executors back until it learns the plan, or for two
-    /// leases at most.
+    /// Handles a check while no plan is known, as after the start. Until `plan_wait` (two lease durations) after
+    /// the start, all executors are held back. After that, none is held back if no plan was ever known; otherwise
+    /// nothing changes.
     fn await_plan(&mut self, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         if now >= in_flight.maintenance.started_at + in_flight.maintenance.plan_wait {
             if !in_flight.maintenance.plan_known {
+                // Ends the wait for a plan: the empty plan holds back no executor.
                 in_flight.maintenance.plan_known = true;
-                tracing::warn!("maintenance: no plan received from the fleet; executors are used as listed");
+                tracing::warn!("maintenance: no plan received from the fleet; no executor is held back");
                 self.apply_plan(&Plan::default(), now);
             }
         } else {
@@ -78,7 +80,8 @@
         in_flight.maintenance.logged = steps;
     }
 
-    /// Applies which executors the plan holds back and which ones it has brought back into service.
+    /// Holds back the executors that the plan takes out of service, and begins the slow start of those that it has
+    /// returned to service.
     fn apply_plan(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         in_flight.maintenance.plan_known = true;
--- a/src/settings/options/lists.rs
+++ b/src/settings/options/lists.rs
@@ -7,10 +7,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What to do at start with neither a usable list nor a last good copy.
+/// What to do at start if a source has neither a usable list nor a last good copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OnEmpty {
-    /// Serve without executors from it: requests are rejected with a retry-after hint.
+    /// Serve without the executors of this source. Requests are rejected with a retry-after hint if there are no
+    /// executors from other sources or the feed either.
     Serve,
     /// Exit with an error.
     Exit,
@@ -50,7 +51,7 @@
     pub drain_limit: Duration,
     /// Directory for the last good lists, on persistent storage.
     pub last_good: Option<PathBuf>,
-    /// What to do at start without any list.
+    /// What to do at start if a source has neither a usable list nor a last good copy.
     pub on_empty: OnEmpty,
     /// For tests only: disabled safeguards.
     pub without: BTreeSet<Safeguard>,
@@ -135,7 +136,9 @@
     }
     if let Some(nets) = t.get("networks", faults, hcl::list(hcl::parsed("10.0.0.0/8"))) {
         if nets.is_empty() {
-            faults.push(t.fault("networks", "an empty list allows no address; leave it out to allow all"));
+            faults.push(
+                t.fault("networks", "an empty list allows no address; remove the setting to allow all"),
+            );
         }
         l.terms.networks = Some(nets);
     }
@@ -144,7 +147,7 @@
         let name = names[0].to_string();
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if name == FEED || name.is_empty() || name.len() > 64 || !name.chars().all(plain) {
-            let what = "1 to 64 letters, digits, '-', '_' or '.' are allowed, and not \"feed\"";
+            let what = "1 to 64 letters, digits, '-', '_' or '.' are allowed; \"feed\" is reserved";
             faults.push(s.fault("", what));
         }
         if l.sources.iter().any(|o| o.name == name) {
@@ -167,7 +170,7 @@
             let once: BTreeSet<&str> = given.iter().map(String::as_str).collect();
             let all: BTreeSet<&str> = names().collect();
             if once.len() != given.len() {
-                faults.push(t.fault("precedence", "a name stands there twice"));
+                faults.push(t.fault("precedence", "a name is listed twice"));
             }
             if let Some(unknown) = once.iter().find(|n| **n != FEED && !all.contains(**n)) {
                 let allowed: Vec<&str> = names().chain([FEED]).collect();
--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -53,7 +53,8 @@
 
     fn opened(&mut self, now: Micros, ask: u64) {
         let Some(local) = self.local.get_mut(&ask) else {
-            // Its client disconnected before the record was committed, so that it was never sent.
+            // The request ended before its record was committed. For example, its client disconnected, or it is
+            // idempotent, was sent without waiting for the record, and has been answered.
             return self.fleet.close(now, ask, Outcome::Removed);
         };
         if local.stage != Stage::Opening {
@@ -197,8 +198,10 @@
         }
     }
 
-    /// The lease ended. Idempotent requests belong to another peer from now on. Non-idempotent ones are never run again
-    /// by any peer, so that an answer that still arrives may go to the client that waits here.
+    /// The lease ended. Requests that run here are fenced, and further tries of them are refused. Idempotent ones are
+    /// released, because another peer takes them over. Non-idempotent ones continue although the log line counts them
+    /// as let go: no peer runs them again, so the try that runs here may still be answered. Requests in all other
+    /// stages are refused.
     fn lost(&mut self, holder: Holder) {
         tracing::warn!(
             term = holder.term,
