--- a/src/takeover/fleet_events.rs
+++ b/src/takeover/fleet_events.rs
@@ -18,13 +18,13 @@
             );
             match event {
                 FleetEvent::Opened(ask) => self.opened(now, ask),
-                FleetEvent::AlreadyRecorded(ask) => self.taken(now, ask),
+                FleetEvent::AlreadyRecorded(ask) => self.already_recorded(now, ask),
                 FleetEvent::NotRecorded(ask) => self.not_recorded(ask),
                 FleetEvent::Reassigned { request_id: ask, from, mine, .. } => {
-                    self.claimed(now, ask, from, mine)
+                    self.reassigned(now, ask, from, mine)
                 }
                 FleetEvent::Closed(ask, end) => self.closed(now, ask, &end),
-                FleetEvent::ResultRequested(peer, ask) => self.fetched(now, peer, ask),
+                FleetEvent::ResultRequested(peer, ask) => self.result_requested(now, peer, ask),
                 FleetEvent::ResultReceived(ask, pages) => self.result(ask, pages),
                 FleetEvent::StateChanged(StateKind::Plan) => self.planned = true,
                 FleetEvent::StateChanged(StateKind::Policy) => self.ruled = true,
@@ -69,7 +69,7 @@
         self.actions.push_back(TakeoverAction::Admit(first.rid));
     }
 
-    fn taken(&mut self, now: Micros, ask: u64) {
+    fn already_recorded(&mut self, now: Micros, ask: u64) {
         let Some(local) = self.local.get_mut(&ask) else { return };
         if local.stage != Stage::Opening {
             // It was sent before this was known and continues here; another peer holds the record.
@@ -108,7 +108,7 @@
         }
     }
 
-    fn claimed(&mut self, now: Micros, ask: u64, from: Holder, mine: bool) {
+    fn reassigned(&mut self, now: Micros, ask: u64, from: Holder, mine: bool) {
         if !mine {
             if let Some(Local { stage: Stage::Theirs { fetch_at }, .. }) = self.local.get_mut(&ask) {
                 *fetch_at = now;
@@ -168,7 +168,7 @@
         }
     }
 
-    fn fetched(&mut self, now: Micros, peer: Peer, ask: u64) {
+    fn result_requested(&mut self, now: Micros, peer: Peer, ask: u64) {
         match self.local.get_mut(&ask) {
             Some(Local { stage: Stage::Parked { pages, .. }, .. }) => {
                 let pages = pages.clone();
