--- a/src/net/maintenance/plan.rs
+++ b/src/net/maintenance/plan.rs
@@ -85,31 +85,31 @@
     fn apply_plan(&mut self, plan: &Plan, now: Micros) {
         let Some(in_flight) = &mut self.in_flight else { return };
         in_flight.maintenance.plan_known = true;
-        let without_word = in_flight.takeover.fleet.leaderless_for(now);
-        let held = plan.executors_to_avoid(&in_flight.maintenance.budget, without_word);
-        let held: BTreeSet<String> = held.into_iter().map(String::from).collect();
+        let leaderless_for = in_flight.takeover.fleet.leaderless_for(now);
+        let held_back = plan.executors_to_avoid(&in_flight.maintenance.budget, leaderless_for);
+        let held_back: BTreeSet<String> = held_back.into_iter().map(String::from).collect();
         let warming_since: BTreeMap<String, Micros> = plan
             .steps()
             .filter_map(|(id, s)| if let Step::WarmingUp(t) = s { Some((id.to_string(), *t)) } else { None })
             .collect();
-        self.set_held_back(held, warming_since, now);
+        self.set_held_back(held_back, warming_since, now);
     }
 
     fn set_held_back(
         &mut self,
-        held: BTreeSet<String>,
+        held_back: BTreeSet<String>,
         warming_since: BTreeMap<String, Micros>,
         now: Micros,
     ) {
         let Some(in_flight) = &mut self.in_flight else { return };
         let mut changed: BTreeSet<String> =
-            held.symmetric_difference(&in_flight.maintenance.held_back).cloned().collect();
+            held_back.symmetric_difference(&in_flight.maintenance.held_back).cloned().collect();
         for (id, at) in warming_since {
             if in_flight.maintenance.warming_since.insert(id.clone(), at) != Some(at) {
                 changed.insert(id);
             }
         }
-        in_flight.maintenance.held_back = held;
+        in_flight.maintenance.held_back = held_back;
         in_flight.maintenance.warming_since.retain(|uid, _| self.endpoints.contains_key(uid));
         let targets: Vec<_> = changed.iter().filter_map(|id| self.endpoints.get(id).cloned()).collect();
         if !targets.is_empty() {
@@ -126,20 +126,24 @@
                 && in_flight.maintenance.held_back.contains(id)
                 && !self.executors.busy(id)
             {
-                let idle = Command::Idle(holder, id.into());
-                in_flight.takeover.fleet.propose(now, fleet::state::Command::Plan(idle));
+                let command = Command::Idle(holder, id.into());
+                in_flight.takeover.fleet.propose(now, fleet::state::Command::Plan(command));
             }
         }
     }
 
     fn lead_plan(&mut self, plan: &Plan, now: Micros) {
-        if !self.in_flight.as_ref().is_some_and(|h| h.maintenance.active && h.takeover.fleet.is_leader()) {
+        if !self
+            .in_flight
+            .as_ref()
+            .is_some_and(|in_flight| in_flight.maintenance.active && in_flight.takeover.fleet.is_leader())
+        {
             return;
         }
         let (machines, busy) = (self.machines(), self.dispatch.busy_cores(now));
         let Some(in_flight) = &mut self.in_flight else { return };
         let alive: BTreeSet<_> =
-            in_flight.takeover.fleet.state().map(|a| a.alive().clone()).unwrap_or_default();
+            in_flight.takeover.fleet.state().map(|state| state.alive().clone()).unwrap_or_default();
         for command in plan::next_commands(plan, &machines, busy, &alive, &in_flight.maintenance.budget, now)
         {
             in_flight.takeover.fleet.propose(now, fleet::state::Command::Plan(command));
