--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -26,7 +26,7 @@
 pub(crate) struct WarmingBuckets {
     /// This dispatcher's share of the budget, refilled at the executor's initial rate. Only the work of
     /// admitted requests is charged to it.
-    share: TokenBucket,
+    budget: TokenBucket,
     /// Tokens that determine the admission probability of a request.
     admission: TokenBucket,
 }
@@ -35,7 +35,7 @@
     /// Empty buckets for an executor that has just started.
     pub(crate) fn new(now: TimestampUs) -> WarmingBuckets {
         let empty = TokenBucket { updated_at: now, ..TokenBucket::default() };
-        WarmingBuckets { share: empty.clone(), admission: empty }
+        WarmingBuckets { budget: empty.clone(), admission: empty }
     }
 }
 
@@ -58,7 +58,7 @@
 struct Admission {
     /// Work of the request, in thread-seconds.
     work: f64,
-    /// Work charged to the share: at least the mean of its class, so that low estimates give no advantage.
+    /// Work charged to the budget: at least the mean of its class, so that low estimates give no advantage.
     charged_work: f64,
     /// This dispatcher's current rate, in thread-seconds per second.
     rate: f64,
@@ -73,9 +73,9 @@
 }
 
 impl SlowStartAdmission {
-    /// Refills the buckets and decides by `random`, uniform from 0 to 1. If the dispatcher's share suffices,
+    /// Refills the buckets and decides by `random`, uniform from 0 to 1. If the budget bucket suffices,
     /// the admission probability is the spent admission tokens divided by the request's work; otherwise it is
-    /// 0. Admission tokens are spent whether or not the request is admitted; the share is charged only if it
+    /// 0. Admission tokens are spent whether or not the request is admitted; the budget is charged only if it
     /// is.
     fn admit(
         &mut self,
@@ -87,7 +87,7 @@
         let window_work = request.rate * request.window_s;
         let initial_window_work = request.initial_rate * request.window_s;
         let max_saved = request.mean_work.clamp(window_work, window_work * SAVED_WINDOWS);
-        buckets.share.refill_at_rate(now, request.initial_rate, initial_window_work);
+        buckets.budget.refill_at_rate(now, request.initial_rate, initial_window_work);
         buckets.admission.refill_at_rate(now, request.rate, max_saved);
         self.tokens.refill_at_rate(now, request.total_rate, request.total_rate * request.window_s);
 
@@ -95,10 +95,10 @@
         buckets.admission.level -= spent;
         self.tokens.level -= spent;
 
-        let has_share = buckets.share.level >= request.charged_work.min(initial_window_work);
-        let admitted = random * request.work < spent && has_share;
+        let within_budget = buckets.budget.level >= request.charged_work.min(initial_window_work);
+        let admitted = random * request.work < spent && within_budget;
         if admitted {
-            buckets.share.level = (buckets.share.level - request.charged_work).max(0.0);
+            buckets.budget.level = (buckets.budget.level - request.charged_work).max(0.0);
         }
         admitted
     }
@@ -165,8 +165,8 @@
         let (cores, core_seconds) = self.executor_index.warming_cores(&self.settings.kinds, self.now);
         let ramp_s = slow_start.ramp.max(1) as f64 / 1e6;
         let initial = slow_start.initial_fraction;
-        let present_cores = initial * cores + (1.0 - initial) * core_seconds / ramp_s;
-        BUDGET_UTILIZATION * slow_start.overload_factor * present_cores * self.slow_start_share()
+        let effective_cores = initial * cores + (1.0 - initial) * core_seconds / ramp_s;
+        BUDGET_UTILIZATION * slow_start.overload_factor * effective_cores * self.slow_start_share()
     }
 
     /// This dispatcher's share of the budget: its share of the traffic, but at most an equal share, because
