--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -116,10 +116,13 @@
 
     /// The components with their own sockets and timers.
     fn event_sources(&self) -> impl Iterator<Item = &dyn EventSource> {
-        let feed = self.coordinator_watch.as_ref().map(|f| f as &dyn EventSource);
-        let in_flight = self.in_flight.as_ref().map(|h| h as &dyn EventSource);
-        let operators = self.admin_listener.as_ref().map(|o| o as &dyn EventSource);
-        std::iter::once(&self.executors as &dyn EventSource).chain(feed).chain(operators).chain(in_flight)
+        let coordinator_watch = self.coordinator_watch.as_ref().map(|watch| watch as &dyn EventSource);
+        let in_flight = self.in_flight.as_ref().map(|in_flight| in_flight as &dyn EventSource);
+        let admin_listener = self.admin_listener.as_ref().map(|listener| listener as &dyn EventSource);
+        std::iter::once(&self.executors as &dyn EventSource)
+            .chain(coordinator_watch)
+            .chain(admin_listener)
+            .chain(in_flight)
     }
 
     /// When the next turn is due if no event occurs.
@@ -148,8 +151,8 @@
         self.executors.tick(processed_until, &self.poll);
         // Processes the events that the executors' tick produced.
         self.execute(Vec::new());
-        if let Some(feed) = &mut self.coordinator_watch {
-            feed.tick(processed_until, &self.poll);
+        if let Some(coordinator_watch) = &mut self.coordinator_watch {
+            coordinator_watch.tick(processed_until, &self.poll);
         }
         self.free_descriptors(now);
         if self.endpoint_lists.as_ref().is_some_and(EndpointLists::pending) {
@@ -158,8 +161,8 @@
         if self.listener.resume_at().is_some_and(|at| at <= now) {
             self.resume_accepting(now);
         }
-        if let Some(operators) = &mut self.admin_listener {
-            operators.tick(now, &self.poll);
+        if let Some(admin_listener) = &mut self.admin_listener {
+            admin_listener.tick(now, &self.poll);
         }
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.tick(now, &self.poll);
