--- a/crates/fleet/src/group/ready.rs
+++ b/crates/fleet/src/group/ready.rs
@@ -42,11 +42,11 @@
     }
 
     pub(super) fn send(&mut self, messages: Vec<Message>) {
-        let snapshot = |m: &&Message| m.get_msg_type() == MessageType::MsgSnapshot;
+        let is_snapshot = |m: &&Message| m.get_msg_type() == MessageType::MsgSnapshot;
         let at = self.tick_at;
-        self.snapshots_in_transit.extend(messages.iter().filter(snapshot).map(|m| (m.to, at)));
-        let bytes = |m: Message| Some((m.to, m.write_to_bytes().ok()?));
-        self.messages.extend(messages.into_iter().filter_map(bytes));
+        self.snapshots_in_transit.extend(messages.iter().filter(is_snapshot).map(|m| (m.to, at)));
+        let encode = |m: Message| Some((m.to, m.write_to_bytes().ok()?));
+        self.messages.extend(messages.into_iter().filter_map(encode));
     }
 
     fn restore(&mut self, snapshot: Snapshot) {
